--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -9,7 +9,7 @@
 use dahliapoint_control::{
     Between, Controller, Input, LineState, MetLine, Output, Report, Scope, Session, Terms,
 };
-use dahliapoint_fibers::{Bell, Queue, Received};
+use dahliapoint_fibers::{Notify, Queue, Received};
 use dahliapoint_hooks::value::{LineSeen, World};
 use dahliapoint_intake::mouth::{Line, Mouth, Read};
 use dahliapoint_intake::pace::Interval;
@@ -85,7 +85,7 @@
 #[derive(Default)]
 struct Asked {
     answer: Mutex<Option<serde_json::Value>>,
-    bell: Bell,
+    bell: Notify,
 }
 
 /// Carries out an output; gives it back if it is for another.
@@ -294,7 +294,7 @@
         }
         work.asked
             .drain(..)
-            .for_each(|(_, asked)| asked.bell.ring());
+            .for_each(|(_, asked)| asked.bell.notify());
     }
 
     /// One moment: written down, decided, carried out.
@@ -486,7 +486,7 @@
                 Told::PushedOut(id) | Told::TooLate(id) => {
                     let gone = work.asked.iter().position(|(i, _)| *i == id);
                     if let Some(at) = gone {
-                        work.asked.swap_remove(at).1.bell.ring();
+                        work.asked.swap_remove(at).1.bell.notify();
                     }
                     warn!(id, "background work was given up: there is too much");
                 }
@@ -533,7 +533,7 @@
             view[*name] = part();
         }
         *lock(&asked.answer) = Some(view);
-        asked.bell.ring();
+        asked.bell.notify();
         false
     }
 
--- a/crates/fibers/src/bell.rs
+++ b/crates/fibers/src/bell.rs
@@ -3,17 +3,17 @@
 use crate::waiting::Watched;
 use std::time::Instant;
 
-pub struct Bell(Watched<bool>);
+pub struct Notify(Watched<bool>);
 
-impl Default for Bell {
-    fn default() -> Bell {
+impl Default for Notify {
+    fn default() -> Notify {
         crate::set_up();
-        Bell(Watched::new(false))
+        Notify(Watched::new(false))
     }
 }
 
-impl Bell {
-    pub fn ring(&self) {
+impl Notify {
+    pub fn notify(&self) {
         self.0.change(|rung| *rung = true);
     }
 
--- a/crates/fibers/src/lib.rs
+++ b/crates/fibers/src/lib.rs
@@ -11,7 +11,7 @@
 mod timer;
 mod waiting;
 
-pub use bell::Bell;
+pub use bell::Notify;
 pub use pipe::{Wire, wire};
 pub use queue::{Closed, Queue, Received};
 pub use socket::{Socket, accept};
--- a/crates/node/src/life.rs
+++ b/crates/node/src/life.rs
@@ -4,7 +4,7 @@
 use crate::owner::Owner;
 use crate::reach::{Reach, Shared};
 use crate::{connections, probes, relay, watch};
-use dahliapoint_fibers::Bell;
+use dahliapoint_fibers::Notify;
 use dahliapoint_platform::core::Core;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -83,7 +83,7 @@
         core,
         reach: reach.clone(),
     };
-    let renewed = Arc::new(Bell::default());
+    let renewed = Arc::new(Notify::default());
     let (heeded, told) = (reach.clone(), renewed.clone());
     let thread = |name: &str| std::thread::Builder::new().name(name.into());
     thread("configuration")
@@ -95,10 +95,10 @@
 }
 
 /// Nothing that waits stands between a signal and the end: files are read elsewhere.
-fn heed(mut signals: Signals, reach: &Shared, renewed: &Bell) {
+fn heed(mut signals: Signals, reach: &Shared, renewed: &Notify) {
     for signal in signals.forever() {
         if signal == SIGHUP {
-            renewed.ring();
+            renewed.notify();
             continue;
         }
         // Proxies go elsewhere from here on: nothing more is ordered, and what is being written ends first.
@@ -109,7 +109,7 @@
 
 /// Reads the file each time that it is told to. One that is bad may be half written: it is read again for
 /// a while, also without another signal.
-fn renew(renewed: &Bell, reach: &Shared, path: &Path) {
+fn renew(renewed: &Notify, reach: &Shared, path: &Path) {
     while renewed.wait(None) {
         let until = Instant::now() + WRITTEN_WITHIN;
         let told = loop {
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -1,6 +1,6 @@
 //! The end of the process: what is being written to the relay leaves whole or not at all.
 
-use dahliapoint_fibers::Bell;
+use dahliapoint_fibers::Notify;
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::Instant;
 
@@ -11,7 +11,7 @@
 #[derive(Default)]
 pub struct Shutdown {
     state: AtomicU8,
-    written: Bell,
+    written: Notify,
 }
 
 impl Shutdown {
@@ -25,7 +25,7 @@
 
     pub fn end_write(&self) {
         if self.state.fetch_and(!WRITING, Ordering::AcqRel) & ENDING != 0 {
-            self.written.ring();
+            self.written.notify();
         }
     }
 
--- a/crates/proxy/src/plane.rs
+++ b/crates/proxy/src/plane.rs
@@ -7,7 +7,7 @@
 use crate::picking::{Line, Picker};
 use crate::shunning::Shunning;
 use crate::trying::{self, Budget, Failed, Failure, Level, Ordered};
-use dahliapoint_fibers::{Bell, TcpStream, Timer, dial, listen, shut_at, sleep, spawn};
+use dahliapoint_fibers::{Notify, TcpStream, Timer, dial, listen, shut_at, sleep, spawn};
 use dahliapoint_xds::{ClusterTally, EndpointTally, Held, names};
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, Write};
@@ -83,7 +83,7 @@
     met: Mutex<HashMap<u64, std::net::TcpStream>>,
     waiting: Mutex<HashMap<u64, Arc<Waiting>>>,
     /// Rung when a visit waits where none did: nobody is looked for while there is nobody.
-    waits: Bell,
+    waits: Notify,
     visits: AtomicU64,
     over: AtomicBool,
     around: Arc<dyn Around>,
@@ -157,7 +157,7 @@
             clients: AtomicUsize::new(0),
             met: Mutex::default(),
             waiting: Mutex::default(),
-            waits: Bell::default(),
+            waits: Notify::default(),
             visits: AtomicU64::new(0),
             over: AtomicBool::new(false),
             around,
@@ -266,7 +266,7 @@
             let _ = visit.server.shutdown(Shutdown::Both);
         }
         lock(&self.pools).clear();
-        self.waits.ring();
+        self.waits.notify();
     }
 
     /// Serves clients, until it is ended.
@@ -578,7 +578,7 @@
             all.len() == 1
         };
         if first {
-            self.waits.ring();
+            self.waits.notify();
         }
         let tried = self.call(client, source, head, brought, until);
         lock(&self.waiting).remove(&id);
--- a/crates/proxy/src/steering.rs
+++ b/crates/proxy/src/steering.rs
@@ -4,7 +4,7 @@
 use crate::Chance;
 use crate::around::Crossed;
 use crate::plane::{Plane, lock};
-use dahliapoint_fibers::{Bell, Queue, Received, sleep, spawn};
+use dahliapoint_fibers::{Notify, Queue, Received, sleep, spawn};
 use dahliapoint_grpc::{Code, Inbound, Limits, Link, Outbound, Status};
 use dahliapoint_xds::Message as _;
 use dahliapoint_xds::names::LEDS;
@@ -125,7 +125,7 @@
         info!(controller = %to, "joined");
         self.joined.store(true, Ordering::SeqCst);
         self.plane.around().joined(true);
-        let over = Arc::new(Bell::default());
+        let over = Arc::new(Notify::default());
         let reporting = {
             let (own, link, over) = (self.clone(), link.clone(), over.clone());
             spawn(move || own.report(&link, &over))
@@ -143,7 +143,7 @@
             left.iter()
                 .for_each(|(m, ..)| self.plane.around().dropped(&crossed(m)));
         }
-        over.ring();
+        over.notify();
         drop((outbound, link));
         let _ = reporting.join();
         let read = reading.join().unwrap_or(Ok(()));
@@ -254,11 +254,11 @@
 
     /// Reports at the interval that the controller names, until the stream is over. What could not be sent
     /// is told with the next report, here or elsewhere.
-    fn report(&self, link: &Link, over: &Bell) {
+    fn report(&self, link: &Link, over: &Notify) {
         let _ = self.report_on(link, over);
     }
 
-    fn report_on(&self, link: &Link, over: &Bell) -> Result<(), Status> {
+    fn report_on(&self, link: &Link, over: &Notify) -> Result<(), Status> {
         let mut dialed = link.open(LRS, None)?;
         let node = lock(&self.holder).node().clone();
         dialed.outbound.send(&load_request(Some(node), 0.0, &[]))?;
--- a/crates/xds/src/front.rs
+++ b/crates/xds/src/front.rs
@@ -10,7 +10,7 @@
 use crate::session::{Answer, Flavour, Session};
 use crate::{LEDS_FEATURE, lrs, status};
 use dahliapoint_control::{Input, Output, Owner, Session as Id};
-use dahliapoint_fibers::{Bell, spawn};
+use dahliapoint_fibers::{Notify, spawn};
 use dahliapoint_grpc::{Call, Code, Handler, Inbound, Outbound, Status};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -26,7 +26,7 @@
     pub id: Id,
     pub node: Node,
     state: Mutex<Session>,
-    bell: Bell,
+    bell: Notify,
     closing: Mutex<Option<Status>>,
 }
 
@@ -41,7 +41,7 @@
 
     fn end(&self, status: Status) {
         lock(&self.closing).get_or_insert(status);
-        self.bell.ring();
+        self.bell.notify();
     }
 }
 
@@ -79,7 +79,7 @@
                     match self.stream(id) {
                         Some(stream) => {
                             stream.session().deliver(&message);
-                            stream.bell.ring();
+                            stream.bell.notify();
                         }
                         None => others.push(id),
                     }
@@ -145,7 +145,7 @@
             id,
             node,
             state: Mutex::new(Session::new(self.shape.clone(), flavour)),
-            bell: Bell::default(),
+            bell: Notify::default(),
             closing: Mutex::default(),
         });
         {
@@ -197,7 +197,7 @@
                 session.answers()
             };
             tell(stream, &*self.owner, answers)?;
-            stream.bell.ring();
+            stream.bell.notify();
             next = way.read(&mut inbound)?;
         }
         Ok(())
