--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -267,7 +267,7 @@
             let taken = self.queue.take_all(self.clock.at(until));
             let closed = matches!(taken, Received::Closed);
             let mut inputs = Vec::new();
-            if let Received::Some(items) = taken {
+            if let Received::Items(items) = taken {
                 for item in items {
                     match item {
                         Item::Input(input) => inputs.push(input),
--- a/crates/fibers/src/lib.rs
+++ b/crates/fibers/src/lib.rs
@@ -86,11 +86,11 @@
     let taken = done.take_all(Some(Instant::now() + patience));
     done.close();
     match taken {
-        Received::Some(mut connected) => match connected.pop_front() {
+        Received::Items(mut connected) => match connected.pop_front() {
             Some(connected) => connected,
             None => Err(io::ErrorKind::TimedOut.into()),
         },
-        Received::Nothing | Received::Closed => Err(io::ErrorKind::TimedOut.into()),
+        Received::TimedOut | Received::Closed => Err(io::ErrorKind::TimedOut.into()),
     }
 }
 
--- a/crates/fibers/src/queue.rs
+++ b/crates/fibers/src/queue.rs
@@ -15,7 +15,7 @@
     /// All that was there, oldest first.
     Some(VecDeque<T>),
     /// Nothing came by the time given.
-    Nothing,
+    TimedOut,
     Closed,
 }
 
@@ -88,22 +88,22 @@
     pub fn take_all(&self, until: Option<Instant>) -> Received<T> {
         let taken = self.0.state.until(until, |state| {
             if !state.items.is_empty() {
-                return Some(Received::Some(std::mem::take(&mut state.items)));
+                return Some(Received::Items(std::mem::take(&mut state.items)));
             }
             state.closed.then_some(Received::Closed)
         });
-        taken.unwrap_or(Received::Nothing)
+        taken.unwrap_or(Received::TimedOut)
     }
 
     /// Takes the oldest that waits, or waits for one until that time: for several who share the work.
     pub fn take_one(&self, until: Option<Instant>) -> Received<T> {
         let taken = self.0.state.until(until, |state| {
             if let Some(item) = state.items.pop_front() {
-                return Some(Received::Some([item].into()));
+                return Some(Received::Items([item].into()));
             }
             state.closed.then_some(Received::Closed)
         });
-        taken.unwrap_or(Received::Nothing)
+        taken.unwrap_or(Received::TimedOut)
     }
 
     /// Ends it: what waits can still be taken, nothing more comes in.
@@ -144,7 +144,7 @@
         let mut seen = Vec::new();
         while seen.len() < 800 {
             match queue.take_all(None) {
-                Received::Some(items) => {
+                Received::Items(items) => {
                     assert!(items.len() <= 4);
                     seen.extend(items);
                 }
@@ -164,9 +164,9 @@
         let past = Instant::now() - Duration::from_millis(1);
         queue.close();
         assert_eq!(queue.put(3), Err(Closed));
-        assert_eq!(queue.take_all(Some(past)), Received::Some([1].into()));
+        assert_eq!(queue.take_all(Some(past)), Received::Items([1].into()));
         assert_eq!(queue.take_all(Some(past)), Received::Closed);
         let open = Queue::<u8>::bounded(1);
-        assert_eq!(open.take_all(Some(past)), Received::Nothing);
+        assert_eq!(open.take_all(Some(past)), Received::TimedOut);
     }
 }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -25,11 +25,11 @@
             let mut inputs = Vec::new();
             match self.reach.inbox.take_all(wake) {
                 Received::Closed => return,
-                Received::Nothing => {}
-                Received::Some(first) => {
+                Received::TimedOut => {}
+                Received::Items(first) => {
                     inputs.extend(first.into_iter().flatten());
                     let end = Instant::now() + tick;
-                    while let Received::Some(more) = self.reach.inbox.take_all(Some(end)) {
+                    while let Received::Items(more) = self.reach.inbox.take_all(Some(end)) {
                         inputs.extend(more.into_iter().flatten());
                         if Instant::now() >= end {
                             break;
--- a/crates/node/src/probes.rs
+++ b/crates/node/src/probes.rs
@@ -36,8 +36,8 @@
 
 fn one(probes: &Queue<Probe>) -> Option<Probe> {
     match probes.take_one(None) {
-        Received::Some(mut one) => one.pop_front(),
-        Received::Nothing | Received::Closed => None,
+        Received::Items(mut one) => one.pop_front(),
+        Received::TimedOut | Received::Closed => None,
     }
 }
 
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -155,7 +155,7 @@
     let (reach, taken) = (reach.clone(), calls.clone());
     spawn(move || {
         let mut held: Option<(Socket, u64, Instant)> = None;
-        while let Received::Some(some) = taken.take_all(None) {
+        while let Received::Items(some) = taken.take_all(None) {
             for call in some {
                 let at = reach.addresses();
                 let fresh = held.take().filter(|(socket, turn, used)| {
--- a/crates/proxy/src/steering.rs
+++ b/crates/proxy/src/steering.rs
@@ -139,7 +139,7 @@
         let home = home.map(|after| Instant::now() + after);
         let ended = self.take_all(&queue, &mut outbound, home);
         queue.close();
-        if let Received::Some(left) = queue.take_all(Some(Instant::now())) {
+        if let Received::Items(left) = queue.take_all(Some(Instant::now())) {
             left.iter()
                 .for_each(|(m, ..)| self.plane.around().dropped(&crossed(m)));
         }
@@ -191,9 +191,9 @@
             }
             let soon = Instant::now() + SOON;
             let came = match queue.take_all(Some(home.map_or(soon, |at| at.min(soon)))) {
-                Received::Some(came) => came,
-                Received::Nothing if self.is_over() => return Ok(false),
-                Received::Nothing => continue,
+                Received::Items(came) => came,
+                Received::TimedOut if self.is_over() => return Ok(false),
+                Received::TimedOut => continue,
                 Received::Closed => return Ok(false),
             };
             let mut broken = None;
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -421,9 +421,9 @@
         loop {
             let soon = world.at(world.now_ms() + 300.0);
             let items = match queue.take_all(Some(soon)) {
-                Received::Some(items) => items,
-                Received::Nothing if self.gone() => return Ok(()),
-                Received::Nothing => continue,
+                Received::Items(items) => items,
+                Received::TimedOut if self.gone() => return Ok(()),
+                Received::TimedOut => continue,
                 Received::Closed => return Ok(()),
             };
             let mut broken = None;
