--- a/crates/fibers/src/queue.rs
+++ b/crates/fibers/src/queue.rs
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     /// The item.
-    pub fn offer(&self, item: T) -> Result<(), T> {
+    pub fn try_put(&self, item: T) -> Result<(), T> {
         self.0.state.change(|state| {
             if state.closed || state.items.len() >= self.0.most {
                 return Err(item);
@@ -159,8 +159,8 @@
     #[test]
     fn a_closed_queue_gives_what_it_has_and_takes_no_more() {
         let queue = Queue::bounded(1);
-        assert_eq!(queue.offer(1), Ok(()));
-        assert_eq!(queue.offer(2), Err(2));
+        assert_eq!(queue.try_put(1), Ok(()));
+        assert_eq!(queue.try_put(2), Err(2));
         let past = Instant::now() - Duration::from_millis(1);
         queue.close();
         assert_eq!(queue.put(3), Err(Closed));
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -74,7 +74,7 @@
         }
         let mut back = Vec::new();
         for probe in effects.probes.drain(..) {
-            if let Err((probe, _)) = self.probes.offer(probe) {
+            if let Err((probe, _)) = self.probes.try_put(probe) {
                 self.reach
                     .teller
                     .fault("probes", || "too many wait: one is not sent".into());
@@ -82,7 +82,7 @@
             }
         }
         if let Some(call) = effects.call
-            && let Err(call) = self.calls.offer(call)
+            && let Err(call) = self.calls.try_put(call)
         {
             // One call is under way at a time, so there is always room; if not, it was not sent.
             back.push(Input::Called {
