--- a/crates/fibers/src/lib.rs
+++ b/crates/fibers/src/lib.rs
@@ -148,7 +148,7 @@
             if Instant::now() >= at {
                 return Err(Elapsed);
             }
-            if timer.as_ref().is_none_or(Timer::is_over) {
+            if timer.as_ref().is_none_or(Timer::has_fired) {
                 timer = Some(timer::unpark(at, &blocker));
             }
         }
--- a/crates/fibers/src/socket.rs
+++ b/crates/fibers/src/socket.rs
@@ -98,7 +98,7 @@
                 if Instant::now() >= at {
                     return Err(io::ErrorKind::TimedOut.into());
                 }
-                if ends.as_ref().is_none_or(timer::Timer::is_over) {
+                if ends.as_ref().is_none_or(timer::Timer::has_fired) {
                     ends = Some(timer::wake(at, self.0.stream.waker()));
                 }
             }
--- a/crates/fibers/src/timer.rs
+++ b/crates/fibers/src/timer.rs
@@ -156,7 +156,7 @@
 
 impl Timer {
     /// It has fired.
-    pub fn is_over(&self) -> bool {
+    pub fn has_fired(&self) -> bool {
         lock(&self.0).is_none()
     }
 }
--- a/crates/fibers/src/waiting.rs
+++ b/crates/fibers/src/waiting.rs
@@ -77,7 +77,7 @@
             }
             drop(state);
             if let Some(at) = until
-                && timer.as_ref().is_none_or(timer::Timer::is_over)
+                && timer.as_ref().is_none_or(timer::Timer::has_fired)
             {
                 timer = Some(timer::unpark(at, &blocker));
             }
--- a/crates/proxy/src/plane.rs
+++ b/crates/proxy/src/plane.rs
@@ -689,10 +689,10 @@
             class,
             server,
             begun,
-            passed.is_ok() || !found.limit.is_over(),
+            passed.is_ok() || !found.limit.has_fired(),
         );
         passed?;
-        let reusable = !found.limit.is_over()
+        let reusable = !found.limit.has_fired()
             && !found.head.closes()
             && body != Body::UntilClose
             && found.source.is_clean();
--- a/crates/standins/src/obedient.rs
+++ b/crates/standins/src/obedient.rs
@@ -243,7 +243,7 @@
             let status = response.code.unwrap_or(0);
             let closes = header("connection") == Some("close");
             let let_in = !bytes[begins..].starts_with(b"not let in");
-            if !closes && !end.is_over() {
+            if !closes && !end.has_fired() {
                 let mut kept = lock(&self.kept);
                 if kept.len() < KEPT {
                     kept.push(socket);
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -789,7 +789,7 @@
                         _ => Outcome::Failed,
                     };
                     self.words(server, class, response.headers);
-                    let kept = !end.is_over();
+                    let kept = !end.has_fired();
                     drop(end);
                     if kept {
                         let now = layer.world.now_ms();
