--- a/crates/fibers/src/lib.rs
+++ b/crates/fibers/src/lib.rs
@@ -12,7 +12,7 @@
 mod waiting;
 
 pub use bell::Notify;
-pub use pipe::{Wire, wire};
+pub use pipe::{AsyncStream, async_stream};
 pub use queue::{Closed, Queue, Received};
 pub use socket::{Socket, accept};
 pub use timer::{Timer, shut_at};
--- a/crates/fibers/src/pipe.rs
+++ b/crates/fibers/src/pipe.rs
@@ -1,5 +1,5 @@
 //! A socket as something that futures can read and write: a coroutine reads it into a bounded
-//! buffer, another writes it from one, and between them stands [`Wire`], which only polls.
+//! buffer, another writes it from one, and between them stands [`AsyncStream`], which only polls.
 
 use crate::{TcpStream, block_on, shut_at, spawn};
 use bytes::{Buf, BytesMut};
@@ -78,7 +78,7 @@
 }
 
 /// The polled side of a socket. Dropping it writes out what waits, then closes the socket.
-pub struct Wire {
+pub struct AsyncStream {
     inbound: Shared,
     outbound: Shared,
 }
@@ -87,7 +87,7 @@
 ///
 /// # Errors
 /// When the socket cannot be cloned or set up.
-pub fn wire(socket: TcpStream, patience: Duration) -> io::Result<Wire> {
+pub fn async_stream(socket: TcpStream, patience: Duration) -> io::Result<AsyncStream> {
     socket.set_nodelay(true)?;
     let (mut reader, mut writer) = (socket.try_clone()?, socket);
     let (inbound, outbound) = (Shared::default(), Shared::default());
@@ -127,10 +127,10 @@
         let _ = writer.shutdown(Shutdown::Both);
         inbound_too.change(|half| half.deaf = true);
     });
-    Ok(Wire { inbound, outbound })
+    Ok(AsyncStream { inbound, outbound })
 }
 
-impl AsyncRead for Wire {
+impl AsyncRead for AsyncStream {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -151,7 +151,7 @@
     }
 }
 
-impl AsyncWrite for Wire {
+impl AsyncWrite for AsyncStream {
     fn poll_write(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -182,7 +182,7 @@
     }
 }
 
-impl Drop for Wire {
+impl Drop for AsyncStream {
     fn drop(&mut self) {
         self.outbound.change(|half| half.ended = true);
         self.inbound.change(|half| half.deaf = true);
--- a/crates/grpc/src/client.rs
+++ b/crates/grpc/src/client.rs
@@ -5,7 +5,7 @@
 use crate::server::keep_alive;
 use crate::status::{Code, Status};
 use bytes::Bytes;
-use dahliapoint_fibers::{Elapsed, block_on, block_on_until, dial, spawn, wire};
+use dahliapoint_fibers::{Elapsed, block_on, block_on_until, dial, spawn, async_stream};
 use h2::client::{ResponseFuture, SendRequest};
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Request};
 use prost::Message;
@@ -42,7 +42,7 @@
     pub fn dial(to: SocketAddr, limits: Limits) -> Result<Link, Status> {
         let gone = |e: &dyn std::fmt::Display| Status::new(Code::Unavailable, e.to_string());
         let socket = dial(to, limits.patience).map_err(|e| gone(&e))?;
-        let io = wire(socket, limits.patience).map_err(|e| gone(&e))?;
+        let io = async_stream(socket, limits.patience).map_err(|e| gone(&e))?;
         let mut builder = h2::client::Builder::new();
         builder
             .initial_window_size(limits.call_window)
--- a/crates/grpc/src/server.rs
+++ b/crates/grpc/src/server.rs
@@ -4,7 +4,7 @@
 use crate::codec::{Inbound, Outbound};
 use crate::status::{Code, Status};
 use bytes::Bytes;
-use dahliapoint_fibers::{TcpStream, block_on, block_on_until, dial, listen, spawn, wire};
+use dahliapoint_fibers::{TcpStream, block_on, block_on_until, dial, listen, spawn, async_stream};
 use h2::server::{Connection, SendResponse};
 use h2::{PingPong, RecvStream};
 use http::{HeaderMap, HeaderValue, Method, Request, Response};
@@ -150,7 +150,7 @@
     handler: &Arc<dyn Handler>,
     ending: &Arc<Ending>,
 ) -> Result<(), String> {
-    let io = wire(socket, limits.patience).map_err(|e| e.to_string())?;
+    let io = async_stream(socket, limits.patience).map_err(|e| e.to_string())?;
     let mut builder = h2::server::Builder::new();
     builder
         .max_concurrent_streams(limits.calls)
