--- a/crates/fibers/src/lib.rs
+++ b/crates/fibers/src/lib.rs
@@ -95,7 +95,7 @@
 }
 
 /// Lets the other coroutines run first: for one whose input never ends.
-pub fn give_way() {
+pub fn yield_now() {
     may::coroutine::yield_now();
 }
 
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -16,7 +16,7 @@
 //!    reset, which takes the answer with it. At most [`MOST_CLOSING`] at a time; others are closed at once.
 
 use crate::reach::Shared;
-use dahliapoint_fibers::{Socket, TcpListener, accept, give_way, sleep, spawn};
+use dahliapoint_fibers::{Socket, TcpListener, accept, yield_now, sleep, spawn};
 use dahliapoint_platform::arriving::{self, Said};
 use dahliapoint_platform::core::Input;
 use dahliapoint_platform::lines::Lines;
@@ -74,7 +74,7 @@
                     number += 1;
                     connections.accepted(number, socket);
                     // Those who are to go do so before the next one comes.
-                    give_way();
+                    yield_now();
                 }
                 Err(e) => {
                     // Out of descriptors, most likely: room is made, and others get their turn.
@@ -256,7 +256,7 @@
             if !is_open && !self.is_open(number) {
                 return answered;
             }
-            give_way();
+            yield_now();
         }
     }
 }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -6,7 +6,7 @@
 
 use crate::beside::{Beside, Due, Serves};
 use crate::reach::{Addresses, Shared};
-use dahliapoint_fibers::{Queue, Received, Socket, give_way, sleep, spawn};
+use dahliapoint_fibers::{Queue, Received, Socket, yield_now, sleep, spawn};
 use dahliapoint_platform::core::Input;
 use dahliapoint_platform::delivery::{Call, Outcome};
 use dahliapoint_platform::joined::LAG_MS;
@@ -145,7 +145,7 @@
             }
         }
         reach.put(inputs);
-        give_way();
+        yield_now();
     }
 }
 
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -5,7 +5,7 @@
 
 use crate::beside::{Beside, Due, Serves};
 use crate::reach::{Addresses, Shared};
-use dahliapoint_fibers::{Socket, give_way, sleep, spawn};
+use dahliapoint_fibers::{Socket, yield_now, sleep, spawn};
 use dahliapoint_platform::chunks::Chunks;
 use dahliapoint_platform::core::{Input, TOLD_WITHIN_MS};
 use dahliapoint_platform::discovery;
@@ -187,6 +187,6 @@
         if !goes_on {
             return Ended::Broken("the watch ended".into());
         }
-        give_way();
+        yield_now();
     }
 }
