--- a/crates/daemon/src/probe.rs
+++ b/crates/daemon/src/probe.rs
@@ -1,7 +1,7 @@
 //! Probes: a call of a server's own, HTTP/1.1, one connection each. Fine is a status of 200 in time.
 
 use dahliapoint_control::Input;
-use dahliapoint_fibers::{dial, shut_at, spawn};
+use dahliapoint_fibers::{dial, shutdown_at, spawn};
 use dahliapoint_xds::Owner;
 use std::io::{Read, Write};
 use std::net::SocketAddr;
@@ -54,7 +54,7 @@
 fn ask(to: SocketAddr, path: &str, within: Duration) -> std::io::Result<bool> {
     let until = Instant::now() + within;
     let mut socket = dial(to, within)?;
-    let _end = shut_at(&socket, until)?;
+    let _end = shutdown_at(&socket, until)?;
     write!(
         socket,
         "GET {path} HTTP/1.1\r\nHost: {to}\r\nUser-Agent: dahliapoint-probe\r\nConnection: close\r\n\r\n"
--- a/crates/fibers/src/lib.rs
+++ b/crates/fibers/src/lib.rs
@@ -15,7 +15,7 @@
 pub use pipe::{AsyncStream, async_stream};
 pub use queue::{Closed, Queue, Received};
 pub use socket::{Socket, accept};
-pub use timer::{Timer, shut_at};
+pub use timer::{Timer, shutdown_at};
 
 pub use may::coroutine::JoinHandle;
 pub use may::net::{TcpListener, TcpStream};
--- a/crates/fibers/src/pipe.rs
+++ b/crates/fibers/src/pipe.rs
@@ -1,7 +1,7 @@
 //! A socket as something that futures can read and write: a coroutine reads it into a bounded
 //! buffer, another writes it from one, and between them stands [`AsyncStream`], which only polls.
 
-use crate::{TcpStream, block_on, shut_at, spawn};
+use crate::{TcpStream, block_on, shutdown_at, spawn};
 use bytes::{Buf, BytesMut};
 use std::future::poll_fn;
 use std::io::{self, Read, Write};
@@ -115,7 +115,7 @@
             if bytes.is_empty() {
                 break;
             }
-            let end = shut_at(&writer, Instant::now() + patience);
+            let end = shutdown_at(&writer, Instant::now() + patience);
             let written = end.and_then(|_end| writer.write_all(&bytes));
             if let Err(e) = written {
                 from.change(|half| (half.deaf, half.fault) = (true, Some(e.kind())));
--- a/crates/fibers/src/timer.rs
+++ b/crates/fibers/src/timer.rs
@@ -176,7 +176,7 @@
 ///
 /// # Errors
 /// When no further descriptor can be had.
-pub fn shut_at(socket: &TcpStream, at: Instant) -> io::Result<Timer> {
+pub fn shutdown_at(socket: &TcpStream, at: Instant) -> io::Result<Timer> {
     let hand = socket.inner().try_clone()?;
     Ok(timers().set(at, What::Shut(hand)))
 }
--- a/crates/proxy/src/plane.rs
+++ b/crates/proxy/src/plane.rs
@@ -7,7 +7,7 @@
 use crate::picking::{Line, Picker};
 use crate::shunning::Shunning;
 use crate::trying::{self, Budget, Failed, Failure, Level, Ordered};
-use dahliapoint_fibers::{Notify, TcpStream, Timer, dial, listen, shut_at, sleep, spawn};
+use dahliapoint_fibers::{Notify, TcpStream, Timer, dial, listen, shutdown_at, sleep, spawn};
 use dahliapoint_xds::{ClusterTally, EndpointTally, Held, names};
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, Write};
@@ -342,7 +342,7 @@
         let mut client = Source::of(socket);
         loop {
             // A client that says nothing for long is let go.
-            let Ok(idle) = shut_at(&client.socket, Instant::now() + ms(self.described.idle_ms))
+            let Ok(idle) = shutdown_at(&client.socket, Instant::now() + ms(self.described.idle_ms))
             else {
                 return;
             };
@@ -408,7 +408,7 @@
         }
         let brought = match body {
             Body::Length(length) if length <= HELD => {
-                let slow = shut_at(&client.socket, until)?;
+                let slow = shutdown_at(&client.socket, until)?;
                 let mut held = Vec::new();
                 client.pass(body, |piece| {
                     held.extend_from_slice(piece);
@@ -596,7 +596,7 @@
         brought: &Brought,
         until: Instant,
     ) -> Tried {
-        let Ok(limit) = shut_at(&source.socket, until) else {
+        let Ok(limit) = shutdown_at(&source.socket, until) else {
             return Tried::Failed(Failure::NeverRan);
         };
         let framing = match brought {
--- a/crates/standins/src/obedient.rs
+++ b/crates/standins/src/obedient.rs
@@ -4,7 +4,7 @@
 use crate::proxy::{Layer, Look, Player, Trouble, class_of};
 use crate::world::lock;
 use dahliapoint_daemon::deployment::Repeat;
-use dahliapoint_fibers::{TcpStream, dial, shut_at, sleep, spawn};
+use dahliapoint_fibers::{TcpStream, dial, shutdown_at, sleep, spawn};
 use dahliapoint_proxy::around::{Around, Crossed};
 use dahliapoint_proxy::described::{Class, Described, Listed, Spooled};
 use dahliapoint_proxy::filed::{Filed, Over};
@@ -209,7 +209,7 @@
             None => dial(life.address, patience)?,
         };
         let _ = socket.set_nodelay(true);
-        let end = shut_at(&socket, Instant::now() + patience)?;
+        let end = shutdown_at(&socket, Instant::now() + patience)?;
         let head = format!(
             "GET /{} HTTP/1.1\r\nHost: s\r\nX-Visit: {id}\r\nX-Try: 1\r\nX-Class: {class}\r\n\
              X-Work-Ms: {work:.3}\r\nX-Proxy: {}\r\n\r\n",
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -6,7 +6,7 @@
 use crate::rules::Ledger;
 use crate::world::{World, lock};
 use dahliapoint_daemon::deployment::Repeat;
-use dahliapoint_fibers::{Queue, Received, TcpStream, dial, shut_at, sleep, spawn};
+use dahliapoint_fibers::{Queue, Received, TcpStream, dial, shutdown_at, sleep, spawn};
 use dahliapoint_grpc::{Inbound, Limits, Link, Outbound, Status};
 use dahliapoint_proxy::picking::Way;
 use dahliapoint_xds::Message as _;
@@ -752,7 +752,7 @@
             }
         };
         let _ = socket.set_nodelay(true);
-        let Ok(end) = shut_at(&socket, layer.world.at(until)) else {
+        let Ok(end) = shutdown_at(&socket, layer.world.at(until)) else {
             return Outcome::NeverRan;
         };
         let head = format!(
