--- a/crates/fibers/src/socket.rs
+++ b/crates/fibers/src/socket.rs
@@ -137,12 +137,12 @@
     }
 
     /// Nothing more is written: the other side reads what was, and then the end.
-    pub fn end_writing(&self) {
+    pub fn shutdown_write(&self) {
         let _ = self.0.stream.inner().shutdown(Shutdown::Write);
     }
 
     /// Ends it for whoever waits on it.
-    pub fn shut(&self) {
+    pub fn shutdown(&self) {
         let _ = self.0.stream.inner().shutdown(Shutdown::Both);
     }
 }
--- a/crates/fibers/tests/interrupt.rs
+++ b/crates/fibers/tests/interrupt.rs
@@ -56,7 +56,7 @@
         spawn(move || socket.write_all(b"last", soon))
     };
     assert_eq!(writing.join().unwrap(), Ok(()));
-    socket.end_writing();
+    socket.shutdown_write();
     let mut said = String::new();
     peer.read_to_string(&mut said).unwrap();
     assert_eq!(said, "last");
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -133,7 +133,7 @@
                 connections.close_gracefully(&socket);
             }
             // The other handle may be held a moment longer.
-            socket.shut();
+            socket.shutdown();
         });
     }
 
@@ -144,7 +144,7 @@
     /// Rule 7.
     fn close_gracefully(&self, socket: &Socket) {
         if self.closing.fetch_add(1, Ordering::AcqRel) < MOST_CLOSING {
-            socket.end_writing();
+            socket.shutdown_write();
             let until = Instant::now() + TAKEN_WITHIN;
             let (mut buffer, mut unread) = ([0; 4096], 0);
             while unread < DISCARDED {
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -50,7 +50,7 @@
         let ended = match Socket::dial(at.relay, DIAL) {
             Ok(socket) => {
                 let ended = listen(&reach, &socket, at, id, &settled);
-                socket.shut();
+                socket.shutdown();
                 reach.put(vec![Input::Unfollowed { follower: id }]);
                 ended
             }
@@ -203,7 +203,7 @@
     reach.shutdown.end_write();
     if let Err(done) = written {
         fault(format!("broken after {done} of {} bytes", bytes.len()));
-        socket.shut();
+        socket.shutdown();
         return (Outcome::NotSent, None);
     }
     let until = Instant::now() + ANSWERED_WITHIN;
@@ -218,7 +218,7 @@
                     Err(e) => e.to_string(),
                 };
                 fault(why);
-                socket.shut();
+                socket.shutdown();
                 return (Outcome::Unknown, None);
             }
         }
@@ -233,12 +233,12 @@
                 }
                 let text = String::from_utf8_lossy(line).into_owned();
                 fault(format!("answer {text:?}"));
-                socket.shut();
+                socket.shutdown();
                 return (Outcome::Unknown, None);
             }
             Some(Err(_)) => {
                 fault("an answer without end".into());
-                socket.shut();
+                socket.shutdown();
                 return (Outcome::Unknown, None);
             }
         }
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -35,7 +35,7 @@
         let ended = match Socket::dial(at.discovery, DIAL) {
             Ok(socket) => {
                 let ended = watch(&reach, &socket, at, &brought);
-                socket.shut();
+                socket.shutdown();
                 ended
             }
             Err(e) => Ended::Broken(e.to_string()),
