--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -196,7 +196,7 @@
         }
     };
     let bytes = call.text.as_bytes();
-    if !reach.shutdown.begin_write() {
+    if !reach.shutdown.try_begin_write() {
         return (Outcome::NotSent, None);
     }
     let written = socket.write_all(bytes, Instant::now() + WRITTEN_WITHIN);
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -16,7 +16,7 @@
 
 impl Shutdown {
     /// A write may begin; not once the process is ending.
-    pub fn begin_write(&self) -> bool {
+    pub fn try_begin_write(&self) -> bool {
         let begun = self
             .state
             .compare_exchange(0, WRITING, Ordering::AcqRel, Ordering::Acquire);
--- a/crates/node/tests/shutdown.rs
+++ b/crates/node/tests/shutdown.rs
@@ -9,16 +9,16 @@
     let hour = Instant::now() + Duration::from_secs(3600);
     let idle = Shutdown::default();
     idle.begin(hour);
-    assert!(!idle.begin_write());
+    assert!(!idle.try_begin_write());
 
     let shutdown = Arc::new(Shutdown::default());
-    assert!(shutdown.begin_write());
+    assert!(shutdown.try_begin_write());
     // Nobody ends the write: the time is up.
     shutdown.begin(Instant::now());
-    assert!(!shutdown.begin_write(), "one is under way");
+    assert!(!shutdown.try_begin_write(), "one is under way");
     let ends = shutdown.clone();
     let ending = std::thread::spawn(move || ends.begin(hour));
     shutdown.end_write();
     ending.join().unwrap();
-    assert!(!shutdown.begin_write(), "it is ending");
+    assert!(!shutdown.try_begin_write(), "it is ending");
 }
