--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A real controller and stand-ins of the platform round it, for the tests of the binary.
 #![allow(dead_code)]
 
-use dahliapoint_standins::platform::{Discovery, Held, Relay, until};
+use dahliapoint_standins::platform::{Discovery, Held, Relay, wait_until};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -93,7 +93,7 @@
                 file,
                 address,
             };
-            let ready = until(|| node.is_alive() || node.child.try_wait().unwrap().is_some());
+            let ready = wait_until(|| node.is_alive() || node.child.try_wait().unwrap().is_some());
             if ready && node.child.try_wait().unwrap().is_none() {
                 return node;
             }
@@ -156,11 +156,11 @@
     let (relay, discovery) = (Relay::begin(), Discovery::begin(&["s-1", "s-2", "s-3"]));
     (0..3).for_each(|p| relay.with(|held| held.join(p)));
     let node = Node::start(&relay, &discovery);
-    assert!(until(
+    assert!(wait_until(
         || relay.with(|held| held.bare().is_empty() && held.lines.len() == 3)
     ));
-    assert!(until(|| relay.with(|held| held.followers()) == 2));
-    assert!(until(|| discovery.with(|l| l.watches()) == 1));
+    assert!(wait_until(|| relay.with(|held| held.followers()) == 2));
+    assert!(wait_until(|| discovery.with(|l| l.watches()) == 1));
     (relay, discovery, node)
 }
 
--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{command, configuration, file, is_closed, serving, withdrawn};
-use dahliapoint_standins::platform::{Fault, until};
+use dahliapoint_standins::platform::{Fault, wait_until};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::Stdio;
@@ -13,14 +13,14 @@
 fn a_calm_day() {
     let (relay, discovery, mut node) = serving();
     discovery.with(|l| l.set("s-2", "draining"));
-    assert!(until(|| relay.with(|held| withdrawn(held, "s-2"))));
+    assert!(wait_until(|| relay.with(|held| withdrawn(held, "s-2"))));
     discovery.with(|l| l.set("s-4", "up"));
-    assert!(until(
+    assert!(wait_until(
         || relay.with(|held| held.lines.get("s-4").is_some_and(|w| *w > 0.0))
     ));
     relay.with(|held| held.join(7));
     relay.with(|held| held.leave(0));
-    assert!(until(|| relay.with(|held| held.bound.contains_key(&7))));
+    assert!(wait_until(|| relay.with(|held| held.bound.contains_key(&7))));
     assert_eq!(
         relay.with(|held| (held.oversized(), held.bound[&1])),
         (0, 1)
@@ -44,7 +44,7 @@
         let name = format!("x-{i}");
         discovery.with(|l| l.set(&name, "up"));
         assert!(
-            until(|| relay.with(|held| held.lines.get(&name).is_some_and(|w| *w > 0.0))),
+            wait_until(|| relay.with(|held| held.lines.get(&name).is_some_and(|w| *w > 0.0))),
             "{fault:?}"
         );
         // The next call is the one that the leaving leads to, or one of the ramp; either way the
@@ -53,12 +53,12 @@
         if fault != Fault::Halt(0) {
             discovery.with(|l| l.set(&name, "removed"));
             assert!(
-                until(|| relay.with(|held| withdrawn(held, &name))),
+                wait_until(|| relay.with(|held| withdrawn(held, &name))),
                 "{fault:?}"
             );
         }
         assert!(
-            until(|| relay.with(|held| held.faults.is_empty())),
+            wait_until(|| relay.with(|held| held.faults.is_empty())),
             "{fault:?}"
         );
     }
@@ -73,13 +73,13 @@
         held.faults.push_back(Fault::Break { carried_out: false });
         held.join(9);
     });
-    assert!(until(|| relay.with(|held| held.bare().is_empty())));
+    assert!(wait_until(|| relay.with(|held| held.bare().is_empty())));
     // One follower breaks: nobody is bound anew.
     let before = relay.with(|held| held.bound.clone());
     relay.with(|held| held.break_followers(false));
-    assert!(until(|| relay.with(|held| held.followers()) == 2));
+    assert!(wait_until(|| relay.with(|held| held.followers()) == 2));
     relay.with(|held| held.join(10));
-    assert!(until(|| relay.with(|held| held.bare().is_empty())));
+    assert!(wait_until(|| relay.with(|held| held.bare().is_empty())));
     let mut after = relay.with(|held| held.bound.clone());
     after.remove(&10);
     assert_eq!(before, after);
@@ -89,7 +89,7 @@
         held.leave(1);
         held.join(1);
     });
-    assert!(until(|| relay.with(|held| held.bare().is_empty())));
+    assert!(wait_until(|| relay.with(|held| held.bare().is_empty())));
 }
 
 #[test]
@@ -99,7 +99,7 @@
         l.fall_silent();
         l.set("s-1", "draining");
     });
-    assert!(until(|| relay.with(|held| withdrawn(held, "s-1"))));
+    assert!(wait_until(|| relay.with(|held| withdrawn(held, "s-1"))));
     assert!(discovery.with(|l| l.asked) >= 2);
 }
 
@@ -138,7 +138,7 @@
     };
     let spoilt =
         "outcomes zone=a server=s-9 tries=x failed=1\r\noutcomes zone=q server=s-1 tries=1\r\n";
-    assert!(until(|| {
+    assert!(wait_until(|| {
         let text = reports([0, 0, 40]);
         collector.write_all(spoilt.as_bytes()).unwrap();
         collector.write_all(text.as_bytes()).unwrap();
@@ -157,12 +157,12 @@
     let asked = discovery.with(|l| l.asked);
     node.moves_to(&other, &elsewhere);
     // Beside the old ones, which a real address closes only later.
-    assert!(until(|| discovery.with(|l| l.asked) > asked));
-    assert!(until(|| relay.with(|held| held.followers()) >= 3));
+    assert!(wait_until(|| discovery.with(|l| l.asked) > asked));
+    assert!(wait_until(|| relay.with(|held| held.followers()) >= 3));
     discovery.with(|l| l.set("s-1", "draining"));
-    assert!(until(|| relay.with(|held| withdrawn(held, "s-1"))));
+    assert!(wait_until(|| relay.with(|held| withdrawn(held, "s-1"))));
     relay.with(|held| held.join(11));
-    assert!(until(|| relay.with(|held| held.bare().is_empty())));
+    assert!(wait_until(|| relay.with(|held| held.bare().is_empty())));
     let mut after = relay.with(|held| held.bound.clone());
     after.remove(&11);
     assert_eq!(before, after);
--- a/crates/daemon/tests/rare.rs
+++ b/crates/daemon/tests/rare.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{Node, command, configuration, file, serving, withdrawn};
-use dahliapoint_standins::platform::{Discovery, Fault, Relay, until};
+use dahliapoint_standins::platform::{Discovery, Fault, Relay, wait_until};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::process::Command;
@@ -51,16 +51,16 @@
         held.calls.len()
     });
     // The call is carried out and its mark answered, on both followers; its own answer is held.
-    assert!(until(|| relay.with(|held| held.holding == 1)));
+    assert!(wait_until(|| relay.with(|held| held.holding == 1)));
     let held = call_with(&relay, before, "bind,9,").unwrap();
     // Whoever asks now is answered behind what the followers brought.
     assert!(node.is_alive());
     relay.with(|held| held.let_go = true);
     // The next decision is made, and nothing of the call that broke goes again, before it or behind it.
     relay.with(|held| held.join(10));
-    assert!(until(|| call_with(&relay, before, "bind,10,").is_some()));
+    assert!(wait_until(|| call_with(&relay, before, "bind,10,").is_some()));
     relay.with(|held| held.join(11));
-    assert!(until(|| call_with(&relay, before, "bind,11,").is_some()));
+    assert!(wait_until(|| call_with(&relay, before, "bind,11,").is_some()));
     let same = |c: &&String| mark(c) == mark(&held);
     let times = relay.with(|h| h.calls.iter().skip(before).filter(same).count());
     assert_eq!((times, relay.with(|h| h.bound[&9])), (1, 1));
@@ -76,13 +76,13 @@
             held.calls.len()
         });
         let name = format!("bind,{proxy},");
-        assert!(until(|| call_with(&relay, before, &name).is_some()));
+        assert!(wait_until(|| call_with(&relay, before, &name).is_some()));
         let next = relay.with(|held| {
             held.join(proxy + 10);
             held.calls.len()
         });
         let name = format!("bind,{},", proxy + 10);
-        assert!(until(|| call_with(&relay, next, &name).is_some()));
+        assert!(wait_until(|| call_with(&relay, next, &name).is_some()));
         let (odd, then) = relay.with(|held| (held.came_on[before], held.came_on[next]));
         assert_ne!(odd, then, "{more:?}");
     }
@@ -140,7 +140,7 @@
         .into_iter()
         .map(|(s, f)| line(s, f))
         .collect();
-    assert!(until(|| {
+    assert!(wait_until(|| {
         let mut collector = &strangers[1];
         collector.write_all(reports.as_bytes()).unwrap();
         relay.with(|held| held.lines.get("s-3") == Some(&0.0))
@@ -178,10 +178,10 @@
         l.bytewise = true;
         l.set("s-1", "draining");
     });
-    assert!(until(|| relay.with(|held| withdrawn(held, "s-1"))));
+    assert!(wait_until(|| relay.with(|held| withdrawn(held, "s-1"))));
     // The body ends in the middle: the next watch asks for what came after the version that stands.
     discovery.with(|l| l.set_unended("s-2", "draining"));
-    assert!(until(|| relay.with(|held| withdrawn(held, "s-2"))));
+    assert!(wait_until(|| relay.with(|held| withdrawn(held, "s-2"))));
 }
 
 #[test]
@@ -191,10 +191,10 @@
         l.restart(2);
         l.servers.insert("s-1".into(), "draining");
     });
-    assert!(until(|| relay.with(|held| withdrawn(held, "s-1"))));
+    assert!(wait_until(|| relay.with(|held| withdrawn(held, "s-1"))));
     // From there on its changes are told by the new numbers.
     discovery.with(|l| l.set("s-2", "draining"));
-    assert!(until(|| relay.with(|held| withdrawn(held, "s-2"))));
+    assert!(wait_until(|| relay.with(|held| withdrawn(held, "s-2"))));
 }
 
 // ---- silence ----
@@ -212,14 +212,14 @@
         held.mute = true;
         held.following.ever
     });
-    assert!(until(|| discovery.with(|l| l.watching.ever) >= asked + 2));
-    assert!(until(
+    assert!(wait_until(|| discovery.with(|l| l.watching.ever) >= asked + 2));
+    assert!(wait_until(
         || relay.with(|held| held.following.ever) >= followed + 3
     ));
     // A new configuration in the middle of it.
     node.moves_to(&other, &elsewhere);
-    assert!(until(|| discovery.with(|l| l.watching.ever) >= asked + 5));
-    assert!(until(
+    assert!(wait_until(|| discovery.with(|l| l.watching.ever) >= asked + 5));
+    assert!(wait_until(
         || relay.with(|held| held.following.ever) >= followed + 8
     ));
     let watches = discovery.with(|l| l.watching);
@@ -233,11 +233,11 @@
         l.set("s-1", "draining");
     });
     relay.with(|held| held.join(12));
-    assert!(until(
+    assert!(wait_until(
         || relay.with(|held| withdrawn(held, "s-1") && held.bare().is_empty())
     ));
-    assert!(until(|| relay.with(|held| held.following.open) == 2));
-    assert!(until(|| discovery.with(|l| l.watching.open) == 1));
+    assert!(wait_until(|| relay.with(|held| held.following.open) == 2));
+    assert!(wait_until(|| discovery.with(|l| l.watching.open) == 1));
 }
 
 // ---- SIGHUP ----
@@ -272,7 +272,7 @@
     half.write_all(&text.as_bytes()[..text.len() / 2]).unwrap();
     let asked = discovery.with(|l| l.watching.ever);
     drop(half);
-    assert!(until(|| discovery.with(|l| l.watching.ever) > asked));
+    assert!(wait_until(|| discovery.with(|l| l.watching.ever) > asked));
 }
 
 #[test]
@@ -285,26 +285,26 @@
         held.join(9);
         held.following.ever
     });
-    assert!(until(|| relay.with(|held| held.holding == 1)));
+    assert!(wait_until(|| relay.with(|held| held.holding == 1)));
     node.moves_to(&other, &elsewhere);
-    assert!(until(|| relay.with(|held| held.following.ever) > before));
+    assert!(wait_until(|| relay.with(|held| held.following.ever) > before));
     node.moves_to(&relay, &discovery);
     relay.with(|held| held.let_go = true);
     discovery.with(|l| l.set("s-1", "draining"));
-    assert!(until(|| relay.with(|held| withdrawn(held, "s-1"))));
+    assert!(wait_until(|| relay.with(|held| withdrawn(held, "s-1"))));
     relay.with(|held| held.join(11));
-    assert!(until(|| relay.with(|held| held.bare().is_empty())));
+    assert!(wait_until(|| relay.with(|held| held.bare().is_empty())));
     let bound = relay.with(|held| held.bound.clone());
     assert!(bound.values().all(|times| *times == 1), "{bound:?}");
-    assert!(until(|| relay.with(|held| held.following.open) == 2));
-    assert!(until(|| discovery.with(|l| l.watching.open) == 1));
+    assert!(wait_until(|| relay.with(|held| held.following.open) == 2));
+    assert!(wait_until(|| discovery.with(|l| l.watching.open) == 1));
 }
 
 // ---- SIGTERM ----
 
 fn ends_well(mut node: Node) {
     node.signal("TERM");
-    assert!(until(|| node.child.try_wait().unwrap().is_some()));
+    assert!(wait_until(|| node.child.try_wait().unwrap().is_some()));
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
 }
 
@@ -326,7 +326,7 @@
         held.join(9);
         held.calls.len()
     });
-    assert!(until(|| relay.with(|held| held.holding == 1)));
+    assert!(wait_until(|| relay.with(|held| held.holding == 1)));
     node.signal("HUP");
     ends_well(node);
     relay.with(|held| held.let_go = true);
@@ -370,7 +370,7 @@
         let proxy = round % 30;
         relay.with(|held| held.join(proxy));
         assert!(
-            until(|| relay.with(|held| held.bare().is_empty())),
+            wait_until(|| relay.with(|held| held.bare().is_empty())),
             "{round}"
         );
         relay.with(|held| held.leave(proxy));
@@ -389,7 +389,7 @@
     // Ready is whoever answers `probe`; here discovery says nothing and the relay turns calls away.
     let node = Node::start(&relay, &discovery);
     assert!(node.is_alive());
-    assert!(until(
+    assert!(wait_until(
         || relay.with(|held| held.bare().is_empty() && held.lines.len() == 2)
     ));
     // The list differs from what was known: s-1 has gone unseen.
@@ -398,7 +398,7 @@
         l.index += 5;
         l.mute = false;
     });
-    assert!(until(|| relay.with(|held| withdrawn(held, "s-1"))));
+    assert!(wait_until(|| relay.with(|held| withdrawn(held, "s-1"))));
     assert!(!relay.with(|held| withdrawn(held, "s-2")));
     // Bad settings end it before it serves, also now.
     let path = file();
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// Waits for a condition, and tells whether it came about within 20 s.
-pub fn until(mut comes: impl FnMut() -> bool) -> bool {
+pub fn wait_until(mut comes: impl FnMut() -> bool) -> bool {
     let end = Instant::now() + Duration::from_secs(20);
     while Instant::now() < end {
         if comes() {
