--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{command, configuration, file, is_closed, serving, withdrawn};
-use dahliapoint_standins::platform::{Fault, wait_until};
+use dahliapoint_standins::platform::{RelayFault, wait_until};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::Stdio;
@@ -33,12 +33,12 @@
 fn whatever_becomes_of_a_call_its_withdrawal_holds_in_the_end() {
     let (relay, discovery, _node) = serving();
     let faults = [
-        Fault::Break { carried_out: false },
-        Fault::Break { carried_out: true },
-        Fault::Silence { carried_out: false },
-        Fault::Garble,
-        Fault::Halt(0),
-        Fault::TooMany,
+        RelayFault::Disconnect { executed: false },
+        RelayFault::Disconnect { executed: true },
+        RelayFault::NoAnswer { executed: false },
+        RelayFault::UnreadableAnswer,
+        RelayFault::ExecuteFirst(0),
+        RelayFault::TooManyCalls,
     ];
     for (i, fault) in faults.into_iter().enumerate() {
         let name = format!("x-{i}");
@@ -50,7 +50,7 @@
         // The next call is the one that the leaving leads to, or one of the ramp; either way the
         // table ends as the list says.
         relay.with(|held| held.faults.push_back(fault));
-        if fault != Fault::Halt(0) {
+        if fault != RelayFault::ExecuteFirst(0) {
             discovery.with(|l| l.set(&name, "removed"));
             assert!(
                 wait_until(|| relay.with(|held| withdrawn(held, &name))),
@@ -70,7 +70,7 @@
     let (relay, _discovery, _node) = serving();
     // Not carried out, and no mark answered: bound again.
     relay.with(|held| {
-        held.faults.push_back(Fault::Break { carried_out: false });
+        held.faults.push_back(RelayFault::Disconnect { executed: false });
         held.join(9);
     });
     assert!(wait_until(|| relay.with(|held| held.bare().is_empty())));
--- a/crates/daemon/tests/rare.rs
+++ b/crates/daemon/tests/rare.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{Node, command, configuration, file, serving, withdrawn};
-use dahliapoint_standins::platform::{Discovery, Fault, Relay, wait_until};
+use dahliapoint_standins::platform::{Discovery, RelayFault, Relay, wait_until};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::process::Command;
@@ -46,7 +46,7 @@
 fn an_answer_to_a_mark_before_the_end_of_its_call_is_remembered() {
     let (relay, _discovery, node) = serving();
     let before = relay.with(|held| {
-        held.faults.push_back(Fault::Hold);
+        held.faults.push_back(RelayFault::DelayAnswer);
         held.join(9);
         held.calls.len()
     });
@@ -71,7 +71,7 @@
     let (relay, _discovery, _node) = serving();
     for (proxy, more) in [(9, "OK 0\r\n"), (10, "O")] {
         let before = relay.with(|held| {
-            held.faults.push_back(Fault::Trailing(more));
+            held.faults.push_back(RelayFault::TrailingBytes(more));
             held.join(proxy);
             held.calls.len()
         });
@@ -281,7 +281,7 @@
     let (other, elsewhere) = (relay.also(), discovery.also());
     let before = relay.with(|held| {
         // A call is under way meanwhile.
-        held.faults.push_back(Fault::Hold);
+        held.faults.push_back(RelayFault::DelayAnswer);
         held.join(9);
         held.following.ever
     });
@@ -322,7 +322,7 @@
 fn told_to_end_between_a_call_and_its_answer_it_leaves_the_call_whole() {
     let (relay, _discovery, node) = serving();
     let before = relay.with(|held| {
-        held.faults.push_back(Fault::Hold);
+        held.faults.push_back(RelayFault::DelayAnswer);
         held.join(9);
         held.calls.len()
     });
@@ -338,7 +338,7 @@
 fn told_to_end_before_anything_answers_and_under_a_flood_it_ends() {
     let (relay, discovery) = (Relay::begin(), Discovery::begin(&["s-1"]));
     discovery.with(|l| l.mute = true);
-    (0..100).for_each(|_| relay.with(|held| held.faults.push_back(Fault::TooMany)));
+    (0..100).for_each(|_| relay.with(|held| held.faults.push_back(RelayFault::TooManyCalls)));
     ends_well(Node::start(&relay, &discovery));
 
     let (_relay, _discovery, node) = serving();
@@ -384,7 +384,7 @@
 fn a_controller_is_alive_before_anybody_answers_it_and_serves_by_its_old_list() {
     let (relay, discovery) = (Relay::begin(), Discovery::begin(&["s-1", "s-2"]));
     discovery.with(|l| l.mute = true);
-    (0..20).for_each(|_| relay.with(|held| held.faults.push_back(Fault::TooMany)));
+    (0..20).for_each(|_| relay.with(|held| held.faults.push_back(RelayFault::TooManyCalls)));
     relay.with(|held| held.join(3));
     // Ready is whoever answers `probe`; here discovery says nothing and the relay turns calls away.
     let node = Node::start(&relay, &discovery);
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -22,24 +22,24 @@
 
 /// What the relay does with the next call, once.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fault {
+pub enum RelayFault {
     /// Breaks after the last byte, the call carried out or not.
-    Break {
-        carried_out: bool,
+    Disconnect {
+        executed: bool,
     },
     /// Answers nothing.
-    Silence {
-        carried_out: bool,
+    NoAnswer {
+        executed: bool,
     },
     /// Takes so many orders.
-    Halt(usize),
+    ExecuteFirst(usize),
     /// Answers what cannot be read, the call carried out.
-    Garble,
-    TooMany,
+    UnreadableAnswer,
+    TooManyCalls,
     /// Carries the call out, answers nothing, and breaks once it is let go.
-    Hold,
+    DelayAnswer,
     /// Answers, and says more in the same breath.
-    Trailing(&'static str),
+    TrailingBytes(&'static str),
 }
 
 /// Connections of one kind: how many are open, how many ever were, and the most at a time.
@@ -69,7 +69,7 @@
     pub calls: Vec<String>,
     /// The connection that each call came on, by its number.
     pub came_on: Vec<usize>,
-    pub faults: VecDeque<Fault>,
+    pub faults: VecDeque<RelayFault>,
     /// Calls that are held now, and whether they are let go.
     pub holding: usize,
     pub let_go: bool,
@@ -263,16 +263,16 @@
         let mut held = lock(state);
         let fault = held.faults.pop_front();
         let most = match fault {
-            Some(Fault::TooMany) => 0,
-            Some(Fault::Halt(n)) => n,
-            Some(Fault::Break { carried_out } | Fault::Silence { carried_out }) if !carried_out => {
+            Some(RelayFault::TooManyCalls) => 0,
+            Some(RelayFault::ExecuteFirst(n)) => n,
+            Some(RelayFault::Disconnect { executed } | RelayFault::NoAnswer { executed }) if !executed => {
                 0
             }
             _ => usize::MAX,
         };
         held.calls.push(orders.to_string());
         held.came_on.push(number);
-        held.holding += usize::from(fault == Some(Fault::Hold));
+        held.holding += usize::from(fault == Some(RelayFault::DelayAnswer));
         let taken = orders
             .split(';')
             .take(most)
@@ -280,12 +280,12 @@
             .count();
         drop(held);
         let answer = match fault {
-            Some(Fault::Break { .. }) => {
+            Some(RelayFault::Disconnect { .. }) => {
                 let _ = out.shutdown(Shutdown::Both);
                 return;
             }
-            Some(Fault::Silence { .. }) => continue,
-            Some(Fault::Hold) => {
+            Some(RelayFault::NoAnswer { .. }) => continue,
+            Some(RelayFault::DelayAnswer) => {
                 while !lock(state).let_go {
                     std::thread::sleep(Duration::from_millis(1));
                 }
@@ -293,10 +293,10 @@
                 let _ = out.shutdown(Shutdown::Both);
                 return;
             }
-            Some(Fault::Trailing(more)) => format!("OK {taken}\r\n{more}"),
-            Some(Fault::Garble) => "OK many\r\n".into(),
-            Some(Fault::TooMany) => "too_many_calls\r\n".into(),
-            Some(Fault::Halt(_)) | None => format!("OK {taken}\r\n"),
+            Some(RelayFault::TrailingBytes(more)) => format!("OK {taken}\r\n{more}"),
+            Some(RelayFault::UnreadableAnswer) => "OK many\r\n".into(),
+            Some(RelayFault::TooManyCalls) => "too_many_calls\r\n".into(),
+            Some(RelayFault::ExecuteFirst(_)) | None => format!("OK {taken}\r\n"),
         };
         let _ = out.write_all(answer.as_bytes());
     }
