--- a/crates/daemon/tests/rare.rs
+++ b/crates/daemon/tests/rare.rs
@@ -206,26 +206,26 @@
     let asked = discovery.with(|l| {
         l.fall_silent();
         l.mute = true;
-        l.watching.ever
+        l.watching.total
     });
     let followed = relay.with(|held| {
         held.mute = true;
-        held.following.ever
+        held.following.total
     });
-    assert!(wait_until(|| discovery.with(|l| l.watching.ever) >= asked + 2));
+    assert!(wait_until(|| discovery.with(|l| l.watching.total) >= asked + 2));
     assert!(wait_until(
-        || relay.with(|held| held.following.ever) >= followed + 3
+        || relay.with(|held| held.following.total) >= followed + 3
     ));
     // A new configuration in the middle of it.
     node.moves_to(&other, &elsewhere);
-    assert!(wait_until(|| discovery.with(|l| l.watching.ever) >= asked + 5));
+    assert!(wait_until(|| discovery.with(|l| l.watching.total) >= asked + 5));
     assert!(wait_until(
-        || relay.with(|held| held.following.ever) >= followed + 8
+        || relay.with(|held| held.following.total) >= followed + 8
     ));
     let watches = discovery.with(|l| l.watching);
     let followers = relay.with(|held| held.following);
-    assert!(watches.most <= 2, "{watches:?}");
-    assert!(followers.most <= 4, "{followers:?}");
+    assert!(watches.peak <= 2, "{watches:?}");
+    assert!(followers.peak <= 4, "{followers:?}");
     // It ends: what was missed is told.
     relay.with(|held| held.mute = false);
     discovery.with(|l| {
@@ -270,9 +270,9 @@
     std::fs::write(&path, &text).unwrap();
     std::fs::rename(&path, &node.file).unwrap();
     half.write_all(&text.as_bytes()[..text.len() / 2]).unwrap();
-    let asked = discovery.with(|l| l.watching.ever);
+    let asked = discovery.with(|l| l.watching.total);
     drop(half);
-    assert!(wait_until(|| discovery.with(|l| l.watching.ever) > asked));
+    assert!(wait_until(|| discovery.with(|l| l.watching.total) > asked));
 }
 
 #[test]
@@ -283,11 +283,11 @@
         // A call is under way meanwhile.
         held.faults.push_back(RelayFault::DelayAnswer);
         held.join(9);
-        held.following.ever
+        held.following.total
     });
     assert!(wait_until(|| relay.with(|held| held.holding == 1)));
     node.moves_to(&other, &elsewhere);
-    assert!(wait_until(|| relay.with(|held| held.following.ever) > before));
+    assert!(wait_until(|| relay.with(|held| held.following.total) > before));
     node.moves_to(&relay, &discovery);
     relay.with(|held| held.let_go = true);
     discovery.with(|l| l.set("s-1", "draining"));
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -44,17 +44,17 @@
 
 /// Connections of one kind: how many are open, how many ever were, and the most at a time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Gauge {
+pub struct ConnectionCounts {
     pub open: usize,
-    pub ever: usize,
-    pub most: usize,
+    pub total: usize,
+    pub peak: usize,
 }
 
-impl Gauge {
+impl ConnectionCounts {
     fn opened(&mut self) {
         self.open += 1;
-        self.ever += 1;
-        self.most = self.most.max(self.open);
+        self.total += 1;
+        self.peak = self.peak.max(self.open);
     }
 }
 
@@ -75,7 +75,7 @@
     pub let_go: bool,
     /// Followers are told what stands and nothing more.
     pub mute: bool,
-    pub following: Gauge,
+    pub following: ConnectionCounts,
     connections: usize,
     followers: Vec<TcpStream>,
     callers: Vec<TcpStream>,
@@ -316,7 +316,7 @@
     pub mute: bool,
     /// Each byte is written by itself.
     pub bytewise: bool,
-    pub watching: Gauge,
+    pub watching: ConnectionCounts,
 }
 
 impl Listing {
