--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A real controller and stand-ins of the platform round it, for the tests of the binary.
 #![allow(dead_code)]
 
-use dahliapoint_standins::platform::{Discovery, Held, Relay, wait_until};
+use dahliapoint_standins::platform::{Discovery, RelayState, Relay, wait_until};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -157,13 +157,13 @@
     (0..3).for_each(|p| relay.with(|held| held.join(p)));
     let node = Node::start(&relay, &discovery);
     assert!(wait_until(
-        || relay.with(|held| held.bare().is_empty() && held.lines.len() == 3)
+        || relay.with(|held| held.unbound().is_empty() && held.weights.len() == 3)
     ));
-    assert!(wait_until(|| relay.with(|held| held.followers()) == 2));
+    assert!(wait_until(|| relay.with(|held| held.follower_count()) == 2));
     assert!(wait_until(|| discovery.with(|l| l.watches()) == 1));
     (relay, discovery, node)
 }
 
-pub fn withdrawn(held: &mut Held, name: &str) -> bool {
+pub fn withdrawn(held: &mut RelayState, name: &str) -> bool {
     held.withdrawn.contains(name)
 }
--- a/crates/daemon/tests/rare.rs
+++ b/crates/daemon/tests/rare.rs
@@ -51,11 +51,11 @@
         held.calls.len()
     });
     // The call is carried out and its mark answered, on both followers; its own answer is held.
-    assert!(wait_until(|| relay.with(|held| held.holding == 1)));
+    assert!(wait_until(|| relay.with(|held| held.delayed_calls == 1)));
     let held = call_with(&relay, before, "bind,9,").unwrap();
     // Whoever asks now is answered behind what the followers brought.
     assert!(node.is_alive());
-    relay.with(|held| held.let_go = true);
+    relay.with(|held| held.release_delayed = true);
     // The next decision is made, and nothing of the call that broke goes again, before it or behind it.
     relay.with(|held| held.join(10));
     assert!(wait_until(|| call_with(&relay, before, "bind,10,").is_some()));
@@ -63,7 +63,7 @@
     assert!(wait_until(|| call_with(&relay, before, "bind,11,").is_some()));
     let same = |c: &&String| mark(c) == mark(&held);
     let times = relay.with(|h| h.calls.iter().skip(before).filter(same).count());
-    assert_eq!((times, relay.with(|h| h.bound[&9])), (1, 1));
+    assert_eq!((times, relay.with(|h| h.bind_counts[&9])), (1, 1));
 }
 
 #[test]
@@ -83,7 +83,7 @@
         });
         let name = format!("bind,{},", proxy + 10);
         assert!(wait_until(|| call_with(&relay, next, &name).is_some()));
-        let (odd, then) = relay.with(|held| (held.came_on[before], held.came_on[next]));
+        let (odd, then) = relay.with(|held| (held.call_connections[before], held.call_connections[next]));
         assert_ne!(odd, then, "{more:?}");
     }
 }
@@ -143,7 +143,7 @@
     assert!(wait_until(|| {
         let mut collector = &strangers[1];
         collector.write_all(reports.as_bytes()).unwrap();
-        relay.with(|held| held.lines.get("s-3") == Some(&0.0))
+        relay.with(|held| held.weights.get("s-3") == Some(&0.0))
     }));
     drop(newcomers);
 }
@@ -209,34 +209,34 @@
         l.watching.total
     });
     let followed = relay.with(|held| {
-        held.mute = true;
-        held.following.total
+        held.silent = true;
+        held.follower_connections.total
     });
     assert!(wait_until(|| discovery.with(|l| l.watching.total) >= asked + 2));
     assert!(wait_until(
-        || relay.with(|held| held.following.total) >= followed + 3
+        || relay.with(|held| held.follower_connections.total) >= followed + 3
     ));
     // A new configuration in the middle of it.
     node.moves_to(&other, &elsewhere);
     assert!(wait_until(|| discovery.with(|l| l.watching.total) >= asked + 5));
     assert!(wait_until(
-        || relay.with(|held| held.following.total) >= followed + 8
+        || relay.with(|held| held.follower_connections.total) >= followed + 8
     ));
     let watches = discovery.with(|l| l.watching);
-    let followers = relay.with(|held| held.following);
+    let followers = relay.with(|held| held.follower_connections);
     assert!(watches.peak <= 2, "{watches:?}");
     assert!(followers.peak <= 4, "{followers:?}");
     // It ends: what was missed is told.
-    relay.with(|held| held.mute = false);
+    relay.with(|held| held.silent = false);
     discovery.with(|l| {
         l.mute = false;
         l.set("s-1", "draining");
     });
     relay.with(|held| held.join(12));
     assert!(wait_until(
-        || relay.with(|held| withdrawn(held, "s-1") && held.bare().is_empty())
+        || relay.with(|held| withdrawn(held, "s-1") && held.unbound().is_empty())
     ));
-    assert!(wait_until(|| relay.with(|held| held.following.open) == 2));
+    assert!(wait_until(|| relay.with(|held| held.follower_connections.open) == 2));
     assert!(wait_until(|| discovery.with(|l| l.watching.open) == 1));
 }
 
@@ -283,20 +283,20 @@
         // A call is under way meanwhile.
         held.faults.push_back(RelayFault::DelayAnswer);
         held.join(9);
-        held.following.total
+        held.follower_connections.total
     });
-    assert!(wait_until(|| relay.with(|held| held.holding == 1)));
+    assert!(wait_until(|| relay.with(|held| held.delayed_calls == 1)));
     node.moves_to(&other, &elsewhere);
-    assert!(wait_until(|| relay.with(|held| held.following.total) > before));
+    assert!(wait_until(|| relay.with(|held| held.follower_connections.total) > before));
     node.moves_to(&relay, &discovery);
-    relay.with(|held| held.let_go = true);
+    relay.with(|held| held.release_delayed = true);
     discovery.with(|l| l.set("s-1", "draining"));
     assert!(wait_until(|| relay.with(|held| withdrawn(held, "s-1"))));
     relay.with(|held| held.join(11));
-    assert!(wait_until(|| relay.with(|held| held.bare().is_empty())));
-    let bound = relay.with(|held| held.bound.clone());
-    assert!(bound.values().all(|times| *times == 1), "{bound:?}");
-    assert!(wait_until(|| relay.with(|held| held.following.open) == 2));
+    assert!(wait_until(|| relay.with(|held| held.unbound().is_empty())));
+    let bind_counts = relay.with(|held| held.bind_counts.clone());
+    assert!(bind_counts.values().all(|times| *times == 1), "{bind_counts:?}");
+    assert!(wait_until(|| relay.with(|held| held.follower_connections.open) == 2));
     assert!(wait_until(|| discovery.with(|l| l.watching.open) == 1));
 }
 
@@ -326,10 +326,10 @@
         held.join(9);
         held.calls.len()
     });
-    assert!(wait_until(|| relay.with(|held| held.holding == 1)));
+    assert!(wait_until(|| relay.with(|held| held.delayed_calls == 1)));
     node.signal("HUP");
     ends_well(node);
-    relay.with(|held| held.let_go = true);
+    relay.with(|held| held.release_delayed = true);
     let calls = relay.with(|held| held.calls[before..].to_vec());
     assert!(calls.iter().all(|c| mark(c).ends_with(",0")), "{calls:?}");
 }
@@ -370,7 +370,7 @@
         let proxy = round % 30;
         relay.with(|held| held.join(proxy));
         assert!(
-            wait_until(|| relay.with(|held| held.bare().is_empty())),
+            wait_until(|| relay.with(|held| held.unbound().is_empty())),
             "{round}"
         );
         relay.with(|held| held.leave(proxy));
@@ -390,7 +390,7 @@
     let node = Node::start(&relay, &discovery);
     assert!(node.is_alive());
     assert!(wait_until(
-        || relay.with(|held| held.bare().is_empty() && held.lines.len() == 2)
+        || relay.with(|held| held.unbound().is_empty() && held.weights.len() == 2)
     ));
     // The list differs from what was known: s-1 has gone unseen.
     discovery.with(|l| {
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -60,43 +60,43 @@
 
 /// What proxies hold, as the orders left them.
 #[derive(Default)]
-pub struct Held {
+pub struct RelayState {
     pub joined: BTreeSet<usize>,
     /// How often each was bound.
-    pub bound: BTreeMap<usize, usize>,
+    pub bind_counts: BTreeMap<usize, usize>,
     pub withdrawn: BTreeSet<String>,
-    pub lines: BTreeMap<String, f64>,
+    pub weights: BTreeMap<String, f64>,
     pub calls: Vec<String>,
     /// The connection that each call came on, by its number.
-    pub came_on: Vec<usize>,
+    pub call_connections: Vec<usize>,
     pub faults: VecDeque<RelayFault>,
     /// Calls that are held now, and whether they are let go.
-    pub holding: usize,
-    pub let_go: bool,
+    pub delayed_calls: usize,
+    pub release_delayed: bool,
     /// Followers are told what stands and nothing more.
-    pub mute: bool,
-    pub following: ConnectionCounts,
+    pub silent: bool,
+    pub follower_connections: ConnectionCounts,
     connections: usize,
     followers: Vec<TcpStream>,
     callers: Vec<TcpStream>,
 }
 
-impl Held {
+impl RelayState {
     /// A proxy joins: followers are told, and it is not bound.
     pub fn join(&mut self, proxy: usize) {
         self.joined.insert(proxy);
-        self.bound.remove(&proxy);
+        self.bind_counts.remove(&proxy);
         self.tell(&format!("* hello {proxy} a 2.5 1\r\n"));
     }
 
     pub fn leave(&mut self, proxy: usize) {
         self.joined.remove(&proxy);
-        self.bound.remove(&proxy);
+        self.bind_counts.remove(&proxy);
         self.tell(&format!("* bye {proxy}\r\n"));
     }
 
     fn tell(&mut self, line: &str) {
-        if self.mute {
+        if self.silent {
             return;
         }
         self.followers
@@ -104,14 +104,14 @@
     }
 
     /// Breaks all followers, or only the oldest.
-    pub fn break_followers(&mut self, all: bool) {
+    pub fn disconnect_followers(&mut self, all: bool) {
         let many = if all { self.followers.len() } else { 1 };
         for f in self.followers.drain(..many) {
             let _ = f.shutdown(Shutdown::Both);
         }
     }
 
-    pub fn followers(&self) -> usize {
+    pub fn follower_count(&self) -> usize {
         self.followers.len()
     }
 
@@ -119,11 +119,11 @@
         let words: Vec<&str> = order.split(',').collect();
         match words[..] {
             ["share", _, server, weight] => match weight.parse() {
-                Ok(weight) => drop(self.lines.insert(server.into(), weight)),
+                Ok(weight) => drop(self.weights.insert(server.into(), weight)),
                 Err(_) => return false,
             },
             ["bind", proxy, _, "*"] => match proxy.parse() {
-                Ok(p) if self.joined.contains(&p) => *self.bound.entry(p).or_default() += 1,
+                Ok(p) if self.joined.contains(&p) => *self.bind_counts.entry(p).or_default() += 1,
                 _ => return false,
             },
             ["withdraw", server] => drop(self.withdrawn.insert(server.into())),
@@ -140,13 +140,13 @@
     }
 
     /// Joined proxies that no table was given to.
-    pub fn bare(&self) -> Vec<usize> {
-        let bare = self.joined.iter().filter(|p| !self.bound.contains_key(p));
-        bare.copied().collect()
+    pub fn unbound(&self) -> Vec<usize> {
+        let unbound = self.joined.iter().filter(|p| !self.bind_counts.contains_key(p));
+        unbound.copied().collect()
     }
 
     /// Calls above the size that one may have.
-    pub fn oversized(&self) -> usize {
+    pub fn oversized_calls(&self) -> usize {
         self.calls.iter().filter(|c| c.len() > 60_000).count()
     }
 }
@@ -183,11 +183,11 @@
     }
 }
 
-pub type Relay = Place<Held>;
+pub type Relay = Place<RelayState>;
 
 impl Relay {
     pub fn begin() -> Relay {
-        let state = Arc::new(Mutex::new(Held::default()));
+        let state = Arc::new(Mutex::new(RelayState::default()));
         let beats = Arc::downgrade(&state);
         std::thread::spawn(move || {
             while let Some(state) = beats.upgrade() {
@@ -207,7 +207,7 @@
     /// Closes every connection, as an address that is given up does.
     pub fn close_all(&self) {
         self.with(|held| {
-            held.break_followers(true);
+            held.disconnect_followers(true);
             for c in held.callers.drain(..) {
                 let _ = c.shutdown(Shutdown::Both);
             }
@@ -215,7 +215,7 @@
     }
 }
 
-fn relay(state: &Arc<Mutex<Held>>, socket: TcpStream) {
+fn relay(state: &Arc<Mutex<RelayState>>, socket: TcpStream) {
     let Ok(mut out) = socket.try_clone() else {
         return;
     };
@@ -226,11 +226,11 @@
     drop(held);
     let mut follows = false;
     serve(state, &mut out, socket, number, &mut follows);
-    lock(state).following.open -= usize::from(follows);
+    lock(state).follower_connections.open -= usize::from(follows);
 }
 
 fn serve(
-    state: &Arc<Mutex<Held>>,
+    state: &Arc<Mutex<RelayState>>,
     out: &mut TcpStream,
     socket: TcpStream,
     number: usize,
@@ -243,7 +243,7 @@
         if line == "follow" {
             let mut held = lock(state);
             if !std::mem::replace(follows, true) {
-                held.following.opened();
+                held.follower_connections.opened();
             }
             let mut stands = String::from("OK\r\n");
             for p in &held.joined {
@@ -271,8 +271,8 @@
             _ => usize::MAX,
         };
         held.calls.push(orders.to_string());
-        held.came_on.push(number);
-        held.holding += usize::from(fault == Some(RelayFault::DelayAnswer));
+        held.call_connections.push(number);
+        held.delayed_calls += usize::from(fault == Some(RelayFault::DelayAnswer));
         let taken = orders
             .split(';')
             .take(most)
@@ -286,10 +286,10 @@
             }
             Some(RelayFault::NoAnswer { .. }) => continue,
             Some(RelayFault::DelayAnswer) => {
-                while !lock(state).let_go {
+                while !lock(state).release_delayed {
                     std::thread::sleep(Duration::from_millis(1));
                 }
-                lock(state).holding -= 1;
+                lock(state).delayed_calls -= 1;
                 let _ = out.shutdown(Shutdown::Both);
                 return;
             }
@@ -478,20 +478,20 @@
     /// Each checker fails on a controller that breaks its rule.
     #[test]
     fn the_checkers_see_what_they_are_for() {
-        let mut held = Held::default();
+        let mut held = RelayState::default();
         held.join(1);
         held.join(2);
         assert!(held.take("bind,1,0,*"));
-        assert_eq!(held.bare(), [2], "a proxy that is not bound");
+        assert_eq!(held.unbound(), [2], "a proxy that is not bound");
         held.join(1);
         assert_eq!(
-            held.bare(),
+            held.unbound(),
             [1, 2],
             "one that left and came back has lost its binding"
         );
         assert!(!held.take("bind,9,0,*") && !held.take("share,0,s,x") && !held.take("nothing"));
         held.calls.push("x".repeat(60_001));
-        assert_eq!(held.oversized(), 1);
+        assert_eq!(held.oversized_calls(), 1);
         assert!(held.take("withdraw,s-1") && held.withdrawn.contains("s-1"));
         assert!(held.take("restore,s-1") && !held.withdrawn.contains("s-1"));
     }
