--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -79,7 +79,7 @@
             let address = listener.local_addr().unwrap();
             drop(listener);
             let file = file();
-            let known = discovery.with(|l| l.whole());
+            let known = discovery.with_state(|l| l.whole());
             std::fs::write(
                 &file,
                 configuration(address, relay.address, discovery.address, &known),
@@ -154,13 +154,13 @@
 /// A platform with three servers and three joined proxies, and a controller that has bound them.
 pub fn serving() -> (Relay, Discovery, Node) {
     let (relay, discovery) = (Relay::begin(), Discovery::begin(&["s-1", "s-2", "s-3"]));
-    (0..3).for_each(|p| relay.with(|held| held.join(p)));
+    (0..3).for_each(|p| relay.with_state(|held| held.join(p)));
     let node = Node::start(&relay, &discovery);
     assert!(wait_until(
-        || relay.with(|held| held.unbound().is_empty() && held.weights.len() == 3)
+        || relay.with_state(|held| held.unbound().is_empty() && held.weights.len() == 3)
     ));
-    assert!(wait_until(|| relay.with(|held| held.follower_count()) == 2));
-    assert!(wait_until(|| discovery.with(|l| l.watches()) == 1));
+    assert!(wait_until(|| relay.with_state(|held| held.follower_count()) == 2));
+    assert!(wait_until(|| discovery.with_state(|l| l.watches()) == 1));
     (relay, discovery, node)
 }
 
--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -12,17 +12,17 @@
 #[test]
 fn a_calm_day() {
     let (relay, discovery, mut node) = serving();
-    discovery.with(|l| l.set("s-2", "draining"));
-    assert!(wait_until(|| relay.with(|held| withdrawn(held, "s-2"))));
-    discovery.with(|l| l.set("s-4", "up"));
+    discovery.with_state(|l| l.set("s-2", "draining"));
+    assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-2"))));
+    discovery.with_state(|l| l.set("s-4", "up"));
     assert!(wait_until(
-        || relay.with(|held| held.weights.get("s-4").is_some_and(|w| *w > 0.0))
+        || relay.with_state(|held| held.weights.get("s-4").is_some_and(|w| *w > 0.0))
     ));
-    relay.with(|held| held.join(7));
-    relay.with(|held| held.leave(0));
-    assert!(wait_until(|| relay.with(|held| held.bind_counts.contains_key(&7))));
+    relay.with_state(|held| held.join(7));
+    relay.with_state(|held| held.leave(0));
+    assert!(wait_until(|| relay.with_state(|held| held.bind_counts.contains_key(&7))));
     assert_eq!(
-        relay.with(|held| (held.oversized_calls(), held.bind_counts[&1])),
+        relay.with_state(|held| (held.oversized_calls(), held.bind_counts[&1])),
         (0, 1)
     );
     node.signal("TERM");
@@ -42,65 +42,65 @@
     ];
     for (i, fault) in faults.into_iter().enumerate() {
         let name = format!("x-{i}");
-        discovery.with(|l| l.set(&name, "up"));
+        discovery.with_state(|l| l.set(&name, "up"));
         assert!(
-            wait_until(|| relay.with(|held| held.weights.get(&name).is_some_and(|w| *w > 0.0))),
+            wait_until(|| relay.with_state(|held| held.weights.get(&name).is_some_and(|w| *w > 0.0))),
             "{fault:?}"
         );
         // The next call is the one that the leaving leads to, or one of the ramp; either way the
         // table ends as the list says.
-        relay.with(|held| held.faults.push_back(fault));
+        relay.with_state(|held| held.faults.push_back(fault));
         if fault != RelayFault::ExecuteFirst(0) {
-            discovery.with(|l| l.set(&name, "removed"));
+            discovery.with_state(|l| l.set(&name, "removed"));
             assert!(
-                wait_until(|| relay.with(|held| withdrawn(held, &name))),
+                wait_until(|| relay.with_state(|held| withdrawn(held, &name))),
                 "{fault:?}"
             );
         }
         assert!(
-            wait_until(|| relay.with(|held| held.faults.is_empty())),
+            wait_until(|| relay.with_state(|held| held.faults.is_empty())),
             "{fault:?}"
         );
     }
-    assert!(relay.with(|held| held.unbound().is_empty()));
+    assert!(relay.with_state(|held| held.unbound().is_empty()));
 }
 
 #[test]
 fn a_binding_that_was_lost_is_made_again_and_news_that_was_missed_is_not_trusted() {
     let (relay, _discovery, _node) = serving();
     // Not carried out, and no mark answered: bound again.
-    relay.with(|held| {
+    relay.with_state(|held| {
         held.faults.push_back(RelayFault::Disconnect { executed: false });
         held.join(9);
     });
-    assert!(wait_until(|| relay.with(|held| held.unbound().is_empty())));
+    assert!(wait_until(|| relay.with_state(|held| held.unbound().is_empty())));
     // One follower breaks: nobody is bound anew.
-    let before = relay.with(|held| held.bind_counts.clone());
-    relay.with(|held| held.disconnect_followers(false));
-    assert!(wait_until(|| relay.with(|held| held.follower_count()) == 2));
-    relay.with(|held| held.join(10));
-    assert!(wait_until(|| relay.with(|held| held.unbound().is_empty())));
-    let mut after = relay.with(|held| held.bind_counts.clone());
+    let before = relay.with_state(|held| held.bind_counts.clone());
+    relay.with_state(|held| held.disconnect_followers(false));
+    assert!(wait_until(|| relay.with_state(|held| held.follower_count()) == 2));
+    relay.with_state(|held| held.join(10));
+    assert!(wait_until(|| relay.with_state(|held| held.unbound().is_empty())));
+    let mut after = relay.with_state(|held| held.bind_counts.clone());
     after.remove(&10);
     assert_eq!(before, after);
     // Both break, and a proxy leaves and comes back meanwhile: it is bound all the same.
-    relay.with(|held| {
+    relay.with_state(|held| {
         held.disconnect_followers(true);
         held.leave(1);
         held.join(1);
     });
-    assert!(wait_until(|| relay.with(|held| held.unbound().is_empty())));
+    assert!(wait_until(|| relay.with_state(|held| held.unbound().is_empty())));
 }
 
 #[test]
 fn a_silent_watch_gets_another_beside_it() {
     let (relay, discovery, _node) = serving();
-    discovery.with(|l| {
+    discovery.with_state(|l| {
         l.fall_silent();
         l.set("s-1", "draining");
     });
-    assert!(wait_until(|| relay.with(|held| withdrawn(held, "s-1"))));
-    assert!(discovery.with(|l| l.asked) >= 2);
+    assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-1"))));
+    assert!(discovery.with_state(|l| l.asked) >= 2);
 }
 
 #[test]
@@ -142,7 +142,7 @@
         let text = reports([0, 0, 40]);
         collector.write_all(spoilt.as_bytes()).unwrap();
         collector.write_all(text.as_bytes()).unwrap();
-        relay.with(|held| held.weights.get("s-3") == Some(&0.0))
+        relay.with_state(|held| held.weights.get("s-3") == Some(&0.0))
     }));
 }
 
@@ -153,17 +153,17 @@
     // A bad one changes nothing, and ends nothing.
     std::fs::write(&node.file, "{\"name\": 7").unwrap();
     node.signal("HUP");
-    let before = relay.with(|held| held.bind_counts.clone());
-    let asked = discovery.with(|l| l.asked);
+    let before = relay.with_state(|held| held.bind_counts.clone());
+    let asked = discovery.with_state(|l| l.asked);
     node.moves_to(&other, &elsewhere);
     // Beside the old ones, which a real address closes only later.
-    assert!(wait_until(|| discovery.with(|l| l.asked) > asked));
-    assert!(wait_until(|| relay.with(|held| held.follower_count()) >= 3));
-    discovery.with(|l| l.set("s-1", "draining"));
-    assert!(wait_until(|| relay.with(|held| withdrawn(held, "s-1"))));
-    relay.with(|held| held.join(11));
-    assert!(wait_until(|| relay.with(|held| held.unbound().is_empty())));
-    let mut after = relay.with(|held| held.bind_counts.clone());
+    assert!(wait_until(|| discovery.with_state(|l| l.asked) > asked));
+    assert!(wait_until(|| relay.with_state(|held| held.follower_count()) >= 3));
+    discovery.with_state(|l| l.set("s-1", "draining"));
+    assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-1"))));
+    relay.with_state(|held| held.join(11));
+    assert!(wait_until(|| relay.with_state(|held| held.unbound().is_empty())));
+    let mut after = relay.with_state(|held| held.bind_counts.clone());
     after.remove(&11);
     assert_eq!(before, after);
 }
--- a/crates/daemon/tests/rare.rs
+++ b/crates/daemon/tests/rare.rs
@@ -28,7 +28,7 @@
 
 /// A call that was made from now on: the next one of which that is true.
 fn call_with(relay: &Relay, from: usize, order: &str) -> Option<String> {
-    relay.with(|held| {
+    relay.with_state(|held| {
         let mut calls = held.calls.iter().skip(from);
         calls.find(|c| c.contains(order)).cloned()
     })
@@ -45,45 +45,45 @@
 #[test]
 fn an_answer_to_a_mark_before_the_end_of_its_call_is_remembered() {
     let (relay, _discovery, node) = serving();
-    let before = relay.with(|held| {
+    let before = relay.with_state(|held| {
         held.faults.push_back(RelayFault::DelayAnswer);
         held.join(9);
         held.calls.len()
     });
     // The call is carried out and its mark answered, on both followers; its own answer is held.
-    assert!(wait_until(|| relay.with(|held| held.delayed_calls == 1)));
+    assert!(wait_until(|| relay.with_state(|held| held.delayed_calls == 1)));
     let held = call_with(&relay, before, "bind,9,").unwrap();
     // Whoever asks now is answered behind what the followers brought.
     assert!(node.is_alive());
-    relay.with(|held| held.release_delayed = true);
+    relay.with_state(|held| held.release_delayed = true);
     // The next decision is made, and nothing of the call that broke goes again, before it or behind it.
-    relay.with(|held| held.join(10));
+    relay.with_state(|held| held.join(10));
     assert!(wait_until(|| call_with(&relay, before, "bind,10,").is_some()));
-    relay.with(|held| held.join(11));
+    relay.with_state(|held| held.join(11));
     assert!(wait_until(|| call_with(&relay, before, "bind,11,").is_some()));
     let same = |c: &&String| mark(c) == mark(&held);
-    let times = relay.with(|h| h.calls.iter().skip(before).filter(same).count());
-    assert_eq!((times, relay.with(|h| h.bind_counts[&9])), (1, 1));
+    let times = relay.with_state(|h| h.calls.iter().skip(before).filter(same).count());
+    assert_eq!((times, relay.with_state(|h| h.bind_counts[&9])), (1, 1));
 }
 
 #[test]
 fn a_connection_that_said_more_than_its_answer_is_not_used_again() {
     let (relay, _discovery, _node) = serving();
     for (proxy, more) in [(9, "OK 0\r\n"), (10, "O")] {
-        let before = relay.with(|held| {
+        let before = relay.with_state(|held| {
             held.faults.push_back(RelayFault::TrailingBytes(more));
             held.join(proxy);
             held.calls.len()
         });
         let name = format!("bind,{proxy},");
         assert!(wait_until(|| call_with(&relay, before, &name).is_some()));
-        let next = relay.with(|held| {
+        let next = relay.with_state(|held| {
             held.join(proxy + 10);
             held.calls.len()
         });
         let name = format!("bind,{},", proxy + 10);
         assert!(wait_until(|| call_with(&relay, next, &name).is_some()));
-        let (odd, then) = relay.with(|held| (held.call_connections[before], held.call_connections[next]));
+        let (odd, then) = relay.with_state(|held| (held.call_connections[before], held.call_connections[next]));
         assert_ne!(odd, then, "{more:?}");
     }
 }
@@ -143,7 +143,7 @@
     assert!(wait_until(|| {
         let mut collector = &strangers[1];
         collector.write_all(reports.as_bytes()).unwrap();
-        relay.with(|held| held.weights.get("s-3") == Some(&0.0))
+        relay.with_state(|held| held.weights.get("s-3") == Some(&0.0))
     }));
     drop(newcomers);
 }
@@ -174,27 +174,27 @@
 #[test]
 fn a_list_cut_at_every_byte_and_one_without_its_last_line_end_are_told_all_the_same() {
     let (relay, discovery, _node) = serving();
-    discovery.with(|l| {
+    discovery.with_state(|l| {
         l.bytewise = true;
         l.set("s-1", "draining");
     });
-    assert!(wait_until(|| relay.with(|held| withdrawn(held, "s-1"))));
+    assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-1"))));
     // The body ends in the middle: the next watch asks for what came after the version that stands.
-    discovery.with(|l| l.set_unended("s-2", "draining"));
-    assert!(wait_until(|| relay.with(|held| withdrawn(held, "s-2"))));
+    discovery.with_state(|l| l.set_unended("s-2", "draining"));
+    assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-2"))));
 }
 
 #[test]
 fn a_discovery_whose_versions_begin_anew_is_believed_in_the_end() {
     let (relay, discovery, _node) = serving();
-    discovery.with(|l| {
+    discovery.with_state(|l| {
         l.restart(2);
         l.servers.insert("s-1".into(), "draining");
     });
-    assert!(wait_until(|| relay.with(|held| withdrawn(held, "s-1"))));
+    assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-1"))));
     // From there on its changes are told by the new numbers.
-    discovery.with(|l| l.set("s-2", "draining"));
-    assert!(wait_until(|| relay.with(|held| withdrawn(held, "s-2"))));
+    discovery.with_state(|l| l.set("s-2", "draining"));
+    assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-2"))));
 }
 
 // ---- silence ----
@@ -203,41 +203,41 @@
 fn a_silence_that_goes_on_keeps_two_watches_and_two_followers_a_seat() {
     let (relay, discovery, node) = serving();
     let (other, elsewhere) = (relay.also(), discovery.also());
-    let asked = discovery.with(|l| {
+    let asked = discovery.with_state(|l| {
         l.fall_silent();
         l.mute = true;
         l.watching.total
     });
-    let followed = relay.with(|held| {
+    let followed = relay.with_state(|held| {
         held.silent = true;
         held.follower_connections.total
     });
-    assert!(wait_until(|| discovery.with(|l| l.watching.total) >= asked + 2));
+    assert!(wait_until(|| discovery.with_state(|l| l.watching.total) >= asked + 2));
     assert!(wait_until(
-        || relay.with(|held| held.follower_connections.total) >= followed + 3
+        || relay.with_state(|held| held.follower_connections.total) >= followed + 3
     ));
     // A new configuration in the middle of it.
     node.moves_to(&other, &elsewhere);
-    assert!(wait_until(|| discovery.with(|l| l.watching.total) >= asked + 5));
+    assert!(wait_until(|| discovery.with_state(|l| l.watching.total) >= asked + 5));
     assert!(wait_until(
-        || relay.with(|held| held.follower_connections.total) >= followed + 8
+        || relay.with_state(|held| held.follower_connections.total) >= followed + 8
     ));
-    let watches = discovery.with(|l| l.watching);
-    let followers = relay.with(|held| held.follower_connections);
+    let watches = discovery.with_state(|l| l.watching);
+    let followers = relay.with_state(|held| held.follower_connections);
     assert!(watches.peak <= 2, "{watches:?}");
     assert!(followers.peak <= 4, "{followers:?}");
     // It ends: what was missed is told.
-    relay.with(|held| held.silent = false);
-    discovery.with(|l| {
+    relay.with_state(|held| held.silent = false);
+    discovery.with_state(|l| {
         l.mute = false;
         l.set("s-1", "draining");
     });
-    relay.with(|held| held.join(12));
+    relay.with_state(|held| held.join(12));
     assert!(wait_until(
-        || relay.with(|held| withdrawn(held, "s-1") && held.unbound().is_empty())
+        || relay.with_state(|held| withdrawn(held, "s-1") && held.unbound().is_empty())
     ));
-    assert!(wait_until(|| relay.with(|held| held.follower_connections.open) == 2));
-    assert!(wait_until(|| discovery.with(|l| l.watching.open) == 1));
+    assert!(wait_until(|| relay.with_state(|held| held.follower_connections.open) == 2));
+    assert!(wait_until(|| discovery.with_state(|l| l.watching.open) == 1));
 }
 
 // ---- SIGHUP ----
@@ -270,34 +270,34 @@
     std::fs::write(&path, &text).unwrap();
     std::fs::rename(&path, &node.file).unwrap();
     half.write_all(&text.as_bytes()[..text.len() / 2]).unwrap();
-    let asked = discovery.with(|l| l.watching.total);
+    let asked = discovery.with_state(|l| l.watching.total);
     drop(half);
-    assert!(wait_until(|| discovery.with(|l| l.watching.total) > asked));
+    assert!(wait_until(|| discovery.with_state(|l| l.watching.total) > asked));
 }
 
 #[test]
 fn there_and_back_again_loses_no_binding() {
     let (relay, discovery, node) = serving();
     let (other, elsewhere) = (relay.also(), discovery.also());
-    let before = relay.with(|held| {
+    let before = relay.with_state(|held| {
         // A call is under way meanwhile.
         held.faults.push_back(RelayFault::DelayAnswer);
         held.join(9);
         held.follower_connections.total
     });
-    assert!(wait_until(|| relay.with(|held| held.delayed_calls == 1)));
+    assert!(wait_until(|| relay.with_state(|held| held.delayed_calls == 1)));
     node.moves_to(&other, &elsewhere);
-    assert!(wait_until(|| relay.with(|held| held.follower_connections.total) > before));
+    assert!(wait_until(|| relay.with_state(|held| held.follower_connections.total) > before));
     node.moves_to(&relay, &discovery);
-    relay.with(|held| held.release_delayed = true);
-    discovery.with(|l| l.set("s-1", "draining"));
-    assert!(wait_until(|| relay.with(|held| withdrawn(held, "s-1"))));
-    relay.with(|held| held.join(11));
-    assert!(wait_until(|| relay.with(|held| held.unbound().is_empty())));
-    let bind_counts = relay.with(|held| held.bind_counts.clone());
+    relay.with_state(|held| held.release_delayed = true);
+    discovery.with_state(|l| l.set("s-1", "draining"));
+    assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-1"))));
+    relay.with_state(|held| held.join(11));
+    assert!(wait_until(|| relay.with_state(|held| held.unbound().is_empty())));
+    let bind_counts = relay.with_state(|held| held.bind_counts.clone());
     assert!(bind_counts.values().all(|times| *times == 1), "{bind_counts:?}");
-    assert!(wait_until(|| relay.with(|held| held.follower_connections.open) == 2));
-    assert!(wait_until(|| discovery.with(|l| l.watching.open) == 1));
+    assert!(wait_until(|| relay.with_state(|held| held.follower_connections.open) == 2));
+    assert!(wait_until(|| discovery.with_state(|l| l.watching.open) == 1));
 }
 
 // ---- SIGTERM ----
@@ -321,24 +321,24 @@
 #[test]
 fn told_to_end_between_a_call_and_its_answer_it_leaves_the_call_whole() {
     let (relay, _discovery, node) = serving();
-    let before = relay.with(|held| {
+    let before = relay.with_state(|held| {
         held.faults.push_back(RelayFault::DelayAnswer);
         held.join(9);
         held.calls.len()
     });
-    assert!(wait_until(|| relay.with(|held| held.delayed_calls == 1)));
+    assert!(wait_until(|| relay.with_state(|held| held.delayed_calls == 1)));
     node.signal("HUP");
     ends_well(node);
-    relay.with(|held| held.release_delayed = true);
-    let calls = relay.with(|held| held.calls[before..].to_vec());
+    relay.with_state(|held| held.release_delayed = true);
+    let calls = relay.with_state(|held| held.calls[before..].to_vec());
     assert!(calls.iter().all(|c| mark(c).ends_with(",0")), "{calls:?}");
 }
 
 #[test]
 fn told_to_end_before_anything_answers_and_under_a_flood_it_ends() {
     let (relay, discovery) = (Relay::begin(), Discovery::begin(&["s-1"]));
-    discovery.with(|l| l.mute = true);
-    (0..100).for_each(|_| relay.with(|held| held.faults.push_back(RelayFault::TooManyCalls)));
+    discovery.with_state(|l| l.mute = true);
+    (0..100).for_each(|_| relay.with_state(|held| held.faults.push_back(RelayFault::TooManyCalls)));
     ends_well(Node::start(&relay, &discovery));
 
     let (_relay, _discovery, node) = serving();
@@ -368,12 +368,12 @@
     for round in 0..300 {
         collector.write_all(report.as_bytes()).unwrap();
         let proxy = round % 30;
-        relay.with(|held| held.join(proxy));
+        relay.with_state(|held| held.join(proxy));
         assert!(
-            wait_until(|| relay.with(|held| held.unbound().is_empty())),
+            wait_until(|| relay.with_state(|held| held.unbound().is_empty())),
             "{round}"
         );
-        relay.with(|held| held.leave(proxy));
+        relay.with_state(|held| held.leave(proxy));
     }
     ends_well(node);
 }
@@ -383,23 +383,23 @@
 #[test]
 fn a_controller_is_alive_before_anybody_answers_it_and_serves_by_its_old_list() {
     let (relay, discovery) = (Relay::begin(), Discovery::begin(&["s-1", "s-2"]));
-    discovery.with(|l| l.mute = true);
-    (0..20).for_each(|_| relay.with(|held| held.faults.push_back(RelayFault::TooManyCalls)));
-    relay.with(|held| held.join(3));
+    discovery.with_state(|l| l.mute = true);
+    (0..20).for_each(|_| relay.with_state(|held| held.faults.push_back(RelayFault::TooManyCalls)));
+    relay.with_state(|held| held.join(3));
     // Ready is whoever answers `probe`; here discovery says nothing and the relay turns calls away.
     let node = Node::start(&relay, &discovery);
     assert!(node.is_alive());
     assert!(wait_until(
-        || relay.with(|held| held.unbound().is_empty() && held.weights.len() == 2)
+        || relay.with_state(|held| held.unbound().is_empty() && held.weights.len() == 2)
     ));
     // The list differs from what was known: s-1 has gone unseen.
-    discovery.with(|l| {
+    discovery.with_state(|l| {
         l.servers.remove("s-1");
         l.index += 5;
         l.mute = false;
     });
-    assert!(wait_until(|| relay.with(|held| withdrawn(held, "s-1"))));
-    assert!(!relay.with(|held| withdrawn(held, "s-2")));
+    assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-1"))));
+    assert!(!relay.with_state(|held| withdrawn(held, "s-2")));
     // Bad settings end it before it serves, also now.
     let path = file();
     std::fs::write(&path, "{").unwrap();
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -152,7 +152,7 @@
 }
 
 /// Something that listens and can be listened to elsewhere as well.
-pub struct Place<T> {
+pub struct StandIn<T> {
     state: Arc<Mutex<T>>,
     pub address: SocketAddr,
 }
@@ -161,8 +161,8 @@
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl<T: Send + 'static> Place<T> {
-    fn open(state: Arc<Mutex<T>>, serve: fn(&Arc<Mutex<T>>, TcpStream)) -> Place<T> {
+impl<T: Send + 'static> StandIn<T> {
+    fn open(state: Arc<Mutex<T>>, serve: fn(&Arc<Mutex<T>>, TcpStream)) -> StandIn<T> {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port on loopback");
         let address = listener
             .local_addr()
@@ -175,7 +175,7 @@
                 std::thread::spawn(move || serve(&state, socket));
             }
         });
-        Place { state, address }
+        StandIn { state, address }
     }
 
     pub fn with<R>(&self, look: impl FnOnce(&mut T) -> R) -> R {
@@ -183,7 +183,7 @@
     }
 }
 
-pub type Relay = Place<RelayState>;
+pub type Relay = StandIn<RelayState>;
 
 impl Relay {
     pub fn begin() -> Relay {
@@ -196,17 +196,17 @@
                 std::thread::sleep(Duration::from_secs(1));
             }
         });
-        Place::open(state, relay)
+        StandIn::open(state, relay)
     }
 
     /// The same relay at one more address.
     pub fn also(&self) -> Relay {
-        Place::open(self.state.clone(), relay)
+        StandIn::open(self.state.clone(), relay)
     }
 
     /// Closes every connection, as an address that is given up does.
     pub fn close_all(&self) {
-        self.with(|held| {
+        self.with_state(|held| {
             held.disconnect_followers(true);
             for c in held.callers.drain(..) {
                 let _ = c.shutdown(Shutdown::Both);
@@ -407,7 +407,7 @@
         .all(|t| write!(to, "{:x}\r\n{t}\r\n", t.len()).is_ok())
 }
 
-pub type Discovery = Place<Listing>;
+pub type Discovery = StandIn<Listing>;
 
 impl Discovery {
     /// With servers that are up.
@@ -427,11 +427,11 @@
                 std::thread::sleep(Duration::from_secs(2));
             }
         });
-        Place::open(state, discovery)
+        StandIn::open(state, discovery)
     }
 
     pub fn also(&self) -> Discovery {
-        Place::open(self.state.clone(), discovery)
+        StandIn::open(self.state.clone(), discovery)
     }
 }
 
