--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -153,7 +153,7 @@
 
 /// A platform with three servers and three joined proxies, and a controller that has bound them.
 pub fn serving() -> (Relay, Discovery, Node) {
-    let (relay, discovery) = (Relay::begin(), Discovery::begin(&["s-1", "s-2", "s-3"]));
+    let (relay, discovery) = (Relay::start(), Discovery::start(&["s-1", "s-2", "s-3"]));
     (0..3).for_each(|p| relay.with_state(|held| held.join(p)));
     let node = Node::start(&relay, &discovery);
     assert!(wait_until(
--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -149,7 +149,7 @@
 #[test]
 fn a_new_configuration_moves_it_without_a_binding_lost() {
     let (relay, discovery, node) = serving();
-    let (other, elsewhere) = (relay.also(), discovery.also());
+    let (other, elsewhere) = (relay.at_another_address(), discovery.at_another_address());
     // A bad one changes nothing, and ends nothing.
     std::fs::write(&node.file, "{\"name\": 7").unwrap();
     node.signal("HUP");
--- a/crates/daemon/tests/rare.rs
+++ b/crates/daemon/tests/rare.rs
@@ -202,7 +202,7 @@
 #[test]
 fn a_silence_that_goes_on_keeps_two_watches_and_two_followers_a_seat() {
     let (relay, discovery, node) = serving();
-    let (other, elsewhere) = (relay.also(), discovery.also());
+    let (other, elsewhere) = (relay.at_another_address(), discovery.at_another_address());
     let asked = discovery.with_state(|l| {
         l.fall_silent();
         l.mute = true;
@@ -257,7 +257,7 @@
 #[test]
 fn a_configuration_that_is_read_half_written_is_read_again_without_another_signal() {
     let (relay, discovery, node) = serving();
-    let (other, elsewhere) = (relay.also(), discovery.also());
+    let (other, elsewhere) = (relay.at_another_address(), discovery.at_another_address());
     let text = configuration(node.address, other.address, elsewhere.address, "null");
     // Whoever reads the file waits for its writer; what it gets is the first half.
     let path = fifo();
@@ -278,7 +278,7 @@
 #[test]
 fn there_and_back_again_loses_no_binding() {
     let (relay, discovery, node) = serving();
-    let (other, elsewhere) = (relay.also(), discovery.also());
+    let (other, elsewhere) = (relay.at_another_address(), discovery.at_another_address());
     let before = relay.with_state(|held| {
         // A call is under way meanwhile.
         held.faults.push_back(RelayFault::DelayAnswer);
@@ -336,7 +336,7 @@
 
 #[test]
 fn told_to_end_before_anything_answers_and_under_a_flood_it_ends() {
-    let (relay, discovery) = (Relay::begin(), Discovery::begin(&["s-1"]));
+    let (relay, discovery) = (Relay::start(), Discovery::start(&["s-1"]));
     discovery.with_state(|l| l.mute = true);
     (0..100).for_each(|_| relay.with_state(|held| held.faults.push_back(RelayFault::TooManyCalls)));
     ends_well(Node::start(&relay, &discovery));
@@ -355,7 +355,7 @@
 
 #[test]
 fn a_log_that_nobody_reads_holds_nothing_up() {
-    let (relay, discovery) = (Relay::begin(), Discovery::begin(&["s-1", "s-2", "s-3"]));
+    let (relay, discovery) = (Relay::start(), Discovery::start(&["s-1", "s-2", "s-3"]));
     // Its standard error is a pipe of 64 KiB that is never read.
     let node = Node::start_as(&relay, &discovery, |command| {
         let debug = command.env("DAHLIAPOINT_LOG", "debug");
@@ -382,7 +382,7 @@
 
 #[test]
 fn a_controller_is_alive_before_anybody_answers_it_and_serves_by_its_old_list() {
-    let (relay, discovery) = (Relay::begin(), Discovery::begin(&["s-1", "s-2"]));
+    let (relay, discovery) = (Relay::start(), Discovery::start(&["s-1", "s-2"]));
     discovery.with_state(|l| l.mute = true);
     (0..20).for_each(|_| relay.with_state(|held| held.faults.push_back(RelayFault::TooManyCalls)));
     relay.with_state(|held| held.join(3));
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -186,7 +186,7 @@
 pub type Relay = StandIn<RelayState>;
 
 impl Relay {
-    pub fn begin() -> Relay {
+    pub fn start() -> Relay {
         let state = Arc::new(Mutex::new(RelayState::default()));
         let beats = Arc::downgrade(&state);
         std::thread::spawn(move || {
@@ -200,7 +200,7 @@
     }
 
     /// The same relay at one more address.
-    pub fn also(&self) -> Relay {
+    pub fn at_another_address(&self) -> Relay {
         StandIn::open(self.state.clone(), relay)
     }
 
@@ -411,7 +411,7 @@
 
 impl Discovery {
     /// With servers that are up.
-    pub fn begin(servers: &[&str]) -> Discovery {
+    pub fn start(servers: &[&str]) -> Discovery {
         let up = servers.iter().map(|s| (s.to_string(), "up"));
         let listing = Listing {
             index: 10,
@@ -430,7 +430,7 @@
         StandIn::open(state, discovery)
     }
 
-    pub fn also(&self) -> Discovery {
+    pub fn at_another_address(&self) -> Discovery {
         StandIn::open(self.state.clone(), discovery)
     }
 }
