--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -79,7 +79,7 @@
             let address = listener.local_addr().unwrap();
             drop(listener);
             let file = file();
-            let known = discovery.with_state(|l| l.whole());
+            let known = discovery.with_state(|l| l.snapshot_json());
             std::fs::write(
                 &file,
                 configuration(address, relay.address, discovery.address, &known),
@@ -160,7 +160,7 @@
         || relay.with_state(|held| held.unbound().is_empty() && held.weights.len() == 3)
     ));
     assert!(wait_until(|| relay.with_state(|held| held.follower_count()) == 2));
-    assert!(wait_until(|| discovery.with_state(|l| l.watches()) == 1));
+    assert!(wait_until(|| discovery.with_state(|l| l.watch_count()) == 1));
     (relay, discovery, node)
 }
 
--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -12,9 +12,9 @@
 #[test]
 fn a_calm_day() {
     let (relay, discovery, mut node) = serving();
-    discovery.with_state(|l| l.set("s-2", "draining"));
+    discovery.with_state(|l| l.set_status("s-2", "draining"));
     assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-2"))));
-    discovery.with_state(|l| l.set("s-4", "up"));
+    discovery.with_state(|l| l.set_status("s-4", "up"));
     assert!(wait_until(
         || relay.with_state(|held| held.weights.get("s-4").is_some_and(|w| *w > 0.0))
     ));
@@ -42,7 +42,7 @@
     ];
     for (i, fault) in faults.into_iter().enumerate() {
         let name = format!("x-{i}");
-        discovery.with_state(|l| l.set(&name, "up"));
+        discovery.with_state(|l| l.set_status(&name, "up"));
         assert!(
             wait_until(|| relay.with_state(|held| held.weights.get(&name).is_some_and(|w| *w > 0.0))),
             "{fault:?}"
@@ -51,7 +51,7 @@
         // table ends as the list says.
         relay.with_state(|held| held.faults.push_back(fault));
         if fault != RelayFault::ExecuteFirst(0) {
-            discovery.with_state(|l| l.set(&name, "removed"));
+            discovery.with_state(|l| l.set_status(&name, "removed"));
             assert!(
                 wait_until(|| relay.with_state(|held| withdrawn(held, &name))),
                 "{fault:?}"
@@ -96,11 +96,11 @@
 fn a_silent_watch_gets_another_beside_it() {
     let (relay, discovery, _node) = serving();
     discovery.with_state(|l| {
-        l.fall_silent();
-        l.set("s-1", "draining");
+        l.silence_watches();
+        l.set_status("s-1", "draining");
     });
     assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-1"))));
-    assert!(discovery.with_state(|l| l.asked) >= 2);
+    assert!(discovery.with_state(|l| l.requests) >= 2);
 }
 
 #[test]
@@ -154,12 +154,12 @@
     std::fs::write(&node.file, "{\"name\": 7").unwrap();
     node.signal("HUP");
     let before = relay.with_state(|held| held.bind_counts.clone());
-    let asked = discovery.with_state(|l| l.asked);
+    let asked = discovery.with_state(|l| l.requests);
     node.moves_to(&other, &elsewhere);
     // Beside the old ones, which a real address closes only later.
-    assert!(wait_until(|| discovery.with_state(|l| l.asked) > asked));
+    assert!(wait_until(|| discovery.with_state(|l| l.requests) > asked));
     assert!(wait_until(|| relay.with_state(|held| held.follower_count()) >= 3));
-    discovery.with_state(|l| l.set("s-1", "draining"));
+    discovery.with_state(|l| l.set_status("s-1", "draining"));
     assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-1"))));
     relay.with_state(|held| held.join(11));
     assert!(wait_until(|| relay.with_state(|held| held.unbound().is_empty())));
--- a/crates/daemon/tests/rare.rs
+++ b/crates/daemon/tests/rare.rs
@@ -176,11 +176,11 @@
     let (relay, discovery, _node) = serving();
     discovery.with_state(|l| {
         l.bytewise = true;
-        l.set("s-1", "draining");
+        l.set_status("s-1", "draining");
     });
     assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-1"))));
     // The body ends in the middle: the next watch asks for what came after the version that stands.
-    discovery.with_state(|l| l.set_unended("s-2", "draining"));
+    discovery.with_state(|l| l.set_status_unterminated("s-2", "draining"));
     assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-2"))));
 }
 
@@ -193,7 +193,7 @@
     });
     assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-1"))));
     // From there on its changes are told by the new numbers.
-    discovery.with_state(|l| l.set("s-2", "draining"));
+    discovery.with_state(|l| l.set_status("s-2", "draining"));
     assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-2"))));
 }
 
@@ -204,40 +204,40 @@
     let (relay, discovery, node) = serving();
     let (other, elsewhere) = (relay.at_another_address(), discovery.at_another_address());
     let asked = discovery.with_state(|l| {
-        l.fall_silent();
-        l.mute = true;
-        l.watching.total
+        l.silence_watches();
+        l.silent = true;
+        l.watch_connections.total
     });
     let followed = relay.with_state(|held| {
         held.silent = true;
         held.follower_connections.total
     });
-    assert!(wait_until(|| discovery.with_state(|l| l.watching.total) >= asked + 2));
+    assert!(wait_until(|| discovery.with_state(|l| l.watch_connections.total) >= asked + 2));
     assert!(wait_until(
         || relay.with_state(|held| held.follower_connections.total) >= followed + 3
     ));
     // A new configuration in the middle of it.
     node.moves_to(&other, &elsewhere);
-    assert!(wait_until(|| discovery.with_state(|l| l.watching.total) >= asked + 5));
+    assert!(wait_until(|| discovery.with_state(|l| l.watch_connections.total) >= asked + 5));
     assert!(wait_until(
         || relay.with_state(|held| held.follower_connections.total) >= followed + 8
     ));
-    let watches = discovery.with_state(|l| l.watching);
+    let watches = discovery.with_state(|l| l.watch_connections);
     let followers = relay.with_state(|held| held.follower_connections);
     assert!(watches.peak <= 2, "{watches:?}");
     assert!(followers.peak <= 4, "{followers:?}");
     // It ends: what was missed is told.
     relay.with_state(|held| held.silent = false);
     discovery.with_state(|l| {
-        l.mute = false;
-        l.set("s-1", "draining");
+        l.silent = false;
+        l.set_status("s-1", "draining");
     });
     relay.with_state(|held| held.join(12));
     assert!(wait_until(
         || relay.with_state(|held| withdrawn(held, "s-1") && held.unbound().is_empty())
     ));
     assert!(wait_until(|| relay.with_state(|held| held.follower_connections.open) == 2));
-    assert!(wait_until(|| discovery.with_state(|l| l.watching.open) == 1));
+    assert!(wait_until(|| discovery.with_state(|l| l.watch_connections.open) == 1));
 }
 
 // ---- SIGHUP ----
@@ -270,9 +270,9 @@
     std::fs::write(&path, &text).unwrap();
     std::fs::rename(&path, &node.file).unwrap();
     half.write_all(&text.as_bytes()[..text.len() / 2]).unwrap();
-    let asked = discovery.with_state(|l| l.watching.total);
+    let asked = discovery.with_state(|l| l.watch_connections.total);
     drop(half);
-    assert!(wait_until(|| discovery.with_state(|l| l.watching.total) > asked));
+    assert!(wait_until(|| discovery.with_state(|l| l.watch_connections.total) > asked));
 }
 
 #[test]
@@ -290,14 +290,14 @@
     assert!(wait_until(|| relay.with_state(|held| held.follower_connections.total) > before));
     node.moves_to(&relay, &discovery);
     relay.with_state(|held| held.release_delayed = true);
-    discovery.with_state(|l| l.set("s-1", "draining"));
+    discovery.with_state(|l| l.set_status("s-1", "draining"));
     assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-1"))));
     relay.with_state(|held| held.join(11));
     assert!(wait_until(|| relay.with_state(|held| held.unbound().is_empty())));
     let bind_counts = relay.with_state(|held| held.bind_counts.clone());
     assert!(bind_counts.values().all(|times| *times == 1), "{bind_counts:?}");
     assert!(wait_until(|| relay.with_state(|held| held.follower_connections.open) == 2));
-    assert!(wait_until(|| discovery.with_state(|l| l.watching.open) == 1));
+    assert!(wait_until(|| discovery.with_state(|l| l.watch_connections.open) == 1));
 }
 
 // ---- SIGTERM ----
@@ -337,7 +337,7 @@
 #[test]
 fn told_to_end_before_anything_answers_and_under_a_flood_it_ends() {
     let (relay, discovery) = (Relay::start(), Discovery::start(&["s-1"]));
-    discovery.with_state(|l| l.mute = true);
+    discovery.with_state(|l| l.silent = true);
     (0..100).for_each(|_| relay.with_state(|held| held.faults.push_back(RelayFault::TooManyCalls)));
     ends_well(Node::start(&relay, &discovery));
 
@@ -383,7 +383,7 @@
 #[test]
 fn a_controller_is_alive_before_anybody_answers_it_and_serves_by_its_old_list() {
     let (relay, discovery) = (Relay::start(), Discovery::start(&["s-1", "s-2"]));
-    discovery.with_state(|l| l.mute = true);
+    discovery.with_state(|l| l.silent = true);
     (0..20).for_each(|_| relay.with_state(|held| held.faults.push_back(RelayFault::TooManyCalls)));
     relay.with_state(|held| held.join(3));
     // Ready is whoever answers `probe`; here discovery says nothing and the relay turns calls away.
@@ -396,7 +396,7 @@
     discovery.with_state(|l| {
         l.servers.remove("s-1");
         l.index += 5;
-        l.mute = false;
+        l.silent = false;
     });
     assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-1"))));
     assert!(!relay.with_state(|held| withdrawn(held, "s-2")));
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -304,22 +304,22 @@
 
 /// What discovery knows, and who watches.
 #[derive(Default)]
-pub struct Listing {
+pub struct DiscoveryState {
     pub index: u64,
     /// Status by name.
     pub servers: BTreeMap<String, &'static str>,
     watches: Vec<TcpStream>,
     /// Those of before are kept open and told nothing more.
     deaf: Vec<TcpStream>,
-    pub asked: usize,
+    pub requests: usize,
     /// Whoever asks is told nothing at all.
-    pub mute: bool,
+    pub silent: bool,
     /// Each byte is written by itself.
     pub bytewise: bool,
-    pub watching: ConnectionCounts,
+    pub watch_connections: ConnectionCounts,
 }
 
-impl Listing {
+impl DiscoveryState {
     fn entry(name: &str, status: &str) -> String {
         format!(
             "{{\"name\":\"{name}\",\"address\":\"127.0.0.1:9\",\"zone\":\"a\",\"type\":\"m\",\"group\":0,\
@@ -328,11 +328,11 @@
     }
 
     /// The whole list as one object.
-    pub fn whole(&self) -> String {
+    pub fn snapshot_json(&self) -> String {
         let all: Vec<String> = self
             .servers
             .iter()
-            .map(|(n, s)| Listing::entry(n, s))
+            .map(|(n, s)| DiscoveryState::entry(n, s))
             .collect();
         format!(
             "{{\"index\":{},\"snapshot\":true,\"endpoints\":[{}]}}",
@@ -342,10 +342,10 @@
     }
 
     /// Sets a server's status, and tells those who watch.
-    pub fn set(&mut self, name: &str, status: &'static str) {
+    pub fn set_status(&mut self, name: &str, status: &'static str) {
         self.index += 1;
         self.servers.insert(name.into(), status);
-        let change = Listing::entry(name, status);
+        let change = DiscoveryState::entry(name, status);
         let line = format!(
             "{{\"index\":{},\"snapshot\":false,\"endpoints\":[{change}]}}\n",
             self.index
@@ -359,10 +359,10 @@
     }
 
     /// The last of a change is not sent: the body ends without the line's end, and the watch with it.
-    pub fn set_unended(&mut self, name: &str, status: &'static str) {
+    pub fn set_status_unterminated(&mut self, name: &str, status: &'static str) {
         self.index += 1;
         self.servers.insert(name.into(), status);
-        let change = Listing::entry(name, status);
+        let change = DiscoveryState::entry(name, status);
         let line = format!(
             "{{\"index\":{},\"snapshot\":false,\"endpoints\":[{change}]}}",
             self.index
@@ -383,11 +383,11 @@
     }
 
     /// Those who watch now hear nothing more, and get no sign of it.
-    pub fn fall_silent(&mut self) {
+    pub fn silence_watches(&mut self) {
         self.deaf.append(&mut self.watches);
     }
 
-    pub fn watches(&self) -> usize {
+    pub fn watch_count(&self) -> usize {
         self.watches.len()
     }
 }
@@ -407,16 +407,16 @@
         .all(|t| write!(to, "{:x}\r\n{t}\r\n", t.len()).is_ok())
 }
 
-pub type Discovery = StandIn<Listing>;
+pub type Discovery = StandIn<DiscoveryState>;
 
 impl Discovery {
     /// With servers that are up.
     pub fn start(servers: &[&str]) -> Discovery {
         let up = servers.iter().map(|s| (s.to_string(), "up"));
-        let listing = Listing {
+        let listing = DiscoveryState {
             index: 10,
             servers: up.collect(),
-            ..Listing::default()
+            ..DiscoveryState::default()
         };
         let state = Arc::new(Mutex::new(listing));
         let beats = Arc::downgrade(&state);
@@ -435,7 +435,7 @@
     }
 }
 
-fn discovery(state: &Arc<Mutex<Listing>>, socket: TcpStream) {
+fn discovery(state: &Arc<Mutex<DiscoveryState>>, socket: TcpStream) {
     let Ok(mut out) = socket.try_clone() else {
         return;
     };
@@ -453,13 +453,13 @@
         .and_then(|(_, a)| a.split(' ').next()?.parse::<u64>().ok());
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let mut listing = lock(state);
-    listing.asked += 1;
-    listing.watching.opened();
-    if !listing.mute {
+    listing.requests += 1;
+    listing.watch_connections.opened();
+    if !listing.silent {
         let mut told = out.write_all(head.as_bytes()).is_ok();
         if after != Some(listing.index) {
-            let whole = listing.whole() + "\n";
-            told &= chunk(&mut out, &whole, listing.bytewise);
+            let snapshot = listing.snapshot_json() + "\n";
+            told &= chunk(&mut out, &snapshot, listing.bytewise);
         }
         if told {
             listing.watches.push(out);
@@ -468,7 +468,7 @@
     drop(listing);
     // Nothing more is asked: this ends with the connection.
     while let Some(Ok(_)) = lines.next() {}
-    lock(state).watching.open -= 1;
+    lock(state).watch_connections.open -= 1;
 }
 
 #[cfg(test)]
