--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A real controller and stand-ins of the platform round it, for the tests of the binary.
 #![allow(dead_code)]
 
-use dahliapoint_standins::platform::{Discovery, RelayState, Relay, wait_until};
+use dahliapoint_standins::platform::{Discovery, Relay, RelayState, wait_until};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -156,10 +156,13 @@
     let (relay, discovery) = (Relay::start(), Discovery::start(&["s-1", "s-2", "s-3"]));
     (0..3).for_each(|p| relay.with_state(|held| held.join(p)));
     let node = Node::start(&relay, &discovery);
-    assert!(wait_until(
-        || relay.with_state(|held| held.unbound().is_empty() && held.weights.len() == 3)
-    ));
-    assert!(wait_until(|| relay.with_state(|held| held.follower_count()) == 2));
+    assert!(wait_until(|| relay
+        .with_state(
+            |held| held.unbound().is_empty() && held.weights.len() == 3
+        )));
+    assert!(wait_until(|| relay
+        .with_state(|held| held.follower_count())
+        == 2));
     assert!(wait_until(|| discovery.with_state(|l| l.watch_count()) == 1));
     (relay, discovery, node)
 }
--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -13,14 +13,19 @@
 fn a_calm_day() {
     let (relay, discovery, mut node) = serving();
     discovery.with_state(|l| l.set_status("s-2", "draining"));
-    assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-2"))));
-    discovery.with_state(|l| l.set_status("s-4", "up"));
     assert!(wait_until(
-        || relay.with_state(|held| held.weights.get("s-4").is_some_and(|w| *w > 0.0))
+        || relay.with_state(|held| withdrawn(held, "s-2"))
     ));
+    discovery.with_state(|l| l.set_status("s-4", "up"));
+    assert!(wait_until(|| relay.with_state(|held| held
+        .weights
+        .get("s-4")
+        .is_some_and(|w| *w > 0.0))));
     relay.with_state(|held| held.join(7));
     relay.with_state(|held| held.leave(0));
-    assert!(wait_until(|| relay.with_state(|held| held.bind_counts.contains_key(&7))));
+    assert!(wait_until(
+        || relay.with_state(|held| held.bind_counts.contains_key(&7))
+    ));
     assert_eq!(
         relay.with_state(|held| (held.oversized_calls(), held.bind_counts[&1])),
         (0, 1)
@@ -44,7 +49,9 @@
         let name = format!("x-{i}");
         discovery.with_state(|l| l.set_status(&name, "up"));
         assert!(
-            wait_until(|| relay.with_state(|held| held.weights.get(&name).is_some_and(|w| *w > 0.0))),
+            wait_until(
+                || relay.with_state(|held| held.weights.get(&name).is_some_and(|w| *w > 0.0))
+            ),
             "{fault:?}"
         );
         // The next call is the one that the leaving leads to, or one of the ramp; either way the
@@ -70,16 +77,23 @@
     let (relay, _discovery, _node) = serving();
     // Not carried out, and no mark answered: bound again.
     relay.with_state(|held| {
-        held.faults.push_back(RelayFault::Disconnect { executed: false });
+        held.faults
+            .push_back(RelayFault::Disconnect { executed: false });
         held.join(9);
     });
-    assert!(wait_until(|| relay.with_state(|held| held.unbound().is_empty())));
+    assert!(wait_until(
+        || relay.with_state(|held| held.unbound().is_empty())
+    ));
     // One follower breaks: nobody is bound anew.
     let before = relay.with_state(|held| held.bind_counts.clone());
     relay.with_state(|held| held.disconnect_followers(false));
-    assert!(wait_until(|| relay.with_state(|held| held.follower_count()) == 2));
+    assert!(wait_until(|| relay
+        .with_state(|held| held.follower_count())
+        == 2));
     relay.with_state(|held| held.join(10));
-    assert!(wait_until(|| relay.with_state(|held| held.unbound().is_empty())));
+    assert!(wait_until(
+        || relay.with_state(|held| held.unbound().is_empty())
+    ));
     let mut after = relay.with_state(|held| held.bind_counts.clone());
     after.remove(&10);
     assert_eq!(before, after);
@@ -89,7 +103,9 @@
         held.leave(1);
         held.join(1);
     });
-    assert!(wait_until(|| relay.with_state(|held| held.unbound().is_empty())));
+    assert!(wait_until(
+        || relay.with_state(|held| held.unbound().is_empty())
+    ));
 }
 
 #[test]
@@ -99,7 +115,9 @@
         l.silence_watches();
         l.set_status("s-1", "draining");
     });
-    assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-1"))));
+    assert!(wait_until(
+        || relay.with_state(|held| withdrawn(held, "s-1"))
+    ));
     assert!(discovery.with_state(|l| l.requests) >= 2);
 }
 
@@ -158,11 +176,17 @@
     node.moves_to(&other, &elsewhere);
     // Beside the old ones, which a real address closes only later.
     assert!(wait_until(|| discovery.with_state(|l| l.requests) > asked));
-    assert!(wait_until(|| relay.with_state(|held| held.follower_count()) >= 3));
+    assert!(wait_until(|| relay
+        .with_state(|held| held.follower_count())
+        >= 3));
     discovery.with_state(|l| l.set_status("s-1", "draining"));
-    assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-1"))));
+    assert!(wait_until(
+        || relay.with_state(|held| withdrawn(held, "s-1"))
+    ));
     relay.with_state(|held| held.join(11));
-    assert!(wait_until(|| relay.with_state(|held| held.unbound().is_empty())));
+    assert!(wait_until(
+        || relay.with_state(|held| held.unbound().is_empty())
+    ));
     let mut after = relay.with_state(|held| held.bind_counts.clone());
     after.remove(&11);
     assert_eq!(before, after);
--- a/crates/daemon/tests/rare.rs
+++ b/crates/daemon/tests/rare.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{Node, command, configuration, file, serving, withdrawn};
-use dahliapoint_standins::platform::{Discovery, RelayFault, Relay, wait_until};
+use dahliapoint_standins::platform::{Discovery, Relay, RelayFault, wait_until};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::process::Command;
@@ -51,16 +51,22 @@
         held.calls.len()
     });
     // The call is carried out and its mark answered, on both followers; its own answer is held.
-    assert!(wait_until(|| relay.with_state(|held| held.delayed_calls == 1)));
+    assert!(wait_until(
+        || relay.with_state(|held| held.delayed_calls == 1)
+    ));
     let held = call_with(&relay, before, "bind,9,").unwrap();
     // Whoever asks now is answered behind what the followers brought.
     assert!(node.is_alive());
     relay.with_state(|held| held.release_delayed = true);
     // The next decision is made, and nothing of the call that broke goes again, before it or behind it.
     relay.with_state(|held| held.join(10));
-    assert!(wait_until(|| call_with(&relay, before, "bind,10,").is_some()));
+    assert!(wait_until(
+        || call_with(&relay, before, "bind,10,").is_some()
+    ));
     relay.with_state(|held| held.join(11));
-    assert!(wait_until(|| call_with(&relay, before, "bind,11,").is_some()));
+    assert!(wait_until(
+        || call_with(&relay, before, "bind,11,").is_some()
+    ));
     let same = |c: &&String| mark(c) == mark(&held);
     let times = relay.with_state(|h| h.calls.iter().skip(before).filter(same).count());
     assert_eq!((times, relay.with_state(|h| h.bind_counts[&9])), (1, 1));
@@ -83,7 +89,8 @@
         });
         let name = format!("bind,{},", proxy + 10);
         assert!(wait_until(|| call_with(&relay, next, &name).is_some()));
-        let (odd, then) = relay.with_state(|held| (held.call_connections[before], held.call_connections[next]));
+        let (odd, then) =
+            relay.with_state(|held| (held.call_connections[before], held.call_connections[next]));
         assert_ne!(odd, then, "{more:?}");
     }
 }
@@ -178,10 +185,14 @@
         l.bytewise = true;
         l.set_status("s-1", "draining");
     });
-    assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-1"))));
+    assert!(wait_until(
+        || relay.with_state(|held| withdrawn(held, "s-1"))
+    ));
     // The body ends in the middle: the next watch asks for what came after the version that stands.
     discovery.with_state(|l| l.set_status_unterminated("s-2", "draining"));
-    assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-2"))));
+    assert!(wait_until(
+        || relay.with_state(|held| withdrawn(held, "s-2"))
+    ));
 }
 
 #[test]
@@ -191,10 +202,14 @@
         l.restart(2);
         l.servers.insert("s-1".into(), "draining");
     });
-    assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-1"))));
+    assert!(wait_until(
+        || relay.with_state(|held| withdrawn(held, "s-1"))
+    ));
     // From there on its changes are told by the new numbers.
     discovery.with_state(|l| l.set_status("s-2", "draining"));
-    assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-2"))));
+    assert!(wait_until(
+        || relay.with_state(|held| withdrawn(held, "s-2"))
+    ));
 }
 
 // ---- silence ----
@@ -212,16 +227,20 @@
         held.silent = true;
         held.follower_connections.total
     });
-    assert!(wait_until(|| discovery.with_state(|l| l.watch_connections.total) >= asked + 2));
-    assert!(wait_until(
-        || relay.with_state(|held| held.follower_connections.total) >= followed + 3
-    ));
+    assert!(wait_until(|| discovery
+        .with_state(|l| l.watch_connections.total)
+        >= asked + 2));
+    assert!(wait_until(|| relay
+        .with_state(|held| held.follower_connections.total)
+        >= followed + 3));
     // A new configuration in the middle of it.
     node.moves_to(&other, &elsewhere);
-    assert!(wait_until(|| discovery.with_state(|l| l.watch_connections.total) >= asked + 5));
-    assert!(wait_until(
-        || relay.with_state(|held| held.follower_connections.total) >= followed + 8
-    ));
+    assert!(wait_until(|| discovery
+        .with_state(|l| l.watch_connections.total)
+        >= asked + 5));
+    assert!(wait_until(|| relay
+        .with_state(|held| held.follower_connections.total)
+        >= followed + 8));
     let watches = discovery.with_state(|l| l.watch_connections);
     let followers = relay.with_state(|held| held.follower_connections);
     assert!(watches.peak <= 2, "{watches:?}");
@@ -233,11 +252,17 @@
         l.set_status("s-1", "draining");
     });
     relay.with_state(|held| held.join(12));
-    assert!(wait_until(
-        || relay.with_state(|held| withdrawn(held, "s-1") && held.unbound().is_empty())
-    ));
-    assert!(wait_until(|| relay.with_state(|held| held.follower_connections.open) == 2));
-    assert!(wait_until(|| discovery.with_state(|l| l.watch_connections.open) == 1));
+    assert!(wait_until(|| relay.with_state(|held| withdrawn(
+        held, "s-1"
+    ) && held
+        .unbound()
+        .is_empty())));
+    assert!(wait_until(|| relay
+        .with_state(|held| held.follower_connections.open)
+        == 2));
+    assert!(wait_until(|| discovery
+        .with_state(|l| l.watch_connections.open)
+        == 1));
 }
 
 // ---- SIGHUP ----
@@ -272,7 +297,9 @@
     half.write_all(&text.as_bytes()[..text.len() / 2]).unwrap();
     let asked = discovery.with_state(|l| l.watch_connections.total);
     drop(half);
-    assert!(wait_until(|| discovery.with_state(|l| l.watch_connections.total) > asked));
+    assert!(wait_until(|| discovery
+        .with_state(|l| l.watch_connections.total)
+        > asked));
 }
 
 #[test]
@@ -285,19 +312,34 @@
         held.join(9);
         held.follower_connections.total
     });
-    assert!(wait_until(|| relay.with_state(|held| held.delayed_calls == 1)));
+    assert!(wait_until(
+        || relay.with_state(|held| held.delayed_calls == 1)
+    ));
     node.moves_to(&other, &elsewhere);
-    assert!(wait_until(|| relay.with_state(|held| held.follower_connections.total) > before));
+    assert!(wait_until(|| relay
+        .with_state(|held| held.follower_connections.total)
+        > before));
     node.moves_to(&relay, &discovery);
     relay.with_state(|held| held.release_delayed = true);
     discovery.with_state(|l| l.set_status("s-1", "draining"));
-    assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-1"))));
+    assert!(wait_until(
+        || relay.with_state(|held| withdrawn(held, "s-1"))
+    ));
     relay.with_state(|held| held.join(11));
-    assert!(wait_until(|| relay.with_state(|held| held.unbound().is_empty())));
+    assert!(wait_until(
+        || relay.with_state(|held| held.unbound().is_empty())
+    ));
     let bind_counts = relay.with_state(|held| held.bind_counts.clone());
-    assert!(bind_counts.values().all(|times| *times == 1), "{bind_counts:?}");
-    assert!(wait_until(|| relay.with_state(|held| held.follower_connections.open) == 2));
-    assert!(wait_until(|| discovery.with_state(|l| l.watch_connections.open) == 1));
+    assert!(
+        bind_counts.values().all(|times| *times == 1),
+        "{bind_counts:?}"
+    );
+    assert!(wait_until(|| relay
+        .with_state(|held| held.follower_connections.open)
+        == 2));
+    assert!(wait_until(|| discovery
+        .with_state(|l| l.watch_connections.open)
+        == 1));
 }
 
 // ---- SIGTERM ----
@@ -326,7 +368,9 @@
         held.join(9);
         held.calls.len()
     });
-    assert!(wait_until(|| relay.with_state(|held| held.delayed_calls == 1)));
+    assert!(wait_until(
+        || relay.with_state(|held| held.delayed_calls == 1)
+    ));
     node.signal("HUP");
     ends_well(node);
     relay.with_state(|held| held.release_delayed = true);
@@ -389,16 +433,19 @@
     // Ready is whoever answers `probe`; here discovery says nothing and the relay turns calls away.
     let node = Node::start(&relay, &discovery);
     assert!(node.is_alive());
-    assert!(wait_until(
-        || relay.with_state(|held| held.unbound().is_empty() && held.weights.len() == 2)
-    ));
+    assert!(wait_until(|| relay
+        .with_state(
+            |held| held.unbound().is_empty() && held.weights.len() == 2
+        )));
     // The list differs from what was known: s-1 has gone unseen.
     discovery.with_state(|l| {
         l.servers.remove("s-1");
         l.index += 5;
         l.silent = false;
     });
-    assert!(wait_until(|| relay.with_state(|held| withdrawn(held, "s-1"))));
+    assert!(wait_until(
+        || relay.with_state(|held| withdrawn(held, "s-1"))
+    ));
     assert!(!relay.with_state(|held| withdrawn(held, "s-2")));
     // Bad settings end it before it serves, also now.
     let path = file();
--- a/crates/grpc/src/client.rs
+++ b/crates/grpc/src/client.rs
@@ -5,7 +5,7 @@
 use crate::server::keep_alive;
 use crate::status::{Code, Status};
 use bytes::Bytes;
-use dahliapoint_fibers::{Elapsed, block_on, block_on_until, dial, spawn, async_stream};
+use dahliapoint_fibers::{Elapsed, async_stream, block_on, block_on_until, dial, spawn};
 use h2::client::{ResponseFuture, SendRequest};
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Request};
 use prost::Message;
--- a/crates/grpc/src/server.rs
+++ b/crates/grpc/src/server.rs
@@ -4,7 +4,7 @@
 use crate::codec::{Inbound, Outbound};
 use crate::status::{Code, Status};
 use bytes::Bytes;
-use dahliapoint_fibers::{TcpStream, block_on, block_on_until, dial, listen, spawn, async_stream};
+use dahliapoint_fibers::{TcpStream, async_stream, block_on, block_on_until, dial, listen, spawn};
 use h2::server::{Connection, SendResponse};
 use h2::{PingPong, RecvStream};
 use http::{HeaderMap, HeaderValue, Method, Request, Response};
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -16,7 +16,7 @@
 //!    reset, which takes the answer with it. At most [`MOST_CLOSING`] at a time; others are closed at once.
 
 use crate::reach::Shared;
-use dahliapoint_fibers::{Socket, TcpListener, accept, yield_now, sleep, spawn};
+use dahliapoint_fibers::{Socket, TcpListener, accept, sleep, spawn, yield_now};
 use dahliapoint_platform::arriving::{self, Said};
 use dahliapoint_platform::core::Input;
 use dahliapoint_platform::lines::Lines;
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -6,7 +6,7 @@
 
 use crate::beside::{Beside, Due, Serves};
 use crate::reach::{Addresses, Shared};
-use dahliapoint_fibers::{Queue, Received, Socket, yield_now, sleep, spawn};
+use dahliapoint_fibers::{Queue, Received, Socket, sleep, spawn, yield_now};
 use dahliapoint_platform::core::Input;
 use dahliapoint_platform::delivery::{Call, Outcome};
 use dahliapoint_platform::joined::LAG_MS;
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -5,7 +5,7 @@
 
 use crate::beside::{Beside, Due, Serves};
 use crate::reach::{Addresses, Shared};
-use dahliapoint_fibers::{Socket, yield_now, sleep, spawn};
+use dahliapoint_fibers::{Socket, sleep, spawn, yield_now};
 use dahliapoint_platform::chunks::Chunks;
 use dahliapoint_platform::core::{Input, TOLD_WITHIN_MS};
 use dahliapoint_platform::discovery;
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -141,7 +141,10 @@
 
     /// Joined proxies that no table was given to.
     pub fn unbound(&self) -> Vec<usize> {
-        let unbound = self.joined.iter().filter(|p| !self.bind_counts.contains_key(p));
+        let unbound = self
+            .joined
+            .iter()
+            .filter(|p| !self.bind_counts.contains_key(p));
         unbound.copied().collect()
     }
 
@@ -265,7 +268,9 @@
         let most = match fault {
             Some(RelayFault::TooManyCalls) => 0,
             Some(RelayFault::ExecuteFirst(n)) => n,
-            Some(RelayFault::Disconnect { executed } | RelayFault::NoAnswer { executed }) if !executed => {
+            Some(RelayFault::Disconnect { executed } | RelayFault::NoAnswer { executed })
+                if !executed =>
+            {
                 0
             }
             _ => usize::MAX,
