--- a/crates/fibers/src/queue.rs
+++ b/crates/fibers/src/queue.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Received<T> {
     /// All that was there, oldest first.
-    Some(VecDeque<T>),
+    Items(VecDeque<T>),
     /// Nothing came by the time given.
     TimedOut,
     Closed,
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -181,7 +181,7 @@
         StandIn { state, address }
     }
 
-    pub fn with<R>(&self, look: impl FnOnce(&mut T) -> R) -> R {
+    pub fn with_state<R>(&self, look: impl FnOnce(&mut T) -> R) -> R {
         look(&mut lock(&self.state))
     }
 }
