--- a/crates/fibers/src/bell.rs
+++ b/crates/fibers/src/bell.rs
@@ -1,8 +1,9 @@
-//! A bell: rung by many, waited for by one; a ring while nobody waits is kept.
+//! A wake-up signal from many notifiers to one waiter.
 
 use crate::waiting::Watched;
 use std::time::Instant;
 
+/// Wakes one waiter. A notification is stored until the next wait; several before it count as one.
 pub struct Notify(Watched<bool>);
 
 impl Default for Notify {
@@ -13,11 +14,12 @@
 }
 
 impl Notify {
+    /// Wakes the waiter, or lets its next wait return at once.
     pub fn notify(&self) {
         self.0.change(|rung| *rung = true);
     }
 
-    /// Waits until it is rung, or until that time; tells whether it was.
+    /// Waits for a notification until a deadline; returns whether one came.
     pub fn wait(&self, until: Option<Instant>) -> bool {
         let rung = |rung: &mut bool| std::mem::take(rung).then_some(());
         self.0.until(until, rung).is_some()
--- a/crates/fibers/src/lib.rs
+++ b/crates/fibers/src/lib.rs
@@ -1,8 +1,9 @@
-//! Coroutines on `may`: the one place that spawns them, and the few ways in which they wait.
+//! Coroutine layer on `may`: spawning, timed waits, bounded queues, timers and sockets. All
+//! coroutines of the workspace are spawned here.
 //!
-//! Rules kept here: the stack size is set once; no worker thread is ever blocked, since every wait
-//! below parks the coroutine (or the thread, where a plain thread calls); no lock is held across a
-//! wait. The crate decides nothing.
+//! Invariants: the stack size is configured once; every wait parks the calling coroutine (or the
+//! calling thread, outside coroutines), so no worker thread is blocked; no lock is held across a
+//! wait. The crate holds no application logic.
 
 mod bell;
 mod pipe;
@@ -29,55 +30,56 @@
 use std::task::{Context, Poll, Wake, Waker};
 use std::time::{Duration, Instant};
 
-/// Stack of a coroutine in machine words. Pages are only used once touched; the deepest path (HTTP/2
-/// frames, protobuf, a log line) was seen to need under 40 KiB.
+/// Stack size of a coroutine in machine words. Pages are committed only once touched; the deepest
+/// path (HTTP/2 frames, protobuf, a log line) needs under 40 KiB.
 const STACK_WORDS: usize = 16 * 1024;
 
 static ONCE: Once = Once::new();
 
-/// Before anything of `may` is touched: its scheduler takes the sizes that it finds at its start.
+/// Configures `may`. Must run before any other use of `may`, because its scheduler reads the
+/// configuration when it starts.
 fn set_up() {
     ONCE.call_once(|| {
         let config = may::config();
         config.set_stack_size(STACK_WORDS);
-        // One worker. With several, `may` (0.3.51) puts a coroutine where another worker may resume it
-        // while the first still reads what lies on its stack: under load that ended in a dangling
-        // pointer, in a connect and in a timed park. Heavy work has threads of its own.
+        // A single worker. With several, `may` (0.3.51) publishes a coroutine so that another worker
+        // can resume it while the first still reads from its stack; under load this caused dangling
+        // pointers in connect and in timed park. CPU-heavy work runs on threads of its own.
         config.set_workers(1);
-        // Several processes of ours share a machine: pinned workers would queue on the same core.
+        // Several of these processes share a machine: pinned workers would contend for the same core.
         config.set_worker_pin(false);
     });
 }
 
-/// Starts a coroutine.
+/// Spawns a coroutine.
 pub fn spawn<F, T>(f: F) -> JoinHandle<T>
 where
     F: FnOnce() -> T + Send + 'static,
     T: Send + 'static,
 {
     set_up();
-    // SAFETY: `may` asks that a coroutine keeps no borrow of a thread-local across a yield and does
-    // not overflow its stack. Nothing in this workspace holds a thread-local guard, an entered span
-    // or a lock across a wait, and stacks are sized for the deepest path.
+    // SAFETY: `may` requires that a coroutine keeps no borrow of a thread-local across a yield and
+    // does not overflow its stack. Nothing in this workspace holds a thread-local guard, an entered
+    // span or a lock across a wait, and the stack size covers the deepest path (`STACK_WORDS`).
     unsafe { may::coroutine::spawn(f) }
 }
 
-/// Listens on an address; port 0: one that the system picks.
+/// Binds a listener to an address; with port 0 the system picks the port.
 ///
 /// # Errors
-/// When the address cannot be bound.
+/// If the address cannot be bound.
 pub fn listen(at: SocketAddr) -> io::Result<TcpListener> {
     set_up();
     TcpListener::bind(at)
 }
 
-/// Connects, for at most that long.
+/// Connects to an address, waiting at most `patience`.
 ///
 /// # Errors
-/// When nobody listens there, or none answers in time.
+/// The error of the connection attempt, or `TimedOut`.
 pub fn dial(to: SocketAddr, patience: Duration) -> io::Result<TcpStream> {
     set_up();
-    // The attempt has a coroutine of its own, which is left to itself when the time is up.
+    // The attempt runs in a coroutine of its own, which is abandoned on a timeout.
     let done = Queue::bounded(1);
     let attempt = done.clone();
     spawn(move || {
@@ -94,12 +96,12 @@
     }
 }
 
-/// Lets the other coroutines run first: for one whose input never ends.
+/// Yields to the other coroutines, so that one whose input never ends does not starve them.
 pub fn yield_now() {
     may::coroutine::yield_now();
 }
 
-/// Waits for that long, parking the coroutine.
+/// Parks the coroutine for a duration.
 pub fn sleep(time: Duration) {
     let until = Some(Instant::now() + time);
     let _ = block_on_until(std::future::pending::<()>(), until);
@@ -117,11 +119,11 @@
     }
 }
 
-/// The time was up before the future was ready; the future is dropped.
+/// The deadline passed before the future was ready; the future was dropped.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Elapsed;
 
-/// Polls a future to its end, parked in between.
+/// Runs a future to completion, parked between polls.
 pub fn block_on<F: Future>(future: F) -> F::Output {
     match block_on_until(future, None) {
         Ok(out) => out,
@@ -129,7 +131,7 @@
     }
 }
 
-/// Like [`block_on`], up to a point in time.
+/// Like [`block_on`], but gives up at a deadline.
 ///
 /// # Errors
 /// [`Elapsed`] if the future was not ready by then.
@@ -152,7 +154,7 @@
                 timer = Some(timer::unpark(at, &blocker));
             }
         }
-        // Woken by the future, by the timer, or for nothing: the next turn sees which.
+        // Woken by the future, by the timer or spuriously: the next iteration checks which.
         let _ = blocker.park(None);
     }
 }
--- a/crates/fibers/src/pipe.rs
+++ b/crates/fibers/src/pipe.rs
@@ -1,5 +1,5 @@
-//! A socket as something that futures can read and write: a coroutine reads it into a bounded
-//! buffer, another writes it from one, and between them stands [`AsyncStream`], which only polls.
+//! A socket behind the traits `AsyncRead` and `AsyncWrite`. One coroutine reads from the socket into
+//! a bounded buffer, another writes a second buffer to the socket; [`AsyncStream`] polls the buffers.
 
 use crate::{TcpStream, block_on, shutdown_at, spawn};
 use bytes::{Buf, BytesMut};
@@ -12,22 +12,25 @@
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Bytes that wait in one direction at most; beyond that the sender waits.
+/// Bytes buffered in one direction; beyond that the sender waits.
 const MOST: usize = 64 * 1024;
+/// Bytes read from the socket at a time.
 const CHUNK: usize = 16 * 1024;
 
+/// The buffer of one direction.
 #[derive(Default)]
 struct Half {
     data: BytesMut,
-    /// Nothing more comes in; what is there can still be taken.
+    /// No more data is added; what is buffered can still be taken.
     ended: bool,
-    /// Nothing is taken any more.
+    /// The receiver is gone: no data is taken any more.
     deaf: bool,
     fault: Option<io::ErrorKind>,
     waiting: Vec<Waker>,
 }
 
 impl Half {
+    /// Registers the task to be woken by the next change.
     fn wait(&mut self, context: &Context<'_>) {
         if !self.waiting.iter().any(|w| w.will_wake(context.waker())) {
             self.waiting.push(context.waker().clone());
@@ -43,7 +46,7 @@
         self.0.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Changes the state and wakes who waits for it; the lock is let go first.
+    /// Changes the buffer and wakes its waiters after the lock is released.
     fn change<T>(&self, change: impl FnOnce(&mut Half) -> T) -> T {
         let mut half = self.half();
         let out = change(&mut half);
@@ -53,7 +56,7 @@
         out
     }
 
-    /// Room for more: how much; none once nobody takes anything.
+    /// Polls for free space and returns its size; `None` once the receiver is gone.
     fn poll_room(&self, context: &Context<'_>) -> Poll<Option<usize>> {
         let mut half = self.half();
         if half.deaf {
@@ -66,7 +69,7 @@
         }
     }
 
-    /// Bytes are there, or the end is.
+    /// Polls for data or the end of data.
     fn poll_data(&self, context: &Context<'_>) -> Poll<()> {
         let mut half = self.half();
         if half.data.is_empty() && !half.ended {
@@ -77,16 +80,18 @@
     }
 }
 
-/// The polled side of a socket. Dropping it writes out what waits, then closes the socket.
+/// A socket that futures read and write. After a drop, buffered data is written and then the socket
+/// is closed.
 pub struct AsyncStream {
     inbound: Shared,
     outbound: Shared,
 }
 
-/// Wraps a connected socket. A peer that takes no byte for `patience` is given up.
+/// Wraps a connected socket. Writing one batch of buffered bytes may take `patience`; then the
+/// connection is closed.
 ///
 /// # Errors
-/// When the socket cannot be cloned or set up.
+/// If the socket cannot be cloned or configured.
 pub fn async_stream(socket: TcpStream, patience: Duration) -> io::Result<AsyncStream> {
     socket.set_nodelay(true)?;
     let (mut reader, mut writer) = (socket.try_clone()?, socket);
@@ -123,7 +128,7 @@
             }
         }
         from.change(|half| half.deaf = true);
-        // Ends the reader too: it sees the end of the socket.
+        // Stops the reader as well: its read returns the end of the stream.
         let _ = writer.shutdown(Shutdown::Both);
         inbound_too.change(|half| half.deaf = true);
     });
--- a/crates/fibers/src/queue.rs
+++ b/crates/fibers/src/queue.rs
@@ -1,21 +1,22 @@
-//! A bounded queue from many to one, for coroutines and plain threads alike.
+//! A bounded multi-producer queue for coroutines and plain threads alike.
 
 use crate::waiting::Watched;
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Instant;
 
-/// The other side is gone: nothing more is taken in, or nothing more will come.
+/// The queue is closed: it accepts no further items.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Closed;
 
-/// What [`Queue::take_all`] found.
+/// The result of [`Queue::take_all`] and [`Queue::take_one`].
 #[derive(Debug, PartialEq)]
 pub enum Received<T> {
-    /// All that was there, oldest first.
+    /// The items taken, oldest first.
     Items(VecDeque<T>),
-    /// Nothing came by the time given.
+    /// No item arrived before the deadline.
     TimedOut,
+    /// The queue is closed and empty.
     Closed,
 }
 
@@ -29,7 +30,7 @@
     state: Watched<State<T>>,
 }
 
-/// A handle; clones are the same queue.
+/// A handle to a bounded queue; clones share the queue.
 pub struct Queue<T>(Arc<Shared<T>>);
 
 impl<T> Clone for Queue<T> {
@@ -39,7 +40,7 @@
 }
 
 impl<T> Queue<T> {
-    /// At most so many items wait in it.
+    /// Creates a queue that holds at most `most` items (at least one).
     pub fn bounded(most: usize) -> Queue<T> {
         crate::set_up();
         Queue(Arc::new(Shared {
@@ -51,10 +52,10 @@
         }))
     }
 
-    /// Puts an item in, waiting for room: back-pressure on whoever brings it.
+    /// Appends an item, waiting while the queue is full.
     ///
     /// # Errors
-    /// [`Closed`] once the queue was closed.
+    /// [`Closed`] if the queue is closed.
     pub fn put(&self, item: T) -> Result<(), Closed> {
         let mut item = Some(item);
         let put = self.0.state.until(None, |state| {
@@ -70,10 +71,10 @@
         put.unwrap_or(Err(Closed))
     }
 
-    /// Puts an item in if there is room; gives it back if not, or if the queue was closed.
+    /// Appends an item without waiting.
     ///
     /// # Errors
-    /// The item.
+    /// The item itself, if the queue is full or closed.
     pub fn try_put(&self, item: T) -> Result<(), T> {
         self.0.state.change(|state| {
             if state.closed || state.items.len() >= self.0.most {
@@ -84,7 +85,7 @@
         })
     }
 
-    /// Takes all that waits, or waits for something until that time.
+    /// Takes all queued items; if there are none, waits for one until a deadline.
     pub fn take_all(&self, until: Option<Instant>) -> Received<T> {
         let taken = self.0.state.until(until, |state| {
             if !state.items.is_empty() {
@@ -95,7 +96,8 @@
         taken.unwrap_or(Received::TimedOut)
     }
 
-    /// Takes the oldest that waits, or waits for one until that time: for several who share the work.
+    /// Takes the oldest item, waiting for one until a deadline. For several consumers that share the
+    /// work.
     pub fn take_one(&self, until: Option<Instant>) -> Received<T> {
         let taken = self.0.state.until(until, |state| {
             if let Some(item) = state.items.pop_front() {
@@ -106,21 +108,22 @@
         taken.unwrap_or(Received::TimedOut)
     }
 
-    /// Ends it: what waits can still be taken, nothing more comes in.
+    /// Closes the queue: queued items can still be taken, and no further ones are accepted.
     pub fn close(&self) {
         self.0.state.change(|state| state.closed = true);
     }
 
-    /// Nothing more comes in.
+    /// Whether the queue is closed.
     pub fn is_closed(&self) -> bool {
         self.0.state.look(|state| state.closed)
     }
 
-    /// How many items wait.
+    /// The number of queued items.
     pub fn len(&self) -> usize {
         self.0.state.look(|state| state.items.len())
     }
 
+    /// Whether no items are queued.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/fibers/src/socket.rs
+++ b/crates/fibers/src/socket.rs
@@ -1,5 +1,6 @@
-//! A socket of one descriptor, for one coroutine at a time: every wait on it has an end, and an end
-//! that is not reached leaves nothing behind. Others may interrupt it.
+//! A TCP socket with a single descriptor that one coroutine uses at a time. Reads and writes take a
+//! deadline, a connect that times out closes its descriptor at once, and other coroutines or threads
+//! can interrupt a wait.
 
 use crate::{TcpListener, TcpStream, timer};
 use may::io::WaitIo;
@@ -11,7 +12,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// A handle; clones are the same descriptor, closed with the last of them.
+/// A handle to a socket; clones share the descriptor, which is closed with the last of them.
 #[derive(Clone)]
 pub struct Socket(Arc<Shared>);
 
@@ -30,10 +31,10 @@
     }
 }
 
-/// Takes the next who connects.
+/// Accepts the next connection.
 ///
 /// # Errors
-/// Whatever the system says; at the limit of descriptors this returns at once each time.
+/// Any system error. At the descriptor limit every call fails at once.
 pub fn accept(listener: &TcpListener) -> io::Result<(Socket, SocketAddr)> {
     let (stream, from) = listener.accept()?;
     stream.set_nodelay(true)?;
@@ -41,11 +42,11 @@
 }
 
 impl Socket {
-    /// Connects, for at most that long. Given up, its descriptor is closed at once, also while the
-    /// other side gives no sign.
+    /// Connects to an address, waiting at most `patience`. On a timeout the descriptor is closed at
+    /// once, even while the peer does not respond.
     ///
     /// # Errors
-    /// When nobody listens there, or none answers in time.
+    /// The error of the connection attempt, or `TimedOut`.
     pub fn dial(to: SocketAddr, patience: Duration) -> io::Result<Socket> {
         crate::set_up();
         let until = Instant::now() + patience;
@@ -58,7 +59,8 @@
             Err(e) if e.raw_os_error() == Some(IN_PROGRESS) => false,
             Err(e) => return Err(e),
         };
-        // SAFETY: the descriptor is open, a stream socket, and owned by nobody else from here on.
+        // SAFETY: the descriptor is open, is a stream socket, and has no other owner: `into_raw_fd`
+        // gave up its ownership.
         let stream = unsafe { TcpStream::from_raw_fd(fresh.into_raw_fd()) };
         let socket = Socket::from(stream);
         if begun {
@@ -78,7 +80,10 @@
         Ok(socket)
     }
 
-    /// Tries until it does not say that it would block; the end is [`io::ErrorKind::TimedOut`].
+    /// Repeats an operation until it no longer fails with `WouldBlock`.
+    ///
+    /// # Errors
+    /// [`io::ErrorKind::TimedOut`] at the deadline or after an interruption.
     fn try_until<T>(
         &self,
         until: Option<Instant>,
@@ -106,18 +111,18 @@
         }
     }
 
-    /// Reads what there is; 0: the other side has ended.
+    /// Reads available bytes, waiting for some until a deadline; 0 is the end of the stream.
     ///
     /// # Errors
-    /// `TimedOut` if nothing came by then; else what the system says.
+    /// `TimedOut` at the deadline or after an interruption; else the system's error.
     pub fn read(&self, buffer: &mut [u8], until: Option<Instant>) -> io::Result<usize> {
         self.try_until(until, |mut stream| stream.read(buffer))
     }
 
-    /// Hands all of it to the system.
+    /// Writes all bytes to the system's send buffer.
     ///
     /// # Errors
-    /// How many bytes were handed over before it broke or the time was up.
+    /// The number of bytes written before the connection failed or the deadline passed.
     pub fn write_all(&self, bytes: &[u8], until: Instant) -> Result<(), usize> {
         let mut done = 0;
         while done < bytes.len() {
@@ -129,23 +134,23 @@
         Ok(())
     }
 
-    /// Ends the wait of whoever waits on it as if the time were up, or the next wait if nobody does. What
-    /// has come can still be read.
+    /// Ends the current wait on the socket as if its deadline had passed; without one, the next wait.
+    /// Bytes already received can still be read.
     pub fn interrupt(&self) {
         self.0.interrupted.store(true, Ordering::Release);
         self.0.stream.waker().wakeup();
     }
 
-    /// Nothing more is written: the other side reads what was, and then the end.
+    /// Shuts down the sending side: the peer reads what was written, then the end of the stream.
     pub fn shutdown_write(&self) {
         let _ = self.0.stream.inner().shutdown(Shutdown::Write);
     }
 
-    /// Ends it for whoever waits on it.
+    /// Shuts down both directions, which ends any wait on the socket.
     pub fn shutdown(&self) {
         let _ = self.0.stream.inner().shutdown(Shutdown::Both);
     }
 }
 
-/// `EINPROGRESS` on Linux.
+/// `EINPROGRESS` on Linux: a nonblocking connect has started.
 const IN_PROGRESS: i32 = 115;
--- a/crates/fibers/src/timer.rs
+++ b/crates/fibers/src/timer.rs
@@ -1,8 +1,8 @@
-//! Timers of our own: a hashed wheel of milliseconds, turned by one thread.
+//! Timers: a hashed timer wheel with slots of one millisecond, run by one thread.
 //!
-//! `may` can wake a parked coroutine or a socket after a time, but its lists of timers are changed from
-//! several workers at once: under load a day of the stand-ins ended in a dangling pointer there. So
-//! nothing here uses its time-outs; a wait with an end is a wait without one, and a timer that ends it.
+//! `may` can wake a parked coroutine or a socket after a timeout, but its timer lists are changed by
+//! several workers at once; under load a run of the stand-ins ended in a dangling pointer there. So
+//! nothing here uses its timeouts: a timed wait is an untimed wait and a timer that ends it.
 
 use crate::TcpStream;
 use may::io::WaitIoWaker;
@@ -12,15 +12,17 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, OnceLock};
 use std::time::{Duration, Instant};
 
-/// Slots of the wheel: a timer further ahead goes round.
+/// Slots of the wheel. A timer further ahead stays in its slot for several rounds.
 const SLOTS: usize = 4096;
 
+/// What a timer does when it fires.
 enum What {
     Unpark(Arc<Blocker>),
     Shut(std::net::TcpStream),
     Wake(WaitIoWaker),
 }
 
+/// The action of a timer; none once it fired or was cancelled.
 type Task = Arc<Mutex<Option<What>>>;
 
 struct Entry {
@@ -30,16 +32,20 @@
 
 struct Wheel {
     slots: Vec<Vec<Entry>>,
-    /// The tick up to which all was done, and how many entries there are.
+    /// Every entry due at this tick or before has been removed.
     done: u64,
+    /// Entries in all slots.
     count: usize,
-    /// When the thread wakes by itself.
+    /// The tick at which the thread wakes; `u64::MAX` without entries.
     wakes: u64,
 }
 
+/// The wheel and the thread that runs it.
 struct Timers {
+    /// Tick 0.
     begun: Instant,
     wheel: Mutex<Wheel>,
+    /// Signalled when an entry is due before the thread would wake.
     sooner: Condvar,
 }
 
@@ -47,6 +53,7 @@
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
+/// The timers of this process; starts their thread on the first call.
 fn timers() -> &'static Timers {
     static TIMERS: OnceLock<Timers> = OnceLock::new();
     static THREAD: OnceLock<()> = OnceLock::new();
@@ -62,7 +69,7 @@
     });
     THREAD.get_or_init(|| {
         let thread = std::thread::Builder::new().name("timers".into());
-        // Without its timers the program cannot keep a single promise: it does not start.
+        // Without timers no deadline holds, so a failure to start the thread is fatal.
         thread
             .spawn(|| timers.turn())
             .expect("a thread for the timers");
@@ -71,12 +78,13 @@
 }
 
 impl Timers {
-    /// The first tick that is not before a point in time.
+    /// The first tick that is not before an instant.
     fn tick(&self, at: Instant) -> u64 {
         let us = at.saturating_duration_since(self.begun).as_micros();
         us.div_ceil(1000) as u64
     }
 
+    /// Adds an entry, and wakes the thread if it is due before the thread would wake.
     fn set(&self, at: Instant, what: What) -> Timer {
         let task: Task = Arc::new(Mutex::new(Some(what)));
         let mut wheel = lock(&self.wheel);
@@ -93,7 +101,7 @@
         Timer(task)
     }
 
-    /// The thread: does what is due, then sleeps until the next slot that holds anything.
+    /// The thread's loop: fires the entries that are due, then sleeps until the next used slot.
     fn turn(&self) {
         let mut wheel = lock(&self.wheel);
         loop {
@@ -135,6 +143,7 @@
     }
 }
 
+/// Runs a timer's action unless it was cancelled.
 fn fire(task: &Task) {
     let what = lock(task).take();
     match what {
@@ -145,7 +154,7 @@
     }
 }
 
-/// A timer that is set; dropping it takes it back.
+/// A pending timer; dropping it cancels it.
 pub struct Timer(Task);
 
 impl Drop for Timer {
@@ -155,27 +164,27 @@
 }
 
 impl Timer {
-    /// It has fired.
+    /// Whether the timer has fired.
     pub fn has_fired(&self) -> bool {
         lock(&self.0).is_none()
     }
 }
 
-/// Unparks at a point in time.
+/// Unparks a coroutine or thread at an instant.
 pub(crate) fn unpark(at: Instant, blocker: &Arc<Blocker>) -> Timer {
     timers().set(at, What::Unpark(blocker.clone()))
 }
 
-/// Wakes who waits on a socket at a point in time; the socket stays as it is.
+/// Wakes the coroutine that waits on a socket at an instant, leaving the socket unchanged.
 pub(crate) fn wake(at: Instant, waker: WaitIoWaker) -> Timer {
     timers().set(at, What::Wake(waker))
 }
 
-/// Shuts a socket down at a point in time, unless the timer is dropped before: reads and writes that
-/// wait on it then end.
+/// Shuts a socket down at an instant, unless the timer is dropped before. Reads and writes that are
+/// waiting on the socket then return.
 ///
 /// # Errors
-/// When no further descriptor can be had.
+/// If the socket cannot be cloned, for instance at the descriptor limit.
 pub fn shutdown_at(socket: &TcpStream, at: Instant) -> io::Result<Timer> {
     let hand = socket.inner().try_clone()?;
     Ok(timers().set(at, What::Shut(hand)))
--- a/crates/fibers/src/waiting.rs
+++ b/crates/fibers/src/waiting.rs
@@ -1,5 +1,5 @@
-//! Those who wait for a change of some state: a condition variable for coroutines and threads alike,
-//! without any time-out of the runtime's.
+//! A value with waiters: a mutex and condition variable for coroutines and threads alike. Its timed
+//! waits use the crate's timers and no timeout of `may`.
 
 use crate::timer;
 use may::sync::Blocker;
@@ -7,11 +7,12 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant;
 
-/// A state, and who waits for it to change. The lock is held for moments only, never across a wait.
+/// A value behind a lock and the waiters for its next change. The lock is never held across a wait.
 pub(crate) struct Watched<T> {
     state: Mutex<State<T>>,
 }
 
+/// The value and the parked waiters.
 pub(crate) struct State<T> {
     pub value: T,
     waiting: VecDeque<Arc<Blocker>>,
@@ -28,16 +29,16 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State<T>> {
-        // The value is whole after each change, so a poisoned lock is still sound.
+        // The value is consistent after each change, so a poisoned lock can be used.
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Looks at the state.
+    /// Reads the value.
     pub fn look<R>(&self, look: impl FnOnce(&T) -> R) -> R {
         look(&self.lock().value)
     }
 
-    /// Changes the state and wakes all who wait.
+    /// Changes the value and wakes all waiters.
     pub fn change<R>(&self, change: impl FnOnce(&mut T) -> R) -> R {
         let mut state = self.lock();
         let out = change(&mut state.value);
@@ -47,8 +48,8 @@
         out
     }
 
-    /// Tries a change until it is made (`Some`), waiting in between; none when the time is up. Whoever
-    /// waits is woken by every change, so a change that was made is told to the others too.
+    /// Calls `attempt` until it returns `Some`, waiting for a change between calls; `None` at the
+    /// deadline. A successful attempt counts as a change, so it wakes the other waiters.
     pub fn until<R>(
         &self,
         until: Option<Instant>,
--- a/crates/fibers/tests/interrupt.rs
+++ b/crates/fibers/tests/interrupt.rs
@@ -1,10 +1,10 @@
-//! What others may do to who waits on a socket: end the wait, not lose what has come.
+//! Interrupting a wait on a socket ends one wait and loses no received bytes; half-closing works.
 
 use dahliapoint_fibers::{Socket, accept, listen, spawn};
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 
-/// A connected pair: ours, and the other side's.
+/// A connected pair: the socket under test and the peer's.
 fn pair() -> (Socket, TcpStream) {
     let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap();
@@ -13,7 +13,7 @@
     (accepting.join().unwrap(), peer)
 }
 
-/// Reads at most so many bytes, without an end of its own.
+/// Reads at most `most` bytes without a deadline.
 fn read(socket: &Socket, most: usize) -> Result<Vec<u8>, ErrorKind> {
     let socket = socket.clone();
     let reading = spawn(move || {
@@ -27,18 +27,18 @@
 #[test]
 fn an_interruption_ends_one_wait_and_takes_nothing_that_has_come() {
     let (socket, mut peer) = pair();
-    // Kept while nobody waits, and used up by the first who does.
+    // Stored while nothing waits, and consumed by the next wait.
     socket.interrupt();
     assert_eq!(read(&socket, 9), Err(ErrorKind::TimedOut));
     peer.write_all(b"one").unwrap();
     assert_eq!(read(&socket, 9), Ok(b"one".to_vec()));
-    // What has come is read first: the rest of a word whose beginning was.
+    // Received bytes are read before the interruption takes effect.
     peer.write_all(b"two").unwrap();
     assert_eq!(read(&socket, 1), Ok(b"t".to_vec()));
     socket.interrupt();
     assert_eq!(read(&socket, 9), Ok(b"wo".to_vec()));
     assert_eq!(read(&socket, 9), Err(ErrorKind::TimedOut));
-    // It reaches who waits already, or whoever waits next: either way one wait ends.
+    // The interruption comes before or during the wait: either way it ends the wait.
     let waiting = {
         let socket = socket.clone();
         spawn(move || socket.read(&mut [0; 9], None).map_err(|e| e.kind()))
--- a/crates/fibers/tests/socket.rs
+++ b/crates/fibers/tests/socket.rs
@@ -1,4 +1,5 @@
-//! A socket whose waits end: alone in its process, since it counts descriptors.
+//! Timeouts of reads and connects. The only test of its file, since it counts the descriptors of the
+//! process.
 
 use dahliapoint_fibers::{Socket, accept, listen, spawn};
 use std::io::{ErrorKind, Write};
@@ -11,7 +12,7 @@
 
 #[test]
 fn every_wait_ends_and_an_end_leaves_nothing_behind() {
-    // A read that is given up leaves the socket as it was.
+    // A read that times out leaves the socket usable.
     let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap();
     let reading = spawn(move || {
@@ -19,7 +20,7 @@
         let soon = || Some(Instant::now() + Duration::from_millis(20));
         let mut buffer = [0; 16];
         let first = socket.read(&mut buffer, soon()).unwrap_err().kind();
-        // Asks the peer to go on.
+        // Signals the peer to continue.
         socket
             .write_all(b"x", Instant::now() + Duration::from_secs(5))
             .unwrap();
@@ -37,7 +38,7 @@
         (ErrorKind::TimedOut, &b"late"[..], 0)
     );
 
-    // Nobody listens; and somebody listens who takes nobody in any more.
+    // An address without a listener, then a listener whose accept queue is full.
     let nobody = spawn(move || {
         Socket::dial(address, Duration::from_secs(5))
             .err()
