--- a/crates/node/src/beside.rs
+++ b/crates/node/src/beside.rs
@@ -1,31 +1,37 @@
-//! One stream beside another: a stream that serves and falls silent, or whose address is replaced, gets a
-//! successor, and ends only once that one serves. Nothing is missed between the two. One that does not
-//! serve yet gets none: it ends by itself and is begun anew, so that however long a silence lasts there
-//! are two.
+//! Failover of a stream. When a ready stream falls silent or its address is replaced, a successor is
+//! started next to it, and the old stream ends only once the successor is ready, so that nothing is
+//! missed in between. A stream that is not ready yet gets no successor: it ends and is retried, so
+//! that there are at most two streams however long a silence lasts.
 
 use crate::reach::{Addresses, Reach};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// A silent stream whose successor does no better is kept for so long: what it missed may still come.
+/// How long a silent stream is kept while its successor is not ready either: its delayed data may
+/// still arrive.
 const GIVEN_UP: Duration = Duration::from_secs(20);
 
-/// Set by a stream once it serves.
+/// The ready flag that a stream sets once it delivers data.
 pub type Serves = Arc<AtomicBool>;
 
+/// Decides for one stream when it needs a successor and when it ends.
 pub struct Beside {
+    /// The addresses when the stream was started.
     at: Addresses,
     silent_after: Duration,
-    /// For how long it goes on once its successor serves.
+    /// How long the stream goes on once its successor is ready.
     lag: Duration,
+    /// When data last arrived.
     heard: Instant,
+    /// The successor's ready flag.
     successor: Option<Serves>,
+    /// When the successor was first seen ready.
     succeeded: Option<Instant>,
 }
 
 impl Beside {
-    /// For a stream that began now, at these addresses.
+    /// For a stream that starts now at these addresses.
     pub fn of(at: Addresses, silent_after: Duration, lag: Duration) -> Beside {
         Beside {
             at,
@@ -37,25 +43,28 @@
         }
     }
 
+    /// Records that data arrived.
     pub fn heard(&mut self) {
         self.heard = Instant::now();
     }
 
+    /// Whether no data arrived for `silent_after`.
     pub fn is_silent(&self) -> bool {
         self.heard.elapsed() > self.silent_after
     }
 
-    /// The configuration names other addresses than this stream's.
+    /// Whether the configuration changed the addresses since the stream started.
     pub fn is_moved(&self, reach: &Reach) -> bool {
         reach.addresses().turn != self.at.turn
     }
 
+    /// Whether a successor was started.
     pub fn has_successor(&self) -> bool {
         self.successor.is_some()
     }
 
-    /// The successor serves for as long as this one may lag behind it, or is no better and this one
-    /// was silent for too long.
+    /// Whether the stream should end: its successor has been ready for `lag`, or it has a successor
+    /// and was silent for `GIVEN_UP`.
     pub fn is_over(&mut self) -> bool {
         let Some(successor) = &self.successor else {
             return false;
@@ -67,7 +76,7 @@
         succeeded || self.heard.elapsed() > GIVEN_UP
     }
 
-    /// What is due now for a stream that serves or does not yet.
+    /// Decides what to do with the stream now; `serves` is its own ready flag.
     pub fn due(&mut self, reach: &Reach, serves: bool) -> Due {
         let why = match (self.is_moved(reach), self.is_silent()) {
             (true, _) => "other address",
@@ -86,13 +95,13 @@
     }
 }
 
-/// What is due for a stream, and why.
+/// What to do with a stream, and why.
 #[derive(Debug)]
 pub enum Due {
     Nothing,
-    /// A successor, once, and what it sets when it serves.
+    /// Start a successor with this ready flag; returned once per stream.
     Successor(&'static str, Serves),
-    /// It never served: it ends, and is begun anew.
+    /// End and retry the stream, which never became ready.
     End(&'static str),
 }
 
@@ -129,11 +138,11 @@
                 b.heard = Instant::now() - Duration::from_millis(1);
             }
             if moves {
-                // Also while the old stream is never quiet: nothing here waits for a pause in it.
+                // A changed address counts even while the stream keeps receiving data.
                 let other = format!("127.0.0.1:{}", 2 + case).parse().unwrap();
                 assert!(reach.moved(other, other));
             }
-            // One that does not serve yet ends, and begins no other.
+            // A stream that is not ready ends without a successor.
             match (wanted, fresh.due(&reach, false)) {
                 (None, Due::Nothing) => {}
                 (Some(wanted), Due::End(why)) => assert_eq!(why, wanted),
@@ -167,7 +176,7 @@
         assert!(!beside.is_over());
         beside.lag = Duration::ZERO;
         assert!(beside.is_over());
-        // The successor broke since: it served all the same, and its own seat is seen to by itself.
+        // The successor has failed since: it was ready once, and retries on its own.
         serves.store(false, Ordering::Release);
         assert!(beside.is_over());
     }
--- a/crates/node/src/configuration.rs
+++ b/crates/node/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration file (DEPLOY, "What a controller is told").
+//! Parses the configuration file (DEPLOY, "What a controller is told").
 
 use dahliapoint_opening::Deployment;
 use dahliapoint_platform::discovery::{self, List};
@@ -7,19 +7,23 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// What this controller is told at its start, and again with each new configuration.
+/// The checked configuration, read at the start and after each SIGHUP.
 #[derive(Debug)]
 pub struct Assignment {
     pub name: String,
+    /// The address on which it accepts probes and collectors.
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub relay: SocketAddr,
     pub seed: u64,
+    /// The limit on open descriptors.
     pub sockets: usize,
     pub deployment: Deployment,
+    /// The list of servers as known before the start.
     pub known: List,
 }
 
+/// The file as written; its other fields are ignored.
 #[derive(Deserialize)]
 struct Told {
     name: String,
@@ -43,10 +47,10 @@
     address: SocketAddr,
 }
 
-/// Reads it whole and checks it.
+/// Reads and checks a configuration file.
 ///
 /// # Errors
-/// The file, the field and what is wanted, in one line.
+/// One line with the file, the field and the problem.
 pub fn read(path: &Path) -> Result<Assignment, String> {
     let name = path.display();
     let bytes = std::fs::read(path).map_err(|e| format!("{name}: {e}"))?;
@@ -74,7 +78,7 @@
         Some(value) => discovery::read_value(value, &deployment.zones)
             .map_err(|e| format!("field \"known\": {e}"))?,
     };
-    // Chance only: a seed of another form is as good as any.
+    // The seed only feeds random jitter, so other characters are skipped rather than rejected.
     let digits = told.seed.bytes().filter(u8::is_ascii_hexdigit);
     let digits = digits.filter_map(|b| char::from(b).to_digit(16));
     let seed = digits.fold(0_u64, |seed, d| (seed << 4) | u64::from(d));
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -1,19 +1,22 @@
-//! The controller's address: whoever connects, and for how long.
+//! Connections to the controller's address: probes and collectors, and when each is closed.
 //!
-//! The rules, in their order:
-//! 1. `probe` is answered `alive` at once, whoever asks and whatever else goes on.
-//! 2. Who has not joined and has asked nothing is closed [`JOIN_WITHIN`] after connecting; who has
-//!    asked for a sign of life, [`KEEP_ALIVE`] after the last time. What has come by then is answered.
-//! 3. Who sends what cannot be read, reports before joining, or a line without end is told `error`
-//!    and closed; a collector is only closed (nothing is ever written to it).
-//! 4. A spoilt line of a collector is left out and counted; its neighbours count.
-//! 5. When the budget of connections is full, the oldest that has not joined goes. What it had sent is
-//!    read first: one that joins just then is a collector like any other, and stays.
-//! 6. A zone holds at most [`MOST_OF_A_ZONE`] collectors: the one that was silent longest goes. So one
-//!    whose stream went silent keeps nobody out, and a stranger takes no good one's place at once.
-//! 7. Who was answered reads the answer, and then the end: our side is closed first, and what still comes
-//!    is read for a while ([`TAKEN_WITHIN`], [`DISCARDED`]). A close with bytes unread would be a
-//!    reset, which takes the answer with it. At most [`MOST_CLOSING`] at a time; others are closed at once.
+//! A connection joins as a collector with an `agent` line. The rules, in order:
+//! 1. `probe` is answered `alive` at once, for any client and under any load.
+//! 2. A connection that has neither joined nor sent a `probe` is closed [`JOIN_WITHIN`] after it was
+//!    accepted; one that has sent a `probe`, [`KEEP_ALIVE`] after the last one. Lines received by then
+//!    are answered.
+//! 3. After unreadable input, a report before joining or an overlong line, the client gets `error` and
+//!    the connection is closed. A collector gets no `error`: nothing is written to it except `alive`.
+//! 4. An invalid line of a collector is skipped and counted; the lines around it are used.
+//! 5. When the connection limit is reached, the oldest connection that has not joined is closed. Bytes
+//!    it sent before are read first; if they make it join, it stays.
+//! 6. A zone has at most [`MOST_OF_A_ZONE`] collectors; a further one replaces the one silent for
+//!    longest. So a silent collector blocks no new one, and a stranger does not at once replace one
+//!    that reports.
+//! 7. A client that got an answer can read it and then the end of the stream: the sending side is shut
+//!    down first, and further input is discarded for a while ([`TAKEN_WITHIN`], [`DISCARDED`]).
+//!    Closing with unread bytes would send a reset, which can discard the answer. At most
+//!    [`MOST_CLOSING`] connections at a time end this way; others are closed at once.
 
 use crate::reach::Shared;
 use dahliapoint_fibers::{Socket, TcpListener, accept, sleep, spawn, yield_now};
@@ -27,38 +30,44 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// PROTOCOL (DAYS, "Bad clients") lets one that has not joined within 1 s be closed.
+/// The protocol allows closing a connection that has not joined within 1 s (DAYS, "Bad clients").
 const JOIN_WITHIN: Duration = Duration::from_secs(1);
+/// How long a connection that has not joined stays open after a `probe`.
 const KEEP_ALIVE: Duration = Duration::from_secs(10);
-/// A collector that has said nothing for so long has gone; they report each second.
+/// A collector silent for this long counts as gone; collectors report each second.
 const SILENT: Duration = Duration::from_secs(60);
+/// Collectors per zone.
 const MOST_OF_A_ZONE: usize = 4;
-/// What somebody who has not joined may say in one line.
+/// The longest line accepted before joining, in bytes.
 const MOST_BEFORE_JOINING: usize = 4096;
-/// A reader that does not take a short answer for so long is none.
+/// The timeout for writing an answer, and for reading what follows before the connection is closed.
 const TAKEN_WITHIN: Duration = Duration::from_millis(500);
-/// What is kept of the limit on descriptors for relay, discovery, probes, the runtime and those whose
-/// end is under way; and how many of the last may be.
+/// Descriptors reserved for relay, discovery, probes, the runtime and connections that are closing.
 const RESERVED: usize = 72;
+/// Connections that may be closing gracefully at a time.
 const MOST_CLOSING: usize = 24;
-/// What is read at the most of what comes behind an answer that ends a connection, in bytes.
+/// Bytes discarded at most from a connection that is closing gracefully.
 const DISCARDED: usize = 64 * 1024;
 
 struct Connection {
     socket: Socket,
+    /// The zone of a collector; `None` before joining.
     zone: Option<usize>,
+    /// When a collector last sent something.
     heard: Instant,
 }
 
+/// The open connections.
 pub struct Connections {
     reach: Shared,
-    /// By number, so that the oldest is the first.
+    /// By number in order of acceptance, so the first is the oldest.
     open: Mutex<BTreeMap<u64, Connection>>,
     most: usize,
+    /// How many are closing gracefully.
     closing: AtomicUsize,
 }
 
-/// Accepts connections for good.
+/// Starts to accept connections, until the process ends.
 pub fn listen(reach: Shared, listener: TcpListener, sockets: usize) {
     let connections = Arc::new(Connections {
         reach,
@@ -73,11 +82,11 @@
                 Ok((socket, _)) => {
                     number += 1;
                     connections.accepted(number, socket);
-                    // Those who are to go do so before the next one comes.
+                    // An evicted connection closes before the next one is accepted.
                     yield_now();
                 }
                 Err(e) => {
-                    // Out of descriptors, most likely: room is made, and others get their turn.
+                    // Most likely out of descriptors: frees one, and yields to others.
                     connections
                         .reach
                         .teller
@@ -90,7 +99,7 @@
     });
 }
 
-/// The beginning of a line, for the log.
+/// The start of a line, for the log.
 fn start_of(line: &[u8]) -> String {
     String::from_utf8_lossy(&line[..line.len().min(120)]).into_owned()
 }
@@ -100,7 +109,7 @@
         self.open.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Rule 5.
+    /// Closes the oldest connection that has not joined (rule 5).
     fn evict_oldest(&self) {
         let mut open = self.open();
         let oldest = open.iter().find(|(_, c)| c.zone.is_none());
@@ -115,6 +124,7 @@
         }
     }
 
+    /// Registers a connection and serves it in a coroutine of its own.
     fn accepted(self: &Arc<Self>, number: u64, socket: Socket) {
         if self.open().len() >= self.most {
             self.evict_oldest();
@@ -132,16 +142,17 @@
             if answered {
                 connections.close_gracefully(&socket);
             }
-            // The other handle may be held a moment longer.
+            // Another handle may still keep the descriptor open for a moment.
             socket.shutdown();
         });
     }
 
+    /// Whether the connection has not been evicted.
     fn is_open(&self, number: u64) -> bool {
         self.open().contains_key(&number)
     }
 
-    /// Rule 7.
+    /// Shuts down the sending side and discards input for a while (rule 7).
     fn close_gracefully(&self, socket: &Socket) {
         if self.closing.fetch_add(1, Ordering::AcqRel) < MOST_CLOSING {
             socket.shutdown_write();
@@ -150,7 +161,7 @@
             while unread < DISCARDED {
                 match socket.read(&mut buffer, Some(until)) {
                     Ok(n @ 1..) => unread += n,
-                    // An interruption that came before ends no wait here.
+                    // An earlier interruption must not end the wait.
                     Err(e) if e.kind() == ErrorKind::TimedOut && Instant::now() < until => {}
                     Ok(_) | Err(_) => break,
                 }
@@ -159,7 +170,8 @@
         self.closing.fetch_sub(1, Ordering::AcqRel);
     }
 
-    /// Rule 6; also for one that was to go.
+    /// Registers a collector, evicting another if its zone is full (rule 6). A connection that was
+    /// evicted before it joined is registered again (rule 5).
     fn joins(&self, number: u64, zone: usize, socket: &Socket) {
         let mut open = self.open();
         let there = open
@@ -179,20 +191,21 @@
         open.insert(number, connection);
     }
 
+    /// Records that a collector sent something.
     fn heard(&self, number: u64) {
         if let Some(connection) = self.open().get_mut(&number) {
             connection.heard = Instant::now();
         }
     }
 
-    /// Until it is over; tells whether anything was answered.
+    /// Serves a connection until it ends; returns whether an answer was written.
     fn serve(&self, number: u64, socket: &Socket) -> bool {
         let mut lines = Lines::of(MOST_BEFORE_JOINING);
         let (mut zone, mut answered) = (None, false);
         let mut until = Instant::now() + JOIN_WITHIN;
         let mut buffer = [0; 4096];
         loop {
-            // Who is to go is read once more, without a wait.
+            // An evicted connection is read once more without waiting.
             let is_open = self.is_open(number);
             let end = if is_open { until } else { Instant::now() };
             let n = match socket.read(&mut buffer, Some(end)) {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,8 @@
-//! A controller of the platform: sockets by `dahliapoint_fibers`, decisions by `dahliapoint_platform`.
+//! The controller process of the platform (`dahliapoint node`): sockets from `dahliapoint_fibers`,
+//! decisions from `dahliapoint_platform`.
 //!
-//! Whatever comes is put into one bounded queue; the owner, the main thread, takes all that came within
-//! a tick as one moment and has the core decide once. Nothing is written to disk.
+//! Every input goes into one bounded queue. The main thread takes all inputs of a tick as one batch
+//! and lets the core decide once per batch. Nothing is written to disk.
 
 mod beside;
 mod configuration;
--- a/crates/node/src/life.rs
+++ b/crates/node/src/life.rs
@@ -1,4 +1,4 @@
-//! From the first line of the configuration to the last signal.
+//! Life cycle of the process: start from the configuration file, signal handling, reload, exit.
 
 use crate::configuration::{self, Assignment};
 use crate::owner::Owner;
@@ -14,33 +14,36 @@
 use tracing_appender::non_blocking::NonBlockingBuilder;
 use tracing_subscriber::EnvFilter;
 
-/// The variable that names the configuration file (DEPLOY, "What a controller is told").
+/// The environment variable with the path of the configuration file (DEPLOY, "What a controller is
+/// told").
 const FILE: &str = "NODE_CONFIG";
-/// What the log tells of; `debug` adds what is believed of each server.
+/// The environment variable with the log level; `debug` adds the estimates of each server.
 const LOG: &str = "DAHLIAPOINT_LOG";
-/// Lines that wait for whoever reads the log; at `debug` one moment writes up to a line a server.
+/// Log lines buffered for the writer thread; at `debug` one batch writes up to a line per server.
 const LOG_LINES: usize = 2048;
-/// What the old addresses name closes its connections so long after the signal (DAYS, "New configurations
-/// and restarts"): until then a file that is still being written is read again.
+/// How long an invalid file is read again after SIGHUP, since it may still be being written. The old
+/// addresses close their connections this long after the signal (DAYS, "New configurations and
+/// restarts").
 const WRITTEN_WITHIN: Duration = Duration::from_millis(1500);
+/// The delay before an invalid file is read again.
 const READ_AGAIN: Duration = Duration::from_millis(20);
 
-/// Serves until a signal ends the process.
+/// Runs the controller until a signal ends the process.
 ///
 /// # Errors
-/// What keeps it from starting, in one line.
+/// One line with the reason why it cannot start.
 pub fn run() -> Result<(), String> {
     let path = std::env::var_os(FILE).map(PathBuf::from);
     let path = path.ok_or_else(|| format!("{FILE} is not set: it names the configuration file"))?;
-    // Before any part starts, so that no signal is missed.
+    // Registered before any other part starts, so that no signal is missed.
     let signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(|e| e.to_string())?;
     let told = configuration::read(&path)?;
     let level = std::env::var(LOG).unwrap_or_else(|_| "info".into());
-    // The runtime tells of every socket at `info`, and of every signal as an error.
+    // `may` logs every socket at `info`, and every interruption by a signal as an error.
     let filter = EnvFilter::try_new(format!("{level},may=warn,may::io::event_loop=off"));
     let filter = filter.map_err(|e| format!("{LOG}: {e}"))?;
-    // Whoever reads the log may stop: lines are then lost, and nothing here waits. The guard would wait
-    // for them at the end, so it is kept until the process is gone.
+    // Lossy: if nothing reads standard error, lines are dropped and the process does not block. The
+    // guard would wait for the writer when dropped, so it is leaked.
     let (log, guard) = NonBlockingBuilder::default()
         .lossy(true)
         .buffered_lines_limit(LOG_LINES)
@@ -94,21 +97,22 @@
     Ok(())
 }
 
-/// Nothing that waits stands between a signal and the end: files are read elsewhere.
+/// Handles signals. It never blocks before an exit: files are read on another thread.
 fn heed(mut signals: Signals, reach: &Shared, renewed: &Notify) {
     for signal in signals.forever() {
         if signal == SIGHUP {
             renewed.notify();
             continue;
         }
-        // Proxies go elsewhere from here on: nothing more is ordered, and what is being written ends first.
+        // Proxies use other controllers from here on: no further calls are sent, and a call that is
+        // being written is completed first.
         reach.shutdown.begin(Instant::now() + relay::WRITTEN_WITHIN);
         std::process::exit(0);
     }
 }
 
-/// Reads the file each time that it is told to. One that is bad may be half written: it is read again for
-/// a while, also without another signal.
+/// Reads the configuration file after each SIGHUP. An invalid file may be half written, so it is read
+/// again for a while without another signal.
 fn renew(renewed: &Notify, reach: &Shared, path: &Path) {
     while renewed.wait(None) {
         let until = Instant::now() + WRITTEN_WITHIN;
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -1,4 +1,4 @@
-//! The owner: the one thread that holds the core. What comes within a tick is one moment.
+//! The event loop: the single thread that owns the core. Inputs of one tick are processed as a batch.
 
 use crate::probes::Probe;
 use crate::reach::Shared;
@@ -8,15 +8,18 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
+/// The core with its input queue and the queues of the work that it asks for.
 pub struct Owner {
     pub reach: Shared,
     pub core: Core,
+    /// Calls to the relay.
     pub calls: Queue<Call>,
+    /// Probes of servers.
     pub probes: Queue<Probe>,
 }
 
 impl Owner {
-    /// Decides for good; returns only if the queue is closed.
+    /// Runs the loop; returns only if the input queue is closed.
     pub fn work(mut self) {
         let tick = Duration::from_secs_f64(self.reach.deployment.tick_ms.clamp(0.5, 50.0) / 1000.0);
         let mut effects = self.step(Vec::new());
@@ -41,6 +44,7 @@
         }
     }
 
+    /// Passes a batch of inputs to the core and publishes the version of its list.
     fn step(&mut self, inputs: Vec<Input>) -> Effects {
         let now = self.reach.clock.now_ms();
         let reports = inputs
@@ -56,7 +60,8 @@
         effects
     }
 
-    /// For the operators' debug log: what came at this moment, what it leads to, what is believed.
+    /// Writes the debug log for operators: the counts of inputs, the resulting call and, after
+    /// reports, the estimates of each server.
     fn trace(&self, came: usize, reports: usize, effects: &Effects) {
         let call = effects.call.as_ref().map_or("", |c| c.text.trim_end());
         tracing::debug!(came, reports, probes = effects.probes.len(), call, "moment");
@@ -67,7 +72,7 @@
         }
     }
 
-    /// Does what is to be done, and tells when to wake.
+    /// Carries out the effects of a step; returns when the core wants to run next.
     fn perform(&mut self, mut effects: Effects) -> Option<Instant> {
         for note in effects.notes.drain(..) {
             self.reach.teller.note(&note);
@@ -84,7 +89,7 @@
         if let Some(call) = effects.call
             && let Err(call) = self.calls.try_put(call)
         {
-            // One call is under way at a time, so there is always room; if not, it was not sent.
+            // One call is in flight at a time, so there is room; if not, the call counts as not sent.
             back.push(Input::Called {
                 number: call.number,
                 outcome: Outcome::NotSent,
--- a/crates/node/src/probes.rs
+++ b/crates/node/src/probes.rs
@@ -1,4 +1,4 @@
-//! Probes: few under way, each with an end.
+//! Health probes of servers, with a limit on concurrent probes and a timeout on each.
 
 use crate::reach::Shared;
 use dahliapoint_fibers::{Queue, Received, Socket, spawn};
@@ -6,14 +6,18 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
+/// Concurrent probes.
 const AT_ONCE: usize = 12;
+/// Probes that may be queued.
 const WAITING: usize = 64;
-/// From the dial to the answer's first line.
+/// The timeout of a probe, from the connect to the status line of the answer.
 const PATIENCE: Duration = Duration::from_millis(500);
 
+/// A probe: the core's key for the result, and the server's address.
 pub type Probe = (Asked, SocketAddr);
 
-/// Answers probes for good; each one asked for is told of, however it ends.
+/// Starts the workers, which run until the process ends, and returns their queue. Every queued probe
+/// leads to one `Input::Probed`, however it ends.
 pub fn begin(reach: &Shared) -> Queue<Probe> {
     let probes: Queue<Probe> = Queue::bounded(WAITING);
     for _ in 0..AT_ONCE {
@@ -34,6 +38,7 @@
     probes
 }
 
+/// The next queued probe.
 fn one(probes: &Queue<Probe>) -> Option<Probe> {
     match probes.take_one(None) {
         Received::Items(mut one) => one.pop_front(),
@@ -41,6 +46,7 @@
     }
 }
 
+/// Sends the health request; returns whether the answer's status is 200.
 fn ask(to: SocketAddr, until: Instant) -> std::io::Result<bool> {
     let socket = Socket::dial(to, PATIENCE)?;
     let question = format!("GET /-/healthy HTTP/1.1\r\nHost: {to}\r\nConnection: close\r\n\r\n");
--- a/crates/node/src/reach.rs
+++ b/crates/node/src/reach.rs
@@ -1,4 +1,5 @@
-//! What all parts of a running controller share: where the others are, the queue to the owner, chance.
+//! State shared by all parts of a running controller: the addresses of relay and discovery, the input
+//! queue, the log, the clock and the random jitter of retries.
 
 use crate::shutdown::Shutdown;
 use crate::tell::Teller;
@@ -10,7 +11,8 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Where relay and discovery are; a new configuration counts the turn up.
+/// The addresses of relay and discovery. `turn` increases with each change, so a stream can tell that
+/// its address was replaced even if an earlier address returns.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Addresses {
     pub relay: SocketAddr,
@@ -18,21 +20,26 @@
     pub turn: u64,
 }
 
+/// State shared by all parts of a running controller.
 pub struct Reach {
     addresses: Mutex<Addresses>,
-    /// Batches, so that a burst of lines is one entry.
+    /// Inputs for the core, in batches, so that a burst of lines takes one entry.
     pub inbox: Queue<Vec<Input>>,
     pub deployment: Deployment,
-    /// The newest list's version, for the next watch.
+    /// The version of the newest list, sent with the next watch request.
     pub index: AtomicU64,
+    /// The number of the next follower.
     followers: AtomicU32,
+    /// The number of the next watch.
     watches: AtomicU32,
     pub shutdown: Shutdown,
+    /// State of the random generator for retry jitter.
     chance: AtomicU64,
     pub teller: Teller,
     pub clock: Clock,
 }
 
+/// A handle to the shared state.
 pub type Shared = Arc<Reach>;
 
 impl Reach {
@@ -61,6 +68,7 @@
         })
     }
 
+    /// The current addresses.
     pub fn addresses(&self) -> Addresses {
         *self
             .addresses
@@ -68,7 +76,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells whether anything changed.
+    /// Replaces the addresses; returns whether either changed.
     pub fn moved(&self, relay: SocketAddr, discovery: SocketAddr) -> bool {
         let mut now = self
             .addresses
@@ -85,23 +93,26 @@
         changed
     }
 
+    /// Numbers a connection to the relay's news.
     pub fn next_follower(&self) -> u32 {
         self.followers.fetch_add(1, Ordering::Relaxed)
     }
 
+    /// Numbers a watch of the discovery list.
     pub fn next_watch(&self) -> u32 {
         self.watches.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Puts inputs before the owner, waiting for room.
+    /// Queues inputs for the core, waiting while the queue is full.
     pub fn put(&self, inputs: Vec<Input>) {
         if !inputs.is_empty() {
-            // The queue is closed only as the process ends.
+            // An error means a closed queue, which only happens as the process ends.
             let _ = self.inbox.put(inputs);
         }
     }
 
-    /// A wait before the next attempt: doubled with each, up to a bound, and spread by chance.
+    /// The delay before the next connection attempt: exponential backoff up to a limit, with random
+    /// jitter.
     pub fn wait(&self, attempt: u32) -> Duration {
         let most = (30.0 * f64::from(1 << attempt.min(5))).min(500.0);
         let draw = self
@@ -113,7 +124,8 @@
     }
 }
 
-/// Unix time at the start plus monotonic time since: it fits `since_ms` and never goes back.
+/// Unix time at the start plus the monotonic time since then, in milliseconds. It is comparable to
+/// `since_ms` in the discovery list and never goes back.
 pub struct Clock {
     begun: Instant,
     unix_ms: f64,
@@ -128,14 +140,15 @@
         }
     }
 
+    /// The current time in milliseconds.
     pub fn now_ms(&self) -> f64 {
         self.unix_ms + self.begun.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The instant of a time; none in the past.
+    /// The instant of a time in milliseconds, not before the start of the clock.
     pub fn at(&self, ms: f64) -> Instant {
         let after = (ms - self.unix_ms).max(0.0);
-        // A year ahead is as good as never, and fits an instant.
+        // Capped at about a year ahead, so that the sum does not overflow an `Instant`.
         self.begun + Duration::from_secs_f64(after.min(3.2e10) / 1000.0)
     }
 }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -1,8 +1,9 @@
-//! The relay: two followers of its news, and the one who calls.
+//! Connections to the relay: two followers that read its news, and one caller that sends calls.
 //!
-//! While one follower is unbroken nothing of the news is missed (see `platform::joined`), so there are
-//! two seats. A follower that falls silent, or whose address is replaced, gets a successor beside it
-//! and ends only when that one has been told what stands, and what was on its way has come.
+//! No news is missed while one follower stays connected (see `platform::joined`), so there are two
+//! slots. When a follower falls silent or its address is replaced, a successor is started next to it;
+//! the old one ends once the successor has received the current state and news still in transit has
+//! had time to arrive.
 
 use crate::beside::{Beside, Due, Serves};
 use crate::reach::{Addresses, Shared};
@@ -15,33 +16,41 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
+/// Followers kept connected.
 const SEATS: usize = 2;
+/// The timeout of a connect.
 const DIAL: Duration = Duration::from_millis(700);
-/// The sign of life comes each second (PROTOCOL, "The relay"); without two of them it is out of reach.
+/// The relay sends a heartbeat each second (PROTOCOL, "The relay"); after two missed ones it counts as
+/// unreachable.
 const SILENT: Duration = Duration::from_millis(2300);
+/// How long a follower goes on once its successor is ready, for news still in transit.
 const LAG: Duration = Duration::from_millis(LAG_MS as u64);
-/// How often a new address is looked for.
+/// How often a waiting follower checks for a new address and for silence.
 const LOOK: Duration = Duration::from_millis(200);
+/// The longest line accepted from the relay, in bytes.
 const MOST_LINE: usize = 4096;
-/// An answer arrives within 50 ms or never (PROTOCOL, "The relay"); the rest is for a busy machine.
+/// The relay answers within 50 ms or never (PROTOCOL, "The relay"); the rest allows for a busy machine.
 const ANSWERED_WITHIN: Duration = Duration::from_millis(200);
+/// The timeout of a write.
 pub const WRITTEN_WITHIN: Duration = Duration::from_millis(300);
-/// The relay closes what stood idle for about 10 s or less: after this a call takes a new connection.
+/// The longest pause after which a call reuses the connection; the relay closes idle connections after
+/// about 10 s or less.
 const IDLE: Duration = Duration::from_millis(1000);
 
-/// Follows the news for good.
+/// Starts the followers, which run until the process ends.
 pub fn follow(reach: &Shared) {
     for seat in 0..SEATS {
         let reach = reach.clone();
         spawn(move || {
-            // The second seat never begins at the same moment as the first.
+            // Staggered, so that the followers do not start at the same time.
             sleep(Duration::from_millis(150 * seat as u64));
             follower(reach, Serves::default());
         });
     }
 }
 
-/// One follower, from its first dial to its end; `settled` is set once it was told what stands.
+/// Runs one follower and reconnects it until a successor replaces it. `settled` is set once it has
+/// received the current state.
 fn follower(reach: Shared, settled: Serves) {
     let mut attempt = 0;
     loop {
@@ -70,12 +79,15 @@
     }
 }
 
+/// Why a follower's connection ended.
 enum Ended {
-    /// A successor has its seat.
+    /// A successor has taken over its slot.
     Replaced,
+    /// It failed, for this reason, and is retried.
     Broken(String),
 }
 
+/// Reads the news of one connection until it ends.
 fn listen(reach: &Shared, socket: &Socket, at: Addresses, id: u32, settled: &Serves) -> Ended {
     let broken = |why: &str| Ended::Broken(format!("{}: {why}", at.relay));
     if socket
@@ -89,7 +101,7 @@
     let mut buffer = [0; 8192];
     let (mut begun, mut told_silent) = (false, false);
     loop {
-        // Before the read: what has been read is told.
+        // Checked before the read, so that everything read was passed on.
         if beside.is_over() {
             return Ended::Replaced;
         }
@@ -149,7 +161,7 @@
     }
 }
 
-/// Makes the calls, one after the other, for good.
+/// Starts the caller, which sends the queued calls one after the other until the process ends.
 pub fn call(reach: &Shared) -> Queue<Call> {
     let calls: Queue<Call> = Queue::bounded(4);
     let (reach, taken) = (reach.clone(), calls.clone());
@@ -171,12 +183,14 @@
     calls
 }
 
-/// Nothing has come of a connection that nothing was asked on, neither an end nor a word.
+/// Whether an idle connection is still usable: it was not closed and no unexpected bytes arrived.
 fn stands(socket: &Socket) -> bool {
     let read = socket.read(&mut [0; 1], Some(Instant::now()));
     read.is_err_and(|e| e.kind() == std::io::ErrorKind::TimedOut)
 }
 
+/// Sends one call on `held` or on a new connection and reads the answer. Returns the connection if it
+/// can be used again.
 fn make(
     reach: &Shared,
     at: Addresses,
@@ -227,7 +241,8 @@
             Some(Ok(line)) => {
                 let answer = relay::answer(line);
                 if answer != relay::Answer::Unreadable {
-                    // What came behind it would be read as the next call's answer.
+                    // Bytes after the answer would be read as the next call's answer, so the
+                    // connection is not used again.
                     let clean = lines.open() == 0;
                     return (Outcome::Answered(answer), clean.then_some(socket));
                 }
--- a/crates/node/src/tell.rs
+++ b/crates/node/src/tell.rs
@@ -1,26 +1,32 @@
-//! The log, bounded: a repeated fault is told once, and again with its count after a while.
+//! A rate-limited log: a repeated fault is logged once, then again with its count after an interval.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A fault that goes on is told this often.
+/// The interval in which a fault of one kind is logged at most once.
 const AGAIN: Duration = Duration::from_secs(10);
-/// Lines of any kind in that time.
+/// Lines of all kinds in one interval.
 const MOST_LINES: u32 = 200;
 
 #[derive(Default)]
 struct State {
+    /// By kind of fault: when it was last logged, and how often it happened since.
     kinds: BTreeMap<&'static str, (Instant, u64)>,
+    /// The start of the current interval.
     since: Option<Instant>,
+    /// Lines in the current interval, including dropped ones.
     lines: u32,
+    /// Lines dropped in the current interval.
     left_out: u64,
 }
 
+/// A log with a limit on lines per interval.
 #[derive(Default)]
 pub struct Teller(Mutex<State>);
 
 impl Teller {
+    /// Counts a line and returns whether it may be written.
     fn room(state: &mut State) -> bool {
         let now = Instant::now();
         if state.since.is_none_or(|at| now - at >= AGAIN) {
@@ -35,7 +41,7 @@
         room
     }
 
-    /// What an operator may want to know of the course of things.
+    /// Logs a message for operators.
     pub fn note(&self, text: &str) {
         let mut state = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         if Teller::room(&mut state) {
@@ -43,7 +49,8 @@
         }
     }
 
-    /// A fault of some kind: the first is told at once, the next ones as a count.
+    /// Logs a fault. The first of its kind is logged at once; those in the interval after it are
+    /// counted, and the count appears in the next line of that kind.
     pub fn fault(&self, kind: &'static str, detail: impl FnOnce() -> String) {
         let mut state = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -1,7 +1,8 @@
-//! Discovery's watch. After missed beats, or with a new address, a second one is opened beside the
-//! first, which ends once the second has brought anything. While discovery is down the last list stands.
-//! One that is told versions below ours for longer than discovery may be behind asks again, so that the
-//! core can tell a discovery that is late from one whose versions begin anew.
+//! The watch of the discovery list. After missed heartbeats or an address change a second watch is
+//! opened, and the first ends once the second has received data. While discovery is down, the last
+//! list stays in use. A watch that receives versions below the newest known one for longer than
+//! discovery may lag asks again, so that the core can tell a lagging discovery from one whose
+//! versions have restarted.
 
 use crate::beside::{Beside, Due, Serves};
 use crate::reach::{Addresses, Shared};
@@ -13,21 +14,30 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
+/// The timeout of a connect.
 const DIAL: Duration = Duration::from_millis(700);
+/// The timeout of a write.
 const WRITTEN_WITHIN: Duration = Duration::from_millis(300);
-/// An empty line arrives every 2 s while nothing changes (PROTOCOL, "Discovery").
+/// How long without data a watch counts as silent. Discovery sends an empty line every 2 s while
+/// nothing changes (PROTOCOL, "Discovery").
 const SILENT: Duration = Duration::from_millis(2600);
+/// How often a waiting watch checks for a new address and for silence.
 const LOOK: Duration = Duration::from_millis(200);
+/// How long versions may stay below the newest known one before the watch asks again.
 const TOLD_WITHIN: Duration = Duration::from_millis(TOLD_WITHIN_MS as u64);
+/// The largest response head, in bytes.
 const MOST_HEAD: usize = 8192;
+/// The longest line of the list, in bytes.
 const MOST_LINE: usize = 1 << 20;
 
-/// Watches for good.
+/// Starts the watch, which runs until the process ends.
 pub fn begin(reach: &Shared) {
     let reach = reach.clone();
     spawn(move || watcher(reach, Serves::default()));
 }
 
+/// Runs one watch and reconnects it until a successor replaces it. `brought` is set once it has
+/// received data.
 fn watcher(reach: Shared, brought: Serves) {
     let mut attempt = 0;
     loop {
@@ -56,12 +66,15 @@
     }
 }
 
+/// Why a watch's connection ended.
 enum Ended {
+    /// A successor has taken over.
     Replaced,
+    /// It failed, for this reason, and is retried.
     Broken(String),
 }
 
-/// The length of an answer's head and whether its body is chunked; none until all of it has come.
+/// Parses a response head: its length and whether the body is chunked; `None` while incomplete.
 fn head(bytes: &[u8]) -> Result<Option<(usize, bool)>, String> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut answer = httparse::Response::new(&mut headers);
@@ -82,6 +95,7 @@
     }
 }
 
+/// Requests the list and reads it and its changes until the connection ends.
 fn watch(reach: &Shared, socket: &Socket, at: Addresses, brought: &Serves) -> Ended {
     let after = reach.index.load(Ordering::Acquire);
     let number = reach.next_watch();
@@ -176,7 +190,8 @@
                     let watch = number;
                     inputs.push(Input::List { watch, list });
                 }
-                // What it held is told again by the next watch, after the version that stands.
+                // The next watch asks for everything after the current version, which includes the
+                // content of this line.
                 Err(why) => {
                     reach.put(inputs);
                     return Ended::Broken(format!("a line that is no list: {why}"));
--- a/crates/node/tests/shutdown.rs
+++ b/crates/node/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of the process against the write under way.
+//! A shutdown waits for the write in progress.
 
 use dahliapoint_node::Shutdown;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 
     let shutdown = Arc::new(Shutdown::default());
     assert!(shutdown.try_begin_write());
-    // Nobody ends the write: the time is up.
+    // The write is not ended, so the deadline passes.
     shutdown.begin(Instant::now());
     assert!(!shutdown.try_begin_write(), "one is under way");
     let ends = shutdown.clone();
