--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -1,5 +1,5 @@
-//! The real program as a controller of the platform, against stand-ins on loopback: what crosses the
-//! sockets is checked, not what it believes.
+//! Runs `dahliapoint node` against stand-ins of the platform on loopback and checks what it sends,
+//! not its internal state.
 
 mod common;
 
@@ -54,8 +54,8 @@
             ),
             "{fault:?}"
         );
-        // The next call is the one that the leaving leads to, or one of the ramp; either way the
-        // table ends as the list says.
+        // The next call is the withdrawal or a step of the ramp; in either case the table must end up
+        // as the list says.
         relay.with_state(|held| held.faults.push_back(fault));
         if fault != RelayFault::ExecuteFirst(0) {
             discovery.with_state(|l| l.set_status(&name, "removed"));
@@ -75,7 +75,7 @@
 #[test]
 fn a_binding_that_was_lost_is_made_again_and_news_that_was_missed_is_not_trusted() {
     let (relay, _discovery, _node) = serving();
-    // Not carried out, and no mark answered: bound again.
+    // The bind is not executed and its mark not acknowledged: it must be sent again.
     relay.with_state(|held| {
         held.faults
             .push_back(RelayFault::Disconnect { executed: false });
@@ -84,7 +84,7 @@
     assert!(wait_until(
         || relay.with_state(|held| held.unbound().is_empty())
     ));
-    // One follower breaks: nobody is bound anew.
+    // One follower is disconnected: no proxy is bound again.
     let before = relay.with_state(|held| held.bind_counts.clone());
     relay.with_state(|held| held.disconnect_followers(false));
     assert!(wait_until(|| relay
@@ -97,7 +97,7 @@
     let mut after = relay.with_state(|held| held.bind_counts.clone());
     after.remove(&10);
     assert_eq!(before, after);
-    // Both break, and a proxy leaves and comes back meanwhile: it is bound all the same.
+    // Both are disconnected while a proxy leaves and rejoins: it must be bound again.
     relay.with_state(|held| {
         held.disconnect_followers(true);
         held.leave(1);
@@ -144,7 +144,7 @@
     }
     let mut endless = node.connect();
     while endless.write_all(&[b'x'; 4096]).is_ok() {}
-    // The collector is heard: a server that fails all it is sent is put out, by its reports alone.
+    // The collector's reports still count: a server whose tries all fail gets weight 0 because of them.
     let reports = |failed: [u32; 3]| {
         let line = |(i, f): (usize, &u32)| {
             format!(
@@ -168,13 +168,13 @@
 fn a_new_configuration_moves_it_without_a_binding_lost() {
     let (relay, discovery, node) = serving();
     let (other, elsewhere) = (relay.at_another_address(), discovery.at_another_address());
-    // A bad one changes nothing, and ends nothing.
+    // An invalid configuration changes nothing and does not end the process.
     std::fs::write(&node.file, "{\"name\": 7").unwrap();
     node.signal("HUP");
     let before = relay.with_state(|held| held.bind_counts.clone());
     let asked = discovery.with_state(|l| l.requests);
     node.moves_to(&other, &elsewhere);
-    // Beside the old ones, which a real address closes only later.
+    // The new connections are opened while the old ones are open, which a real platform closes later.
     assert!(wait_until(|| discovery.with_state(|l| l.requests) > asked));
     assert!(wait_until(|| relay
         .with_state(|held| held.follower_count())
--- a/crates/daemon/tests/rare.rs
+++ b/crates/daemon/tests/rare.rs
@@ -1,5 +1,6 @@
-//! Rare moments, on real connections: each test makes the bad order happen. A peer's bytes are held at a
-//! barrier, or the controller is stopped while they come, so that no test waits for luck or for a clock.
+//! Races of `dahliapoint node`, on real connections. Each test forces the bad order of events: a peer
+//! holds bytes back, or the controller is stopped by SIGSTOP while they arrive, so that no test depends
+//! on luck or timing.
 
 mod common;
 
@@ -10,7 +11,7 @@
 use std::process::Command;
 
 impl Node {
-    /// Nothing is read by it until it goes on; what comes meanwhile waits in the order in which it came.
+    /// Runs a closure while the process is stopped; what arrives meanwhile is queued in order.
     fn while_stopped<T>(&self, happens: impl FnOnce() -> T) -> T {
         self.signal("STOP");
         let out = happens();
@@ -19,14 +20,14 @@
     }
 }
 
-/// All that a socket still says, up to a clean end.
+/// Reads a socket to a clean end.
 fn rest(mut socket: &TcpStream) -> Result<String, std::io::ErrorKind> {
     let mut said = String::new();
     let read = socket.read_to_string(&mut said);
     read.map(|_| said).map_err(|e| e.kind())
 }
 
-/// A call that was made from now on: the next one of which that is true.
+/// The first call after the first `from` ones that contains `order`.
 fn call_with(relay: &Relay, from: usize, order: &str) -> Option<String> {
     relay.with_state(|held| {
         let mut calls = held.calls.iter().skip(from);
@@ -50,15 +51,15 @@
         held.join(9);
         held.calls.len()
     });
-    // The call is carried out and its mark answered, on both followers; its own answer is held.
+    // The call is executed and its mark acknowledged on both followers; its own answer is delayed.
     assert!(wait_until(
         || relay.with_state(|held| held.delayed_calls == 1)
     ));
     let held = call_with(&relay, before, "bind,9,").unwrap();
-    // Whoever asks now is answered behind what the followers brought.
+    // This probe is answered after the followers' news was read.
     assert!(node.is_alive());
     relay.with_state(|held| held.release_delayed = true);
-    // The next decision is made, and nothing of the call that broke goes again, before it or behind it.
+    // Later calls are sent, and nothing of the failed call is sent again, before or after them.
     relay.with_state(|held| held.join(10));
     assert!(wait_until(
         || call_with(&relay, before, "bind,10,").is_some()
@@ -97,7 +98,7 @@
 
 // ---- the controller's address ----
 
-/// As many strangers as the limit on descriptors leaves room for beside one who asks; the first is the oldest.
+/// Opens as many connections without joining as the limit allows next to one probe; oldest first.
 fn full(node: &Node) -> Vec<TcpStream> {
     (0..37).map(|_| node.connect()).collect()
 }
@@ -109,7 +110,7 @@
         let strangers = full(&node);
         assert!(node.is_alive());
         let newcomers = node.while_stopped(|| {
-            // Those who need the room come first, then the question of the one who is to go.
+            // The newcomers arrive first, then the probe on the connection that they evict.
             let newcomers: Vec<TcpStream> = (0..20).map(|_| node.connect()).collect();
             for mut oldest in strangers.iter().take(15) {
                 oldest.write_all(b"probe\r\n").unwrap();
@@ -136,7 +137,7 @@
         oldest.write_all(b"agent zone=a\r\n").unwrap();
         newcomers
     });
-    // All that has been seen to: it has been put out by now, or it stays.
+    // Everything before this probe was handled: the connection was closed by now, or it stays.
     assert!(node.is_alive());
     let line = |server: usize, failed| {
         format!(
@@ -188,7 +189,7 @@
     assert!(wait_until(
         || relay.with_state(|held| withdrawn(held, "s-1"))
     ));
-    // The body ends in the middle: the next watch asks for what came after the version that stands.
+    // The body ends within a line: the next watch asks for everything after the current version.
     discovery.with_state(|l| l.set_status_unterminated("s-2", "draining"));
     assert!(wait_until(
         || relay.with_state(|held| withdrawn(held, "s-2"))
@@ -205,7 +206,7 @@
     assert!(wait_until(
         || relay.with_state(|held| withdrawn(held, "s-1"))
     ));
-    // From there on its changes are told by the new numbers.
+    // Later changes use the new versions.
     discovery.with_state(|l| l.set_status("s-2", "draining"));
     assert!(wait_until(
         || relay.with_state(|held| withdrawn(held, "s-2"))
@@ -233,7 +234,7 @@
     assert!(wait_until(|| relay
         .with_state(|held| held.follower_connections.total)
         >= followed + 3));
-    // A new configuration in the middle of it.
+    // The configuration changes during the silence.
     node.moves_to(&other, &elsewhere);
     assert!(wait_until(|| discovery
         .with_state(|l| l.watch_connections.total)
@@ -245,7 +246,7 @@
     let followers = relay.with_state(|held| held.follower_connections);
     assert!(watches.peak <= 2, "{watches:?}");
     assert!(followers.peak <= 4, "{followers:?}");
-    // It ends: what was missed is told.
+    // After the silence, missed changes arrive.
     relay.with_state(|held| held.silent = false);
     discovery.with_state(|l| {
         l.silent = false;
@@ -284,7 +285,7 @@
     let (relay, discovery, node) = serving();
     let (other, elsewhere) = (relay.at_another_address(), discovery.at_another_address());
     let text = configuration(node.address, other.address, elsewhere.address, "null");
-    // Whoever reads the file waits for its writer; what it gets is the first half.
+    // The configuration is a FIFO, so its reader waits for the writer; it gets only the first half.
     let path = fifo();
     std::fs::rename(&path, &node.file).unwrap();
     node.signal("HUP");
@@ -307,7 +308,7 @@
     let (relay, discovery, node) = serving();
     let (other, elsewhere) = (relay.at_another_address(), discovery.at_another_address());
     let before = relay.with_state(|held| {
-        // A call is under way meanwhile.
+        // A call is in flight meanwhile.
         held.faults.push_back(RelayFault::DelayAnswer);
         held.join(9);
         held.follower_connections.total
@@ -353,7 +354,7 @@
 #[test]
 fn told_to_end_while_a_new_configuration_is_read_it_ends() {
     let (_relay, _discovery, node) = serving();
-    // Nobody writes it: whoever reads waits.
+    // A FIFO without a writer: the reader blocks.
     let path = fifo();
     std::fs::rename(&path, &node.file).unwrap();
     node.signal("HUP");
@@ -400,12 +401,12 @@
 #[test]
 fn a_log_that_nobody_reads_holds_nothing_up() {
     let (relay, discovery) = (Relay::start(), Discovery::start(&["s-1", "s-2", "s-3"]));
-    // Its standard error is a pipe of 64 KiB that is never read.
+    // Standard error is a pipe of 64 KiB that is never read.
     let node = Node::start_as(&relay, &discovery, |command| {
         let debug = command.env("DAHLIAPOINT_LOG", "debug");
         debug.stderr(std::process::Stdio::piped());
     });
-    // Each joining is a line of some hundred bytes, each report one for every server.
+    // Each join logs a line of some hundred bytes, each report one for every server.
     let mut collector = node.connect();
     collector.write_all(b"agent zone=a\r\n").unwrap();
     let report = "outcomes zone=a server=s-1 tries=4 failed=0 mean_ms=90.5 span_ms=1000.0\r\n";
@@ -430,14 +431,14 @@
     discovery.with_state(|l| l.silent = true);
     (0..20).for_each(|_| relay.with_state(|held| held.faults.push_back(RelayFault::TooManyCalls)));
     relay.with_state(|held| held.join(3));
-    // Ready is whoever answers `probe`; here discovery says nothing and the relay turns calls away.
+    // A controller is ready once it answers `probe`; discovery is silent and the relay refuses calls.
     let node = Node::start(&relay, &discovery);
     assert!(node.is_alive());
     assert!(wait_until(|| relay
         .with_state(
             |held| held.unbound().is_empty() && held.weights.len() == 2
         )));
-    // The list differs from what was known: s-1 has gone unseen.
+    // The list differs from the known one: s-1 is missing.
     discovery.with_state(|l| {
         l.servers.remove("s-1");
         l.index += 5;
@@ -447,7 +448,7 @@
         || relay.with_state(|held| withdrawn(held, "s-1"))
     ));
     assert!(!relay.with_state(|held| withdrawn(held, "s-2")));
-    // Bad settings end it before it serves, also now.
+    // Invalid settings still end a controller before it serves.
     let path = file();
     std::fs::write(&path, "{").unwrap();
     assert_eq!(command(&path).status().unwrap().code(), Some(2));
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for the platform that a controller is put in service on: a relay, discovery, and checkers
-//! of what crossed the sockets. Plain threads; a listener may be moved to another address, and each
-//! fault happens when a test asks for it.
+//! Stand-ins for the platform around a controller: a relay and a discovery service that record what
+//! they receive, with checks on these records. They use plain threads, can listen on several
+//! addresses, and inject faults when a test asks for them.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{BufRead, BufReader, Write};
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Waits for a condition, and tells whether it came about within 20 s.
+/// Polls a condition for up to 20 s and returns whether it became true.
 pub fn wait_until(mut comes: impl FnMut() -> bool) -> bool {
     let end = Instant::now() + Duration::from_secs(20);
     while Instant::now() < end {
@@ -20,29 +20,26 @@
     comes()
 }
 
-/// What the relay does with the next call, once.
+/// A fault that the relay injects into one call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RelayFault {
-    /// Breaks after the last byte, the call carried out or not.
-    Disconnect {
-        executed: bool,
-    },
-    /// Answers nothing.
-    NoAnswer {
-        executed: bool,
-    },
-    /// Takes so many orders.
+    /// Closes the connection after the last byte of the call, without an answer.
+    Disconnect { executed: bool },
+    /// Never answers.
+    NoAnswer { executed: bool },
+    /// Executes only this many orders, and answers with their number.
     ExecuteFirst(usize),
-    /// Answers what cannot be read, the call carried out.
+    /// Executes the call and sends an answer that cannot be parsed.
     UnreadableAnswer,
+    /// Executes nothing and answers `too_many_calls`.
     TooManyCalls,
-    /// Carries the call out, answers nothing, and breaks once it is let go.
+    /// Executes the call, then closes the connection without an answer once `release_delayed` is set.
     DelayAnswer,
-    /// Answers, and says more in the same breath.
+    /// Executes the call and sends these bytes after the answer, in the same write.
     TrailingBytes(&'static str),
 }
 
-/// Connections of one kind: how many are open, how many ever were, and the most at a time.
+/// Counts of connections of one kind: open now, opened in total, and the peak of open ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ConnectionCounts {
     pub open: usize,
@@ -58,43 +55,54 @@
     }
 }
 
-/// What proxies hold, as the orders left them.
+/// The state of the relay: the joined proxies, the effect of the executed orders, and the faults to
+/// inject.
 #[derive(Default)]
 pub struct RelayState {
     pub joined: BTreeSet<usize>,
-    /// How often each was bound.
+    /// How often each proxy was bound since it joined.
     pub bind_counts: BTreeMap<usize, usize>,
+    /// Servers that are withdrawn now.
     pub withdrawn: BTreeSet<String>,
+    /// The weight last set for each server.
     pub weights: BTreeMap<String, f64>,
+    /// The text of every call received, without its `txn ` prefix.
     pub calls: Vec<String>,
-    /// The connection that each call came on, by its number.
+    /// The number of the connection that each call came on.
     pub call_connections: Vec<usize>,
+    /// The faults of the next calls, one each.
     pub faults: VecDeque<RelayFault>,
-    /// Calls that are held now, and whether they are let go.
+    /// Calls that wait in [`RelayFault::DelayAnswer`] now.
     pub delayed_calls: usize,
+    /// Lets the calls in [`RelayFault::DelayAnswer`] end.
     pub release_delayed: bool,
-    /// Followers are told what stands and nothing more.
+    /// Followers receive the joined proxies when they connect, and nothing after.
     pub silent: bool,
     pub follower_connections: ConnectionCounts,
+    /// Connections accepted so far.
     connections: usize,
+    /// Connections that follow the news.
     followers: Vec<TcpStream>,
+    /// All connections.
     callers: Vec<TcpStream>,
 }
 
 impl RelayState {
-    /// A proxy joins: followers are told, and it is not bound.
+    /// A proxy joins: it is not bound, and followers are notified.
     pub fn join(&mut self, proxy: usize) {
         self.joined.insert(proxy);
         self.bind_counts.remove(&proxy);
         self.tell(&format!("* hello {proxy} a 2.5 1\r\n"));
     }
 
+    /// A proxy leaves: followers are notified.
     pub fn leave(&mut self, proxy: usize) {
         self.joined.remove(&proxy);
         self.bind_counts.remove(&proxy);
         self.tell(&format!("* bye {proxy}\r\n"));
     }
 
+    /// Sends a line to all followers, and drops those that fail.
     fn tell(&mut self, line: &str) {
         if self.silent {
             return;
@@ -103,7 +111,7 @@
             .retain_mut(|f| f.write_all(line.as_bytes()).is_ok());
     }
 
-    /// Breaks all followers, or only the oldest.
+    /// Closes the connections of all followers, or of the oldest only.
     pub fn disconnect_followers(&mut self, all: bool) {
         let many = if all { self.followers.len() } else { 1 };
         for f in self.followers.drain(..many) {
@@ -111,10 +119,12 @@
         }
     }
 
+    /// The number of connected followers.
     pub fn follower_count(&self) -> usize {
         self.followers.len()
     }
 
+    /// Executes an order; returns false if it is invalid.
     fn take(&mut self, order: &str) -> bool {
         let words: Vec<&str> = order.split(',').collect();
         match words[..] {
@@ -139,7 +149,7 @@
         true
     }
 
-    /// Joined proxies that no table was given to.
+    /// Joined proxies that were not bound since they joined.
     pub fn unbound(&self) -> Vec<usize> {
         let unbound = self
             .joined
@@ -148,13 +158,13 @@
         unbound.copied().collect()
     }
 
-    /// Calls above the size that one may have.
+    /// The number of calls above the size limit.
     pub fn oversized_calls(&self) -> usize {
         self.calls.iter().filter(|c| c.len() > 60_000).count()
     }
 }
 
-/// Something that listens and can be listened to elsewhere as well.
+/// A running stand-in: its state, shared by all its listeners, and the address of one of them.
 pub struct StandIn<T> {
     state: Arc<Mutex<T>>,
     pub address: SocketAddr,
@@ -165,6 +175,7 @@
 }
 
 impl<T: Send + 'static> StandIn<T> {
+    /// Listens on a free port and serves each connection on a thread of its own.
     fn open(state: Arc<Mutex<T>>, serve: fn(&Arc<Mutex<T>>, TcpStream)) -> StandIn<T> {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port on loopback");
         let address = listener
@@ -181,14 +192,17 @@
         StandIn { state, address }
     }
 
+    /// Runs a closure on the locked state.
     pub fn with_state<R>(&self, look: impl FnOnce(&mut T) -> R) -> R {
         look(&mut lock(&self.state))
     }
 }
 
+/// A stand-in of the relay.
 pub type Relay = StandIn<RelayState>;
 
 impl Relay {
+    /// Starts a relay that sends its followers a heartbeat each second.
     pub fn start() -> Relay {
         let state = Arc::new(Mutex::new(RelayState::default()));
         let beats = Arc::downgrade(&state);
@@ -202,12 +216,12 @@
         StandIn::open(state, relay)
     }
 
-    /// The same relay at one more address.
+    /// Opens another listener on the same state.
     pub fn at_another_address(&self) -> Relay {
         StandIn::open(self.state.clone(), relay)
     }
 
-    /// Closes every connection, as an address that is given up does.
+    /// Closes every connection, like an address that goes out of service.
     pub fn close_all(&self) {
         self.with_state(|held| {
             held.disconnect_followers(true);
@@ -218,6 +232,7 @@
     }
 }
 
+/// Serves a connection and keeps the connection counts.
 fn relay(state: &Arc<Mutex<RelayState>>, socket: TcpStream) {
     let Ok(mut out) = socket.try_clone() else {
         return;
@@ -232,6 +247,7 @@
     lock(state).follower_connections.open -= usize::from(follows);
 }
 
+/// Answers `follow` and `txn` lines until the connection ends.
 fn serve(
     state: &Arc<Mutex<RelayState>>,
     out: &mut TcpStream,
@@ -307,24 +323,27 @@
     }
 }
 
-/// What discovery knows, and who watches.
+/// The state of discovery: the list of servers and the watches on it.
 #[derive(Default)]
 pub struct DiscoveryState {
+    /// The version of the list.
     pub index: u64,
     /// Status by name.
     pub servers: BTreeMap<String, &'static str>,
     watches: Vec<TcpStream>,
-    /// Those of before are kept open and told nothing more.
+    /// Silenced watches, kept open.
     deaf: Vec<TcpStream>,
+    /// Watch requests received.
     pub requests: usize,
-    /// Whoever asks is told nothing at all.
+    /// New watch requests get no answer.
     pub silent: bool,
-    /// Each byte is written by itself.
+    /// Each byte is sent as a chunk and a write of its own.
     pub bytewise: bool,
     pub watch_connections: ConnectionCounts,
 }
 
 impl DiscoveryState {
+    /// The JSON object of a server.
     fn entry(name: &str, status: &str) -> String {
         format!(
             "{{\"name\":\"{name}\",\"address\":\"127.0.0.1:9\",\"zone\":\"a\",\"type\":\"m\",\"group\":0,\
@@ -346,7 +365,7 @@
         )
     }
 
-    /// Sets a server's status, and tells those who watch.
+    /// Sets a server's status and sends the change to all watches.
     pub fn set_status(&mut self, name: &str, status: &'static str) {
         self.index += 1;
         self.servers.insert(name.into(), status);
@@ -358,12 +377,14 @@
         self.tell(&line);
     }
 
+    /// Sends a line to all watches, and drops those that fail.
     fn tell(&mut self, line: &str) {
         let bytewise = self.bytewise;
         self.watches.retain_mut(|w| chunk(w, line, bytewise));
     }
 
-    /// The last of a change is not sent: the body ends without the line's end, and the watch with it.
+    /// Like [`DiscoveryState::set_status`], but without the final newline; then ends the body and the
+    /// connection of every watch.
     pub fn set_status_unterminated(&mut self, name: &str, status: &'static str) {
         self.index += 1;
         self.servers.insert(name.into(), status);
@@ -379,7 +400,7 @@
         }
     }
 
-    /// It begins anew: other versions, and those who watched are cut off.
+    /// Simulates a restart: versions continue from `index`, and all watches are disconnected.
     pub fn restart(&mut self, index: u64) {
         self.index = index;
         for w in self.watches.drain(..) {
@@ -387,17 +408,19 @@
         }
     }
 
-    /// Those who watch now hear nothing more, and get no sign of it.
+    /// Sends nothing more to the current watches, and keeps their connections open.
     pub fn silence_watches(&mut self) {
         self.deaf.append(&mut self.watches);
     }
 
+    /// The number of watches that receive changes.
     pub fn watch_count(&self) -> usize {
         self.watches.len()
     }
 }
 
-/// One chunk, cut in two where it hurts; or every byte a chunk's, and a write, of its own.
+/// Sends a text as two chunks, cut in the middle of the line, or with `bytewise` one byte per chunk and
+/// per write. Returns whether the writes succeeded.
 fn chunk(to: &mut TcpStream, text: &str, bytewise: bool) -> bool {
     if bytewise {
         let mut bytes = text
@@ -412,10 +435,11 @@
         .all(|t| write!(to, "{:x}\r\n{t}\r\n", t.len()).is_ok())
 }
 
+/// A stand-in of discovery.
 pub type Discovery = StandIn<DiscoveryState>;
 
 impl Discovery {
-    /// With servers that are up.
+    /// Starts a discovery with these servers in status `up`; it sends a heartbeat every 2 s.
     pub fn start(servers: &[&str]) -> Discovery {
         let up = servers.iter().map(|s| (s.to_string(), "up"));
         let listing = DiscoveryState {
@@ -435,11 +459,13 @@
         StandIn::open(state, discovery)
     }
 
+    /// Opens another listener on the same state.
     pub fn at_another_address(&self) -> Discovery {
         StandIn::open(self.state.clone(), discovery)
     }
 }
 
+/// Answers a watch request and keeps the connection open until the client closes it.
 fn discovery(state: &Arc<Mutex<DiscoveryState>>, socket: TcpStream) {
     let Ok(mut out) = socket.try_clone() else {
         return;
@@ -471,7 +497,7 @@
         }
     }
     drop(listing);
-    // Nothing more is asked: this ends with the connection.
+    // No further request is expected: this waits for the end of the connection.
     while let Some(Ok(_)) = lines.next() {}
     lock(state).watch_connections.open -= 1;
 }
@@ -480,7 +506,7 @@
 mod tests {
     use super::*;
 
-    /// Each checker fails on a controller that breaks its rule.
+    /// Each check detects a violation of its rule.
     #[test]
     fn the_checkers_see_what_they_are_for() {
         let mut held = RelayState::default();
