--- a/crates/daemon/tests/rare.rs
+++ b/crates/daemon/tests/rare.rs
@@ -1,16 +1,17 @@
-//! Rare moments, on real connections: each test makes the bad order happen. A peer's bytes are held at a
-//! barrier, or the controller is stopped while they come, so that no test waits for luck or for a clock.
+//! Races of `dahliapoint node`, on real connections. Each test forces the bad order of events: a peer
+//! holds bytes back, or the controller is stopped by SIGSTOP while they arrive, so that no test depends
+//! on luck or timing.
 
 mod common;
 
 use common::{Node, command, configuration, file, serving, withdrawn};
-use dahliapoint_standins::platform::{Discovery, Fault, Relay, until};
+use dahliapoint_standins::platform::{Discovery, Relay, RelayFault, wait_until};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::process::Command;
 
 impl Node {
-    /// Nothing is read by it until it goes on; what comes meanwhile waits in the order in which it came.
+    /// Runs a closure while the process is stopped; what arrives meanwhile is queued in order.
     fn while_stopped<T>(&self, happens: impl FnOnce() -> T) -> T {
         self.signal("STOP");
         let out = happens();
@@ -19,16 +20,16 @@
     }
 }
 
-/// All that a socket still says, up to a clean end.
+/// Reads a socket to a clean end.
 fn rest(mut socket: &TcpStream) -> Result<String, std::io::ErrorKind> {
     let mut said = String::new();
     let read = socket.read_to_string(&mut said);
     read.map(|_| said).map_err(|e| e.kind())
 }
 
-/// A call that was made from now on: the next one of which that is true.
+/// The first call after the first `from` ones that contains `order`.
 fn call_with(relay: &Relay, from: usize, order: &str) -> Option<String> {
-    relay.with(|held| {
+    relay.with_state(|held| {
         let mut calls = held.calls.iter().skip(from);
         calls.find(|c| c.contains(order)).cloned()
     })
@@ -45,52 +46,59 @@
 #[test]
 fn an_answer_to_a_mark_before_the_end_of_its_call_is_remembered() {
     let (relay, _discovery, node) = serving();
-    let before = relay.with(|held| {
-        held.faults.push_back(Fault::Hold);
+    let before = relay.with_state(|held| {
+        held.faults.push_back(RelayFault::DelayAnswer);
         held.join(9);
         held.calls.len()
     });
-    // The call is carried out and its mark answered, on both followers; its own answer is held.
-    assert!(until(|| relay.with(|held| held.holding == 1)));
+    // The call is executed and its mark acknowledged on both followers; its own answer is delayed.
+    assert!(wait_until(
+        || relay.with_state(|held| held.delayed_calls == 1)
+    ));
     let held = call_with(&relay, before, "bind,9,").unwrap();
-    // Whoever asks now is answered behind what the followers brought.
+    // This probe is answered after the followers' news was read.
     assert!(node.is_alive());
-    relay.with(|held| held.let_go = true);
-    // The next decision is made, and nothing of the call that broke goes again, before it or behind it.
-    relay.with(|held| held.join(10));
-    assert!(until(|| call_with(&relay, before, "bind,10,").is_some()));
-    relay.with(|held| held.join(11));
-    assert!(until(|| call_with(&relay, before, "bind,11,").is_some()));
+    relay.with_state(|held| held.release_delayed = true);
+    // Later calls are sent, and nothing of the failed call is sent again, before or after them.
+    relay.with_state(|held| held.join(10));
+    assert!(wait_until(
+        || call_with(&relay, before, "bind,10,").is_some()
+    ));
+    relay.with_state(|held| held.join(11));
+    assert!(wait_until(
+        || call_with(&relay, before, "bind,11,").is_some()
+    ));
     let same = |c: &&String| mark(c) == mark(&held);
-    let times = relay.with(|h| h.calls.iter().skip(before).filter(same).count());
-    assert_eq!((times, relay.with(|h| h.bound[&9])), (1, 1));
+    let times = relay.with_state(|h| h.calls.iter().skip(before).filter(same).count());
+    assert_eq!((times, relay.with_state(|h| h.bind_counts[&9])), (1, 1));
 }
 
 #[test]
 fn a_connection_that_said_more_than_its_answer_is_not_used_again() {
     let (relay, _discovery, _node) = serving();
     for (proxy, more) in [(9, "OK 0\r\n"), (10, "O")] {
-        let before = relay.with(|held| {
-            held.faults.push_back(Fault::Trailing(more));
+        let before = relay.with_state(|held| {
+            held.faults.push_back(RelayFault::TrailingBytes(more));
             held.join(proxy);
             held.calls.len()
         });
         let name = format!("bind,{proxy},");
-        assert!(until(|| call_with(&relay, before, &name).is_some()));
-        let next = relay.with(|held| {
+        assert!(wait_until(|| call_with(&relay, before, &name).is_some()));
+        let next = relay.with_state(|held| {
             held.join(proxy + 10);
             held.calls.len()
         });
         let name = format!("bind,{},", proxy + 10);
-        assert!(until(|| call_with(&relay, next, &name).is_some()));
-        let (odd, then) = relay.with(|held| (held.came_on[before], held.came_on[next]));
+        assert!(wait_until(|| call_with(&relay, next, &name).is_some()));
+        let (odd, then) =
+            relay.with_state(|held| (held.call_connections[before], held.call_connections[next]));
         assert_ne!(odd, then, "{more:?}");
     }
 }
 
 // ---- the controller's address ----
 
-/// As many strangers as the limit on descriptors leaves room for beside one who asks; the first is the oldest.
+/// Opens as many connections without joining as the limit allows next to one probe; oldest first.
 fn full(node: &Node) -> Vec<TcpStream> {
     (0..37).map(|_| node.connect()).collect()
 }
@@ -102,7 +110,7 @@
         let strangers = full(&node);
         assert!(node.is_alive());
         let newcomers = node.while_stopped(|| {
-            // Those who need the room come first, then the question of the one who is to go.
+            // The newcomers arrive first, then the probe on the connection that they evict.
             let newcomers: Vec<TcpStream> = (0..20).map(|_| node.connect()).collect();
             for mut oldest in strangers.iter().take(15) {
                 oldest.write_all(b"probe\r\n").unwrap();
@@ -129,7 +137,7 @@
         oldest.write_all(b"agent zone=a\r\n").unwrap();
         newcomers
     });
-    // All that has been seen to: it has been put out by now, or it stays.
+    // Everything before this probe was handled: the connection was closed by now, or it stays.
     assert!(node.is_alive());
     let line = |server: usize, failed| {
         format!(
@@ -140,10 +148,10 @@
         .into_iter()
         .map(|(s, f)| line(s, f))
         .collect();
-    assert!(until(|| {
+    assert!(wait_until(|| {
         let mut collector = &strangers[1];
         collector.write_all(reports.as_bytes()).unwrap();
-        relay.with(|held| held.lines.get("s-3") == Some(&0.0))
+        relay.with_state(|held| held.weights.get("s-3") == Some(&0.0))
     }));
     drop(newcomers);
 }
@@ -174,27 +182,35 @@
 #[test]
 fn a_list_cut_at_every_byte_and_one_without_its_last_line_end_are_told_all_the_same() {
     let (relay, discovery, _node) = serving();
-    discovery.with(|l| {
+    discovery.with_state(|l| {
         l.bytewise = true;
-        l.set("s-1", "draining");
+        l.set_status("s-1", "draining");
     });
-    assert!(until(|| relay.with(|held| withdrawn(held, "s-1"))));
-    // The body ends in the middle: the next watch asks for what came after the version that stands.
-    discovery.with(|l| l.set_unended("s-2", "draining"));
-    assert!(until(|| relay.with(|held| withdrawn(held, "s-2"))));
+    assert!(wait_until(
+        || relay.with_state(|held| withdrawn(held, "s-1"))
+    ));
+    // The body ends within a line: the next watch asks for everything after the current version.
+    discovery.with_state(|l| l.set_status_unterminated("s-2", "draining"));
+    assert!(wait_until(
+        || relay.with_state(|held| withdrawn(held, "s-2"))
+    ));
 }
 
 #[test]
 fn a_discovery_whose_versions_begin_anew_is_believed_in_the_end() {
     let (relay, discovery, _node) = serving();
-    discovery.with(|l| {
+    discovery.with_state(|l| {
         l.restart(2);
         l.servers.insert("s-1".into(), "draining");
     });
-    assert!(until(|| relay.with(|held| withdrawn(held, "s-1"))));
-    // From there on its changes are told by the new numbers.
-    discovery.with(|l| l.set("s-2", "draining"));
-    assert!(until(|| relay.with(|held| withdrawn(held, "s-2"))));
+    assert!(wait_until(
+        || relay.with_state(|held| withdrawn(held, "s-1"))
+    ));
+    // Later changes use the new versions.
+    discovery.with_state(|l| l.set_status("s-2", "draining"));
+    assert!(wait_until(
+        || relay.with_state(|held| withdrawn(held, "s-2"))
+    ));
 }
 
 // ---- silence ----
@@ -202,42 +218,52 @@
 #[test]
 fn a_silence_that_goes_on_keeps_two_watches_and_two_followers_a_seat() {
     let (relay, discovery, node) = serving();
-    let (other, elsewhere) = (relay.also(), discovery.also());
-    let asked = discovery.with(|l| {
-        l.fall_silent();
-        l.mute = true;
-        l.watching.ever
+    let (other, elsewhere) = (relay.at_another_address(), discovery.at_another_address());
+    let asked = discovery.with_state(|l| {
+        l.silence_watches();
+        l.silent = true;
+        l.watch_connections.total
     });
-    let followed = relay.with(|held| {
-        held.mute = true;
-        held.following.ever
+    let followed = relay.with_state(|held| {
+        held.silent = true;
+        held.follower_connections.total
     });
-    assert!(until(|| discovery.with(|l| l.watching.ever) >= asked + 2));
-    assert!(until(
-        || relay.with(|held| held.following.ever) >= followed + 3
-    ));
-    // A new configuration in the middle of it.
+    assert!(wait_until(|| discovery
+        .with_state(|l| l.watch_connections.total)
+        >= asked + 2));
+    assert!(wait_until(|| relay
+        .with_state(|held| held.follower_connections.total)
+        >= followed + 3));
+    // The configuration changes during the silence.
     node.moves_to(&other, &elsewhere);
-    assert!(until(|| discovery.with(|l| l.watching.ever) >= asked + 5));
-    assert!(until(
-        || relay.with(|held| held.following.ever) >= followed + 8
-    ));
-    let watches = discovery.with(|l| l.watching);
-    let followers = relay.with(|held| held.following);
-    assert!(watches.most <= 2, "{watches:?}");
-    assert!(followers.most <= 4, "{followers:?}");
-    // It ends: what was missed is told.
-    relay.with(|held| held.mute = false);
-    discovery.with(|l| {
-        l.mute = false;
-        l.set("s-1", "draining");
+    assert!(wait_until(|| discovery
+        .with_state(|l| l.watch_connections.total)
+        >= asked + 5));
+    assert!(wait_until(|| relay
+        .with_state(|held| held.follower_connections.total)
+        >= followed + 8));
+    let watches = discovery.with_state(|l| l.watch_connections);
+    let followers = relay.with_state(|held| held.follower_connections);
+    assert!(watches.peak <= 2, "{watches:?}");
+    assert!(followers.peak <= 4, "{followers:?}");
+    // After the silence, missed changes arrive.
+    relay.with_state(|held| held.silent = false);
+    discovery.with_state(|l| {
+        l.silent = false;
+        l.set_status("s-1", "draining");
     });
-    relay.with(|held| held.join(12));
-    assert!(until(
-        || relay.with(|held| withdrawn(held, "s-1") && held.bare().is_empty())
-    ));
-    assert!(until(|| relay.with(|held| held.following.open) == 2));
-    assert!(until(|| discovery.with(|l| l.watching.open) == 1));
+    relay.with_state(|held| held.join(12));
+    assert!(wait_until(|| relay.with_state(|held| withdrawn(
+        held, "s-1"
+    ) && held
+        .unbound()
+        .is_empty())));
+    assert!(wait_until(|| relay
+        .with_state(|held| held.follower_connections.open)
+        == 2));
+    assert!(wait_until(|| discovery
+        .with_state(|l| l.watch_connections.open)
+        == 1));
 }
 
 // ---- SIGHUP ----
@@ -257,9 +283,9 @@
 #[test]
 fn a_configuration_that_is_read_half_written_is_read_again_without_another_signal() {
     let (relay, discovery, node) = serving();
-    let (other, elsewhere) = (relay.also(), discovery.also());
+    let (other, elsewhere) = (relay.at_another_address(), discovery.at_another_address());
     let text = configuration(node.address, other.address, elsewhere.address, "null");
-    // Whoever reads the file waits for its writer; what it gets is the first half.
+    // The configuration is a FIFO, so its reader waits for the writer; it gets only the first half.
     let path = fifo();
     std::fs::rename(&path, &node.file).unwrap();
     node.signal("HUP");
@@ -270,48 +296,65 @@
     std::fs::write(&path, &text).unwrap();
     std::fs::rename(&path, &node.file).unwrap();
     half.write_all(&text.as_bytes()[..text.len() / 2]).unwrap();
-    let asked = discovery.with(|l| l.watching.ever);
+    let asked = discovery.with_state(|l| l.watch_connections.total);
     drop(half);
-    assert!(until(|| discovery.with(|l| l.watching.ever) > asked));
+    assert!(wait_until(|| discovery
+        .with_state(|l| l.watch_connections.total)
+        > asked));
 }
 
 #[test]
 fn there_and_back_again_loses_no_binding() {
     let (relay, discovery, node) = serving();
-    let (other, elsewhere) = (relay.also(), discovery.also());
-    let before = relay.with(|held| {
-        // A call is under way meanwhile.
-        held.faults.push_back(Fault::Hold);
+    let (other, elsewhere) = (relay.at_another_address(), discovery.at_another_address());
+    let before = relay.with_state(|held| {
+        // A call is in flight meanwhile.
+        held.faults.push_back(RelayFault::DelayAnswer);
         held.join(9);
-        held.following.ever
+        held.follower_connections.total
     });
-    assert!(until(|| relay.with(|held| held.holding == 1)));
+    assert!(wait_until(
+        || relay.with_state(|held| held.delayed_calls == 1)
+    ));
     node.moves_to(&other, &elsewhere);
-    assert!(until(|| relay.with(|held| held.following.ever) > before));
+    assert!(wait_until(|| relay
+        .with_state(|held| held.follower_connections.total)
+        > before));
     node.moves_to(&relay, &discovery);
-    relay.with(|held| held.let_go = true);
-    discovery.with(|l| l.set("s-1", "draining"));
-    assert!(until(|| relay.with(|held| withdrawn(held, "s-1"))));
-    relay.with(|held| held.join(11));
-    assert!(until(|| relay.with(|held| held.bare().is_empty())));
-    let bound = relay.with(|held| held.bound.clone());
-    assert!(bound.values().all(|times| *times == 1), "{bound:?}");
-    assert!(until(|| relay.with(|held| held.following.open) == 2));
-    assert!(until(|| discovery.with(|l| l.watching.open) == 1));
+    relay.with_state(|held| held.release_delayed = true);
+    discovery.with_state(|l| l.set_status("s-1", "draining"));
+    assert!(wait_until(
+        || relay.with_state(|held| withdrawn(held, "s-1"))
+    ));
+    relay.with_state(|held| held.join(11));
+    assert!(wait_until(
+        || relay.with_state(|held| held.unbound().is_empty())
+    ));
+    let bind_counts = relay.with_state(|held| held.bind_counts.clone());
+    assert!(
+        bind_counts.values().all(|times| *times == 1),
+        "{bind_counts:?}"
+    );
+    assert!(wait_until(|| relay
+        .with_state(|held| held.follower_connections.open)
+        == 2));
+    assert!(wait_until(|| discovery
+        .with_state(|l| l.watch_connections.open)
+        == 1));
 }
 
 // ---- SIGTERM ----
 
 fn ends_well(mut node: Node) {
     node.signal("TERM");
-    assert!(until(|| node.child.try_wait().unwrap().is_some()));
+    assert!(wait_until(|| node.child.try_wait().unwrap().is_some()));
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
 }
 
 #[test]
 fn told_to_end_while_a_new_configuration_is_read_it_ends() {
     let (_relay, _discovery, node) = serving();
-    // Nobody writes it: whoever reads waits.
+    // A FIFO without a writer: the reader blocks.
     let path = fifo();
     std::fs::rename(&path, &node.file).unwrap();
     node.signal("HUP");
@@ -321,24 +364,26 @@
 #[test]
 fn told_to_end_between_a_call_and_its_answer_it_leaves_the_call_whole() {
     let (relay, _discovery, node) = serving();
-    let before = relay.with(|held| {
-        held.faults.push_back(Fault::Hold);
+    let before = relay.with_state(|held| {
+        held.faults.push_back(RelayFault::DelayAnswer);
         held.join(9);
         held.calls.len()
     });
-    assert!(until(|| relay.with(|held| held.holding == 1)));
+    assert!(wait_until(
+        || relay.with_state(|held| held.delayed_calls == 1)
+    ));
     node.signal("HUP");
     ends_well(node);
-    relay.with(|held| held.let_go = true);
-    let calls = relay.with(|held| held.calls[before..].to_vec());
+    relay.with_state(|held| held.release_delayed = true);
+    let calls = relay.with_state(|held| held.calls[before..].to_vec());
     assert!(calls.iter().all(|c| mark(c).ends_with(",0")), "{calls:?}");
 }
 
 #[test]
 fn told_to_end_before_anything_answers_and_under_a_flood_it_ends() {
-    let (relay, discovery) = (Relay::begin(), Discovery::begin(&["s-1"]));
-    discovery.with(|l| l.mute = true);
-    (0..100).for_each(|_| relay.with(|held| held.faults.push_back(Fault::TooMany)));
+    let (relay, discovery) = (Relay::start(), Discovery::start(&["s-1"]));
+    discovery.with_state(|l| l.silent = true);
+    (0..100).for_each(|_| relay.with_state(|held| held.faults.push_back(RelayFault::TooManyCalls)));
     ends_well(Node::start(&relay, &discovery));
 
     let (_relay, _discovery, node) = serving();
@@ -355,25 +400,25 @@
 
 #[test]
 fn a_log_that_nobody_reads_holds_nothing_up() {
-    let (relay, discovery) = (Relay::begin(), Discovery::begin(&["s-1", "s-2", "s-3"]));
-    // Its standard error is a pipe of 64 KiB that is never read.
+    let (relay, discovery) = (Relay::start(), Discovery::start(&["s-1", "s-2", "s-3"]));
+    // Standard error is a pipe of 64 KiB that is never read.
     let node = Node::start_as(&relay, &discovery, |command| {
         let debug = command.env("DAHLIAPOINT_LOG", "debug");
         debug.stderr(std::process::Stdio::piped());
     });
-    // Each joining is a line of some hundred bytes, each report one for every server.
+    // Each join logs a line of some hundred bytes, each report one for every server.
     let mut collector = node.connect();
     collector.write_all(b"agent zone=a\r\n").unwrap();
     let report = "outcomes zone=a server=s-1 tries=4 failed=0 mean_ms=90.5 span_ms=1000.0\r\n";
     for round in 0..300 {
         collector.write_all(report.as_bytes()).unwrap();
         let proxy = round % 30;
-        relay.with(|held| held.join(proxy));
+        relay.with_state(|held| held.join(proxy));
         assert!(
-            until(|| relay.with(|held| held.bare().is_empty())),
+            wait_until(|| relay.with_state(|held| held.unbound().is_empty())),
             "{round}"
         );
-        relay.with(|held| held.leave(proxy));
+        relay.with_state(|held| held.leave(proxy));
     }
     ends_well(node);
 }
@@ -382,25 +427,28 @@
 
 #[test]
 fn a_controller_is_alive_before_anybody_answers_it_and_serves_by_its_old_list() {
-    let (relay, discovery) = (Relay::begin(), Discovery::begin(&["s-1", "s-2"]));
-    discovery.with(|l| l.mute = true);
-    (0..20).for_each(|_| relay.with(|held| held.faults.push_back(Fault::TooMany)));
-    relay.with(|held| held.join(3));
-    // Ready is whoever answers `probe`; here discovery says nothing and the relay turns calls away.
+    let (relay, discovery) = (Relay::start(), Discovery::start(&["s-1", "s-2"]));
+    discovery.with_state(|l| l.silent = true);
+    (0..20).for_each(|_| relay.with_state(|held| held.faults.push_back(RelayFault::TooManyCalls)));
+    relay.with_state(|held| held.join(3));
+    // A controller is ready once it answers `probe`; discovery is silent and the relay refuses calls.
     let node = Node::start(&relay, &discovery);
     assert!(node.is_alive());
-    assert!(until(
-        || relay.with(|held| held.bare().is_empty() && held.lines.len() == 2)
-    ));
-    // The list differs from what was known: s-1 has gone unseen.
-    discovery.with(|l| {
+    assert!(wait_until(|| relay
+        .with_state(
+            |held| held.unbound().is_empty() && held.weights.len() == 2
+        )));
+    // The list differs from the known one: s-1 is missing.
+    discovery.with_state(|l| {
         l.servers.remove("s-1");
         l.index += 5;
-        l.mute = false;
+        l.silent = false;
     });
-    assert!(until(|| relay.with(|held| withdrawn(held, "s-1"))));
-    assert!(!relay.with(|held| withdrawn(held, "s-2")));
-    // Bad settings end it before it serves, also now.
+    assert!(wait_until(
+        || relay.with_state(|held| withdrawn(held, "s-1"))
+    ));
+    assert!(!relay.with_state(|held| withdrawn(held, "s-2")));
+    // Invalid settings still end a controller before it serves.
     let path = file();
     std::fs::write(&path, "{").unwrap();
     assert_eq!(command(&path).status().unwrap().code(), Some(2));
