--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -17,8 +17,8 @@
 
 use crate::reach::Shared;
 use dahliapoint_fibers::{Socket, TcpListener, accept, give_way, sleep, spawn};
-use dahliapoint_platform::arriving::{self, Said};
 use dahliapoint_platform::core::Input;
+use dahliapoint_platform::inbound::{self, Message};
 use dahliapoint_platform::lines::Lines;
 use dahliapoint_platform::words::Fault;
 use std::collections::BTreeMap;
@@ -206,9 +206,9 @@
             let mut inputs = Vec::new();
             while let Some(line) = lines.next_line() {
                 let line = line.map_err(|_| Fault::Unreadable);
-                let said = line.and_then(|line| arriving::read(line, &self.reach.deployment));
+                let said = line.and_then(|line| inbound::parse(line, &self.reach.deployment));
                 match said {
-                    Ok(Said::Probe) => {
+                    Ok(Message::Probe) => {
                         if socket
                             .write_all(b"alive\r\n", Instant::now() + TAKEN_WITHIN)
                             .is_err()
@@ -220,11 +220,11 @@
                             until = Instant::now() + KEEP_ALIVE;
                         }
                     }
-                    Ok(Said::Agent { zone: named }) => {
+                    Ok(Message::Agent { zone: named }) => {
                         zone = Some(named);
                         self.joins(number, named, socket);
                     }
-                    Ok(Said::Report(report)) if zone.is_some() => {
+                    Ok(Message::Report(report)) if zone.is_some() => {
                         inputs.push(Input::Report(report))
                     }
                     Err(Fault::Spoilt(field)) if zone.is_some() => {
@@ -232,7 +232,7 @@
                         let told = || format!("field {field:?} is no good, left out: {text:?}");
                         self.reach.teller.fault("report", told);
                     }
-                    Ok(Said::Report(_)) | Err(_) => {
+                    Ok(Message::Report(_)) | Err(_) => {
                         self.reach.put(inputs);
                         let text = line.map_or("a line without end".into(), start_of);
                         let told =
@@ -248,7 +248,7 @@
                 }
             }
             if zone.is_some() {
-                lines.allow(arriving::MOST_BYTES);
+                lines.allow(inbound::MAX_LINE_BYTES);
                 until = Instant::now() + SILENT;
                 self.heard(number);
             }
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -1,9 +1,9 @@
 //! The core: inputs of one moment in, what is to be done out. It drives the one planner directly and
 //! decides nothing itself beyond the rules of [`crate::delivery`] and [`crate::joined`].
 
-use crate::arriving::Report;
 use crate::delivery::{Call, Delivery, Outcome, Returned};
 use crate::discovery::List;
+use crate::inbound::Report;
 use crate::joined::{Change, Joined};
 use crate::places::Places;
 use crate::relay::{Names, News, Order};
--- a/crates/platform/src/arriving.rs
+++ b/crates/platform/src/inbound.rs
@@ -4,7 +4,7 @@
 use dahliapoint_opening::Deployment;
 
 /// A message holds at most this many bytes (PROTOCOL, "At the controller's address").
-pub const MOST_BYTES: usize = 1 << 20;
+pub const MAX_LINE_BYTES: usize = 1 << 20;
 
 /// Reports cover at most this long (ms): the newest 16 periods are all that is remembered of any, so
 /// what says more is spoilt.
@@ -15,7 +15,7 @@
 
 /// One message.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum Message {
     Probe,
     /// A collector names the zone it is of.
     Agent {
@@ -47,11 +47,11 @@
 ///
 /// # Errors
 /// What is wrong with it.
-pub fn read(line: &[u8], told: &Deployment) -> Result<Said, Fault> {
+pub fn parse(line: &[u8], told: &Deployment) -> Result<Message, Fault> {
     let (kind, words) = split(line)?;
     match kind {
-        "probe" => Ok(Said::Probe),
-        "agent" => Ok(Said::Agent {
+        "probe" => Ok(Message::Probe),
+        "agent" => Ok(Message::Agent {
             zone: words.among("zone", &told.zones)?,
         }),
         "outcomes" => {
@@ -62,7 +62,7 @@
             if failed > tries {
                 return Err(Fault::Spoilt("failed"));
             }
-            Ok(Said::Report(Report::Outcomes {
+            Ok(Message::Report(Report::Outcomes {
                 zone: words.among("zone", &told.zones)?,
                 server: words.text("server")?.to_string(),
                 tries: tries as f64,
@@ -84,7 +84,7 @@
             if failed > MOST_TRIES {
                 return Err(Fault::Spoilt("failed"));
             }
-            Ok(Said::Report(Report::Demand {
+            Ok(Message::Report(Report::Demand {
                 proxy,
                 class: words.among("class", &told.classes)?,
                 visits: tries as f64,
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -2,7 +2,7 @@
 
 use dahliapoint::Standing;
 use dahliapoint_opening::{Deployment, deployment};
-use dahliapoint_platform::arriving::{self, Report, Said};
+use dahliapoint_platform::inbound::{self, Message, Report};
 use dahliapoint_platform::relay::{self, Answer, News};
 use dahliapoint_platform::words::Fault;
 use dahliapoint_platform::{chunks, discovery, lines};
@@ -39,7 +39,7 @@
 #[test]
 fn what_is_said_at_the_door() {
     let outcomes = |tries: f64, failed: f64| {
-        Ok(Said::Report(Report::Outcomes {
+        Ok(Message::Report(Report::Outcomes {
             zone: 0,
             server: "s-1".into(),
             tries,
@@ -49,7 +49,7 @@
         }))
     };
     let demand = |visits: f64| {
-        Ok(Said::Report(Report::Demand {
+        Ok(Message::Report(Report::Demand {
             proxy: 17,
             class: 0,
             visits,
@@ -57,9 +57,9 @@
         }))
     };
     let spoilt = |field| Err(Fault::Spoilt(field));
-    let cases: Vec<(&[u8], Result<Said, Fault>)> = vec![
-        (b"probe", Ok(Said::Probe)),
-        (b"agent zone=b", Ok(Said::Agent { zone: 1 })),
+    let cases: Vec<(&[u8], Result<Message, Fault>)> = vec![
+        (b"probe", Ok(Message::Probe)),
+        (b"agent zone=b", Ok(Message::Agent { zone: 1 })),
         (b"agent zone=c", spoilt("zone")),
         (b"agent", spoilt("zone")),
         (
@@ -99,7 +99,7 @@
     ];
     for (line, wanted) in cases {
         assert_eq!(
-            arriving::read(line, &told()),
+            inbound::parse(line, &told()),
             wanted,
             "{}",
             String::from_utf8_lossy(line)
@@ -222,7 +222,7 @@
         }).collect();
         all.push(bytes.clone());
         for line in &all {
-            let _ = arriving::read(line, &told);
+            let _ = inbound::parse(line, &told);
             let _ = relay::answer(line);
             let _ = relay::news(line, &told.zones, told.proxies);
             let _ = discovery::read(line, &told.zones);
--- a/crates/platform/tests/core.rs
+++ b/crates/platform/tests/core.rs
@@ -2,10 +2,10 @@
 
 use dahliapoint::Standing;
 use dahliapoint_opening::{Deployment, deployment};
-use dahliapoint_platform::arriving::Report;
 use dahliapoint_platform::core::{Core, Effects, Input, TOLD_WITHIN_MS};
 use dahliapoint_platform::delivery::Outcome;
 use dahliapoint_platform::discovery::{Entry, List};
+use dahliapoint_platform::inbound::Report;
 use dahliapoint_platform::places::QUIET_MS;
 use dahliapoint_platform::relay::{Answer, News};
 use serde_json::json;
--- a/crates/platform/tests/shapes.rs
+++ b/crates/platform/tests/shapes.rs
@@ -2,10 +2,10 @@
 //! and the planner: nothing depends on a name or on a count.
 
 use dahliapoint_opening::{Deployment, deployment};
-use dahliapoint_platform::arriving::{self, Said};
 use dahliapoint_platform::core::{Core, Effects, Input};
 use dahliapoint_platform::delivery::Outcome;
 use dahliapoint_platform::discovery::{self, List};
+use dahliapoint_platform::inbound::{self, Message};
 use dahliapoint_platform::relay::{self, Answer};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -265,8 +265,8 @@
     }
 
     fn report(&mut self, lines: &[String]) {
-        let said = |line: &String| match arriving::read(line.as_bytes(), &self.told) {
-            Ok(Said::Report(report)) => Input::Report(report),
+        let said = |line: &String| match inbound::parse(line.as_bytes(), &self.told) {
+            Ok(Message::Report(report)) => Input::Report(report),
             other => panic!("{line}: {other:?}"),
         };
         let inputs = lines.iter().map(said).collect();
