--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -18,9 +18,9 @@
 use crate::reach::Shared;
 use dahliapoint_fibers::{Socket, TcpListener, accept, give_way, sleep, spawn};
 use dahliapoint_platform::core::Input;
+use dahliapoint_platform::fields::LineError;
 use dahliapoint_platform::inbound::{self, Message};
 use dahliapoint_platform::lines::Lines;
-use dahliapoint_platform::words::Fault;
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -205,7 +205,7 @@
             lines.push(&buffer[..n]);
             let mut inputs = Vec::new();
             while let Some(line) = lines.next_line() {
-                let line = line.map_err(|_| Fault::Unreadable);
+                let line = line.map_err(|_| LineError::Malformed);
                 let said = line.and_then(|line| inbound::parse(line, &self.reach.deployment));
                 match said {
                     Ok(Message::Probe) => {
@@ -227,7 +227,7 @@
                     Ok(Message::Report(report)) if zone.is_some() => {
                         inputs.push(Input::Report(report))
                     }
-                    Err(Fault::Spoilt(field)) if zone.is_some() => {
+                    Err(LineError::InvalidField(field)) if zone.is_some() => {
                         let text = line.map_or(String::new(), start_of);
                         let told = || format!("field {field:?} is no good, left out: {text:?}");
                         self.reach.teller.fault("report", told);
--- a/crates/platform/src/inbound.rs
+++ b/crates/platform/src/inbound.rs
@@ -1,6 +1,6 @@
 //! What comes to the controller's address (PROTOCOL, "At the controller's address").
 
-use crate::words::{Fault, split};
+use crate::fields::{LineError, split_kind};
 use dahliapoint_opening::Deployment;
 
 /// A message holds at most this many bytes (PROTOCOL, "At the controller's address").
@@ -47,23 +47,23 @@
 ///
 /// # Errors
 /// What is wrong with it.
-pub fn parse(line: &[u8], told: &Deployment) -> Result<Message, Fault> {
-    let (kind, words) = split(line)?;
+pub fn parse(line: &[u8], told: &Deployment) -> Result<Message, LineError> {
+    let (kind, words) = split_kind(line)?;
     match kind {
         "probe" => Ok(Message::Probe),
         "agent" => Ok(Message::Agent {
-            zone: words.among("zone", &told.zones)?,
+            zone: words.index_in("zone", &told.zones)?,
         }),
         "outcomes" => {
-            let (tries, failed): (u64, u64) = (words.whole("tries")?, words.whole("failed")?);
+            let (tries, failed): (u64, u64) = (words.integer("tries")?, words.integer("failed")?);
             if tries > MOST_TRIES {
-                return Err(Fault::Spoilt("tries"));
+                return Err(LineError::InvalidField("tries"));
             }
             if failed > tries {
-                return Err(Fault::Spoilt("failed"));
+                return Err(LineError::InvalidField("failed"));
             }
             Ok(Message::Report(Report::Outcomes {
-                zone: words.among("zone", &told.zones)?,
+                zone: words.index_in("zone", &told.zones)?,
                 server: words.text("server")?.to_string(),
                 tries: tries as f64,
                 failed: failed as f64,
@@ -72,30 +72,32 @@
             }))
         }
         "demand" => {
-            let proxy: usize = words.whole("proxy")?;
+            let proxy: usize = words.integer("proxy")?;
             if proxy >= told.proxies {
-                return Err(Fault::Spoilt("proxy"));
+                return Err(LineError::InvalidField("proxy"));
             }
-            let (tries, failed): (u64, u64) = (words.whole("tries")?, words.whole("failed")?);
+            let (tries, failed): (u64, u64) = (words.integer("tries")?, words.integer("failed")?);
             if tries > MOST_TRIES {
-                return Err(Fault::Spoilt("tries"));
+                return Err(LineError::InvalidField("tries"));
             }
             // What could not be served may have come in the period before: more than came is no fault.
             if failed > MOST_TRIES {
-                return Err(Fault::Spoilt("failed"));
+                return Err(LineError::InvalidField("failed"));
             }
             Ok(Message::Report(Report::Demand {
                 proxy,
-                class: words.among("class", &told.classes)?,
+                class: words.index_in("class", &told.classes)?,
                 visits: tries as f64,
                 span_ms: span(&words)?,
             }))
         }
-        _ => Err(Fault::Unreadable),
+        _ => Err(LineError::Malformed),
     }
 }
 
-fn span(words: &crate::words::Words<'_>) -> Result<f64, Fault> {
+fn span(words: &crate::fields::Fields<'_>) -> Result<f64, LineError> {
     let span = words.number("span_ms", LONGEST_MS)?;
-    (span > 0.0).then_some(span).ok_or(Fault::Spoilt("span_ms"))
+    (span > 0.0)
+        .then_some(span)
+        .ok_or(LineError::InvalidField("span_ms"))
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,7 +1,7 @@
 //! The platform's protocol without I/O: what its parties say, read line by line; what is ordered,
 //! written; and the core that drives the one planner: `(now, inputs) -> effects`. Deterministic.
 //!
-//! The codecs ([`lines`], [`chunks`], [`words`], [`inbound`], [`relay`], [`discovery`]) know bytes and fields.
+//! The codecs ([`lines`], [`chunks`], [`fields`], [`inbound`], [`relay`], [`discovery`]) know bytes and fields.
 //! [`delivery`] holds the rules of what is sent and what is sent again, [`joined`] those of what
 //! several followers of the news tell, [`places`] names and indices. [`core`] puts them together.
 
@@ -9,9 +9,9 @@
 pub mod core;
 pub mod delivery;
 pub mod discovery;
+pub mod fields;
 pub mod inbound;
 pub mod joined;
 pub mod lines;
 pub mod places;
 pub mod relay;
-pub mod words;
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -2,9 +2,9 @@
 
 use dahliapoint::Standing;
 use dahliapoint_opening::{Deployment, deployment};
+use dahliapoint_platform::fields::LineError;
 use dahliapoint_platform::inbound::{self, Message, Report};
 use dahliapoint_platform::relay::{self, Answer, News};
-use dahliapoint_platform::words::Fault;
 use dahliapoint_platform::{chunks, discovery, lines};
 use proptest::prelude::*;
 use serde_json::json;
@@ -56,8 +56,8 @@
             span_ms: 1000.0,
         }))
     };
-    let spoilt = |field| Err(Fault::Spoilt(field));
-    let cases: Vec<(&[u8], Result<Message, Fault>)> = vec![
+    let spoilt = |field| Err(LineError::InvalidField(field));
+    let cases: Vec<(&[u8], Result<Message, LineError>)> = vec![
         (b"probe", Ok(Message::Probe)),
         (b"agent zone=b", Ok(Message::Agent { zone: 1 })),
         (b"agent zone=c", spoilt("zone")),
@@ -90,12 +90,12 @@
         (b"demand proxy=x class=lookup tries=19 failed=0 span_ms=1000.0", spoilt("proxy")),
         (b"demand proxy=17 class=other tries=19 failed=0 span_ms=1000.0", spoilt("class")),
         (b"demand proxy=17 class=lookup failed=0 span_ms=1000.0", spoilt("tries")),
-        (b"hello proxy=17 zone=a weight=2 fresh=1", Err(Fault::Unreadable)),
-        (b"GET / HTTP/1.1", Err(Fault::Unreadable)),
-        (b"txn share,4,s-1,1", Err(Fault::Unreadable)),
-        (b"", Err(Fault::Unreadable)),
-        (b"outcomes\x00", Err(Fault::Unreadable)),
-        (b"\xff\xfe", Err(Fault::Unreadable)),
+        (b"hello proxy=17 zone=a weight=2 fresh=1", Err(LineError::Malformed)),
+        (b"GET / HTTP/1.1", Err(LineError::Malformed)),
+        (b"txn share,4,s-1,1", Err(LineError::Malformed)),
+        (b"", Err(LineError::Malformed)),
+        (b"outcomes\x00", Err(LineError::Malformed)),
+        (b"\xff\xfe", Err(LineError::Malformed)),
     ];
     for (line, wanted) in cases {
         assert_eq!(
