--- a/crates/platform/src/chunks.rs
+++ b/crates/platform/src/chunked.rs
@@ -2,7 +2,7 @@
 
 /// It is not chunked as HTTP/1.1 says.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct NotChunked;
+pub struct InvalidChunk;
 
 /// No chunk's head is longer: a length in hexadecimal, and perhaps an extension.
 const MOST_HEAD: usize = 256;
@@ -18,17 +18,17 @@
 }
 
 #[derive(Default)]
-pub struct Chunks {
+pub struct ChunkedDecoder {
     state: State,
     head: Vec<u8>,
 }
 
-impl Chunks {
+impl ChunkedDecoder {
     /// Takes bytes in, and adds the body's to `out`. Tells whether the body goes on.
     ///
     /// # Errors
-    /// [`NotChunked`], and whatever comes after it is of no use.
-    pub fn push(&mut self, mut bytes: &[u8], out: &mut Vec<u8>) -> Result<bool, NotChunked> {
+    /// [`InvalidChunk`], and whatever comes after it is of no use.
+    pub fn push(&mut self, mut bytes: &[u8], out: &mut Vec<u8>) -> Result<bool, InvalidChunk> {
         while !bytes.is_empty() {
             match &mut self.state {
                 State::Ended => return Ok(false),
@@ -47,7 +47,7 @@
                     self.head.extend_from_slice(&bytes[..n]);
                     bytes = &bytes[n..];
                     if self.head.len() > MOST_HEAD {
-                        return Err(NotChunked);
+                        return Err(InvalidChunk);
                     }
                     if end.is_some() {
                         self.line()?;
@@ -58,18 +58,18 @@
         Ok(!matches!(self.state, State::Ended))
     }
 
-    fn line(&mut self) -> Result<(), NotChunked> {
-        let text = std::str::from_utf8(&self.head).map_err(|_| NotChunked)?;
+    fn line(&mut self) -> Result<(), InvalidChunk> {
+        let text = std::str::from_utf8(&self.head).map_err(|_| InvalidChunk)?;
         let text = text.trim_end_matches(['\r', '\n']);
         self.state = match self.state {
             State::Tail if text.is_empty() => State::Head,
-            State::Tail => return Err(NotChunked),
+            State::Tail => return Err(InvalidChunk),
             _ => {
                 let size = text.split(';').next().unwrap_or("").trim();
                 let plain = !size.is_empty() && size.bytes().all(|b| b.is_ascii_hexdigit());
                 let size = Some(size).filter(|_| plain);
                 let size = size.and_then(|s| u64::from_str_radix(s, 16).ok());
-                match size.ok_or(NotChunked)? {
+                match size.ok_or(InvalidChunk)? {
                     0 => State::Ended,
                     n => State::Data(n),
                 }
@@ -89,7 +89,8 @@
         let bytes = b"5\r\n{\"a\":\r\n3;x=y\r\n1}\n\r\n1\r\n\n\r\n0\r\n\r\n";
         for first in 0..bytes.len() {
             for second in first..bytes.len() {
-                let (mut chunks, mut out, mut goes_on) = (Chunks::default(), Vec::new(), true);
+                let (mut chunks, mut out, mut goes_on) =
+                    (ChunkedDecoder::default(), Vec::new(), true);
                 for piece in [&bytes[..first], &bytes[first..second], &bytes[second..]] {
                     goes_on = chunks.push(piece, &mut out).unwrap();
                 }
@@ -109,10 +110,10 @@
             b"2\r\nabc\r\n",
             &long,
         ] {
-            let mut chunks = Chunks::default();
+            let mut chunks = ChunkedDecoder::default();
             assert_eq!(
                 chunks.push(bytes, &mut Vec::new()),
-                Err(NotChunked),
+                Err(InvalidChunk),
                 "{bytes:?}"
             );
         }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,11 +1,11 @@
 //! The platform's protocol without I/O: what its parties say, read line by line; what is ordered,
 //! written; and the core that drives the one planner: `(now, inputs) -> effects`. Deterministic.
 //!
-//! The codecs ([`lines`], [`chunks`], [`fields`], [`inbound`], [`relay`], [`discovery`]) know bytes and fields.
+//! The codecs ([`lines`], [`chunked`], [`fields`], [`inbound`], [`relay`], [`discovery`]) know bytes and fields.
 //! [`delivery`] holds the rules of what is sent and what is sent again, [`joined`] those of what
 //! several followers of the news tell, [`places`] names and indices. [`core`] puts them together.
 
-pub mod chunks;
+pub mod chunked;
 pub mod core;
 pub mod delivery;
 pub mod discovery;
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -5,7 +5,7 @@
 use dahliapoint_platform::fields::LineError;
 use dahliapoint_platform::inbound::{self, Message, Report};
 use dahliapoint_platform::relay::{self, Answer, News};
-use dahliapoint_platform::{chunks, discovery, lines};
+use dahliapoint_platform::{chunked, discovery, lines};
 use proptest::prelude::*;
 use serde_json::json;
 
@@ -226,7 +226,7 @@
             let _ = relay::answer(line);
             let _ = relay::news(line, &told.zones, told.proxies);
             let _ = discovery::read(line, &told.zones);
-            let _ = chunks::Chunks::default().push(line, &mut Vec::new());
+            let _ = chunked::ChunkedDecoder::default().push(line, &mut Vec::new());
         }
         let mut lines = lines::Lines::of(50);
         lines.push(&bytes);
