--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -20,7 +20,7 @@
 use dahliapoint_platform::core::Input;
 use dahliapoint_platform::fields::LineError;
 use dahliapoint_platform::inbound::{self, Message};
-use dahliapoint_platform::lines::Lines;
+use dahliapoint_platform::line_buffer::LineBuffer;
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -187,7 +187,7 @@
 
     /// Until it is over; tells whether anything was answered.
     fn serve(&self, number: u64, socket: &Socket) -> bool {
-        let mut lines = Lines::of(MOST_BEFORE_JOINING);
+        let mut lines = LineBuffer::new(MOST_BEFORE_JOINING);
         let (mut zone, mut answered) = (None, false);
         let mut until = Instant::now() + JOIN_WITHIN;
         let mut buffer = [0; 4096];
@@ -248,7 +248,7 @@
                 }
             }
             if zone.is_some() {
-                lines.allow(inbound::MAX_LINE_BYTES);
+                lines.set_max_len(inbound::MAX_LINE_BYTES);
                 until = Instant::now() + SILENT;
                 self.heard(number);
             }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -10,7 +10,7 @@
 use dahliapoint_platform::core::Input;
 use dahliapoint_platform::delivery::{Call, Outcome};
 use dahliapoint_platform::joined::LAG_MS;
-use dahliapoint_platform::lines::Lines;
+use dahliapoint_platform::line_buffer::LineBuffer;
 use dahliapoint_platform::relay::{self, News};
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -84,7 +84,7 @@
     {
         return broken("`follow` could not be written");
     }
-    let mut lines = Lines::of(MOST_LINE);
+    let mut lines = LineBuffer::new(MOST_LINE);
     let mut beside = Beside::of(at, SILENT, LAG);
     let mut buffer = [0; 8192];
     let (mut begun, mut told_silent) = (false, false);
@@ -207,7 +207,7 @@
         return (Outcome::NotSent, None);
     }
     let until = Instant::now() + ANSWERED_WITHIN;
-    let mut lines = Lines::of(MOST_LINE);
+    let mut lines = LineBuffer::new(MOST_LINE);
     let mut buffer = [0; 1024];
     loop {
         match socket.read(&mut buffer, Some(until)) {
@@ -228,7 +228,7 @@
                 let answer = relay::answer(line);
                 if answer != relay::Answer::Unreadable {
                     // What came behind it would be read as the next call's answer.
-                    let clean = lines.open() == 0;
+                    let clean = lines.pending_len() == 0;
                     return (Outcome::Answered(answer), clean.then_some(socket));
                 }
                 let text = String::from_utf8_lossy(line).into_owned();
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -9,7 +9,7 @@
 use dahliapoint_platform::chunked::ChunkedDecoder;
 use dahliapoint_platform::core::{Input, TOLD_WITHIN_MS};
 use dahliapoint_platform::discovery;
-use dahliapoint_platform::lines::Lines;
+use dahliapoint_platform::line_buffer::LineBuffer;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
@@ -99,7 +99,7 @@
     let mut below: Option<Instant> = None;
     let mut buffer = [0; 8192];
     let mut held: Vec<u8> = Vec::new();
-    let mut body: Option<(Option<ChunkedDecoder>, Lines)> = None;
+    let mut body: Option<(Option<ChunkedDecoder>, LineBuffer)> = None;
     loop {
         let read = socket.read(&mut buffer, Some(Instant::now() + LOOK));
         if beside.is_over() {
@@ -135,7 +135,10 @@
                 Ok(None) => continue,
                 Ok(Some((length, chunked))) => {
                     held.drain(..length);
-                    body = Some((chunked.then(ChunkedDecoder::default), Lines::of(MOST_LINE)));
+                    body = Some((
+                        chunked.then(ChunkedDecoder::default),
+                        LineBuffer::new(MOST_LINE),
+                    ));
                 }
                 Err(why) => return Ended::Broken(why),
             }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,7 +1,7 @@
 //! The platform's protocol without I/O: what its parties say, read line by line; what is ordered,
 //! written; and the core that drives the one planner: `(now, inputs) -> effects`. Deterministic.
 //!
-//! The codecs ([`lines`], [`chunked`], [`fields`], [`inbound`], [`relay`], [`discovery`]) know bytes and fields.
+//! The codecs ([`line_buffer`], [`chunked`], [`fields`], [`inbound`], [`relay`], [`discovery`]) know bytes and fields.
 //! [`delivery`] holds the rules of what is sent and what is sent again, [`joined`] those of what
 //! several followers of the news tell, [`places`] names and indices. [`core`] puts them together.
 
@@ -12,6 +12,6 @@
 pub mod fields;
 pub mod inbound;
 pub mod joined;
-pub mod lines;
+pub mod line_buffer;
 pub mod places;
 pub mod relay;
--- a/crates/platform/src/lines.rs
+++ b/crates/platform/src/line_buffer.rs
@@ -2,10 +2,10 @@
 
 /// A line grew past what one may hold.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TooLong;
+pub struct LineTooLong;
 
 /// What has come of a stream and is not a whole line yet.
-pub struct Lines {
+pub struct LineBuffer {
     held: Vec<u8>,
     /// Bytes of `held` that belong to lines already given out, and that hold no line end.
     taken: usize,
@@ -13,10 +13,10 @@
     most: usize,
 }
 
-impl Lines {
+impl LineBuffer {
     /// Lines of at most so many bytes, their end not counted.
-    pub fn of(most: usize) -> Lines {
-        Lines {
+    pub fn new(most: usize) -> LineBuffer {
+        LineBuffer {
             held: Vec::new(),
             taken: 0,
             searched: 0,
@@ -25,7 +25,7 @@
     }
 
     /// Lines may be this long from now on.
-    pub fn allow(&mut self, most: usize) {
+    pub fn set_max_len(&mut self, most: usize) {
         self.most = most;
     }
 
@@ -41,8 +41,8 @@
     /// The next whole line without its end (CRLF, or a bare LF); none until more has come.
     ///
     /// # Errors
-    /// [`TooLong`] once what is held cannot become a legal line any more.
-    pub fn next_line(&mut self) -> Option<Result<&[u8], TooLong>> {
+    /// [`LineTooLong`] once what is held cannot become a legal line any more.
+    pub fn next_line(&mut self) -> Option<Result<&[u8], LineTooLong>> {
         let fresh = &self.held[self.searched..];
         match fresh.iter().position(|b| *b == b'\n') {
             Some(at) => {
@@ -52,7 +52,7 @@
                 let line = &self.held[from..to];
                 let line = line.strip_suffix(b"\r").unwrap_or(line);
                 Some(if line.len() > self.most {
-                    Err(TooLong)
+                    Err(LineTooLong)
                 } else {
                     Ok(line)
                 })
@@ -66,13 +66,13 @@
                     self.held.clear();
                     self.held.shrink_to(4096);
                 }
-                (open > self.most + 1).then_some(Err(TooLong))
+                (open > self.most + 1).then_some(Err(LineTooLong))
             }
         }
     }
 
     /// Bytes that wait for the end of their line.
-    pub fn open(&self) -> usize {
+    pub fn pending_len(&self) -> usize {
         self.held.len() - self.taken
     }
 }
@@ -81,7 +81,7 @@
 mod tests {
     use super::*;
 
-    fn all(lines: &mut Lines, out: &mut Vec<String>) -> Result<(), TooLong> {
+    fn all(lines: &mut LineBuffer, out: &mut Vec<String>) -> Result<(), LineTooLong> {
         while let Some(line) = lines.next_line() {
             out.push(String::from_utf8_lossy(line?).into_owned());
         }
@@ -94,13 +94,13 @@
         let whole = ["probe", "", "* hello 17 a 21.5 1", "*", "last"];
         for first in 0..bytes.len() {
             for second in first..bytes.len() {
-                let (mut lines, mut out) = (Lines::of(64), Vec::new());
+                let (mut lines, mut out) = (LineBuffer::new(64), Vec::new());
                 for piece in [&bytes[..first], &bytes[first..second], &bytes[second..]] {
                     lines.push(piece);
                     all(&mut lines, &mut out).unwrap();
                 }
                 assert_eq!(out, whole, "cut at {first} and {second}");
-                assert_eq!(lines.open(), 0);
+                assert_eq!(lines.pending_len(), 0);
             }
         }
     }
@@ -113,7 +113,7 @@
             (b"12345678\r", true),
             (b"1234567890", false),
         ] {
-            let (mut lines, mut out) = (Lines::of(8), Vec::new());
+            let (mut lines, mut out) = (LineBuffer::new(8), Vec::new());
             lines.push(bytes);
             assert_eq!(all(&mut lines, &mut out).is_ok(), fine, "{bytes:?}");
         }
@@ -121,7 +121,7 @@
 
     #[test]
     fn room_that_a_long_line_took_is_given_back() {
-        let mut lines = Lines::of(1 << 20);
+        let mut lines = LineBuffer::new(1 << 20);
         lines.push(&[b'x'; 500_000]);
         assert!(lines.next_line().is_none());
         lines.push(b"\n");
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -5,7 +5,7 @@
 use dahliapoint_platform::fields::LineError;
 use dahliapoint_platform::inbound::{self, Message, Report};
 use dahliapoint_platform::relay::{self, Answer, News};
-use dahliapoint_platform::{chunked, discovery, lines};
+use dahliapoint_platform::{chunked, discovery, line_buffer};
 use proptest::prelude::*;
 use serde_json::json;
 
@@ -228,7 +228,7 @@
             let _ = discovery::read(line, &told.zones);
             let _ = chunked::ChunkedDecoder::default().push(line, &mut Vec::new());
         }
-        let mut lines = lines::Lines::of(50);
+        let mut lines = line_buffer::LineBuffer::new(50);
         lines.push(&bytes);
         let mut given = 0;
         while let Some(line) = lines.next_line() {
