--- a/crates/node/src/probes.rs
+++ b/crates/node/src/probes.rs
@@ -2,7 +2,7 @@
 
 use crate::reach::Shared;
 use dahliapoint_fibers::{Queue, Received, Socket, spawn};
-use dahliapoint_platform::core::{Asked, Input};
+use dahliapoint_platform::core::{Input, ProbeTarget};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,7 @@
 /// From the dial to the answer's first line.
 const PATIENCE: Duration = Duration::from_millis(500);
 
-pub type Probe = (Asked, SocketAddr);
+pub type Probe = (ProbeTarget, SocketAddr);
 
 /// Answers probes for good; each one asked for is told of, however it ends.
 pub fn begin(reach: &Shared) -> Queue<Probe> {
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -5,8 +5,8 @@
 use crate::discovery::List;
 use crate::inbound::Report;
 use crate::joined::{Change, Joined};
-use crate::places::Places;
 use crate::relay::{Names, News, Order};
+use crate::slots::ServerSlots;
 use dahliapoint::rules::Planner;
 use dahliapoint::{Extent, Listed, Met, Orders, Standing};
 use dahliapoint_opening::Deployment;
@@ -39,12 +39,12 @@
     },
     Report(Report),
     Probed {
-        probe: Asked,
+        probe: ProbeTarget,
         fine: bool,
         took_ms: f64,
     },
     /// A probe that was never sent tells nothing of the server.
-    Unasked(Asked),
+    Unasked(ProbeTarget),
     Called {
         number: u64,
         outcome: Outcome,
@@ -53,16 +53,16 @@
 
 /// What a probe was sent to: an index, and which name's turn it was.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Asked {
+pub struct ProbeTarget {
     pub server: usize,
-    pub turn: u32,
+    pub generation: u32,
 }
 
 /// What is to be done.
 #[derive(Debug, Default)]
 pub struct Effects {
     pub call: Option<Call>,
-    pub probes: Vec<(Asked, SocketAddr)>,
+    pub probes: Vec<(ProbeTarget, SocketAddr)>,
     /// Call again at this time at the latest.
     pub wake_at: Option<f64>,
     /// For the operators' log.
@@ -78,7 +78,7 @@
     pub old_lists: u64,
 }
 
-struct NamesOf<'a>(&'a Places, &'a Deployment);
+struct NamesOf<'a>(&'a ServerSlots, &'a Deployment);
 
 impl Names for NamesOf<'_> {
     fn server(&self, index: usize) -> &str {
@@ -93,7 +93,7 @@
 pub struct Core {
     planner: Planner,
     told: Deployment,
-    places: Places,
+    places: ServerSlots,
     joined: Joined,
     delivery: Delivery,
     /// The table that each joined proxy was bound to.
@@ -114,7 +114,7 @@
         let opening = &told.opening;
         let mut core = Core {
             planner: Planner::begun(now, seed, opening),
-            places: Places::default(),
+            places: ServerSlots::default(),
             joined: Joined::default(),
             delivery: Delivery::of(opening.way_ms, opening.most_waiting, opening.lines_per_ms),
             tables: BTreeMap::new(),
@@ -146,12 +146,12 @@
             self.tally.old_lists
         )];
         for (place, b) in self.places.all.iter().zip(self.planner.beliefs()) {
-            if place.standing == Standing::Gone {
+            if place.admin_state == Standing::Gone {
                 continue;
             }
             out.push(format!(
                 "server {} {:?} line {:.3} health {:.2} out {} cold {} tries {:.1} failed {:.1} mean_ms {:.1}",
-                place.name, place.standing, b.line, b.health, b.withdrawn, b.cold, b.tries, b.failed, b.mean_ms
+                place.name, place.admin_state, b.line, b.health, b.withdrawn, b.cold, b.tries, b.failed, b.mean_ms
             ));
         }
         out
@@ -233,18 +233,18 @@
                 let Some(place) = self.places.all.get_mut(probe.server) else {
                     return false;
                 };
-                if place.turn != probe.turn {
+                if place.generation != probe.generation {
                     return false;
                 }
-                place.asked = false;
+                place.probe_pending = false;
                 self.planner
                     .probe_answered(now, probe.server, fine, took_ms);
                 true
             }
             Input::Unasked(probe) => {
                 let place = self.places.all.get_mut(probe.server);
-                if let Some(place) = place.filter(|p| p.turn == probe.turn) {
-                    place.asked = false;
+                if let Some(place) = place.filter(|p| p.generation == probe.generation) {
+                    place.probe_pending = false;
                 }
                 false
             }
@@ -283,25 +283,25 @@
     }
 
     fn listed(&mut self, now: f64, list: &List, extent: Extent) {
-        self.places.forget(now, &self.delivery.servers());
+        self.places.release_idle(now, &self.delivery.servers());
         let mut roster = Vec::with_capacity(list.entries.len());
         for entry in &list.entries {
             // One that nobody here ever knew cannot leave.
             if entry.standing == Standing::Gone && self.places.find(&entry.name).is_none() {
                 continue;
             }
-            let server = self.places.place(entry, now);
+            let server = self.places.upsert(entry, now);
             roster.push(Listed {
                 server,
                 zone: entry.zone,
                 standing: entry.standing,
                 weight: entry.weight,
-                started_ms: self.places.all[server].started,
+                started_ms: self.places.all[server].started_at_ms,
             });
         }
         if extent != Extent::Changes {
             let listed: Vec<usize> = roster.iter().map(|l| l.server).collect();
-            self.places.gone_but(&listed, now);
+            self.places.mark_unlisted_gone(&listed, now);
         }
         self.planner.roster_changed(now, extent, &roster);
     }
@@ -407,16 +407,16 @@
         for server in &orders.probes {
             let place = &mut self.places.all[*server];
             if let Some(address) = place.address {
-                place.asked = true;
-                let asked = Asked {
+                place.probe_pending = true;
+                let asked = ProbeTarget {
                     server: *server,
-                    turn: place.turn,
+                    generation: place.generation,
                 };
                 effects.probes.push((asked, address));
             }
         }
         for (table, server, weight) in &orders.lines {
-            self.places.wrote(*server, *table, *weight, now);
+            self.places.record_weight(*server, *table, *weight, now);
         }
         let named = orders.notes.iter().map(|note| self.named(note));
         effects.notes.extend(named);
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! The codecs ([`line_buffer`], [`chunked`], [`fields`], [`inbound`], [`relay`], [`discovery`]) know bytes and fields.
 //! [`delivery`] holds the rules of what is sent and what is sent again, [`joined`] those of what
-//! several followers of the news tell, [`places`] names and indices. [`core`] puts them together.
+//! several followers of the news tell, [`slots`] names and indices. [`core`] puts them together.
 
 pub mod chunked;
 pub mod core;
@@ -13,5 +13,5 @@
 pub mod inbound;
 pub mod joined;
 pub mod line_buffer;
-pub mod places;
 pub mod relay;
+pub mod slots;
