--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -1,6 +1,6 @@
 //! The relay: two followers of its news, and the one who calls.
 //!
-//! While one follower is unbroken nothing of the news is missed (see `platform::joined`), so there are
+//! While one follower is unbroken nothing of the news is missed (see `platform::membership`), so there are
 //! two seats. A follower that falls silent, or whose address is replaced, gets a successor beside it
 //! and ends only when that one has been told what stands, and what was on its way has come.
 
@@ -9,8 +9,8 @@
 use dahliapoint_fibers::{Queue, Received, Socket, give_way, sleep, spawn};
 use dahliapoint_platform::core::Input;
 use dahliapoint_platform::delivery::{Call, Outcome};
-use dahliapoint_platform::joined::LAG_MS;
 use dahliapoint_platform::line_buffer::LineBuffer;
+use dahliapoint_platform::membership::MAX_FOLLOWER_LAG_MS;
 use dahliapoint_platform::relay::{self, News};
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -19,7 +19,7 @@
 const DIAL: Duration = Duration::from_millis(700);
 /// The sign of life comes each second (PROTOCOL, "The relay"); without two of them it is out of reach.
 const SILENT: Duration = Duration::from_millis(2300);
-const LAG: Duration = Duration::from_millis(LAG_MS as u64);
+const LAG: Duration = Duration::from_millis(MAX_FOLLOWER_LAG_MS as u64);
 /// How often a new address is looked for.
 const LOOK: Duration = Duration::from_millis(200);
 const MOST_LINE: usize = 4096;
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -1,10 +1,10 @@
 //! The core: inputs of one moment in, what is to be done out. It drives the one planner directly and
-//! decides nothing itself beyond the rules of [`crate::delivery`] and [`crate::joined`].
+//! decides nothing itself beyond the rules of [`crate::delivery`] and [`crate::membership`].
 
 use crate::delivery::{Call, Delivery, Outcome, Returned};
 use crate::discovery::List;
 use crate::inbound::Report;
-use crate::joined::{Change, Joined};
+use crate::membership::{Membership, MembershipChange};
 use crate::relay::{Names, News, Order};
 use crate::slots::ServerSlots;
 use dahliapoint::rules::Planner;
@@ -94,7 +94,7 @@
     planner: Planner,
     told: Deployment,
     places: ServerSlots,
-    joined: Joined,
+    joined: Membership,
     delivery: Delivery,
     /// The table that each joined proxy was bound to.
     tables: BTreeMap<usize, usize>,
@@ -115,7 +115,7 @@
         let mut core = Core {
             planner: Planner::begun(now, seed, opening),
             places: ServerSlots::default(),
-            joined: Joined::default(),
+            joined: Membership::default(),
             delivery: Delivery::of(opening.way_ms, opening.most_waiting, opening.lines_per_ms),
             tables: BTreeMap::new(),
             index: known.index,
@@ -188,7 +188,7 @@
     fn next_call(&mut self, now: f64, returned: &mut Returned) -> Option<Call> {
         let names = NamesOf(&self.places, &self.told);
         let joined = &self.joined;
-        let stands = |(proxy, turn)| joined.is_joined(proxy) && joined.turn(proxy) == turn;
+        let stands = |(proxy, turn)| joined.is_joined(proxy) && joined.epoch(proxy) == turn;
         self.delivery.next(now, &names, &stands, returned)
     }
 
@@ -216,12 +216,12 @@
             Input::News { follower, news } => self.news(now, follower, news),
             Input::Silent { follower } => {
                 let mut changes = Vec::new();
-                self.joined.silent(follower, now, &mut changes);
+                self.joined.follower_silent(follower, now, &mut changes);
                 self.tell_joined(&changes)
             }
             Input::Unfollowed { follower } => {
                 let mut changes = Vec::new();
-                self.joined.ended(follower, now, &mut changes);
+                self.joined.follower_ended(follower, now, &mut changes);
                 self.tell_joined(&changes)
             }
             Input::Report(report) => self.report(now, &report),
@@ -309,18 +309,18 @@
     fn news(&mut self, now: f64, follower: u32, news: News) -> bool {
         let mut changes = Vec::new();
         let mut told = false;
-        self.joined.heard(follower);
+        self.joined.follower_active(follower);
         match news {
-            News::Begun => self.joined.begun(follower),
+            News::Begun => self.joined.follower_started(follower),
             News::Hello {
                 proxy, zone, pace, ..
             } => self
                 .joined
                 .hello(follower, (proxy, zone, pace / 1000.0), now, &mut changes),
             News::Bye { proxy } => self.joined.bye(follower, proxy, now, &mut changes),
-            News::Alive => self.joined.settle(follower, now, &mut changes),
+            News::Alive => self.joined.end_snapshot(follower, now, &mut changes),
             News::Ack { proxy, mark } => {
-                self.joined.settle(follower, now, &mut changes);
+                self.joined.end_snapshot(follower, now, &mut changes);
                 if self.joined.is_joined(proxy) {
                     self.planner.orders_applied(proxy, mark);
                     self.delivery.answered(mark);
@@ -332,13 +332,17 @@
     }
 
     /// Tells whether there was anything to tell.
-    fn tell_joined(&mut self, changes: &[Change]) -> bool {
+    fn tell_joined(&mut self, changes: &[MembershipChange]) -> bool {
         for change in changes {
             match change {
-                Change::Joined { proxy, zone, pace } => {
-                    self.planner.proxy_joined(*proxy, *zone, *pace);
+                MembershipChange::Joined {
+                    proxy,
+                    zone,
+                    visits_per_ms,
+                } => {
+                    self.planner.proxy_joined(*proxy, *zone, *visits_per_ms);
                 }
-                Change::Left { proxy } => {
+                MembershipChange::Left { proxy } => {
                     self.planner.proxy_left(*proxy);
                     self.tables.remove(proxy);
                 }
@@ -350,8 +354,8 @@
     /// Bindings that were not carried out: the planner binds anew, at its own pace.
     fn give_back(&mut self, unbound: Vec<(usize, u64)>) {
         for (proxy, turn) in unbound {
-            if self.joined.is_joined(proxy) && self.joined.turn(proxy) == turn {
-                self.joined.turn_over(proxy);
+            if self.joined.is_joined(proxy) && self.joined.epoch(proxy) == turn {
+                self.joined.renew_epoch(proxy);
                 self.planner.binding_lost(proxy);
                 self.tables.remove(&proxy);
             }
@@ -421,7 +425,7 @@
         let named = orders.notes.iter().map(|note| self.named(note));
         effects.notes.extend(named);
         let joined = &self.joined;
-        let turns = orders.binds.iter().map(|b| (b.0, joined.turn(b.0)));
+        let turns = orders.binds.iter().map(|b| (b.0, joined.epoch(b.0)));
         let turns = turns.collect();
         let mark = orders.mark;
         let lines = self.cost(&orders);
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -2,7 +2,7 @@
 //! written; and the core that drives the one planner: `(now, inputs) -> effects`. Deterministic.
 //!
 //! The codecs ([`line_buffer`], [`chunked`], [`fields`], [`inbound`], [`relay`], [`discovery`]) know bytes and fields.
-//! [`delivery`] holds the rules of what is sent and what is sent again, [`joined`] those of what
+//! [`delivery`] holds the rules of what is sent and what is sent again, [`membership`] those of what
 //! several followers of the news tell, [`slots`] names and indices. [`core`] puts them together.
 
 pub mod chunked;
@@ -11,7 +11,7 @@
 pub mod discovery;
 pub mod fields;
 pub mod inbound;
-pub mod joined;
 pub mod line_buffer;
+pub mod membership;
 pub mod relay;
 pub mod slots;
--- a/crates/platform/src/joined.rs
+++ b/crates/platform/src/membership.rs
@@ -20,15 +20,15 @@
 
 /// Followers lag behind each other by less than this (ms); a difference from a snapshot that is
 /// younger is the lag of one of them, an older one is news.
-pub const LAG_MS: f64 = 1500.0;
+pub const MAX_FOLLOWER_LAG_MS: f64 = 1500.0;
 
 /// A change of who is joined.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Change {
+pub enum MembershipChange {
     Joined {
         proxy: usize,
         zone: usize,
-        pace: f64,
+        visits_per_ms: f64,
     },
     Left {
         proxy: usize,
@@ -43,7 +43,7 @@
     before: u64,
     changed: f64,
     zone: usize,
-    pace: f64,
+    visits_per_ms: f64,
 }
 
 impl Count {
@@ -53,7 +53,7 @@
 
     /// All followers have told the last change.
     fn is_quiet(&self, now: f64) -> bool {
-        now - self.changed >= LAG_MS
+        now - self.changed >= MAX_FOLLOWER_LAG_MS
     }
 
     fn becomes(&mut self, turns: u64, now: f64) {
@@ -127,19 +127,19 @@
 }
 
 #[derive(Default)]
-pub struct Joined {
+pub struct Membership {
     all: BTreeMap<usize, Count>,
     followers: BTreeMap<u32, Follower>,
     begun: u64,
 }
 
-impl Joined {
+impl Membership {
     pub fn is_joined(&self, proxy: usize) -> bool {
         self.all.get(&proxy).is_some_and(Count::is_joined)
     }
 
     /// Counts the joinings of a proxy: another number, another binding.
-    pub fn turn(&self, proxy: usize) -> u64 {
+    pub fn epoch(&self, proxy: usize) -> u64 {
         self.all.get(&proxy).map_or(0, |c| c.turns)
     }
 
@@ -154,7 +154,7 @@
     }
 
     /// A follower begins: its snapshot comes next.
-    pub fn begun(&mut self, follower: u32) {
+    pub fn follower_started(&mut self, follower: u32) {
         self.followers.remove(&follower);
         let alone = self.followers.values().all(|f| f.silent);
         if alone {
@@ -174,7 +174,7 @@
     }
 
     /// A follower's sign of life has stayed away.
-    pub fn silent(&mut self, follower: u32, now: f64, out: &mut Vec<Change>) {
+    pub fn follower_silent(&mut self, follower: u32, now: f64, out: &mut Vec<MembershipChange>) {
         if let Some(f) = self.followers.get_mut(&follower) {
             f.silent = true;
             self.succeed(now, out);
@@ -182,7 +182,7 @@
     }
 
     /// Anything came from a follower: its stream has been whole all along.
-    pub fn heard(&mut self, follower: u32) {
+    pub fn follower_active(&mut self, follower: u32) {
         let Some(f) = self.followers.get_mut(&follower) else {
             return;
         };
@@ -195,14 +195,14 @@
         }
     }
 
-    pub fn ended(&mut self, follower: u32, now: f64, out: &mut Vec<Change>) {
+    pub fn follower_ended(&mut self, follower: u32, now: f64, out: &mut Vec<MembershipChange>) {
         if self.followers.remove(&follower).is_some() {
             self.succeed(now, out);
         }
     }
 
     /// Rules 3 and 5, after one that vouched may vouch no more.
-    fn succeed(&mut self, now: f64, out: &mut Vec<Change>) {
+    fn succeed(&mut self, now: f64, out: &mut Vec<MembershipChange>) {
         let heard = self.followers.iter().filter(|(_, f)| !f.silent);
         let sound: Vec<u32> = heard
             .clone()
@@ -226,21 +226,29 @@
             let Some(told) = f.has_told(*proxy).filter(|told| told.guessed || promoted) else {
                 continue;
             };
-            let (proxy, zone, pace) = (*proxy, all.zone, all.pace);
+            let (proxy, zone, visits_per_ms) = (*proxy, all.zone, all.visits_per_ms);
             match (told.is_joined(), all.is_joined()) {
                 (true, true) if promoted => {
                     all.becomes(all.turns + 2, now);
-                    out.push(Change::Left { proxy });
-                    out.push(Change::Joined { proxy, zone, pace });
+                    out.push(MembershipChange::Left { proxy });
+                    out.push(MembershipChange::Joined {
+                        proxy,
+                        zone,
+                        visits_per_ms,
+                    });
                 }
                 (true, true) | (false, false) => {}
                 (true, false) => {
                     all.becomes(all.turns + 1, now);
-                    out.push(Change::Joined { proxy, zone, pace });
+                    out.push(MembershipChange::Joined {
+                        proxy,
+                        zone,
+                        visits_per_ms,
+                    });
                 }
                 (false, true) => {
                     all.becomes(all.turns + 1, now);
-                    out.push(Change::Left { proxy });
+                    out.push(MembershipChange::Left { proxy });
                 }
             }
             f.told.insert(proxy, Told::exact(all.turns));
@@ -254,16 +262,16 @@
     pub fn hello(
         &mut self,
         follower: u32,
-        (proxy, zone, pace): (usize, usize, f64),
+        (proxy, zone, visits_per_ms): (usize, usize, f64),
         now: f64,
-        out: &mut Vec<Change>,
+        out: &mut Vec<MembershipChange>,
     ) {
         let accompanied = self.is_accompanied(follower);
         let Some(f) = self.followers.get_mut(&follower) else {
             return;
         };
         let all = self.all.entry(proxy).or_default();
-        (all.zone, all.pace) = (zone, pace);
+        (all.zone, all.visits_per_ms) = (zone, visits_per_ms);
         let (joined, quiet) = (all.is_joined(), all.is_quiet(now));
         let next = match f.has_told(proxy).map(|told| told.settled(all, now)) {
             // Rule 1: it may have left and come back unseen.
@@ -281,14 +289,18 @@
         if next.turns > all.turns {
             all.becomes(next.turns, now);
             if joined {
-                out.push(Change::Left { proxy });
+                out.push(MembershipChange::Left { proxy });
             }
-            out.push(Change::Joined { proxy, zone, pace });
+            out.push(MembershipChange::Joined {
+                proxy,
+                zone,
+                visits_per_ms,
+            });
         }
     }
 
-    pub fn bye(&mut self, follower: u32, proxy: usize, now: f64, out: &mut Vec<Change>) {
-        self.settle(follower, now, out);
+    pub fn bye(&mut self, follower: u32, proxy: usize, now: f64, out: &mut Vec<MembershipChange>) {
+        self.end_snapshot(follower, now, out);
         let Some(f) = self.followers.get_mut(&follower) else {
             return;
         };
@@ -301,12 +313,12 @@
         f.told.insert(proxy, Told { turns, guessed });
         if turns > all.turns {
             all.becomes(turns, now);
-            out.push(Change::Left { proxy });
+            out.push(MembershipChange::Left { proxy });
         }
     }
 
     /// Anything but a joining ends a follower's snapshot: who is not in it has left.
-    pub fn settle(&mut self, follower: u32, now: f64, out: &mut Vec<Change>) {
+    pub fn end_snapshot(&mut self, follower: u32, now: f64, out: &mut Vec<MembershipChange>) {
         let accompanied = self.is_accompanied(follower);
         let Some(f) = self.followers.get_mut(&follower) else {
             return;
@@ -323,7 +335,7 @@
                 (false, false) => Told::exact(all.turns),
                 (false, true) => {
                     all.becomes(all.turns + 1, now);
-                    out.push(Change::Left { proxy: *proxy });
+                    out.push(MembershipChange::Left { proxy: *proxy });
                     Told::exact(all.turns)
                 }
             };
@@ -332,7 +344,7 @@
     }
 
     /// A proxy that is joined, as if it had joined anew: what was ordered to it may be lost.
-    pub fn turn_over(&mut self, proxy: usize) {
+    pub fn renew_epoch(&mut self, proxy: usize) {
         // The followers' counts move with it, so that their next news is news.
         if let Some(all) = self.all.get_mut(&proxy) {
             (all.turns, all.before) = (all.turns + 2, all.before + 2);
--- a/crates/platform/tests/joined.rs
+++ b/crates/platform/tests/membership.rs
@@ -1,7 +1,7 @@
 //! The rules of who is joined, as tables of what followers of the news tell; and all orders in which
 //! the news of two followers can come.
 
-use dahliapoint_platform::joined::{Change, Joined, LAG_MS};
+use dahliapoint_platform::membership::{MAX_FOLLOWER_LAG_MS, Membership, MembershipChange};
 
 /// What happens: a follower begins, is silent, ends, or tells of a proxy.
 #[derive(Clone, Copy, Debug)]
@@ -16,26 +16,26 @@
 }
 
 fn play(told: &[Told]) -> Vec<(char, usize)> {
-    let (mut joined, mut out, mut now) = (Joined::default(), Vec::new(), 0.0);
+    let (mut joined, mut out, mut now) = (Membership::default(), Vec::new(), 0.0);
     for t in told {
         now += 1.0;
         // As the core does with whatever comes.
         if let Told::Hello(f, _) | Told::Bye(f, _) | Told::Beat(f) = *t {
-            joined.heard(f);
+            joined.follower_active(f);
         }
         match *t {
-            Told::Begun(f) => joined.begun(f),
-            Told::Silent(f) => joined.silent(f, now, &mut out),
-            Told::Ended(f) => joined.ended(f, now, &mut out),
+            Told::Begun(f) => joined.follower_started(f),
+            Told::Silent(f) => joined.follower_silent(f, now, &mut out),
+            Told::Ended(f) => joined.follower_ended(f, now, &mut out),
             Told::Hello(f, p) => joined.hello(f, (p, 0, 0.0), now, &mut out),
             Told::Bye(f, p) => joined.bye(f, p, now, &mut out),
-            Told::Beat(f) => joined.settle(f, now, &mut out),
-            Told::Wait => now += 2.0 * LAG_MS,
+            Told::Beat(f) => joined.end_snapshot(f, now, &mut out),
+            Told::Wait => now += 2.0 * MAX_FOLLOWER_LAG_MS,
         }
     }
-    let tell = |c: &Change| match c {
-        Change::Joined { proxy, .. } => ('+', *proxy),
-        Change::Left { proxy } => ('-', *proxy),
+    let tell = |c: &MembershipChange| match c {
+        MembershipChange::Joined { proxy, .. } => ('+', *proxy),
+        MembershipChange::Left { proxy } => ('-', *proxy),
     };
     out.iter().map(tell).collect()
 }
