--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -11,7 +11,7 @@
 use dahliapoint_platform::delivery::{Call, Outcome};
 use dahliapoint_platform::line_buffer::LineBuffer;
 use dahliapoint_platform::membership::MAX_FOLLOWER_LAG_MS;
-use dahliapoint_platform::relay::{self, News};
+use dahliapoint_platform::relay::{self, RelayEvent};
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
@@ -126,11 +126,11 @@
                 return broken("a line without end");
             };
             let told = &reach.deployment;
-            match relay::news(line, &told.zones, told.proxies) {
-                Some(News::Begun) if begun => {}
+            match relay::parse_event(line, &told.zones, told.proxies) {
+                Some(RelayEvent::Started) if begun => {}
                 Some(news) => {
-                    begun |= news == News::Begun;
-                    if !matches!(news, News::Begun | News::Hello { .. }) {
+                    begun |= news == RelayEvent::Started;
+                    if !matches!(news, RelayEvent::Started | RelayEvent::Hello { .. }) {
                         settled.store(true, Ordering::Release);
                     }
                     inputs.push(Input::News { follower: id, news });
@@ -225,8 +225,8 @@
         match lines.next_line() {
             None => {}
             Some(Ok(line)) => {
-                let answer = relay::answer(line);
-                if answer != relay::Answer::Unreadable {
+                let answer = relay::parse_reply(line);
+                if answer != relay::Reply::Unreadable {
                     // What came behind it would be read as the next call's answer.
                     let clean = lines.pending_len() == 0;
                     return (Outcome::Answered(answer), clean.then_some(socket));
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -5,7 +5,7 @@
 use crate::discovery::List;
 use crate::inbound::Report;
 use crate::membership::{Membership, MembershipChange};
-use crate::relay::{Names, News, Order};
+use crate::relay::{Command, NameLookup, RelayEvent};
 use crate::slots::ServerSlots;
 use dahliapoint::rules::Planner;
 use dahliapoint::{Extent, Listed, Met, Orders, Standing};
@@ -27,7 +27,7 @@
     },
     News {
         follower: u32,
-        news: News,
+        news: RelayEvent,
     },
     /// A follower's sign of life has stayed away.
     Silent {
@@ -80,7 +80,7 @@
 
 struct NamesOf<'a>(&'a ServerSlots, &'a Deployment);
 
-impl Names for NamesOf<'_> {
+impl NameLookup for NamesOf<'_> {
     fn server(&self, index: usize) -> &str {
         &self.0.all[index].name
     }
@@ -306,20 +306,26 @@
         self.planner.roster_changed(now, extent, &roster);
     }
 
-    fn news(&mut self, now: f64, follower: u32, news: News) -> bool {
+    fn news(&mut self, now: f64, follower: u32, news: RelayEvent) -> bool {
         let mut changes = Vec::new();
         let mut told = false;
         self.joined.follower_active(follower);
         match news {
-            News::Begun => self.joined.follower_started(follower),
-            News::Hello {
-                proxy, zone, pace, ..
-            } => self
-                .joined
-                .hello(follower, (proxy, zone, pace / 1000.0), now, &mut changes),
-            News::Bye { proxy } => self.joined.bye(follower, proxy, now, &mut changes),
-            News::Alive => self.joined.end_snapshot(follower, now, &mut changes),
-            News::Ack { proxy, mark } => {
+            RelayEvent::Started => self.joined.follower_started(follower),
+            RelayEvent::Hello {
+                proxy,
+                zone,
+                visits_per_s,
+                ..
+            } => self.joined.hello(
+                follower,
+                (proxy, zone, visits_per_s / 1000.0),
+                now,
+                &mut changes,
+            ),
+            RelayEvent::Bye { proxy } => self.joined.bye(follower, proxy, now, &mut changes),
+            RelayEvent::Heartbeat => self.joined.end_snapshot(follower, now, &mut changes),
+            RelayEvent::Ack { proxy, mark } => {
                 self.joined.end_snapshot(follower, now, &mut changes);
                 if self.joined.is_joined(proxy) {
                     self.planner.orders_applied(proxy, mark);
@@ -478,23 +484,23 @@
 }
 
 /// As one message a proxy, in the order of the fields of [`Orders`].
-fn in_order(orders: Orders) -> Vec<Order> {
+fn in_order(orders: Orders) -> Vec<Command> {
     let lines = orders.lines.into_iter();
-    let lines = lines.map(|(table, server, weight)| Order::Share {
+    let lines = lines.map(|(table, server, weight)| Command::Share {
         table,
         server,
         weight,
     });
     let levels = orders.levels.into_iter();
-    let levels = levels.map(|(table, class, share, tries)| Order::Admit {
+    let levels = levels.map(|(table, class, share, tries)| Command::Admit {
         table,
         class,
         share,
         tries,
     });
     let shuts = orders.withdrawals.into_iter();
-    let shuts = shuts.map(|(server, out)| Order::Shut { server, out });
+    let shuts = shuts.map(|(server, withdrawn)| Command::Withdraw { server, withdrawn });
     let binds = orders.binds.into_iter();
-    let binds = binds.map(|(proxy, table)| Order::Bind { proxy, table });
+    let binds = binds.map(|(proxy, table)| Command::Bind { proxy, table });
     lines.chain(levels).chain(shuts).chain(binds).collect()
 }
--- a/crates/platform/src/delivery.rs
+++ b/crates/platform/src/delivery.rs
@@ -26,7 +26,7 @@
 //!     it comes: before the call's end is known, while it waits to go again, or in doubt. It does not go
 //!     again. Only the call that held the mark is shown: a part before it stays in doubt.
 
-use crate::relay::{Answer, MOST_BYTES, Names, Order};
+use crate::relay::{Command, MAX_CALL_BYTES, NameLookup, Reply};
 use std::collections::{BTreeSet, VecDeque};
 
 /// Waits before a call that did not leave, or was turned away, is sent again (ms).
@@ -45,7 +45,7 @@
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    Answered(Answer),
+    Answered(Reply),
     /// It did not leave us whole.
     NotSent,
     /// It left, and nothing that can be relied on came back.
@@ -57,7 +57,7 @@
 
 #[derive(Clone, Debug)]
 struct Batch {
-    orders: Vec<Order>,
+    orders: Vec<Command>,
     /// The joining that each binding was for, in the order of the bindings.
     turns: Vec<Turn>,
     mark: Option<u32>,
@@ -127,7 +127,7 @@
 
     /// A decision's orders, in their order, the joinings that its bindings are for, and the lines that
     /// it costs.
-    pub fn add(&mut self, orders: Vec<Order>, turns: Vec<Turn>, mark: Option<u32>, lines: f64) {
+    pub fn add(&mut self, orders: Vec<Command>, turns: Vec<Turn>, mark: Option<u32>, lines: f64) {
         if orders.is_empty() {
             return;
         }
@@ -167,8 +167,8 @@
         let doubted = self.doubts.iter().map(|d| &d.batch);
         let orders = self.queue.iter().chain(doubted).flat_map(|b| &b.orders);
         let named = orders.filter_map(|order| match order {
-            Order::Share { server, .. } | Order::Shut { server, .. } => Some(*server),
-            Order::Admit { .. } | Order::Bind { .. } | Order::Mark(_) => None,
+            Command::Share { server, .. } | Command::Withdraw { server, .. } => Some(*server),
+            Command::Admit { .. } | Command::Bind { .. } | Command::Mark(_) => None,
         });
         named.collect()
     }
@@ -217,7 +217,7 @@
     pub fn next(
         &mut self,
         now: f64,
-        names: &dyn Names,
+        names: &dyn NameLookup,
         stands: &dyn Fn(Turn) -> bool,
         returned: &mut Returned,
     ) -> Option<Call> {
@@ -243,7 +243,7 @@
             }
             order.write(names, &mut text);
             // A little is kept for the mark.
-            if text.len() > MOST_BYTES - 32 && count > 0 {
+            if text.len() > MAX_CALL_BYTES - 32 && count > 0 {
                 text.truncate(before);
                 break;
             }
@@ -252,7 +252,7 @@
         let mark = first.mark.filter(|_| count == first.orders.len());
         if let Some(mark) = mark {
             text.push(';');
-            Order::Mark(mark).write(names, &mut text);
+            Command::Mark(mark).write(names, &mut text);
         }
         text.push_str("\r\n");
         self.next += 1;
@@ -288,7 +288,7 @@
         for doubt in ended.into_iter().rev() {
             let mut batch = doubt.batch;
             returned.unbound.append(&mut batch.turns);
-            batch.orders.retain(|o| !matches!(o, Order::Bind { .. }));
+            batch.orders.retain(|o| !matches!(o, Command::Bind { .. }));
             returned.notes.push(format!(
                 "a call of unknown outcome was not carried out: {} orders go again",
                 batch.orders.len()
@@ -316,8 +316,8 @@
         };
         let sent = count + usize::from(marked);
         let outcome = match outcome {
-            Outcome::Answered(Answer::Taken(n)) if n <= sent => outcome,
-            _ if first.acknowledged => Outcome::Answered(Answer::Taken(sent)),
+            Outcome::Answered(Reply::Accepted(n)) if n <= sent => outcome,
+            _ if first.acknowledged => Outcome::Answered(Reply::Accepted(sent)),
             _ => outcome,
         };
         let small = first.lines <= room;
@@ -327,14 +327,14 @@
             n => now + wait(n - 1),
         };
         match outcome {
-            Outcome::Answered(Answer::Taken(n)) if n == sent => {
+            Outcome::Answered(Reply::Accepted(n)) if n == sent => {
                 first.cut(count);
                 first.tries = 0;
                 if first.orders.is_empty() {
                     self.queue.pop_front();
                 }
             }
-            Outcome::Answered(Answer::Taken(n)) if n < sent => {
+            Outcome::Answered(Reply::Accepted(n)) if n < sent => {
                 let halted = first.orders.get(n).cloned();
                 returned.notes.push(format!(
                     "the relay halted at order {n} of {sent}: {halted:?}"
@@ -345,7 +345,7 @@
                     self.queue.pop_front();
                 }
             }
-            Outcome::Answered(Answer::TooMany) => {
+            Outcome::Answered(Reply::TooManyCalls) => {
                 self.not_before = now + wait(first.tries);
                 first.tries += 1;
             }
@@ -353,11 +353,11 @@
                 self.not_before = now + wait(first.tries);
                 first.tries += 1;
             }
-            Outcome::Answered(Answer::Bad) if !first.refused => {
+            Outcome::Answered(Reply::BadRequest) if !first.refused => {
                 first.refused = true;
                 self.not_before = now + FIRST_WAIT_MS;
             }
-            Outcome::Answered(Answer::Bad) => {
+            Outcome::Answered(Reply::BadRequest) => {
                 returned.notes.push(format!(
                     "the relay refused a call of {sent} orders twice: dropped"
                 ));
@@ -413,13 +413,13 @@
     Mark,
 }
 
-fn key(order: &Order) -> Key {
+fn key(order: &Command) -> Key {
     match order {
-        Order::Share { table, server, .. } => Key::Share(*table, *server),
-        Order::Admit { table, class, .. } => Key::Admit(*table, *class),
-        Order::Shut { server, .. } => Key::Shut(*server),
-        Order::Bind { proxy, .. } => Key::Bind(*proxy),
-        Order::Mark(_) => Key::Mark,
+        Command::Share { table, server, .. } => Key::Share(*table, *server),
+        Command::Admit { table, class, .. } => Key::Admit(*table, *class),
+        Command::Withdraw { server, .. } => Key::Shut(*server),
+        Command::Bind { proxy, .. } => Key::Bind(*proxy),
+        Command::Mark(_) => Key::Mark,
     }
 }
 
@@ -438,7 +438,7 @@
         let kept = &mut self.turns;
         self.orders.retain(|order| {
             let turn = match order {
-                Order::Bind { .. } => turns.next(),
+                Command::Bind { .. } => turns.next(),
                 _ => None,
             };
             let keeps = pass(key(order), turn);
@@ -456,7 +456,7 @@
     /// Takes what lies behind the first so many orders away; the mark goes with the end.
     fn split(&mut self, count: usize) -> Batch {
         let orders = self.orders.split_off(count.min(self.orders.len()));
-        let bound = |o: &&Order| matches!(o, Order::Bind { .. });
+        let bound = |o: &&Command| matches!(o, Command::Bind { .. });
         let turns = self
             .turns
             .split_off(self.orders.iter().filter(bound).count());
@@ -472,10 +472,10 @@
         }
     }
 
-    fn take_shuts(&mut self) -> Vec<Order> {
+    fn take_shuts(&mut self) -> Vec<Command> {
         let (shuts, rest) = std::mem::take(&mut self.orders)
             .into_iter()
-            .partition(|o| matches!(o, Order::Shut { .. }));
+            .partition(|o| matches!(o, Command::Withdraw { .. }));
         self.orders = rest;
         shuts
     }
--- a/crates/platform/src/relay.rs
+++ b/crates/platform/src/relay.rs
@@ -4,11 +4,11 @@
 use std::fmt::Write;
 
 /// A call carries up to this many bytes of orders.
-pub const MOST_BYTES: usize = 60_000;
+pub const MAX_CALL_BYTES: usize = 60_000;
 
 /// One order, by indices; names are put in as it is written.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum Command {
     Share {
         table: usize,
         server: usize,
@@ -20,9 +20,9 @@
         share: f64,
         tries: Tries,
     },
-    Shut {
+    Withdraw {
         server: usize,
-        out: bool,
+        withdrawn: bool,
     },
     Bind {
         proxy: usize,
@@ -32,22 +32,22 @@
 }
 
 /// What names an order's server and class.
-pub trait Names {
+pub trait NameLookup {
     fn server(&self, index: usize) -> &str;
     fn class(&self, index: usize) -> &str;
 }
 
-impl Order {
+impl Command {
     /// Adds the order to a call's text.
-    pub fn write(&self, names: &dyn Names, to: &mut String) {
+    pub fn write(&self, names: &dyn NameLookup, to: &mut String) {
         // Writing to a string cannot fail.
         let _ = match self {
-            Order::Share {
+            Command::Share {
                 table,
                 server,
                 weight,
             } => write!(to, "share,{table},{},{weight}", names.server(*server)),
-            Order::Admit {
+            Command::Admit {
                 table,
                 class,
                 share,
@@ -60,50 +60,56 @@
                 };
                 write!(to, "admit,{table},{},{share},{way}", names.class(*class))
             }
-            Order::Shut { server, out: true } => write!(to, "withdraw,{}", names.server(*server)),
-            Order::Shut { server, out: false } => write!(to, "restore,{}", names.server(*server)),
-            Order::Bind { proxy, table } => write!(to, "bind,{proxy},{table},*"),
-            Order::Mark(mark) => write!(to, "mark,{mark},0"),
+            Command::Withdraw {
+                server,
+                withdrawn: true,
+            } => write!(to, "withdraw,{}", names.server(*server)),
+            Command::Withdraw {
+                server,
+                withdrawn: false,
+            } => write!(to, "restore,{}", names.server(*server)),
+            Command::Bind { proxy, table } => write!(to, "bind,{proxy},{table},*"),
+            Command::Mark(mark) => write!(to, "mark,{mark},0"),
         };
     }
 }
 
 /// What the relay answers to a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer {
+pub enum Reply {
     /// So many orders were taken, from the first.
-    Taken(usize),
+    Accepted(usize),
     /// The run has not begun.
-    TooMany,
+    TooManyCalls,
     /// It is no call.
-    Bad,
+    BadRequest,
     Unreadable,
 }
 
 /// Reads an answer.
-pub fn answer(line: &[u8]) -> Answer {
+pub fn parse_reply(line: &[u8]) -> Reply {
     let Ok(text) = std::str::from_utf8(line) else {
-        return Answer::Unreadable;
+        return Reply::Unreadable;
     };
     let mut words = text.split(' ');
     match (words.next(), words.next(), words.next()) {
-        (Some("OK"), Some(n), None) => n.parse().map_or(Answer::Unreadable, Answer::Taken),
-        _ if text.split([' ', '=', ':']).any(|w| w == "too_many_calls") => Answer::TooMany,
-        _ if text.split([' ', '=', ':']).any(|w| w == "bad_request") => Answer::Bad,
-        _ => Answer::Unreadable,
+        (Some("OK"), Some(n), None) => n.parse().map_or(Reply::Unreadable, Reply::Accepted),
+        _ if text.split([' ', '=', ':']).any(|w| w == "too_many_calls") => Reply::TooManyCalls,
+        _ if text.split([' ', '=', ':']).any(|w| w == "bad_request") => Reply::BadRequest,
+        _ => Reply::Unreadable,
     }
 }
 
 /// One line of the news.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum RelayEvent {
     /// The answer to `follow`: what stands comes next.
-    Begun,
+    Started,
     Hello {
         proxy: usize,
         zone: usize,
         /// Visits a second, roughly.
-        pace: f64,
+        visits_per_s: f64,
         fresh: bool,
     },
     Bye {
@@ -113,20 +119,20 @@
         proxy: usize,
         mark: u32,
     },
-    Alive,
+    Heartbeat,
 }
 
 /// Reads a line of the news; none if it cannot be read, or names what does not exist.
-pub fn news(line: &[u8], zones: &[String], proxies: usize) -> Option<News> {
+pub fn parse_event(line: &[u8], zones: &[String], proxies: usize) -> Option<RelayEvent> {
     let text = std::str::from_utf8(line).ok()?;
     let mut words = text.split(' ');
     match words.next()? {
-        "OK" => return Some(News::Begun),
+        "OK" => return Some(RelayEvent::Started),
         "*" => {}
         _ => return None,
     }
     let Some(kind) = words.next() else {
-        return Some(News::Alive);
+        return Some(RelayEvent::Heartbeat);
     };
     let proxy: usize = words.next()?.parse().ok()?;
     if proxy >= proxies {
@@ -136,23 +142,23 @@
         "hello" => {
             let zone = words.next()?;
             let zone = zones.iter().position(|z| z == zone)?;
-            let pace: f64 = words.next()?.parse().ok()?;
+            let visits_per_s: f64 = words.next()?.parse().ok()?;
             let fresh = match words.next()? {
                 "1" => true,
                 "0" => false,
                 _ => return None,
             };
-            (pace.is_finite() && pace >= 0.0).then_some(News::Hello {
+            (visits_per_s.is_finite() && visits_per_s >= 0.0).then_some(RelayEvent::Hello {
                 proxy,
                 zone,
-                pace,
+                visits_per_s,
                 fresh,
             })
         }
-        "bye" => Some(News::Bye { proxy }),
+        "bye" => Some(RelayEvent::Bye { proxy }),
         "ack" => {
             let mark: u32 = words.next()?.parse().ok()?;
-            (mark < 65536).then_some(News::Ack { proxy, mark })
+            (mark < 65536).then_some(RelayEvent::Ack { proxy, mark })
         }
         _ => None,
     }
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -4,7 +4,7 @@
 use dahliapoint_opening::{Deployment, deployment};
 use dahliapoint_platform::fields::LineError;
 use dahliapoint_platform::inbound::{self, Message, Report};
-use dahliapoint_platform::relay::{self, Answer, News};
+use dahliapoint_platform::relay::{self, RelayEvent, Reply};
 use dahliapoint_platform::{chunked, discovery, line_buffer};
 use proptest::prelude::*;
 use serde_json::json;
@@ -109,44 +109,44 @@
 
 #[test]
 fn what_the_relay_says() {
-    let answers: [(&[u8], Answer); 8] = [
-        (b"OK 2", Answer::Taken(2)),
-        (b"OK", Answer::Unreadable),
-        (b"OK -1", Answer::Unreadable),
-        (b"OK 2 3", Answer::Unreadable),
-        (b"error too_many_calls", Answer::TooMany),
-        (b"bad_request", Answer::Bad),
-        (b"\xff", Answer::Unreadable),
-        (b"", Answer::Unreadable),
+    let answers: [(&[u8], Reply); 8] = [
+        (b"OK 2", Reply::Accepted(2)),
+        (b"OK", Reply::Unreadable),
+        (b"OK -1", Reply::Unreadable),
+        (b"OK 2 3", Reply::Unreadable),
+        (b"error too_many_calls", Reply::TooManyCalls),
+        (b"bad_request", Reply::BadRequest),
+        (b"\xff", Reply::Unreadable),
+        (b"", Reply::Unreadable),
     ];
     for (line, wanted) in answers {
         assert_eq!(
-            relay::answer(line),
+            relay::parse_reply(line),
             wanted,
             "{}",
             String::from_utf8_lossy(line)
         );
     }
-    let hello = |pace, fresh| {
-        Some(News::Hello {
+    let hello = |visits_per_s, fresh| {
+        Some(RelayEvent::Hello {
             proxy: 17,
             zone: 0,
-            pace,
+            visits_per_s,
             fresh,
         })
     };
-    let news: [(&[u8], Option<News>); 12] = [
-        (b"OK", Some(News::Begun)),
-        (b"*", Some(News::Alive)),
+    let news: [(&[u8], Option<RelayEvent>); 12] = [
+        (b"OK", Some(RelayEvent::Started)),
+        (b"*", Some(RelayEvent::Heartbeat)),
         (b"* hello 17 a 21.5 1", hello(21.5, true)),
         (b"* hello 17 a 21.5 0", hello(21.5, false)),
         (b"* hello 17 c 21.5 0", None),
         (b"* hello 20 a 21.5 0", None),
         (b"* hello 17 a -1 0", None),
-        (b"* bye 17", Some(News::Bye { proxy: 17 })),
+        (b"* bye 17", Some(RelayEvent::Bye { proxy: 17 })),
         (
             b"* ack 17 905 310.4",
-            Some(News::Ack {
+            Some(RelayEvent::Ack {
                 proxy: 17,
                 mark: 905,
             }),
@@ -158,7 +158,7 @@
     for (line, wanted) in news {
         let zones = told().zones;
         assert_eq!(
-            relay::news(line, &zones, 20),
+            relay::parse_event(line, &zones, 20),
             wanted,
             "{}",
             String::from_utf8_lossy(line)
@@ -223,8 +223,8 @@
         all.push(bytes.clone());
         for line in &all {
             let _ = inbound::parse(line, &told);
-            let _ = relay::answer(line);
-            let _ = relay::news(line, &told.zones, told.proxies);
+            let _ = relay::parse_reply(line);
+            let _ = relay::parse_event(line, &told.zones, told.proxies);
             let _ = discovery::read(line, &told.zones);
             let _ = chunked::ChunkedDecoder::default().push(line, &mut Vec::new());
         }
--- a/crates/platform/tests/core.rs
+++ b/crates/platform/tests/core.rs
@@ -6,7 +6,7 @@
 use dahliapoint_platform::delivery::Outcome;
 use dahliapoint_platform::discovery::{Entry, List};
 use dahliapoint_platform::inbound::Report;
-use dahliapoint_platform::relay::{Answer, News};
+use dahliapoint_platform::relay::{RelayEvent, Reply};
 use dahliapoint_platform::slots::INDEX_REUSE_DELAY_MS;
 use serde_json::json;
 
@@ -99,14 +99,14 @@
         while let Some(call) = effects.call {
             let text = call.text.trim_start_matches("txn ").trim_end();
             let orders: Vec<String> = text.split(';').map(str::to_string).collect();
-            let outcome = Outcome::Answered(Answer::Taken(orders.len()));
+            let outcome = Outcome::Answered(Reply::Accepted(orders.len()));
             self.ordered.extend(orders);
             let number = call.number;
             effects = self.step(vec![Input::Called { number, outcome }]);
         }
     }
 
-    fn news(&mut self, follower: u32, news: Vec<News>) {
+    fn news(&mut self, follower: u32, news: Vec<RelayEvent>) {
         self.tell(
             news.into_iter()
                 .map(|news| Input::News { follower, news })
@@ -115,9 +115,9 @@
     }
 
     fn follow(&mut self, follower: u32, stands: &[usize]) {
-        let mut news = vec![News::Begun];
+        let mut news = vec![RelayEvent::Started];
         news.extend(stands.iter().map(|p| hello(*p)));
-        news.push(News::Alive);
+        news.push(RelayEvent::Heartbeat);
         self.news(follower, news);
     }
 
@@ -143,11 +143,11 @@
     }
 }
 
-fn hello(proxy: usize) -> News {
-    News::Hello {
+fn hello(proxy: usize) -> RelayEvent {
+    RelayEvent::Hello {
         proxy,
         zone: 0,
-        pace: 1.0,
+        visits_per_s: 1.0,
         fresh: true,
     }
 }
@@ -191,12 +191,12 @@
     world.news(
         0,
         vec![
-            News::Ack { proxy: 9, mark: 1 },
-            News::Ack {
+            RelayEvent::Ack { proxy: 9, mark: 1 },
+            RelayEvent::Ack {
                 proxy: 3,
                 mark: 999,
             },
-            News::Bye { proxy: 11 },
+            RelayEvent::Bye { proxy: 11 },
         ],
     );
     let stranger = Report::Outcomes {
@@ -229,10 +229,10 @@
     world.news(0, vec![hello(3), hello(4)]);
     world.follow(1, &[3, 4]);
     // The first is heard beside the second, so no gap lies between them; likewise the third.
-    world.news(0, vec![News::Alive]);
+    world.news(0, vec![RelayEvent::Heartbeat]);
     world.tell(vec![Input::Unfollowed { follower: 0 }]);
     world.follow(2, &[3, 4]);
-    world.news(1, vec![News::Alive]);
+    world.news(1, vec![RelayEvent::Heartbeat]);
     assert_eq!(
         (world.count("bind,3,0,*"), world.count("bind,4,0,*")),
         (1, 1)
@@ -280,7 +280,7 @@
         let number = call.number;
         world.tell(vec![Input::Called { number, outcome }]);
         if answered {
-            world.news(0, vec![News::Ack { proxy: 3, mark }]);
+            world.news(0, vec![RelayEvent::Ack { proxy: 3, mark }]);
         }
         world.pass(5000.0);
         assert_eq!(world.count("bind,3,0,*"), usize::from(!answered));
--- a/crates/platform/tests/delivery.rs
+++ b/crates/platform/tests/delivery.rs
@@ -1,11 +1,11 @@
 //! The rules of delivery, as tables of what happens.
 
 use dahliapoint_platform::delivery::{Delivery, Outcome, Returned};
-use dahliapoint_platform::relay::{Answer, Names, Order};
+use dahliapoint_platform::relay::{Command, NameLookup, Reply};
 
 struct Plain;
 
-impl Names for Plain {
+impl NameLookup for Plain {
     fn server(&self, index: usize) -> &str {
         ["s0", "s1", "s2"][index]
     }
@@ -15,20 +15,23 @@
     }
 }
 
-fn share(server: usize, weight: f64) -> Order {
-    Order::Share {
+fn share(server: usize, weight: f64) -> Command {
+    Command::Share {
         table: 0,
         server,
         weight,
     }
 }
 
-fn shut(server: usize) -> Order {
-    Order::Shut { server, out: true }
+fn shut(server: usize) -> Command {
+    Command::Withdraw {
+        server,
+        withdrawn: true,
+    }
 }
 
-fn bind(proxy: usize) -> Order {
-    Order::Bind { proxy, table: 0 }
+fn bind(proxy: usize) -> Command {
+    Command::Bind { proxy, table: 0 }
 }
 
 /// A delivery, and what it gave back; the mean way is 100 ms, a full channel of
@@ -51,7 +54,7 @@
     }
 
     /// A dear decision, of lines past what may go again unasked.
-    fn add(&mut self, orders: Vec<Order>, turns: Vec<(usize, u64)>, mark: Option<u32>) {
+    fn add(&mut self, orders: Vec<Command>, turns: Vec<(usize, u64)>, mark: Option<u32>) {
         self.d.add(orders, turns, mark, 900.0);
     }
 
@@ -66,7 +69,7 @@
     }
 
     fn taken(&mut self, n: usize) {
-        self.ends(Outcome::Answered(Answer::Taken(n)));
+        self.ends(Outcome::Answered(Reply::Accepted(n)));
     }
 }
 
@@ -110,7 +113,7 @@
 
 #[test]
 fn what_is_turned_away_or_not_sent_is_asked_again_after_growing_waits() {
-    for outcome in [Outcome::Answered(Answer::TooMany), Outcome::NotSent] {
+    for outcome in [Outcome::Answered(Reply::TooManyCalls), Outcome::NotSent] {
         let mut line = Line::new();
         line.add(vec![share(0, 1.0)], vec![], None);
         let mut waits = Vec::new();
@@ -137,8 +140,8 @@
     for (answered, outcome) in [
         (true, Outcome::Unknown),
         (false, Outcome::Unknown),
-        (true, Outcome::Answered(Answer::Unreadable)),
-        (false, Outcome::Answered(Answer::Taken(99))),
+        (true, Outcome::Answered(Reply::Unreadable)),
+        (false, Outcome::Answered(Reply::Accepted(99))),
     ] {
         let mut line = Line::new();
         let orders = vec![share(0, 1.0), share(1, 1.0), shut(2), bind(7)];
@@ -178,7 +181,7 @@
     line.now += 1000.0;
     line.d.add(vec![shut(1)], vec![], None, 90.0);
     line.call().unwrap();
-    line.ends(Outcome::Answered(Answer::Unreadable));
+    line.ends(Outcome::Answered(Reply::Unreadable));
     assert_eq!(line.call().unwrap(), "withdraw,s1");
 }
 
@@ -192,7 +195,7 @@
         for _ in 0..1000 {
             if line.call().is_some() {
                 calls += 1;
-                line.ends(Outcome::Answered(Answer::Unreadable));
+                line.ends(Outcome::Answered(Reply::Unreadable));
             }
             line.now += 1.0;
         }
@@ -234,7 +237,7 @@
 #[test]
 fn a_call_is_split_only_above_the_size_that_one_may_have() {
     let mut line = Line::new();
-    let many: Vec<Order> = (0..6000).map(bind).collect();
+    let many: Vec<Command> = (0..6000).map(bind).collect();
     line.add(many, (0..6000).map(|p| (p, 1)).collect(), Some(3));
     let mut bound = 0;
     while let Some(text) = line.call() {
@@ -258,8 +261,8 @@
 
 #[test]
 fn what_an_answer_shows_does_not_go_again_whenever_the_answer_comes() {
-    let unreadable = Outcome::Answered(Answer::Unreadable);
-    let beyond = Outcome::Answered(Answer::Taken(99));
+    let unreadable = Outcome::Answered(Reply::Unreadable);
+    let beyond = Outcome::Answered(Reply::Accepted(99));
     for (comes, outcome, lines) in [
         (Comes::BeforeItsEnd, Outcome::Unknown, 90.0),
         (Comes::BeforeItsEnd, Outcome::Unknown, 900.0),
@@ -272,7 +275,7 @@
         (Comes::AsItGoesAgain, Outcome::NotSent, 90.0),
         (
             Comes::AsItGoesAgain,
-            Outcome::Answered(Answer::TooMany),
+            Outcome::Answered(Reply::TooManyCalls),
             90.0,
         ),
     ] {
@@ -325,7 +328,7 @@
 #[test]
 fn a_part_of_unknown_outcome_is_not_shown_by_the_mark_of_the_part_behind_it() {
     let mut line = Line::new();
-    let many: Vec<Order> = (0..6000).map(bind).collect();
+    let many: Vec<Command> = (0..6000).map(bind).collect();
     line.add(many, (0..6000).map(|p| (p, 1)).collect(), Some(3));
     let first = line.call().unwrap().matches("bind").count();
     line.ends(Outcome::Unknown);
@@ -354,7 +357,7 @@
     line.add(vec![share(0, 1.0)], vec![], None);
     for left in [1, 0] {
         line.call().unwrap();
-        line.ends(Outcome::Answered(Answer::Bad));
+        line.ends(Outcome::Answered(Reply::BadRequest));
         assert_eq!(line.d.waiting().0, left);
         line.now += 1000.0;
     }
--- a/crates/platform/tests/shapes.rs
+++ b/crates/platform/tests/shapes.rs
@@ -6,7 +6,7 @@
 use dahliapoint_platform::delivery::Outcome;
 use dahliapoint_platform::discovery::{self, List};
 use dahliapoint_platform::inbound::{self, Message};
-use dahliapoint_platform::relay::{self, Answer};
+use dahliapoint_platform::relay::{self, Reply};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -184,7 +184,7 @@
         self.ordered.probes += effects.probes.len();
         let call = effects.call.as_ref()?;
         assert!(
-            call.text.len() <= relay::MOST_BYTES + 8,
+            call.text.len() <= relay::MAX_CALL_BYTES + 8,
             "{}",
             call.text.len()
         );
@@ -237,7 +237,7 @@
                 _ => panic!("{order}"),
             }
         }
-        let outcome = Outcome::Answered(Answer::Taken(text.split(';').count()));
+        let outcome = Outcome::Answered(Reply::Accepted(text.split(';').count()));
         let number = call.number;
         let mut inputs = vec![Input::Called { number, outcome }];
         for proxy in concerned {
@@ -248,7 +248,7 @@
                 .push(self.now);
             inputs.extend(mark.map(|mark| Input::News {
                 follower: 0,
-                news: relay::News::Ack { proxy, mark },
+                news: relay::RelayEvent::Ack { proxy, mark },
             }));
         }
         Some(inputs)
@@ -256,7 +256,7 @@
 
     fn news(&mut self, lines: &[String]) {
         let news = |line: &String| {
-            let news = relay::news(line.as_bytes(), &self.told.zones, self.told.proxies);
+            let news = relay::parse_event(line.as_bytes(), &self.told.zones, self.told.proxies);
             let news = news.unwrap_or_else(|| panic!("{line}"));
             Input::News { follower: 0, news }
         };
