--- a/crates/node/src/configuration.rs
+++ b/crates/node/src/configuration.rs
@@ -1,7 +1,7 @@
 //! The configuration file (DEPLOY, "What a controller is told").
 
 use dahliapoint_opening::Deployment;
-use dahliapoint_platform::discovery::{self, List};
+use dahliapoint_platform::discovery::{self, EndpointList};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
     pub seed: u64,
     pub sockets: usize,
     pub deployment: Deployment,
-    pub known: List,
+    pub known: EndpointList,
 }
 
 #[derive(Deserialize)]
@@ -65,13 +65,13 @@
     from.end().map_err(|e| e.to_string())?;
     let deployment = dahliapoint_opening::deployment(&told.settings)?;
     let known = match told.known {
-        None | Some(Value::Null) => List {
+        None | Some(Value::Null) => EndpointList {
             index: 0,
-            whole: true,
-            entries: Vec::new(),
-            left_out: Vec::new(),
+            is_snapshot: true,
+            endpoints: Vec::new(),
+            rejected: Vec::new(),
         },
-        Some(value) => discovery::read_value(value, &deployment.zones)
+        Some(value) => discovery::parse_value(value, &deployment.zones)
             .map_err(|e| format!("field \"known\": {e}"))?,
     };
     // Chance only: a seed of another form is as good as any.
--- a/crates/node/src/life.rs
+++ b/crates/node/src/life.rs
@@ -64,13 +64,13 @@
         known,
     } = told;
     let reach = Reach::new(relay_at, discovery, deployment.clone(), known.index, seed);
-    for fault in &known.left_out {
+    for fault in &known.rejected {
         reach
             .teller
             .note(&format!("the known list: left out: {fault}"));
     }
     tracing::info!(
-        name, %listen, %discovery, relay = %relay_at, servers = known.entries.len(), index = known.index,
+        name, %listen, %discovery, relay = %relay_at, servers = known.endpoints.len(), index = known.index,
         proxies = deployment.proxies, sockets, "serving"
     );
     let core = Core::begun(reach.clock.now_ms(), seed, deployment, &known);
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -171,7 +171,7 @@
                 brought.store(true, Ordering::Release);
                 continue;
             }
-            match discovery::read(line, &reach.deployment.zones) {
+            match discovery::parse(line, &reach.deployment.zones) {
                 Ok(list) => {
                     brought.store(true, Ordering::Release);
                     let since = below.unwrap_or_else(Instant::now);
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -2,7 +2,7 @@
 //! decides nothing itself beyond the rules of [`crate::delivery`] and [`crate::membership`].
 
 use crate::delivery::{Call, Delivery, Outcome, Returned};
-use crate::discovery::List;
+use crate::discovery::EndpointList;
 use crate::inbound::Report;
 use crate::membership::{Membership, MembershipChange};
 use crate::relay::{Command, NameLookup, RelayEvent};
@@ -23,7 +23,7 @@
     /// What a watch brought; watches are numbered in the order in which they asked.
     List {
         watch: u32,
-        list: List,
+        list: EndpointList,
     },
     News {
         follower: u32,
@@ -110,7 +110,7 @@
 
 impl Core {
     /// Begins at that time, with the list as it was last known.
-    pub fn begun(now: f64, seed: u64, told: Deployment, known: &List) -> Core {
+    pub fn begun(now: f64, seed: u64, told: Deployment, known: &EndpointList) -> Core {
         let opening = &told.opening;
         let mut core = Core {
             planner: Planner::begun(now, seed, opening),
@@ -196,7 +196,7 @@
     fn take(&mut self, now: f64, input: Input, returned: &mut Returned) -> bool {
         match input {
             Input::List { watch, list } => {
-                let extent = match list.whole {
+                let extent = match list.is_snapshot {
                     true => Extent::Whole,
                     false => Extent::Changes,
                 };
@@ -204,7 +204,7 @@
                     self.tally.old_lists += 1;
                     return false;
                 }
-                for fault in &list.left_out {
+                for fault in &list.rejected {
                     returned
                         .notes
                         .push(format!("list {}: left out: {fault}", list.index));
@@ -259,15 +259,21 @@
     /// that were held up, tell what is past. Discovery itself may begin its versions anew: then a
     /// watch that asks for what came after ours is told a whole list below it, and another one still
     /// is once no discovery can be that far behind. From then on older watches tell nothing.
-    fn counts(&mut self, now: f64, watch: u32, list: &List, returned: &mut Returned) -> bool {
+    fn counts(
+        &mut self,
+        now: f64,
+        watch: u32,
+        list: &EndpointList,
+        returned: &mut Returned,
+    ) -> bool {
         if watch < self.first_watch {
             return false;
         }
-        if list.index > self.index || list.index == self.index && list.whole {
+        if list.index > self.index || list.index == self.index && list.is_snapshot {
             self.below = None;
             return true;
         }
-        if !list.whole {
+        if !list.is_snapshot {
             return false;
         }
         let (since, first) = *self.below.get_or_insert((now, watch));
@@ -282,19 +288,19 @@
         anew
     }
 
-    fn listed(&mut self, now: f64, list: &List, extent: Extent) {
+    fn listed(&mut self, now: f64, list: &EndpointList, extent: Extent) {
         self.places.release_idle(now, &self.delivery.servers());
-        let mut roster = Vec::with_capacity(list.entries.len());
-        for entry in &list.entries {
+        let mut roster = Vec::with_capacity(list.endpoints.len());
+        for entry in &list.endpoints {
             // One that nobody here ever knew cannot leave.
-            if entry.standing == Standing::Gone && self.places.find(&entry.name).is_none() {
+            if entry.admin_state == Standing::Gone && self.places.find(&entry.name).is_none() {
                 continue;
             }
             let server = self.places.upsert(entry, now);
             roster.push(Listed {
                 server,
                 zone: entry.zone,
-                standing: entry.standing,
+                standing: entry.admin_state,
                 weight: entry.weight,
                 started_ms: self.places.all[server].started_at_ms,
             });
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -7,25 +7,25 @@
 
 /// A list, or what has changed of it; names are still names.
 #[derive(Clone, Debug, PartialEq)]
-pub struct List {
+pub struct EndpointList {
     pub index: u64,
     /// All there is; otherwise changes.
-    pub whole: bool,
-    pub entries: Vec<Entry>,
+    pub is_snapshot: bool,
+    pub endpoints: Vec<Endpoint>,
     /// Entries left out, as name (if it had one) and what is wrong.
-    pub left_out: Vec<String>,
+    pub rejected: Vec<String>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct Endpoint {
     pub name: String,
     /// None where it cannot be read: it serves proxies all the same, but cannot be probed.
     pub address: Option<SocketAddr>,
     pub zone: usize,
-    pub standing: Standing,
+    pub admin_state: Standing,
     pub weight: f64,
     /// Unix time of its last start (ms); 0 for long ago.
-    pub since_ms: f64,
+    pub started_at_ms: f64,
 }
 
 #[derive(Deserialize)]
@@ -39,47 +39,47 @@
 ///
 /// # Errors
 /// When it is no list at all.
-pub fn read(line: &[u8], zones: &[String]) -> Result<List, String> {
+pub fn parse(line: &[u8], zones: &[String]) -> Result<EndpointList, String> {
     let told: Told = serde_json::from_slice(line).map_err(|e| e.to_string())?;
     Ok(list(told, zones))
 }
 
-/// Like [`read`], of what is a value already.
+/// Like [`parse`], of what is a value already.
 ///
 /// # Errors
 /// When it is no list at all.
-pub fn read_value(value: Value, zones: &[String]) -> Result<List, String> {
+pub fn parse_value(value: Value, zones: &[String]) -> Result<EndpointList, String> {
     let told: Told = serde_json::from_value(value).map_err(|e| e.to_string())?;
     Ok(list(told, zones))
 }
 
-fn list(told: Told, zones: &[String]) -> List {
-    let mut out = List {
+fn list(told: Told, zones: &[String]) -> EndpointList {
+    let mut out = EndpointList {
         index: told.index,
-        whole: told.snapshot,
-        entries: Vec::with_capacity(told.endpoints.len()),
-        left_out: Vec::new(),
+        is_snapshot: told.snapshot,
+        endpoints: Vec::with_capacity(told.endpoints.len()),
+        rejected: Vec::new(),
     };
     for value in &told.endpoints {
         match entry(value, zones) {
-            Ok(entry) => out.entries.push(entry),
+            Ok(entry) => out.endpoints.push(entry),
             Err(field) => {
                 let name = value["name"].as_str().unwrap_or("an entry without a name");
-                out.left_out.push(format!("{name}: {field}"));
+                out.rejected.push(format!("{name}: {field}"));
             }
         }
     }
     out
 }
 
-fn entry(value: &Value, zones: &[String]) -> Result<Entry, &'static str> {
+fn entry(value: &Value, zones: &[String]) -> Result<Endpoint, &'static str> {
     let text = |field: &'static str| value[field].as_str().ok_or(field);
     let name = text("name")?;
     // A name goes into orders, whose separators it must not hold.
     if name.is_empty() || name.bytes().any(|b| b" ,;+*\r\n".contains(&b)) {
         return Err("name");
     }
-    let standing = match text("status")? {
+    let admin_state = match text("status")? {
         "up" => Standing::Ready,
         "draining" => Standing::Draining,
         "removed" => Standing::Gone,
@@ -92,13 +92,13 @@
         let fits = value.is_finite() && value >= 0.0;
         fits.then_some(value).ok_or(field)
     };
-    Ok(Entry {
+    Ok(Endpoint {
         name: name.to_string(),
         address: value["address"].as_str().and_then(|a| a.parse().ok()),
         zone,
-        standing,
+        admin_state,
         weight: number("weight")?,
-        since_ms: match &value["since_ms"] {
+        started_at_ms: match &value["since_ms"] {
             Value::Null => 0.0,
             _ => number("since_ms")?,
         },
--- a/crates/platform/src/slots.rs
+++ b/crates/platform/src/slots.rs
@@ -4,7 +4,7 @@
 //! taken away, both have been so for [`INDEX_REUSE_DELAY_MS`], by when no answer or probe names it any more, and no
 //! order that names it waits to be sent. Only within its zone: the planner has dealt it to a part of that zone.
 
-use crate::discovery::Entry;
+use crate::discovery::Endpoint;
 use dahliapoint::Standing;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -47,7 +47,7 @@
     }
 
     /// The index for an entry, and what it now says.
-    pub fn upsert(&mut self, entry: &Entry, now: f64) -> usize {
+    pub fn upsert(&mut self, entry: &Endpoint, now: f64) -> usize {
         let index = match self.by_name.get(&entry.name) {
             Some(index) => *index,
             None => self.fresh(entry),
@@ -55,18 +55,18 @@
         let place = &mut self.all[index];
         place.address = entry.address.or(place.address);
         place.zone = entry.zone;
-        place.admin_state = entry.standing;
-        if entry.since_ms != place.since_ms {
-            place.since_ms = entry.since_ms;
+        place.admin_state = entry.admin_state;
+        if entry.started_at_ms != place.since_ms {
+            place.since_ms = entry.started_at_ms;
             // A start in the future is one of now: two clocks, or one that was set. Reckoned once, so that
             // a list that is told again tells of no new start.
-            place.started_at_ms = (entry.since_ms > 0.0).then(|| entry.since_ms.min(now));
+            place.started_at_ms = (entry.started_at_ms > 0.0).then(|| entry.started_at_ms.min(now));
         }
         place.settle(now);
         index
     }
 
-    fn fresh(&mut self, entry: &Entry) -> usize {
+    fn fresh(&mut self, entry: &Endpoint) -> usize {
         let used = self.free.get_mut(&entry.zone).and_then(Vec::pop);
         let index = used.unwrap_or(self.all.len());
         self.by_name.insert(entry.name.clone(), index);
@@ -75,7 +75,7 @@
             name: entry.name.clone(),
             address: entry.address,
             zone: entry.zone,
-            admin_state: entry.standing,
+            admin_state: entry.admin_state,
             weight: 0.0,
             table: self.all.get(index).and_then(|p| p.table),
             idle_since: None,
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -177,11 +177,11 @@
         {"name":"s,5","zone":"a","status":"up","weight":1},
         {"name":"s-6","zone":"a","status":"up","weight":-1},
         {"zone":"a"}, 7]}"#;
-    let list = discovery::read(line, &zones).unwrap();
+    let list = discovery::parse(line, &zones).unwrap();
     let found: Vec<_> = list
-        .entries
+        .endpoints
         .iter()
-        .map(|e| (e.name.as_str(), e.standing, e.address.is_some()))
+        .map(|e| (e.name.as_str(), e.admin_state, e.address.is_some()))
         .collect();
     assert_eq!(
         found,
@@ -190,8 +190,11 @@
             ("s-2", Standing::Draining, false)
         ]
     );
-    assert_eq!((list.index, list.whole, list.left_out.len()), (41, true, 6));
-    assert_eq!(list.entries[1].since_ms, 1.7e12);
+    assert_eq!(
+        (list.index, list.is_snapshot, list.rejected.len()),
+        (41, true, 6)
+    );
+    assert_eq!(list.endpoints[1].started_at_ms, 1.7e12);
     for line in [
         &b"{}"[..],
         b"[]",
@@ -199,7 +202,7 @@
         b"x",
         b"",
     ] {
-        assert!(discovery::read(line, &zones).is_err());
+        assert!(discovery::parse(line, &zones).is_err());
     }
 }
 
@@ -225,7 +228,7 @@
             let _ = inbound::parse(line, &told);
             let _ = relay::parse_reply(line);
             let _ = relay::parse_event(line, &told.zones, told.proxies);
-            let _ = discovery::read(line, &told.zones);
+            let _ = discovery::parse(line, &told.zones);
             let _ = chunked::ChunkedDecoder::default().push(line, &mut Vec::new());
         }
         let mut lines = line_buffer::LineBuffer::new(50);
--- a/crates/platform/tests/core.rs
+++ b/crates/platform/tests/core.rs
@@ -4,7 +4,7 @@
 use dahliapoint_opening::{Deployment, deployment};
 use dahliapoint_platform::core::{Core, Effects, Input, TOLD_WITHIN_MS};
 use dahliapoint_platform::delivery::Outcome;
-use dahliapoint_platform::discovery::{Entry, List};
+use dahliapoint_platform::discovery::{Endpoint, EndpointList};
 use dahliapoint_platform::inbound::Report;
 use dahliapoint_platform::relay::{RelayEvent, Reply};
 use dahliapoint_platform::slots::INDEX_REUSE_DELAY_MS;
@@ -26,27 +26,27 @@
     deployment(&settings).unwrap()
 }
 
-fn entry(name: &str, standing: Standing, since_ms: f64) -> Entry {
-    Entry {
+fn entry(name: &str, standing: Standing, since_ms: f64) -> Endpoint {
+    Endpoint {
         name: name.into(),
         address: Some("127.0.0.1:9".parse().unwrap()),
         zone: 0,
-        standing,
+        admin_state: standing,
         weight: 1.0,
-        since_ms,
+        started_at_ms: since_ms,
     }
 }
 
-fn list(index: u64, whole: bool, entries: Vec<Entry>) -> List {
+fn list(index: u64, whole: bool, entries: Vec<Endpoint>) -> EndpointList {
     List {
         index,
-        whole,
-        entries,
-        left_out: Vec::new(),
+        is_snapshot: whole,
+        endpoints: entries,
+        rejected: Vec::new(),
     }
 }
 
-fn lists(index: u64, whole: bool, entries: Vec<Entry>) -> Input {
+fn lists(index: u64, whole: bool, entries: Vec<Endpoint>) -> Input {
     let list = list(index, whole, entries);
     Input::List { watch: 0, list }
 }
@@ -466,7 +466,7 @@
     };
     let from = |at: u64| changes().into_iter().filter(move |(index, _)| *index > at);
     for began in 5..=8 {
-        let one: Vec<List> = from(5).map(|(i, e)| list(i, false, e)).collect();
+        let one: Vec<EndpointList> = from(5).map(|(i, e)| list(i, false, e)).collect();
         let mut other = vec![whole(began)];
         other.extend(from(began).map(|(i, e)| list(i, false, e)));
         let many = one.len() + other.len();
--- a/crates/platform/tests/shapes.rs
+++ b/crates/platform/tests/shapes.rs
@@ -4,7 +4,7 @@
 use dahliapoint_opening::{Deployment, deployment};
 use dahliapoint_platform::core::{Core, Effects, Input};
 use dahliapoint_platform::delivery::Outcome;
-use dahliapoint_platform::discovery::{self, List};
+use dahliapoint_platform::discovery::{self, EndpointList};
 use dahliapoint_platform::inbound::{self, Message};
 use dahliapoint_platform::relay::{self, Reply};
 use serde_json::{Value, json};
@@ -122,7 +122,7 @@
         index: u64,
         whole: bool,
         of: impl Iterator<Item = (usize, &'static str)>,
-    ) -> List {
+    ) -> EndpointList {
         let entry = |(s, status): (usize, &str)| {
             json!({"name": format!("s-{s}"), "address": format!("127.0.0.1:{}", 9000 + s), "type": "k", "group": s / 4,
                 "zone": self.zones[s % self.zones.len()], "status": status, "weight": 1.5, "since_ms": 0})
@@ -130,8 +130,8 @@
         let entries: Vec<Value> = of.map(entry).collect();
         let text = json!({"index": index, "snapshot": whole, "endpoints": entries}).to_string();
         let zones: Vec<String> = self.zones.iter().map(ToString::to_string).collect();
-        let list = discovery::read(text.as_bytes(), &zones).unwrap();
-        assert_eq!(list.left_out, Vec::<String>::new());
+        let list = discovery::parse(text.as_bytes(), &zones).unwrap();
+        assert_eq!(list.rejected, Vec::<String>::new());
         list
     }
 }
