--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -4,7 +4,7 @@
 use crate::reach::Shared;
 use dahliapoint_fibers::{Queue, Received};
 use dahliapoint_platform::core::{Core, Effects, Input};
-use dahliapoint_platform::delivery::{Call, Outcome};
+use dahliapoint_platform::delivery::{Call, CallOutcome};
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
@@ -87,7 +87,7 @@
             // One call is under way at a time, so there is always room; if not, it was not sent.
             back.push(Input::Called {
                 number: call.number,
-                outcome: Outcome::NotSent,
+                outcome: CallOutcome::NotSent,
             });
         }
         if !back.is_empty() {
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -8,7 +8,7 @@
 use crate::reach::{Addresses, Shared};
 use dahliapoint_fibers::{Queue, Received, Socket, give_way, sleep, spawn};
 use dahliapoint_platform::core::Input;
-use dahliapoint_platform::delivery::{Call, Outcome};
+use dahliapoint_platform::delivery::{Call, CallOutcome};
 use dahliapoint_platform::line_buffer::LineBuffer;
 use dahliapoint_platform::membership::MAX_FOLLOWER_LAG_MS;
 use dahliapoint_platform::relay::{self, RelayEvent};
@@ -182,7 +182,7 @@
     at: Addresses,
     held: Option<Socket>,
     call: &Call,
-) -> (Outcome, Option<Socket>) {
+) -> (CallOutcome, Option<Socket>) {
     let fault = |why: String| {
         reach
             .teller
@@ -192,19 +192,19 @@
         Ok(socket) => socket,
         Err(e) => {
             fault(e.to_string());
-            return (Outcome::NotSent, None);
+            return (CallOutcome::NotSent, None);
         }
     };
     let bytes = call.text.as_bytes();
     if !reach.shutdown.begin_write() {
-        return (Outcome::NotSent, None);
+        return (CallOutcome::NotSent, None);
     }
     let written = socket.write_all(bytes, Instant::now() + WRITTEN_WITHIN);
     reach.shutdown.end_write();
     if let Err(done) = written {
         fault(format!("broken after {done} of {} bytes", bytes.len()));
         socket.shut();
-        return (Outcome::NotSent, None);
+        return (CallOutcome::NotSent, None);
     }
     let until = Instant::now() + ANSWERED_WITHIN;
     let mut lines = LineBuffer::new(MOST_LINE);
@@ -219,7 +219,7 @@
                 };
                 fault(why);
                 socket.shut();
-                return (Outcome::Unknown, None);
+                return (CallOutcome::Unknown, None);
             }
         }
         match lines.next_line() {
@@ -229,17 +229,17 @@
                 if answer != relay::Reply::Unreadable {
                     // What came behind it would be read as the next call's answer.
                     let clean = lines.pending_len() == 0;
-                    return (Outcome::Answered(answer), clean.then_some(socket));
+                    return (CallOutcome::Replied(answer), clean.then_some(socket));
                 }
                 let text = String::from_utf8_lossy(line).into_owned();
                 fault(format!("answer {text:?}"));
                 socket.shut();
-                return (Outcome::Unknown, None);
+                return (CallOutcome::Unknown, None);
             }
             Some(Err(_)) => {
                 fault("an answer without end".into());
                 socket.shut();
-                return (Outcome::Unknown, None);
+                return (CallOutcome::Unknown, None);
             }
         }
     }
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -1,7 +1,7 @@
 //! The core: inputs of one moment in, what is to be done out. It drives the one planner directly and
 //! decides nothing itself beyond the rules of [`crate::delivery`] and [`crate::membership`].
 
-use crate::delivery::{Call, Delivery, Outcome, Returned};
+use crate::delivery::{Call, CallOutcome, Delivery, Feedback};
 use crate::discovery::EndpointList;
 use crate::inbound::Report;
 use crate::membership::{Membership, MembershipChange};
@@ -47,7 +47,7 @@
     Unasked(ProbeTarget),
     Called {
         number: u64,
-        outcome: Outcome,
+        outcome: CallOutcome,
     },
 }
 
@@ -116,7 +116,7 @@
             planner: Planner::begun(now, seed, opening),
             places: ServerSlots::default(),
             joined: Membership::default(),
-            delivery: Delivery::of(opening.way_ms, opening.most_waiting, opening.lines_per_ms),
+            delivery: Delivery::new(opening.way_ms, opening.most_waiting, opening.lines_per_ms),
             tables: BTreeMap::new(),
             index: known.index,
             first_watch: 0,
@@ -137,7 +137,7 @@
     /// One line on the whole, and one on each server that is listed: what the module believes of it
     /// (see [`dahliapoint::Belief`]). For the operators' debug log.
     pub fn beliefs(&self) -> Vec<String> {
-        let (queued, doubted) = self.delivery.waiting();
+        let (queued, doubted) = self.delivery.pending_counts();
         let mut out = vec![format!(
             "joined {} queued {queued} doubted {doubted} reports {} of strangers {} old lists {}",
             self.joined.count(),
@@ -159,7 +159,7 @@
 
     /// Takes all that came at one moment, decides once, and tells what is to be done.
     pub fn step(&mut self, now: f64, inputs: impl IntoIterator<Item = Input>) -> Effects {
-        let (mut effects, mut returned) = (Effects::default(), Returned::default());
+        let (mut effects, mut returned) = (Effects::default(), Feedback::default());
         let mut told = false;
         for input in inputs {
             told |= self.take(now, input, &mut returned);
@@ -172,28 +172,28 @@
         }
         // What a doubt gives back is news to the planner: once more, and no more than that.
         effects.call = self.next_call(now, &mut returned);
-        if !returned.unbound.is_empty() {
-            self.give_back(std::mem::take(&mut returned.unbound));
+        if !returned.lost_bindings.is_empty() {
+            self.give_back(std::mem::take(&mut returned.lost_bindings));
             self.decide(now, &mut effects);
             if effects.call.is_none() {
                 effects.call = self.next_call(now, &mut returned);
             }
         }
         effects.notes.append(&mut returned.notes);
-        let wakes = self.alarm.into_iter().chain(self.delivery.wake());
+        let wakes = self.alarm.into_iter().chain(self.delivery.wake_at());
         effects.wake_at = wakes.min_by(f64::total_cmp);
         effects
     }
 
-    fn next_call(&mut self, now: f64, returned: &mut Returned) -> Option<Call> {
+    fn next_call(&mut self, now: f64, returned: &mut Feedback) -> Option<Call> {
         let names = NamesOf(&self.places, &self.told);
         let joined = &self.joined;
         let stands = |(proxy, turn)| joined.is_joined(proxy) && joined.epoch(proxy) == turn;
-        self.delivery.next(now, &names, &stands, returned)
+        self.delivery.next_call(now, &names, &stands, returned)
     }
 
     /// Tells whether the planner was told anything.
-    fn take(&mut self, now: f64, input: Input, returned: &mut Returned) -> bool {
+    fn take(&mut self, now: f64, input: Input, returned: &mut Feedback) -> bool {
         match input {
             Input::List { watch, list } => {
                 let extent = match list.is_snapshot {
@@ -249,7 +249,7 @@
                 false
             }
             Input::Called { number, outcome } => {
-                self.delivery.ended(now, number, outcome, returned);
+                self.delivery.call_ended(now, number, outcome, returned);
                 false
             }
         }
@@ -264,7 +264,7 @@
         now: f64,
         watch: u32,
         list: &EndpointList,
-        returned: &mut Returned,
+        returned: &mut Feedback,
     ) -> bool {
         if watch < self.first_watch {
             return false;
@@ -289,7 +289,8 @@
     }
 
     fn listed(&mut self, now: f64, list: &EndpointList, extent: Extent) {
-        self.places.release_idle(now, &self.delivery.servers());
+        self.places
+            .release_idle(now, &self.delivery.referenced_servers());
         let mut roster = Vec::with_capacity(list.endpoints.len());
         for entry in &list.endpoints {
             // One that nobody here ever knew cannot leave.
@@ -335,7 +336,7 @@
                 self.joined.end_snapshot(follower, now, &mut changes);
                 if self.joined.is_joined(proxy) {
                     self.planner.orders_applied(proxy, mark);
-                    self.delivery.answered(mark);
+                    self.delivery.mark_acknowledged(mark);
                     told = true;
                 }
             }
@@ -442,7 +443,7 @@
         let mark = orders.mark;
         let lines = self.cost(&orders);
         self.tables.extend(orders.binds.iter().copied());
-        self.delivery.add(in_order(orders), turns, mark, lines);
+        self.delivery.enqueue(in_order(orders), turns, mark, lines);
     }
 
     /// A note of the planner's, with names in the place of indices.
--- a/crates/platform/src/delivery.rs
+++ b/crates/platform/src/delivery.rs
@@ -44,8 +44,8 @@
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Outcome {
-    Answered(Reply),
+pub enum CallOutcome {
+    Replied(Reply),
     /// It did not leave us whole.
     NotSent,
     /// It left, and nothing that can be relied on came back.
@@ -53,13 +53,13 @@
 }
 
 /// What a binding is to: a proxy, at one of its joinings.
-pub type Turn = (usize, u64);
+pub type ProxyEpoch = (usize, u64);
 
 #[derive(Clone, Debug)]
 struct Batch {
     orders: Vec<Command>,
     /// The joining that each binding was for, in the order of the bindings.
-    turns: Vec<Turn>,
+    turns: Vec<ProxyEpoch>,
     mark: Option<u32>,
     /// Its mark has left with all that remains of it: an answer to it is an answer to this.
     marked: bool,
@@ -85,9 +85,9 @@
 
 /// What the planner has to hear of.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Returned {
+pub struct Feedback {
     /// Bindings that were not carried out.
-    pub unbound: Vec<Turn>,
+    pub lost_bindings: Vec<ProxyEpoch>,
     pub notes: Vec<String>,
 }
 
@@ -109,7 +109,7 @@
 
 impl Delivery {
     /// By the mean way of a message (ms), the lines that may wait and those sent by millisecond.
-    pub fn of(way_ms: f64, most_waiting: f64, lines_per_ms: f64) -> Delivery {
+    pub fn new(way_ms: f64, most_waiting: f64, lines_per_ms: f64) -> Delivery {
         let backlog_ms = most_waiting / lines_per_ms.max(f64::MIN_POSITIVE);
         Delivery {
             queue: VecDeque::new(),
@@ -127,7 +127,13 @@
 
     /// A decision's orders, in their order, the joinings that its bindings are for, and the lines that
     /// it costs.
-    pub fn add(&mut self, orders: Vec<Command>, turns: Vec<Turn>, mark: Option<u32>, lines: f64) {
+    pub fn enqueue(
+        &mut self,
+        orders: Vec<Command>,
+        turns: Vec<ProxyEpoch>,
+        mark: Option<u32>,
+        lines: f64,
+    ) {
         if orders.is_empty() {
             return;
         }
@@ -163,7 +169,7 @@
     }
 
     /// Servers that an order names which may still be sent.
-    pub fn servers(&self) -> BTreeSet<usize> {
+    pub fn referenced_servers(&self) -> BTreeSet<usize> {
         let doubted = self.doubts.iter().map(|d| &d.batch);
         let orders = self.queue.iter().chain(doubted).flat_map(|b| &b.orders);
         let named = orders.filter_map(|order| match order {
@@ -186,12 +192,12 @@
     }
 
     /// How many decisions wait to be sent, and how many are in doubt.
-    pub fn waiting(&self) -> (usize, usize) {
+    pub fn pending_counts(&self) -> (usize, usize) {
         (self.queue.len(), self.doubts.len())
     }
 
     /// Rule 10: a proxy has answered for a mark.
-    pub fn answered(&mut self, mark: u32) {
+    pub fn mark_acknowledged(&mut self, mark: u32) {
         self.doubts.retain(|d| !d.batch.is_shown_by(mark));
         let under_way = self.under_way.is_some();
         let mut place = 0;
@@ -205,7 +211,7 @@
     }
 
     /// When `next` has something to do without anything else coming.
-    pub fn wake(&self) -> Option<f64> {
+    pub fn wake_at(&self) -> Option<f64> {
         let idle = self.under_way.is_none() && !self.queue.is_empty();
         let send = idle.then_some(self.not_before);
         let doubts = self.doubts.iter().map(|d| d.until);
@@ -214,12 +220,12 @@
 
     /// The call to make now, if there is one and none is under way. `stands` tells whether a proxy is
     /// still at that joining.
-    pub fn next(
+    pub fn next_call(
         &mut self,
         now: f64,
         names: &dyn NameLookup,
-        stands: &dyn Fn(Turn) -> bool,
-        returned: &mut Returned,
+        stands: &dyn Fn(ProxyEpoch) -> bool,
+        returned: &mut Feedback,
     ) -> Option<Call> {
         self.settle_doubts(now, returned);
         if self.under_way.is_some() || now < self.not_before {
@@ -267,7 +273,7 @@
     }
 
     /// Rule 1.
-    fn drop_overtaken(&mut self, stands: &dyn Fn(Turn) -> bool) {
+    fn drop_overtaken(&mut self, stands: &dyn Fn(ProxyEpoch) -> bool) {
         let Some(mut first) = self.queue.pop_front() else {
             return;
         };
@@ -277,7 +283,7 @@
     }
 
     /// Rule 6, its end.
-    fn settle_doubts(&mut self, now: f64, returned: &mut Returned) {
+    fn settle_doubts(&mut self, now: f64, returned: &mut Feedback) {
         let over = |d: &Doubt| d.until <= now;
         if !self.doubts.iter().any(over) {
             return;
@@ -287,7 +293,7 @@
         self.doubts = kept;
         for doubt in ended.into_iter().rev() {
             let mut batch = doubt.batch;
-            returned.unbound.append(&mut batch.turns);
+            returned.lost_bindings.append(&mut batch.turns);
             batch.orders.retain(|o| !matches!(o, Command::Bind { .. }));
             returned.notes.push(format!(
                 "a call of unknown outcome was not carried out: {} orders go again",
@@ -300,7 +306,13 @@
     }
 
     /// How the call under way ended.
-    pub fn ended(&mut self, now: f64, number: u64, outcome: Outcome, returned: &mut Returned) {
+    pub fn call_ended(
+        &mut self,
+        now: f64,
+        number: u64,
+        outcome: CallOutcome,
+        returned: &mut Feedback,
+    ) {
         let Some((under_way, count, marked)) = self.under_way else {
             return;
         };
@@ -316,8 +328,8 @@
         };
         let sent = count + usize::from(marked);
         let outcome = match outcome {
-            Outcome::Answered(Reply::Accepted(n)) if n <= sent => outcome,
-            _ if first.acknowledged => Outcome::Answered(Reply::Accepted(sent)),
+            CallOutcome::Replied(Reply::Accepted(n)) if n <= sent => outcome,
+            _ if first.acknowledged => CallOutcome::Replied(Reply::Accepted(sent)),
             _ => outcome,
         };
         let small = first.lines <= room;
@@ -327,14 +339,14 @@
             n => now + wait(n - 1),
         };
         match outcome {
-            Outcome::Answered(Reply::Accepted(n)) if n == sent => {
+            CallOutcome::Replied(Reply::Accepted(n)) if n == sent => {
                 first.cut(count);
                 first.tries = 0;
                 if first.orders.is_empty() {
                     self.queue.pop_front();
                 }
             }
-            Outcome::Answered(Reply::Accepted(n)) if n < sent => {
+            CallOutcome::Replied(Reply::Accepted(n)) if n < sent => {
                 let halted = first.orders.get(n).cloned();
                 returned.notes.push(format!(
                     "the relay halted at order {n} of {sent}: {halted:?}"
@@ -345,30 +357,30 @@
                     self.queue.pop_front();
                 }
             }
-            Outcome::Answered(Reply::TooManyCalls) => {
+            CallOutcome::Replied(Reply::TooManyCalls) => {
                 self.not_before = now + wait(first.tries);
                 first.tries += 1;
             }
-            Outcome::NotSent => {
+            CallOutcome::NotSent => {
                 self.not_before = now + wait(first.tries);
                 first.tries += 1;
             }
-            Outcome::Answered(Reply::BadRequest) if !first.refused => {
+            CallOutcome::Replied(Reply::BadRequest) if !first.refused => {
                 first.refused = true;
                 self.not_before = now + FIRST_WAIT_MS;
             }
-            Outcome::Answered(Reply::BadRequest) => {
+            CallOutcome::Replied(Reply::BadRequest) => {
                 returned.notes.push(format!(
                     "the relay refused a call of {sent} orders twice: dropped"
                 ));
                 self.queue.pop_front();
             }
-            Outcome::Answered(_) | Outcome::Unknown if small => {
+            CallOutcome::Replied(_) | CallOutcome::Unknown if small => {
                 self.again += first.lines;
                 self.not_before = again(first.tries);
                 first.tries += 1;
             }
-            Outcome::Answered(_) | Outcome::Unknown => {
+            CallOutcome::Replied(_) | CallOutcome::Unknown => {
                 let Some(mut batch) = self.queue.pop_front() else {
                     return;
                 };
@@ -433,7 +445,7 @@
     }
 
     /// Keeps the orders that pass, and the turns of the bindings that do.
-    fn keep(&mut self, pass: impl Fn(Key, Option<Turn>) -> bool) {
+    fn keep(&mut self, pass: impl Fn(Key, Option<ProxyEpoch>) -> bool) {
         let mut turns = std::mem::take(&mut self.turns).into_iter();
         let kept = &mut self.turns;
         self.orders.retain(|order| {
--- a/crates/platform/tests/core.rs
+++ b/crates/platform/tests/core.rs
@@ -3,7 +3,7 @@
 use dahliapoint::Standing;
 use dahliapoint_opening::{Deployment, deployment};
 use dahliapoint_platform::core::{Core, Effects, Input, TOLD_WITHIN_MS};
-use dahliapoint_platform::delivery::Outcome;
+use dahliapoint_platform::delivery::CallOutcome;
 use dahliapoint_platform::discovery::{Endpoint, EndpointList};
 use dahliapoint_platform::inbound::Report;
 use dahliapoint_platform::relay::{RelayEvent, Reply};
@@ -99,7 +99,7 @@
         while let Some(call) = effects.call {
             let text = call.text.trim_start_matches("txn ").trim_end();
             let orders: Vec<String> = text.split(';').map(str::to_string).collect();
-            let outcome = Outcome::Answered(Reply::Accepted(orders.len()));
+            let outcome = CallOutcome::Replied(Reply::Accepted(orders.len()));
             self.ordered.extend(orders);
             let number = call.number;
             effects = self.step(vec![Input::Called { number, outcome }]);
@@ -276,7 +276,7 @@
             .unwrap()
             .parse()
             .unwrap();
-        let outcome = Outcome::Unknown;
+        let outcome = CallOutcome::Unknown;
         let number = call.number;
         world.tell(vec![Input::Called { number, outcome }]);
         if answered {
@@ -346,7 +346,7 @@
         let mut inputs = Vec::new();
         inputs.extend(call.take().map(|c| Input::Called {
             number: c.number,
-            outcome: Outcome::NotSent,
+            outcome: CallOutcome::NotSent,
         }));
         if second == 40 {
             let fresh = entry("s-9", Standing::Ready, world.now);
@@ -363,7 +363,7 @@
         call.into_iter()
             .map(|c| Input::Called {
                 number: c.number,
-                outcome: Outcome::NotSent,
+                outcome: CallOutcome::NotSent,
             })
             .collect(),
     );
--- a/crates/platform/tests/delivery.rs
+++ b/crates/platform/tests/delivery.rs
@@ -1,6 +1,6 @@
 //! The rules of delivery, as tables of what happens.
 
-use dahliapoint_platform::delivery::{Delivery, Outcome, Returned};
+use dahliapoint_platform::delivery::{CallOutcome, Delivery, Feedback};
 use dahliapoint_platform::relay::{Command, NameLookup, Reply};
 
 struct Plain;
@@ -38,7 +38,7 @@
 /// 1000 lines takes 1 s.
 struct Line {
     d: Delivery,
-    back: Returned,
+    back: Feedback,
     now: f64,
     number: u64,
 }
@@ -46,8 +46,8 @@
 impl Line {
     fn new() -> Line {
         Line {
-            d: Delivery::of(100.0, 1000.0, 1.0),
-            back: Returned::default(),
+            d: Delivery::new(100.0, 1000.0, 1.0),
+            back: Feedback::default(),
             now: 0.0,
             number: 0,
         }
@@ -55,21 +55,24 @@
 
     /// A dear decision, of lines past what may go again unasked.
     fn add(&mut self, orders: Vec<Command>, turns: Vec<(usize, u64)>, mark: Option<u32>) {
-        self.d.add(orders, turns, mark, 900.0);
+        self.d.enqueue(orders, turns, mark, 900.0);
     }
 
     fn call(&mut self) -> Option<String> {
-        let call = self.d.next(self.now, &Plain, &|_| true, &mut self.back)?;
+        let call = self
+            .d
+            .next_call(self.now, &Plain, &|_| true, &mut self.back)?;
         self.number = call.number;
         Some(call.text.trim_start_matches("txn ").trim_end().to_string())
     }
 
-    fn ends(&mut self, outcome: Outcome) {
-        self.d.ended(self.now, self.number, outcome, &mut self.back);
+    fn ends(&mut self, outcome: CallOutcome) {
+        self.d
+            .call_ended(self.now, self.number, outcome, &mut self.back);
     }
 
     fn taken(&mut self, n: usize) {
-        self.ends(Outcome::Answered(Reply::Accepted(n)));
+        self.ends(CallOutcome::Replied(Reply::Accepted(n)));
     }
 }
 
@@ -83,7 +86,7 @@
     line.taken(3);
     assert_eq!(line.call().unwrap(), "withdraw,s1");
     line.taken(1);
-    assert_eq!((line.call(), line.d.wake()), (None, None));
+    assert_eq!((line.call(), line.d.wake_at()), (None, None));
 }
 
 #[test]
@@ -113,7 +116,10 @@
 
 #[test]
 fn what_is_turned_away_or_not_sent_is_asked_again_after_growing_waits() {
-    for outcome in [Outcome::Answered(Reply::TooManyCalls), Outcome::NotSent] {
+    for outcome in [
+        CallOutcome::Replied(Reply::TooManyCalls),
+        CallOutcome::NotSent,
+    ] {
         let mut line = Line::new();
         line.add(vec![share(0, 1.0)], vec![], None);
         let mut waits = Vec::new();
@@ -121,7 +127,7 @@
             line.call().unwrap();
             line.ends(outcome);
             assert_eq!(line.call(), None);
-            let at = line.d.wake().unwrap();
+            let at = line.d.wake_at().unwrap();
             waits.push(at - line.now);
             line.now = at;
         }
@@ -131,17 +137,17 @@
         );
         line.call().unwrap();
         line.taken(1);
-        assert_eq!(line.d.waiting(), (0, 0));
+        assert_eq!(line.d.pending_counts(), (0, 0));
     }
 }
 
 #[test]
 fn after_an_unknown_outcome_withdrawals_go_first_and_the_rest_waits_for_its_mark() {
     for (answered, outcome) in [
-        (true, Outcome::Unknown),
-        (false, Outcome::Unknown),
-        (true, Outcome::Answered(Reply::Unreadable)),
-        (false, Outcome::Answered(Reply::Accepted(99))),
+        (true, CallOutcome::Unknown),
+        (false, CallOutcome::Unknown),
+        (true, CallOutcome::Replied(Reply::Unreadable)),
+        (false, CallOutcome::Replied(Reply::Accepted(99))),
     ] {
         let mut line = Line::new();
         let orders = vec![share(0, 1.0), share(1, 1.0), shut(2), bind(7)];
@@ -156,12 +162,12 @@
         line.taken(2);
         assert_eq!(line.call(), None);
         if answered {
-            line.d.answered(3);
-            assert_eq!((line.d.wake(), line.d.waiting()), (None, (0, 0)));
+            line.d.mark_acknowledged(3);
+            assert_eq!((line.d.wake_at(), line.d.pending_counts()), (None, (0, 0)));
         } else {
-            line.now = line.d.wake().unwrap();
+            line.now = line.d.wake_at().unwrap();
             assert_eq!(line.call().unwrap(), "share,0,s0,1;mark,3,0");
-            assert_eq!(line.back.unbound, [(7, 1)], "the planner binds anew");
+            assert_eq!(line.back.lost_bindings, [(7, 1)], "the planner binds anew");
         }
     }
 }
@@ -171,17 +177,17 @@
     let mut line = Line::new();
     for (i, again) in [true, true, false].into_iter().enumerate() {
         line.d
-            .add(vec![share(i, 1.0), bind(7)], vec![(7, 1)], Some(3), 90.0);
+            .enqueue(vec![share(i, 1.0), bind(7)], vec![(7, 1)], Some(3), 90.0);
         let first = line.call().unwrap();
-        line.ends(Outcome::Unknown);
+        line.ends(CallOutcome::Unknown);
         assert_eq!(line.call() == Some(first), again, "{i}");
         line.taken(3);
     }
     // After the time that a full channel takes, it is little once more.
     line.now += 1000.0;
-    line.d.add(vec![shut(1)], vec![], None, 90.0);
+    line.d.enqueue(vec![shut(1)], vec![], None, 90.0);
     line.call().unwrap();
-    line.ends(Outcome::Answered(Reply::Unreadable));
+    line.ends(CallOutcome::Replied(Reply::Unreadable));
     assert_eq!(line.call().unwrap(), "withdraw,s1");
 }
 
@@ -190,12 +196,12 @@
     // What costs no lines (nobody has joined), and withdrawals, which go ahead of all else.
     for (orders, lines) in [(vec![share(0, 1.0)], 0.0), (vec![shut(1)], 900.0)] {
         let mut line = Line::new();
-        line.d.add(orders, vec![], None, lines);
+        line.d.enqueue(orders, vec![], None, lines);
         let mut calls = 0;
         for _ in 0..1000 {
             if line.call().is_some() {
                 calls += 1;
-                line.ends(Outcome::Answered(Reply::Unreadable));
+                line.ends(CallOutcome::Replied(Reply::Unreadable));
             }
             line.now += 1.0;
         }
@@ -207,15 +213,19 @@
 fn what_waits_for_a_relay_that_is_gone_stays_as_short_as_what_it_sets() {
     let mut line = Line::new();
     line.d
-        .add(vec![share(2, 0.5), bind(7)], vec![(7, 1)], Some(1), 10.0);
+        .enqueue(vec![share(2, 0.5), bind(7)], vec![(7, 1)], Some(1), 10.0);
     for i in 0..5000 {
-        line.d.add(
+        line.d.enqueue(
             vec![share(i % 2, i as f64), shut(i % 2)],
             vec![],
             Some(2),
             10.0,
         );
-        assert!(line.d.waiting().0 <= 100, "{}", line.d.waiting().0);
+        assert!(
+            line.d.pending_counts().0 <= 100,
+            "{}",
+            line.d.pending_counts().0
+        );
     }
     let mut last = String::new();
     while let Some(text) = line.call() {
@@ -247,7 +257,7 @@
         line.taken(orders);
         assert_eq!(text.contains("mark"), bound == 6000);
     }
-    assert_eq!((bound, line.d.waiting()), (6000, (0, 0)));
+    assert_eq!((bound, line.d.pending_counts()), (6000, (0, 0)));
 }
 
 /// When a mark's answer comes, seen from the call that carried it.
@@ -261,49 +271,49 @@
 
 #[test]
 fn what_an_answer_shows_does_not_go_again_whenever_the_answer_comes() {
-    let unreadable = Outcome::Answered(Reply::Unreadable);
-    let beyond = Outcome::Answered(Reply::Accepted(99));
+    let unreadable = CallOutcome::Replied(Reply::Unreadable);
+    let beyond = CallOutcome::Replied(Reply::Accepted(99));
     for (comes, outcome, lines) in [
-        (Comes::BeforeItsEnd, Outcome::Unknown, 90.0),
-        (Comes::BeforeItsEnd, Outcome::Unknown, 900.0),
+        (Comes::BeforeItsEnd, CallOutcome::Unknown, 90.0),
+        (Comes::BeforeItsEnd, CallOutcome::Unknown, 900.0),
         (Comes::BeforeItsEnd, unreadable, 90.0),
         (Comes::BeforeItsEnd, unreadable, 900.0),
         (Comes::BeforeItsEnd, beyond, 900.0),
-        (Comes::WhileItWaitsToGoAgain, Outcome::Unknown, 90.0),
-        (Comes::InDoubt, Outcome::Unknown, 900.0),
-        (Comes::AsItGoesAgain, Outcome::Unknown, 90.0),
-        (Comes::AsItGoesAgain, Outcome::NotSent, 90.0),
+        (Comes::WhileItWaitsToGoAgain, CallOutcome::Unknown, 90.0),
+        (Comes::InDoubt, CallOutcome::Unknown, 900.0),
+        (Comes::AsItGoesAgain, CallOutcome::Unknown, 90.0),
+        (Comes::AsItGoesAgain, CallOutcome::NotSent, 90.0),
         (
             Comes::AsItGoesAgain,
-            Outcome::Answered(Reply::TooManyCalls),
+            CallOutcome::Replied(Reply::TooManyCalls),
             90.0,
         ),
     ] {
         let case = format!("{comes:?} {outcome:?} {lines}");
         let mut line = Line::new();
         let orders = vec![share(0, 1.0), bind(7)];
-        line.d.add(orders, vec![(7, 1)], Some(3), lines);
+        line.d.enqueue(orders, vec![(7, 1)], Some(3), lines);
         line.call().unwrap();
         match comes {
             Comes::BeforeItsEnd => {
-                line.d.answered(3);
+                line.d.mark_acknowledged(3);
                 line.ends(outcome);
             }
             Comes::WhileItWaitsToGoAgain | Comes::InDoubt => {
                 line.ends(outcome);
-                line.d.answered(3);
+                line.d.mark_acknowledged(3);
             }
             Comes::AsItGoesAgain => {
-                line.ends(Outcome::Unknown);
+                line.ends(CallOutcome::Unknown);
                 line.call().unwrap();
-                line.d.answered(3);
+                line.d.mark_acknowledged(3);
                 line.ends(outcome);
             }
         }
-        assert_eq!(line.d.waiting(), (0, 0), "{case}");
+        assert_eq!(line.d.pending_counts(), (0, 0), "{case}");
         line.now += 60_000.0;
-        assert_eq!((line.call(), line.d.wake()), (None, None), "{case}");
-        assert_eq!(line.back, Returned::default(), "{case}");
+        assert_eq!((line.call(), line.d.wake_at()), (None, None), "{case}");
+        assert_eq!(line.back, Feedback::default(), "{case}");
     }
 }
 
@@ -315,12 +325,12 @@
         line.add(vec![share(1, 1.0)], vec![], Some(2));
         line.add(vec![share(0, 1.0)], vec![], Some(3));
         line.call().unwrap();
-        line.d.answered(3);
+        line.d.mark_acknowledged(3);
         line.taken(2);
         assert_eq!(line.call().unwrap(), "share,0,s0,1;mark,3,0");
         if sent {
-            line.ends(Outcome::Unknown);
-            assert_eq!(line.d.waiting(), (0, 1), "it is in doubt");
+            line.ends(CallOutcome::Unknown);
+            assert_eq!(line.d.pending_counts(), (0, 1), "it is in doubt");
         }
     }
 }
@@ -331,15 +341,15 @@
     let many: Vec<Command> = (0..6000).map(bind).collect();
     line.add(many, (0..6000).map(|p| (p, 1)).collect(), Some(3));
     let first = line.call().unwrap().matches("bind").count();
-    line.ends(Outcome::Unknown);
+    line.ends(CallOutcome::Unknown);
     let rest = line.call().unwrap();
     assert!(rest.ends_with("mark,3,0"));
     line.taken(rest.split(';').count());
-    line.d.answered(3);
-    line.now = line.d.wake().expect("the first part is still in doubt");
+    line.d.mark_acknowledged(3);
+    line.now = line.d.wake_at().expect("the first part is still in doubt");
     assert_eq!(line.call(), None);
     let bare: Vec<(usize, u64)> = (0..first).map(|p| (p, 1)).collect();
-    assert_eq!(line.back.unbound, bare, "the planner binds them anew");
+    assert_eq!(line.back.lost_bindings, bare, "the planner binds them anew");
 }
 
 #[test]
@@ -347,7 +357,10 @@
     let mut line = Line::new();
     line.add(vec![bind(7), bind(8)], vec![(7, 1), (8, 3)], Some(1));
     let stands = |(proxy, turn)| (proxy, turn) == (8, 3);
-    let call = line.d.next(0.0, &Plain, &stands, &mut line.back).unwrap();
+    let call = line
+        .d
+        .next_call(0.0, &Plain, &stands, &mut line.back)
+        .unwrap();
     assert_eq!(call.text, "txn bind,8,0,*;mark,1,0\r\n");
 }
 
@@ -357,8 +370,8 @@
     line.add(vec![share(0, 1.0)], vec![], None);
     for left in [1, 0] {
         line.call().unwrap();
-        line.ends(Outcome::Answered(Reply::BadRequest));
-        assert_eq!(line.d.waiting().0, left);
+        line.ends(CallOutcome::Replied(Reply::BadRequest));
+        assert_eq!(line.d.pending_counts().0, left);
         line.now += 1000.0;
     }
     assert_eq!(line.back.notes.len(), 1);
--- a/crates/platform/tests/shapes.rs
+++ b/crates/platform/tests/shapes.rs
@@ -3,7 +3,7 @@
 
 use dahliapoint_opening::{Deployment, deployment};
 use dahliapoint_platform::core::{Core, Effects, Input};
-use dahliapoint_platform::delivery::Outcome;
+use dahliapoint_platform::delivery::CallOutcome;
 use dahliapoint_platform::discovery::{self, EndpointList};
 use dahliapoint_platform::inbound::{self, Message};
 use dahliapoint_platform::relay::{self, Reply};
@@ -237,7 +237,7 @@
                 _ => panic!("{order}"),
             }
         }
-        let outcome = Outcome::Answered(Reply::Accepted(text.split(';').count()));
+        let outcome = CallOutcome::Replied(Reply::Accepted(text.split(';').count()));
         let number = call.number;
         let mut inputs = vec![Input::Called { number, outcome }];
         for proxy in concerned {
