--- a/crates/node/src/life.rs
+++ b/crates/node/src/life.rs
@@ -73,7 +73,7 @@
         name, %listen, %discovery, relay = %relay_at, servers = known.endpoints.len(), index = known.index,
         proxies = deployment.proxies, sockets, "serving"
     );
-    let core = Core::begun(reach.clock.now_ms(), seed, deployment, &known);
+    let core = Core::new(reach.clock.now_ms(), seed, deployment, &known);
     connections::listen(reach.clone(), listener, sockets);
     relay::follow(&reach);
     watch::begin(&reach);
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -52,7 +52,9 @@
         if tracing::enabled!(tracing::Level::DEBUG) {
             self.trace(came, reports, &effects);
         }
-        self.reach.index.store(self.core.index(), Ordering::Release);
+        self.reach
+            .index
+            .store(self.core.discovery_index(), Ordering::Release);
         effects
     }
 
@@ -61,7 +63,7 @@
         let call = effects.call.as_ref().map_or("", |c| c.text.trim_end());
         tracing::debug!(came, reports, probes = effects.probes.len(), call, "moment");
         if reports > 0 {
-            for line in self.core.beliefs() {
+            for line in self.core.state_lines() {
                 tracing::debug!("{line}");
             }
         }
@@ -78,14 +80,14 @@
                 self.reach
                     .teller
                     .fault("probes", || "too many wait: one is not sent".into());
-                back.push(Input::Unasked(probe));
+                back.push(Input::ProbeNotSent(probe));
             }
         }
         if let Some(call) = effects.call
             && let Err(call) = self.calls.offer(call)
         {
             // One call is under way at a time, so there is always room; if not, it was not sent.
-            back.push(Input::Called {
+            back.push(Input::CallEnded {
                 number: call.number,
                 outcome: CallOutcome::NotSent,
             });
--- a/crates/node/src/probes.rs
+++ b/crates/node/src/probes.rs
@@ -21,11 +21,11 @@
         spawn(move || {
             while let Some((probe, to)) = one(&probes) {
                 let began = Instant::now();
-                let fine = ask(to, began + PATIENCE).unwrap_or(false);
+                let healthy = ask(to, began + PATIENCE).unwrap_or(false);
                 let took_ms = began.elapsed().as_secs_f64() * 1000.0;
-                reach.put(vec![Input::Probed {
+                reach.put(vec![Input::ProbeAnswered {
                     probe,
-                    fine,
+                    healthy,
                     took_ms,
                 }]);
             }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -51,7 +51,7 @@
             Ok(socket) => {
                 let ended = listen(&reach, &socket, at, id, &settled);
                 socket.shut();
-                reach.put(vec![Input::Unfollowed { follower: id }]);
+                reach.put(vec![Input::FollowerEnded { follower: id }]);
                 ended
             }
             Err(e) => Ended::Broken(format!("{}: {e}", at.relay)),
@@ -109,7 +109,7 @@
             Err(e) if e.kind() == std::io::ErrorKind::TimedOut => {
                 if beside.is_silent() && !told_silent {
                     told_silent = true;
-                    reach.put(vec![Input::Silent { follower: id }]);
+                    reach.put(vec![Input::FollowerSilent { follower: id }]);
                 }
                 continue;
             }
@@ -133,7 +133,10 @@
                     if !matches!(news, RelayEvent::Started | RelayEvent::Hello { .. }) {
                         settled.store(true, Ordering::Release);
                     }
-                    inputs.push(Input::News { follower: id, news });
+                    inputs.push(Input::RelayEvent {
+                        follower: id,
+                        event: news,
+                    });
                 }
                 None if !begun => return broken("`follow` was not taken"),
                 None => {
@@ -164,7 +167,7 @@
                 let (outcome, socket) = make(&reach, at, fresh.map(|(s, ..)| s), &call);
                 held = socket.map(|s| (s, at.turn, Instant::now()));
                 let number = call.number;
-                reach.put(vec![Input::Called { number, outcome }]);
+                reach.put(vec![Input::CallEnded { number, outcome }]);
             }
         }
     });
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -7,7 +7,7 @@
 use crate::reach::{Addresses, Shared};
 use dahliapoint_fibers::{Socket, give_way, sleep, spawn};
 use dahliapoint_platform::chunked::ChunkedDecoder;
-use dahliapoint_platform::core::{Input, TOLD_WITHIN_MS};
+use dahliapoint_platform::core::{Input, MAX_DISCOVERY_LAG_MS};
 use dahliapoint_platform::discovery;
 use dahliapoint_platform::line_buffer::LineBuffer;
 use std::sync::atomic::Ordering;
@@ -18,7 +18,7 @@
 /// An empty line arrives every 2 s while nothing changes (PROTOCOL, "Discovery").
 const SILENT: Duration = Duration::from_millis(2600);
 const LOOK: Duration = Duration::from_millis(200);
-const TOLD_WITHIN: Duration = Duration::from_millis(TOLD_WITHIN_MS as u64);
+const TOLD_WITHIN: Duration = Duration::from_millis(MAX_DISCOVERY_LAG_MS as u64);
 const MOST_HEAD: usize = 8192;
 const MOST_LINE: usize = 1 << 20;
 
@@ -177,7 +177,7 @@
                     let since = below.unwrap_or_else(Instant::now);
                     below = (list.index < after).then_some(since);
                     let watch = number;
-                    inputs.push(Input::List { watch, list });
+                    inputs.push(Input::EndpointList { watch, list });
                 }
                 // What it held is told again by the next watch, after the version that stands.
                 Err(why) => {
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -15,37 +15,37 @@
 
 /// What discovery has to tell counts as told no later than this long after (PROTOCOL, "Figures"; ms): no
 /// discovery is further behind.
-pub const TOLD_WITHIN_MS: f64 = 6000.0;
+pub const MAX_DISCOVERY_LAG_MS: f64 = 6000.0;
 
 /// One thing that happened.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// What a watch brought; watches are numbered in the order in which they asked.
-    List {
+    EndpointList {
         watch: u32,
         list: EndpointList,
     },
-    News {
+    RelayEvent {
         follower: u32,
-        news: RelayEvent,
+        event: RelayEvent,
     },
     /// A follower's sign of life has stayed away.
-    Silent {
+    FollowerSilent {
         follower: u32,
     },
     /// A follower's connection is over.
-    Unfollowed {
+    FollowerEnded {
         follower: u32,
     },
     Report(Report),
-    Probed {
+    ProbeAnswered {
         probe: ProbeTarget,
-        fine: bool,
+        healthy: bool,
         took_ms: f64,
     },
     /// A probe that was never sent tells nothing of the server.
-    Unasked(ProbeTarget),
-    Called {
+    ProbeNotSent(ProbeTarget),
+    CallEnded {
         number: u64,
         outcome: CallOutcome,
     },
@@ -71,11 +71,11 @@
 
 /// Counts of what was left out, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Tally {
+pub struct Counters {
     pub reports: u64,
     /// Reports that named a server or a proxy that is not known.
-    pub strangers: u64,
-    pub old_lists: u64,
+    pub unknown_subjects: u64,
+    pub stale_lists: u64,
 }
 
 struct NamesOf<'a>(&'a ServerSlots, &'a Deployment);
@@ -105,12 +105,12 @@
     /// Since when, and by which watch, whole lists lie below the version that stands.
     below: Option<(f64, u32)>,
     alarm: Option<f64>,
-    pub tally: Tally,
+    pub counters: Counters,
 }
 
 impl Core {
     /// Begins at that time, with the list as it was last known.
-    pub fn begun(now: f64, seed: u64, told: Deployment, known: &EndpointList) -> Core {
+    pub fn new(now: f64, seed: u64, told: Deployment, known: &EndpointList) -> Core {
         let opening = &told.opening;
         let mut core = Core {
             planner: Planner::begun(now, seed, opening),
@@ -122,7 +122,7 @@
             first_watch: 0,
             below: None,
             alarm: Some(now),
-            tally: Tally::default(),
+            counters: Counters::default(),
             told,
         };
         core.listed(now, known, Extent::Remembered);
@@ -130,20 +130,20 @@
     }
 
     /// The version to ask discovery for the changes after.
-    pub fn index(&self) -> u64 {
+    pub fn discovery_index(&self) -> u64 {
         self.index
     }
 
     /// One line on the whole, and one on each server that is listed: what the module believes of it
     /// (see [`dahliapoint::Belief`]). For the operators' debug log.
-    pub fn beliefs(&self) -> Vec<String> {
+    pub fn state_lines(&self) -> Vec<String> {
         let (queued, doubted) = self.delivery.pending_counts();
         let mut out = vec![format!(
             "joined {} queued {queued} doubted {doubted} reports {} of strangers {} old lists {}",
             self.joined.count(),
-            self.tally.reports,
-            self.tally.strangers,
-            self.tally.old_lists
+            self.counters.reports,
+            self.counters.unknown_subjects,
+            self.counters.stale_lists
         )];
         for (place, b) in self.places.all.iter().zip(self.planner.beliefs()) {
             if place.admin_state == Standing::Gone {
@@ -195,13 +195,13 @@
     /// Tells whether the planner was told anything.
     fn take(&mut self, now: f64, input: Input, returned: &mut Feedback) -> bool {
         match input {
-            Input::List { watch, list } => {
+            Input::EndpointList { watch, list } => {
                 let extent = match list.is_snapshot {
                     true => Extent::Whole,
                     false => Extent::Changes,
                 };
                 if !self.counts(now, watch, &list, returned) {
-                    self.tally.old_lists += 1;
+                    self.counters.stale_lists += 1;
                     return false;
                 }
                 for fault in &list.rejected {
@@ -213,21 +213,21 @@
                 self.listed(now, &list, extent);
                 true
             }
-            Input::News { follower, news } => self.news(now, follower, news),
-            Input::Silent { follower } => {
+            Input::RelayEvent { follower, event } => self.news(now, follower, event),
+            Input::FollowerSilent { follower } => {
                 let mut changes = Vec::new();
                 self.joined.follower_silent(follower, now, &mut changes);
                 self.tell_joined(&changes)
             }
-            Input::Unfollowed { follower } => {
+            Input::FollowerEnded { follower } => {
                 let mut changes = Vec::new();
                 self.joined.follower_ended(follower, now, &mut changes);
                 self.tell_joined(&changes)
             }
             Input::Report(report) => self.report(now, &report),
-            Input::Probed {
+            Input::ProbeAnswered {
                 probe,
-                fine,
+                healthy,
                 took_ms,
             } => {
                 let Some(place) = self.places.all.get_mut(probe.server) else {
@@ -238,17 +238,17 @@
                 }
                 place.probe_pending = false;
                 self.planner
-                    .probe_answered(now, probe.server, fine, took_ms);
+                    .probe_answered(now, probe.server, healthy, took_ms);
                 true
             }
-            Input::Unasked(probe) => {
+            Input::ProbeNotSent(probe) => {
                 let place = self.places.all.get_mut(probe.server);
                 if let Some(place) = place.filter(|p| p.generation == probe.generation) {
                     place.probe_pending = false;
                 }
                 false
             }
-            Input::Called { number, outcome } => {
+            Input::CallEnded { number, outcome } => {
                 self.delivery.call_ended(now, number, outcome, returned);
                 false
             }
@@ -277,7 +277,7 @@
             return false;
         }
         let (since, first) = *self.below.get_or_insert((now, watch));
-        let anew = list.index < self.index && watch > first && now - since >= TOLD_WITHIN_MS;
+        let anew = list.index < self.index && watch > first && now - since >= MAX_DISCOVERY_LAG_MS;
         if anew {
             (self.first_watch, self.below) = (watch, None);
             let (old, new) = (self.index, list.index);
@@ -376,7 +376,7 @@
     }
 
     fn report(&mut self, now: f64, report: &Report) -> bool {
-        self.tally.reports += 1;
+        self.counters.reports += 1;
         match report {
             Report::Outcomes {
                 zone,
@@ -387,7 +387,7 @@
                 span_ms,
             } => {
                 let Some(server) = self.places.find(server) else {
-                    self.tally.strangers += 1;
+                    self.counters.unknown_subjects += 1;
                     return false;
                 };
                 let met = Met {
@@ -407,7 +407,7 @@
                 span_ms,
             } => {
                 if !self.joined.is_joined(*proxy) {
-                    self.tally.strangers += 1;
+                    self.counters.unknown_subjects += 1;
                     return false;
                 }
                 self.planner.visits_came(*proxy, *class, *visits, *span_ms);
--- a/crates/platform/tests/core.rs
+++ b/crates/platform/tests/core.rs
@@ -2,7 +2,7 @@
 
 use dahliapoint::Standing;
 use dahliapoint_opening::{Deployment, deployment};
-use dahliapoint_platform::core::{Core, Effects, Input, TOLD_WITHIN_MS};
+use dahliapoint_platform::core::{Core, Effects, Input, MAX_DISCOVERY_LAG_MS};
 use dahliapoint_platform::delivery::CallOutcome;
 use dahliapoint_platform::discovery::{Endpoint, EndpointList};
 use dahliapoint_platform::inbound::Report;
@@ -48,7 +48,7 @@
 
 fn lists(index: u64, whole: bool, entries: Vec<Endpoint>) -> Input {
     let list = list(index, whole, entries);
-    Input::List { watch: 0, list }
+    Input::EndpointList { watch: 0, list }
 }
 
 /// A core, a relay that takes every call unless told otherwise, and all that it was ordered.
@@ -71,7 +71,7 @@
         let up = |n| entry(n, Standing::Ready, 0.0);
         let known = list(5, true, vec![up("s-1"), up("s-2"), up("s-3")]);
         let mut world = World {
-            core: Core::begun(START, 7, told(most_waiting), &known),
+            core: Core::new(START, 7, told(most_waiting), &known),
             now: START,
             ordered: Vec::new(),
             wake: None,
@@ -102,14 +102,17 @@
             let outcome = CallOutcome::Replied(Reply::Accepted(orders.len()));
             self.ordered.extend(orders);
             let number = call.number;
-            effects = self.step(vec![Input::Called { number, outcome }]);
+            effects = self.step(vec![Input::CallEnded { number, outcome }]);
         }
     }
 
     fn news(&mut self, follower: u32, news: Vec<RelayEvent>) {
         self.tell(
             news.into_iter()
-                .map(|news| Input::News { follower, news })
+                .map(|news| Input::RelayEvent {
+                    follower,
+                    event: news,
+                })
                 .collect(),
         );
     }
@@ -220,7 +223,7 @@
         vec![entry("s-8", Standing::Gone, 0.0)],
     )]);
     assert_eq!(world.ordered.len(), before);
-    assert_eq!(world.core.tally.strangers, 2);
+    assert_eq!(world.core.counters.unknown_subjects, 2);
 }
 
 #[test]
@@ -230,7 +233,7 @@
     world.follow(1, &[3, 4]);
     // The first is heard beside the second, so no gap lies between them; likewise the third.
     world.news(0, vec![RelayEvent::Heartbeat]);
-    world.tell(vec![Input::Unfollowed { follower: 0 }]);
+    world.tell(vec![Input::FollowerEnded { follower: 0 }]);
     world.follow(2, &[3, 4]);
     world.news(1, vec![RelayEvent::Heartbeat]);
     assert_eq!(
@@ -239,8 +242,8 @@
     );
     // None is left: whoever is told anew is bound anew, whoever is not has left.
     world.tell(vec![
-        Input::Unfollowed { follower: 1 },
-        Input::Unfollowed { follower: 2 },
+        Input::FollowerEnded { follower: 1 },
+        Input::FollowerEnded { follower: 2 },
     ]);
     world.follow(3, &[4]);
     assert_eq!(
@@ -250,10 +253,10 @@
     // The last one ends and was not heard since another began: a gap may lie between the two, and
     // who stands by the other's word is bound anew; so also where it falls silent.
     world.follow(4, &[4]);
-    world.tell(vec![Input::Unfollowed { follower: 3 }]);
+    world.tell(vec![Input::FollowerEnded { follower: 3 }]);
     assert_eq!(world.count("bind,4,0,*"), 3);
     world.follow(5, &[4]);
-    world.tell(vec![Input::Silent { follower: 4 }]);
+    world.tell(vec![Input::FollowerSilent { follower: 4 }]);
     assert_eq!(world.count("bind,4,0,*"), 4);
 }
 
@@ -262,9 +265,9 @@
     for answered in [false, true] {
         // So few that a binding is dear.
         let mut world = World::of(40);
-        let joins = Input::News {
+        let joins = Input::RelayEvent {
             follower: 0,
-            news: hello(3),
+            event: hello(3),
         };
         let call = world.step(vec![joins]).call.unwrap();
         assert!(call.text.contains("bind,3,0,*"), "{}", call.text);
@@ -278,7 +281,7 @@
             .unwrap();
         let outcome = CallOutcome::Unknown;
         let number = call.number;
-        world.tell(vec![Input::Called { number, outcome }]);
+        world.tell(vec![Input::CallEnded { number, outcome }]);
         if answered {
             world.news(0, vec![RelayEvent::Ack { proxy: 3, mark }]);
         }
@@ -344,7 +347,7 @@
     for second in 1..=60 {
         world.now = START + f64::from(second) * 1000.0;
         let mut inputs = Vec::new();
-        inputs.extend(call.take().map(|c| Input::Called {
+        inputs.extend(call.take().map(|c| Input::CallEnded {
             number: c.number,
             outcome: CallOutcome::NotSent,
         }));
@@ -361,7 +364,7 @@
     // It is back: whoever left is shut out, whoever came is not.
     world.tell(
         call.into_iter()
-            .map(|c| Input::Called {
+            .map(|c| Input::CallEnded {
                 number: c.number,
                 outcome: CallOutcome::NotSent,
             })
@@ -392,9 +395,9 @@
     }
     // Three that serve, one that comes, and those that have gone lately.
     assert!(
-        world.core.beliefs().len() <= 1 + 3,
+        world.core.state_lines().len() <= 1 + 3,
         "{:?}",
-        world.core.beliefs()
+        world.core.state_lines()
     );
     for name in &names {
         let lines = world.began(&format!("share,0,{name},"));
@@ -483,10 +486,10 @@
                     _ => (1, other.next()),
                 };
                 let list = next.unwrap().clone();
-                world.tell(vec![Input::List { watch, list }]);
+                world.tell(vec![Input::EndpointList { watch, list }]);
             }
             let case = format!("began at {began}, order {order:b}");
-            assert_eq!(world.core.index(), 8, "{case}");
+            assert_eq!(world.core.discovery_index(), 8, "{case}");
             assert_eq!(world.count("withdraw,s-1"), 1, "{case}");
             assert_eq!(world.count("restore,s-1"), 0, "{case}");
             world.pass(4000.0);
@@ -504,7 +507,7 @@
         let mut all = vec![entry("s-2", Standing::Ready, 0.0)];
         all.extend((standing == Standing::Draining).then(|| entry("s-1", standing, 0.0)));
         let list = list(40, true, all);
-        world.tell(vec![Input::List { watch: 7, list }]);
+        world.tell(vec![Input::EndpointList { watch: 7, list }]);
         // The other two are not in it, or drain.
         assert_eq!(
             (world.count("withdraw,s-1"), world.count("withdraw,s-3")),
@@ -516,7 +519,7 @@
 #[test]
 fn versions_that_begin_anew_are_believed_once_no_discovery_can_be_so_far_behind() {
     let drains = |n| entry(n, Standing::Draining, 0.0);
-    let below = |watch| Input::List {
+    let below = |watch| Input::EndpointList {
         watch,
         list: list(
             2,
@@ -524,7 +527,7 @@
             vec![drains("s-1"), entry("s-2", Standing::Ready, 0.0)],
         ),
     };
-    let change = |watch, index, name| Input::List {
+    let change = |watch, index, name| Input::EndpointList {
         watch,
         list: list(index, false, vec![drains(name)]),
     };
@@ -532,13 +535,13 @@
     world.news(0, vec![hello(3)]);
     // A discovery that is late: not believed, and the next that reaches ours makes it good.
     world.tell(vec![below(1)]);
-    world.pass(TOLD_WITHIN_MS);
+    world.pass(MAX_DISCOVERY_LAG_MS);
     world.tell(vec![change(1, 6, "s-3")]);
     world.tell(vec![below(2)]);
     assert_eq!(world.count("withdraw,s-1"), 0);
     assert_eq!(world.count("withdraw,s-3"), 1);
     // The same watch says it twice, or another one too soon: not yet.
-    world.pass(TOLD_WITHIN_MS - 1.0);
+    world.pass(MAX_DISCOVERY_LAG_MS - 1.0);
     world.tell(vec![below(3)]);
     assert_eq!(world.count("withdraw,s-1"), 0);
     world.pass(1.0);
@@ -548,10 +551,19 @@
     world.tell(vec![change(4, 3, "s-2")]);
     assert_eq!(world.count("withdraw,s-2"), 0);
     world.tell(vec![below(4)]);
-    assert_eq!((world.count("withdraw,s-1"), world.core.index()), (1, 2));
+    assert_eq!(
+        (world.count("withdraw,s-1"), world.core.discovery_index()),
+        (1, 2)
+    );
     // What an older watch still tells is of the old numbering, however high.
     world.tell(vec![change(3, 60, "s-2")]);
-    assert_eq!((world.count("withdraw,s-2"), world.core.index()), (0, 2));
+    assert_eq!(
+        (world.count("withdraw,s-2"), world.core.discovery_index()),
+        (0, 2)
+    );
     world.tell(vec![change(4, 3, "s-2")]);
-    assert_eq!((world.count("withdraw,s-2"), world.core.index()), (1, 3));
+    assert_eq!(
+        (world.count("withdraw,s-2"), world.core.discovery_index()),
+        (1, 3)
+    );
 }
--- a/crates/platform/tests/shapes.rs
+++ b/crates/platform/tests/shapes.rs
@@ -163,7 +163,7 @@
         let told = deployment(&shape.settings()).unwrap();
         let known = shape.list(1, true, (0..shape.servers).map(|s| (s, "up")));
         World {
-            core: Core::begun(START, 7, told.clone(), &known),
+            core: Core::new(START, 7, told.clone(), &known),
             told,
             now: START,
             wake: Some(START),
@@ -239,16 +239,16 @@
         }
         let outcome = CallOutcome::Replied(Reply::Accepted(text.split(';').count()));
         let number = call.number;
-        let mut inputs = vec![Input::Called { number, outcome }];
+        let mut inputs = vec![Input::CallEnded { number, outcome }];
         for proxy in concerned {
             self.ordered
                 .messages
                 .entry(proxy)
                 .or_default()
                 .push(self.now);
-            inputs.extend(mark.map(|mark| Input::News {
+            inputs.extend(mark.map(|mark| Input::RelayEvent {
                 follower: 0,
-                news: relay::RelayEvent::Ack { proxy, mark },
+                event: relay::RelayEvent::Ack { proxy, mark },
             }));
         }
         Some(inputs)
@@ -258,7 +258,10 @@
         let news = |line: &String| {
             let news = relay::parse_event(line.as_bytes(), &self.told.zones, self.told.proxies);
             let news = news.unwrap_or_else(|| panic!("{line}"));
-            Input::News { follower: 0, news }
+            Input::RelayEvent {
+                follower: 0,
+                event: news,
+            }
         };
         let inputs = lines.iter().map(news).collect();
         self.tell(inputs);
@@ -333,14 +336,14 @@
         assert_eq!(world.ordered.lines["s-0"], 1.5, "{case}: the listed weight");
         // A drain is withdrawn at once, and once.
         let list = shape.list(2, false, [(0, "draining")].into_iter());
-        world.tell(vec![Input::List { watch: 0, list }]);
+        world.tell(vec![Input::EndpointList { watch: 0, list }]);
         assert!(world.ordered.withdrawn.contains("s-0"), "{case}");
         // Half the fleet is replaced, a server at a time: new ones get lines, old ones lose theirs.
         let half = shape.servers.div_ceil(2);
         for s in 0..half {
             let changes = [(s, "removed"), (shape.servers + s, "up")];
             let list = shape.list(3 + s as u64, false, changes.into_iter());
-            world.tell(vec![Input::List { watch: 0, list }]);
+            world.tell(vec![Input::EndpointList { watch: 0, list }]);
             world.pass(700.0);
         }
         world.pass(15_000.0);
