--- a/crates/platform/tests/core.rs
+++ b/crates/platform/tests/core.rs
@@ -38,7 +38,7 @@
 }
 
 fn list(index: u64, whole: bool, entries: Vec<Endpoint>) -> EndpointList {
-    List {
+    EndpointList {
         index,
         is_snapshot: whole,
         endpoints: entries,
