--- a/crates/platform/src/chunked.rs
+++ b/crates/platform/src/chunked.rs
@@ -1,22 +1,26 @@
-//! The body of a chunked HTTP answer, wherever its bytes are cut.
+//! Incremental decoder of HTTP/1.1 chunked bodies.
 
-/// It is not chunked as HTTP/1.1 says.
+/// The body violates the chunked transfer coding.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InvalidChunk;
 
-/// No chunk's head is longer: a length in hexadecimal, and perhaps an extension.
+/// Limit of a chunk's size line, which may carry extensions.
 const MOST_HEAD: usize = 256;
 
 #[derive(Default)]
 enum State {
+    /// Reading a chunk's size line.
     #[default]
     Head,
+    /// Reading chunk data, of which so many bytes remain.
     Data(u64),
-    /// The line end behind a chunk's data.
+    /// Reading the line end after a chunk's data.
     Tail,
+    /// The last chunk has been read.
     Ended,
 }
 
+/// Decodes a chunked body that arrives in pieces of any size. Trailers are ignored.
 #[derive(Default)]
 pub struct ChunkedDecoder {
     state: State,
@@ -24,10 +28,10 @@
 }
 
 impl ChunkedDecoder {
-    /// Takes bytes in, and adds the body's to `out`. Tells whether the body goes on.
+    /// Decodes `bytes` and appends the body's data to `out`. Returns whether the body continues.
     ///
     /// # Errors
-    /// [`InvalidChunk`], and whatever comes after it is of no use.
+    /// [`InvalidChunk`] when the coding is violated; the decoder is unusable afterwards.
     pub fn push(&mut self, mut bytes: &[u8], out: &mut Vec<u8>) -> Result<bool, InvalidChunk> {
         while !bytes.is_empty() {
             match &mut self.state {
