--- a/crates/platform/src/fields.rs
+++ b/crates/platform/src/fields.rs
@@ -1,20 +1,20 @@
-//! A message at the controller's address: a kind, then words `name=value`.
+//! Parses an inbound line: its kind, then fields of the form `name=value`, separated by spaces.
 
 use std::str::FromStr;
 
-/// Why a line is no good.
+/// Why a line is rejected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LineError {
-    /// No such message: whoever goes on like this is of no use.
+    /// The line is not a known message.
     Malformed,
-    /// The kind is known; this field of it is missing, of another type, or out of range.
+    /// The kind is known, but the named field is missing, of the wrong type, or out of range.
     InvalidField(&'static str),
 }
 
-/// The kind of a line, and the fields behind it.
+/// Splits a line into its kind and its fields.
 ///
 /// # Errors
-/// [`LineError::Malformed`] when it is not text or a word is no pair.
+/// [`LineError::Malformed`] when the line is not UTF-8 or contains control characters.
 pub fn split_kind(line: &[u8]) -> Result<(&str, Fields<'_>), LineError> {
     let text = std::str::from_utf8(line).map_err(|_| LineError::Malformed)?;
     if text.bytes().any(|b| b.is_ascii_control()) {
@@ -24,6 +24,7 @@
     Ok((kind, Fields(rest)))
 }
 
+/// The `name=value` fields of a line. Unknown fields and words without `=` are ignored.
 #[derive(Clone, Copy)]
 pub struct Fields<'a>(&'a str);
 
@@ -36,10 +37,10 @@
             .ok_or(LineError::InvalidField(name))
     }
 
-    /// A text that is not empty.
+    /// Returns the field as a non-empty string.
     ///
     /// # Errors
-    /// [`LineError::InvalidField`], as in all below.
+    /// [`LineError::InvalidField`] when the field is missing or invalid, as for the other types.
     pub fn text(&self, name: &'static str) -> Result<&'a str, LineError> {
         let text = self.get(name)?;
         (!text.is_empty())
@@ -47,13 +48,14 @@
             .ok_or(LineError::InvalidField(name))
     }
 
+    /// Returns the field as an integer of type `T`.
     pub fn integer<T: FromStr>(&self, name: &'static str) -> Result<T, LineError> {
         self.get(name)?
             .parse()
             .map_err(|_| LineError::InvalidField(name))
     }
 
-    /// A finite number from 0 to `most`.
+    /// Returns the field as a finite number from 0 to `most`.
     pub fn number(&self, name: &'static str, most: f64) -> Result<f64, LineError> {
         let value: f64 = self
             .get(name)?
@@ -63,7 +65,7 @@
         fits.then_some(value).ok_or(LineError::InvalidField(name))
     }
 
-    /// The place of a text among those that the settings name.
+    /// Returns the index of the field's value in `known`.
     pub fn index_in(&self, name: &'static str, known: &[String]) -> Result<usize, LineError> {
         let text = self.text(name)?;
         let at = known.iter().position(|k| k == text);
