--- a/crates/platform/src/line_buffer.rs
+++ b/crates/platform/src/line_buffer.rs
@@ -1,20 +1,22 @@
-//! Bytes into lines, wherever they are cut.
+//! Splits a byte stream into lines.
 
-/// A line grew past what one may hold.
+/// A line exceeds the length limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LineTooLong;
 
-/// What has come of a stream and is not a whole line yet.
+/// Buffers the bytes of a stream and returns them line by line.
 pub struct LineBuffer {
     held: Vec<u8>,
-    /// Bytes of `held` that belong to lines already given out, and that hold no line end.
+    /// Bytes at the start of `held` that belong to lines already returned.
     taken: usize,
+    /// Bytes at the start of `held` already searched for a line end.
     searched: usize,
+    /// Longest line in bytes, without its end.
     most: usize,
 }
 
 impl LineBuffer {
-    /// Lines of at most so many bytes, their end not counted.
+    /// Accepts lines of up to `most` bytes, not counting the line end.
     pub fn new(most: usize) -> LineBuffer {
         LineBuffer {
             held: Vec::new(),
@@ -24,11 +26,12 @@
         }
     }
 
-    /// Lines may be this long from now on.
+    /// Changes the length limit for the lines that follow.
     pub fn set_max_len(&mut self, most: usize) {
         self.most = most;
     }
 
+    /// Appends bytes read from the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.taken > 0 {
             self.held.drain(..self.taken);
@@ -38,10 +41,10 @@
         self.held.extend_from_slice(bytes);
     }
 
-    /// The next whole line without its end (CRLF, or a bare LF); none until more has come.
+    /// Returns the next complete line without its end (CRLF or LF), or `None` until more bytes arrive.
     ///
     /// # Errors
-    /// [`LineTooLong`] once what is held cannot become a legal line any more.
+    /// [`LineTooLong`] when a line, complete or not, exceeds the limit.
     pub fn next_line(&mut self) -> Option<Result<&[u8], LineTooLong>> {
         let fresh = &self.held[self.searched..];
         match fresh.iter().position(|b| *b == b'\n') {
@@ -61,7 +64,7 @@
                 self.searched = self.held.len();
                 let open = self.held.len() - self.taken;
                 if open == 0 {
-                    // A long line that has gone must not keep its room for good.
+                    // Free the memory that a long line took.
                     (self.taken, self.searched) = (0, 0);
                     self.held.clear();
                     self.held.shrink_to(4096);
@@ -71,7 +74,7 @@
         }
     }
 
-    /// Bytes that wait for the end of their line.
+    /// Number of buffered bytes that are not part of a complete line.
     pub fn pending_len(&self) -> usize {
         self.held.len() - self.taken
     }
