--- a/crates/platform/src/relay.rs
+++ b/crates/platform/src/relay.rs
@@ -1,46 +1,47 @@
-//! The relay's text (PROTOCOL, "The relay"): orders out, answers and news in.
+//! The relay's text protocol (PROTOCOL, "The relay"): commands out, replies and events in.
 
 use dahliapoint::Tries;
 use std::fmt::Write;
 
-/// A call carries up to this many bytes of orders.
+/// Limit of the commands of one call, in bytes.
 pub const MAX_CALL_BYTES: usize = 60_000;
 
-/// One order, by indices; names are put in as it is written.
+/// One command of a call. It refers to servers and classes by index; names are looked up on writing.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
+    /// Sets a server's weight in a table.
     Share {
         table: usize,
         server: usize,
         weight: f64,
     },
+    /// Sets a class's admitted share of visits and its retry policy in a table.
     Admit {
         table: usize,
         class: usize,
         share: f64,
         tries: Tries,
     },
-    Withdraw {
-        server: usize,
-        withdrawn: bool,
-    },
-    Bind {
-        proxy: usize,
-        table: usize,
-    },
+    /// Withdraws a server at every proxy, or restores it.
+    Withdraw { server: usize, withdrawn: bool },
+    /// Binds a proxy to a table.
+    Bind { proxy: usize, table: usize },
+    /// Asks each proxy concerned to acknowledge the preceding commands by this number.
     Mark(u32),
 }
 
-/// What names an order's server and class.
+/// Looks up the names of servers and classes.
 pub trait NameLookup {
+    /// Returns the name of the server at `index`.
     fn server(&self, index: usize) -> &str;
+    /// Returns the name of the class at `index`.
     fn class(&self, index: usize) -> &str;
 }
 
 impl Command {
-    /// Adds the order to a call's text.
+    /// Appends the command to a call's text.
     pub fn write(&self, names: &dyn NameLookup, to: &mut String) {
-        // Writing to a string cannot fail.
+        // Writing to a `String` cannot fail.
         let _ = match self {
             Command::Share {
                 table,
@@ -74,19 +75,20 @@
     }
 }
 
-/// What the relay answers to a call.
+/// The relay's reply to a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reply {
-    /// So many orders were taken, from the first.
+    /// The first so many commands were accepted.
     Accepted(usize),
-    /// The run has not begun.
+    /// The call was not started: too many calls are under way.
     TooManyCalls,
-    /// It is no call.
+    /// The relay could not parse the call.
     BadRequest,
+    /// The reply is not valid.
     Unreadable,
 }
 
-/// Reads an answer.
+/// Parses the reply to a call.
 pub fn parse_reply(line: &[u8]) -> Reply {
     let Ok(text) = std::str::from_utf8(line) else {
         return Reply::Unreadable;
@@ -100,29 +102,29 @@
     }
 }
 
-/// One line of the news.
+/// One line of the relay's event stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RelayEvent {
-    /// The answer to `follow`: what stands comes next.
+    /// `follow` was accepted; a snapshot of the joined proxies comes next.
     Started,
+    /// A proxy is joined.
     Hello {
         proxy: usize,
         zone: usize,
-        /// Visits a second, roughly.
+        /// Approximate rate of visits.
         visits_per_s: f64,
+        /// Whether it has just joined, rather than being part of the snapshot.
         fresh: bool,
     },
-    Bye {
-        proxy: usize,
-    },
-    Ack {
-        proxy: usize,
-        mark: u32,
-    },
+    /// A proxy left.
+    Bye { proxy: usize },
+    /// A proxy acknowledged a mark.
+    Ack { proxy: usize, mark: u32 },
+    /// Sent periodically while the stream is open.
     Heartbeat,
 }
 
-/// Reads a line of the news; none if it cannot be read, or names what does not exist.
+/// Parses a line of the event stream. Returns `None` when it is malformed or names an unknown zone or proxy.
 pub fn parse_event(line: &[u8], zones: &[String], proxies: usize) -> Option<RelayEvent> {
     let text = std::str::from_utf8(line).ok()?;
     let mut words = text.split(' ');
