--- a/crates/platform/src/inbound.rs
+++ b/crates/platform/src/inbound.rs
@@ -1,32 +1,33 @@
-//! What comes to the controller's address (PROTOCOL, "At the controller's address").
+//! Messages that arrive at the controller's address (PROTOCOL, "At the controller's address").
 
 use crate::fields::{LineError, split_kind};
 use dahliapoint_opening::Deployment;
 
-/// A message holds at most this many bytes (PROTOCOL, "At the controller's address").
+/// Limit of one message, in bytes (PROTOCOL, "At the controller's address").
 pub const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// Reports cover at most this long (ms): the newest 16 periods are all that is remembered of any, so
-/// what says more is spoilt.
+/// Longest time that a report may cover, and longest mean that it may state. Only the newest 16
+/// reporting periods are kept, so a longer report is invalid.
 const LONGEST_MS: f64 = 120_000.0;
 
-/// More tries than this in one line are no count of visits.
+/// Limit of the counts in one line; a larger one is invalid.
 const MOST_TRIES: u64 = 100_000_000;
 
-/// One message.
+/// One parsed message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
+    /// Asks whether the controller is alive.
     Probe,
-    /// A collector names the zone it is of.
-    Agent {
-        zone: usize,
-    },
+    /// A collector joins and names its zone.
+    Agent { zone: usize },
+    /// A report forwarded by a collector.
     Report(Report),
 }
 
-/// A line that a collector forwards.
+/// A report line that a collector forwards.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Report {
+    /// Tries that the proxies of a zone made at a server.
     Outcomes {
         zone: usize,
         server: String,
@@ -35,6 +36,7 @@
         mean_ms: f64,
         span_ms: f64,
     },
+    /// Visits of a class that arrived at a proxy.
     Demand {
         proxy: usize,
         class: usize,
@@ -43,10 +45,10 @@
     },
 }
 
-/// Reads a line.
+/// Parses a message.
 ///
 /// # Errors
-/// What is wrong with it.
+/// [`LineError`] tells what is wrong with the line.
 pub fn parse(line: &[u8], told: &Deployment) -> Result<Message, LineError> {
     let (kind, words) = split_kind(line)?;
     match kind {
@@ -80,7 +82,7 @@
             if tries > MOST_TRIES {
                 return Err(LineError::InvalidField("tries"));
             }
-            // What could not be served may have come in the period before: more than came is no fault.
+            // `failed` may exceed `tries`: a visit that fails now may have arrived in the previous period.
             if failed > MOST_TRIES {
                 return Err(LineError::InvalidField("failed"));
             }
