--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,33 +1,36 @@
-//! Discovery's lists (PROTOCOL, "Discovery").
+//! Parses the endpoint lists that discovery sends (PROTOCOL, "Discovery").
 
 use dahliapoint::Standing;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// A list, or what has changed of it; names are still names.
+/// A full list of endpoints, or the changes since another version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
+    /// Version of the list.
     pub index: u64,
-    /// All there is; otherwise changes.
+    /// Whether this is the full list; otherwise it holds changes only.
     pub is_snapshot: bool,
     pub endpoints: Vec<Endpoint>,
-    /// Entries left out, as name (if it had one) and what is wrong.
+    /// Entries that could not be parsed: name, if there is one, and the invalid field.
     pub rejected: Vec<String>,
 }
 
+/// One server of a list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
     pub name: String,
-    /// None where it cannot be read: it serves proxies all the same, but cannot be probed.
+    /// `None` if it cannot be parsed: the server still gets traffic, but cannot be probed.
     pub address: Option<SocketAddr>,
     pub zone: usize,
     pub admin_state: Standing,
     pub weight: f64,
-    /// Unix time of its last start (ms); 0 for long ago.
+    /// Unix time of its last start (ms); 0 means long ago.
     pub started_at_ms: f64,
 }
 
+/// A list as it is sent; its entries are parsed one by one.
 #[derive(Deserialize)]
 struct Told {
     index: u64,
@@ -35,19 +38,19 @@
     endpoints: Vec<Value>,
 }
 
-/// Reads a list; an entry that cannot be read is left out alone.
+/// Parses a list. An invalid entry is skipped and named in [`EndpointList::rejected`].
 ///
 /// # Errors
-/// When it is no list at all.
+/// Returns the reason when the input is not a list.
 pub fn parse(line: &[u8], zones: &[String]) -> Result<EndpointList, String> {
     let told: Told = serde_json::from_slice(line).map_err(|e| e.to_string())?;
     Ok(list(told, zones))
 }
 
-/// Like [`parse`], of what is a value already.
+/// Like [`parse`], from a JSON value.
 ///
 /// # Errors
-/// When it is no list at all.
+/// Returns the reason when the value is not a list.
 pub fn parse_value(value: Value, zones: &[String]) -> Result<EndpointList, String> {
     let told: Told = serde_json::from_value(value).map_err(|e| e.to_string())?;
     Ok(list(told, zones))
@@ -75,7 +78,7 @@
 fn entry(value: &Value, zones: &[String]) -> Result<Endpoint, &'static str> {
     let text = |field: &'static str| value[field].as_str().ok_or(field);
     let name = text("name")?;
-    // A name goes into orders, whose separators it must not hold.
+    // Names are written into relay commands, so they must not contain separators.
     if name.is_empty() || name.bytes().any(|b| b" ,;+*\r\n".contains(&b)) {
         return Err("name");
     }
