--- a/crates/platform/src/slots.rs
+++ b/crates/platform/src/slots.rs
@@ -1,52 +1,57 @@
-//! Names of servers and the small indices that the planner knows them by.
+//! Maps the names of servers to the small indices that the planner uses.
 //!
-//! An index is used again for another name once nothing refers to it: its server is gone and its line
-//! taken away, both have been so for [`INDEX_REUSE_DELAY_MS`], by when no answer or probe names it any more, and no
-//! order that names it waits to be sent. Only within its zone: the planner has dealt it to a part of that zone.
+//! An index is reused for another server once nothing refers to it: the old server has been gone and
+//! without weight for [`INDEX_REUSE_DELAY_MS`], no probe of it is pending, and no queued command names
+//! it. It is reused only in the same zone, because the planner assigned it to a part of that zone.
 
 use crate::discovery::Endpoint;
 use dahliapoint::Standing;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-/// Calls, reports and probes all end well within this.
+/// Longer than any call, report or probe can take.
 pub const INDEX_REUSE_DELAY_MS: f64 = 20_000.0;
 
+/// The server at one index.
 #[derive(Clone, Debug)]
 pub struct ServerSlot {
     pub name: String,
     pub address: Option<SocketAddr>,
     pub zone: usize,
     pub admin_state: Standing,
-    /// The line that was last ordered; 0: none.
+    /// The last ordered weight; 0 if it has no line in a table.
     pub weight: f64,
-    /// The table that its line is in, from the first on.
+    /// The table that holds its line, once one was ordered. Kept when the index is reused.
     pub table: Option<usize>,
-    /// Since when it is gone and without a line.
+    /// Since when it has been gone and without weight.
     pub idle_since: Option<f64>,
-    /// Counted up with each name: an answer to what was asked of another name is known by it.
+    /// Number of earlier servers at this index; tells late probe results of these apart.
     pub generation: u32,
-    /// When a probe was sent that is not answered yet.
+    /// Whether a probe was sent and has not ended.
     pub probe_pending: bool,
-    /// When it last started, by our clock (ms); none: long ago.
+    /// Its last start by the local clock (ms); `None` means long ago.
     pub started_at_ms: Option<f64>,
-    /// The same as the list has it.
+    /// Its last start as listed (ms).
     since_ms: f64,
 }
 
+/// All servers by index, and their indices by name.
 #[derive(Default)]
 pub struct ServerSlots {
+    /// Every slot ever used, by index.
     pub all: Vec<ServerSlot>,
     by_name: HashMap<String, usize>,
+    /// Indices free for reuse, by zone.
     free: BTreeMap<usize, Vec<usize>>,
 }
 
 impl ServerSlots {
+    /// Returns the index of a server.
     pub fn find(&self, name: &str) -> Option<usize> {
         self.by_name.get(name).copied()
     }
 
-    /// The index for an entry, and what it now says.
+    /// Stores the listed state of a server, under a new index if it has none, and returns the index.
     pub fn upsert(&mut self, entry: &Endpoint, now: f64) -> usize {
         let index = match self.by_name.get(&entry.name) {
             Some(index) => *index,
@@ -58,8 +63,8 @@
         place.admin_state = entry.admin_state;
         if entry.started_at_ms != place.since_ms {
             place.since_ms = entry.started_at_ms;
-            // A start in the future is one of now: two clocks, or one that was set. Reckoned once, so that
-            // a list that is told again tells of no new start.
+            // A start in the future counts as now: the clocks differ or one was set. Computed once per
+            // listed value, so that the same list received again reports no new start.
             place.started_at_ms = (entry.started_at_ms > 0.0).then(|| entry.started_at_ms.min(now));
         }
         place.settle(now);
@@ -91,7 +96,7 @@
         index
     }
 
-    /// Those that a whole list does not name are gone.
+    /// Marks every server that a full list does not contain as gone.
     pub fn mark_unlisted_gone(&mut self, listed: &[usize], now: f64) {
         let mut there = vec![false; self.all.len()];
         listed.iter().for_each(|i| there[*i] = true);
@@ -101,13 +106,15 @@
         }
     }
 
+    /// Records the weight that was ordered for a server and the table that it is in.
     pub fn record_weight(&mut self, index: usize, table: usize, weight: f64, now: f64) {
         self.all[index].table = Some(table);
         self.all[index].weight = weight;
         self.all[index].settle(now);
     }
 
-    /// Lets names go whose index nothing refers to, orders that wait included; tells how many.
+    /// Frees the indices that nothing refers to any more and returns their number. `ordered` are the
+    /// servers named by queued commands.
     pub fn release_idle(&mut self, now: f64, ordered: &BTreeSet<usize>) -> usize {
         let mut gone = 0;
         for (index, place) in self.all.iter().enumerate() {
