--- a/crates/platform/src/membership.rs
+++ b/crates/platform/src/membership.rs
@@ -1,28 +1,32 @@
-//! Who is joined, by what followers of the news tell.
+//! Tracks which proxies are joined, from several followers of the relay's event stream.
 //!
-//! Each follower tells every joining and leaving once, in order, but begins with a snapshot: what stood
-//! when it came. While one follower is unbroken nothing is missed, so another that breaks and comes back
-//! changes nothing: each proxy's joinings and leavings are counted, by follower and in all, and only
-//! what is ahead of the count in all is news. The rules, in their order:
+//! A follower is one subscription. It begins with a snapshot of the joined proxies and then reports
+//! every join and leave once, in order. As long as one follower is uninterrupted nothing is missed, so
+//! another one that reconnects must not change anything. Therefore the joins and leaves of each proxy
+//! are counted, per follower and overall (the proxy's epoch, odd while it is joined), and an event is a
+//! change only if it is ahead of the overall count. The rules, in order:
 //!
-//! 1. **Alone**: with nobody beside it that was heard lately, a follower is the measure: a proxy may have
-//!    left and come back unseen, and its binding with it, so everyone who is in its snapshot joins anew.
-//! 2. **Linked**: one that began beside a sound follower is sound itself once that one is heard again: no
-//!    gap lies between what the two have told. Sound is who is alone or linked.
-//! 3. **Promoted**: where the last sound follower ends or falls silent, the oldest that is left is alone
-//!    from then on, also for what it has told already.
-//! 4. **Guessed**: a snapshot tells states, not counts, and may lie before or behind what another has
-//!    told. For as long as followers lag behind each other the least count that fits is taken, so that
-//!    whoever is ahead tells the news; once all is quiet, counts of the same state are the same count.
-//! 5. **Sole**: whoever is left as the only sound one has the last word at once: what differs is news.
+//! 1. **Authoritative**: a follower that starts while no other is active is authoritative. A proxy may
+//!    have left and rejoined unseen and lost its binding, so every proxy in its snapshot joins anew.
+//! 2. **Linked**: a follower that starts while another is trusted becomes trusted itself at the next
+//!    event of that one, since there is no gap between the two streams. Trusted followers are those
+//!    that are authoritative or linked, and not silent.
+//! 3. **Promoted**: when the last trusted follower ends or falls silent, the oldest remaining one
+//!    becomes authoritative, also for what it has already reported.
+//! 4. **Estimated**: a snapshot has states, not counts, and may be older or newer than what other
+//!    followers have reported. While followers may lag behind each other, the smallest count that fits
+//!    the state is assumed, so that the follower that is ahead reports the change. After that time,
+//!    equal states mean equal counts.
+//! 5. **Last trusted**: when one trusted follower remains, its state decides at once, and each
+//!    difference is a change.
 
 use std::collections::BTreeMap;
 
-/// Followers lag behind each other by less than this (ms); a difference from a snapshot that is
-/// younger is the lag of one of them, an older one is news.
+/// Followers lag behind each other by less than this. A younger difference between a snapshot and the
+/// known state may be lag; an older one is a change.
 pub const MAX_FOLLOWER_LAG_MS: f64 = 1500.0;
 
-/// A change of who is joined.
+/// A join or leave of a proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum MembershipChange {
     Joined {
@@ -35,12 +39,14 @@
     },
 }
 
+/// What is known of a proxy from all followers.
 #[derive(Clone, Copy, Default)]
 struct Count {
-    /// Joinings and leavings, odd while it is joined.
+    /// Number of joins and leaves; odd while the proxy is joined.
     turns: u64,
-    /// The same as of the last time that it was quiet.
+    /// The number before the latest changes that followers may not all have reported yet.
     before: u64,
+    /// Time of the last change (ms).
     changed: f64,
     zone: usize,
     visits_per_ms: f64,
@@ -51,7 +57,7 @@
         self.turns % 2 == 1
     }
 
-    /// All followers have told the last change.
+    /// Whether all followers have reported the last change by now.
     fn is_quiet(&self, now: f64) -> bool {
         now - self.changed >= MAX_FOLLOWER_LAG_MS
     }
@@ -63,16 +69,17 @@
         (self.turns, self.changed) = (turns, now);
     }
 
-    /// Rule 4: the least count of a state that fits what was told lately.
+    /// Rule 4: the smallest count since `before` that fits the given state.
     fn least(&self, joined: bool) -> u64 {
         self.before + u64::from((self.before % 2 == 1) != joined)
     }
 }
 
+/// The number of joins and leaves of a proxy that a follower has reported.
 #[derive(Clone, Copy)]
 struct Told {
     turns: u64,
-    /// By its snapshot, which does not tell the count.
+    /// Whether it is estimated from a snapshot, which has no counts.
     guessed: bool,
 }
 
@@ -91,7 +98,7 @@
         self.turns % 2 == 1
     }
 
-    /// Rule 4, its end.
+    /// Rule 4: an estimate of the same state becomes exact once no follower lags behind.
     fn settled(self, all: &Count, now: f64) -> Told {
         let same = self.is_joined() == all.is_joined();
         match self.guessed && same && all.is_quiet(now) {
@@ -101,15 +108,19 @@
     }
 }
 
+/// One subscription to the event stream.
 struct Follower {
-    /// Counted up with each that begins.
+    /// Position in the order in which followers started.
     order: u64,
-    /// Its snapshot has been told.
+    /// Whether its snapshot is complete.
     settled: bool,
+    /// Rules 1 and 3.
     alone: bool,
+    /// Rule 2.
     linked: bool,
-    /// Its sign of life stays away: it vouches for nothing until it is heard again.
+    /// Whether its heartbeat is overdue; it is not trusted until its next event.
     silent: bool,
+    /// What it has reported, by proxy.
     told: BTreeMap<usize, Told>,
 }
 
@@ -118,47 +129,51 @@
         (self.alone || self.linked) && !self.silent
     }
 
-    /// What it has told of a proxy so far; none while its snapshot may still tell of it. Of one that
-    /// nobody knew by then, the snapshot told that it is not joined.
+    /// Returns what it has reported of a proxy, or `None` while its snapshot is incomplete. A proxy
+    /// missing from a complete snapshot counts as not joined.
     fn has_told(&self, proxy: usize) -> Option<Told> {
         let unknown = self.settled.then_some(Told::guess(0));
         self.told.get(&proxy).copied().or(unknown)
     }
 }
 
+/// Merges the event streams of several followers into one sequence of joins and leaves.
 #[derive(Default)]
 pub struct Membership {
     all: BTreeMap<usize, Count>,
     followers: BTreeMap<u32, Follower>,
+    /// Number of followers started so far.
     begun: u64,
 }
 
 impl Membership {
+    /// Whether a proxy is joined.
     pub fn is_joined(&self, proxy: usize) -> bool {
         self.all.get(&proxy).is_some_and(Count::is_joined)
     }
 
-    /// Counts the joinings of a proxy: another number, another binding.
+    /// Returns a proxy's epoch. A binding is valid only in the epoch for which it was made.
     pub fn epoch(&self, proxy: usize) -> u64 {
         self.all.get(&proxy).map_or(0, |c| c.turns)
     }
 
+    /// Returns the number of joined proxies.
     pub fn count(&self) -> usize {
         self.all.values().filter(|c| c.is_joined()).count()
     }
 
-    /// Another one vouches beside this one.
+    /// Whether another follower than this one is trusted.
     fn is_accompanied(&self, follower: u32) -> bool {
         let mut others = self.followers.iter().filter(|(id, _)| **id != follower);
         others.any(|(_, f)| f.vouches())
     }
 
-    /// A follower begins: its snapshot comes next.
+    /// A follower's stream starts; its snapshot comes next.
     pub fn follower_started(&mut self, follower: u32) {
         self.followers.remove(&follower);
         let alone = self.followers.values().all(|f| f.silent);
         if alone {
-            // Their counts are of a time before this one; what they may still tell is of no use.
+            // The silent followers' counts predate this one, so later events of theirs are ignored.
             self.followers.clear();
         }
         self.begun += 1;
@@ -173,7 +188,7 @@
         self.followers.insert(follower, fresh);
     }
 
-    /// A follower's sign of life has stayed away.
+    /// A follower's heartbeat is overdue.
     pub fn follower_silent(&mut self, follower: u32, now: f64, out: &mut Vec<MembershipChange>) {
         if let Some(f) = self.followers.get_mut(&follower) {
             f.silent = true;
@@ -181,12 +196,12 @@
         }
     }
 
-    /// Anything came from a follower: its stream has been whole all along.
+    /// Anything arrived from a follower, so its stream has had no gap so far.
     pub fn follower_active(&mut self, follower: u32) {
         let Some(f) = self.followers.get_mut(&follower) else {
             return;
         };
-        // What ends a silence may be old: it shows nothing of those who began since.
+        // The first event after a silence may be old: it links no follower that started meanwhile.
         let late = std::mem::replace(&mut f.silent, false);
         if f.vouches() && !late {
             let order = f.order;
@@ -195,13 +210,14 @@
         }
     }
 
+    /// A follower's stream ended.
     pub fn follower_ended(&mut self, follower: u32, now: f64, out: &mut Vec<MembershipChange>) {
         if self.followers.remove(&follower).is_some() {
             self.succeed(now, out);
         }
     }
 
-    /// Rules 3 and 5, after one that vouched may vouch no more.
+    /// Applies rules 3 and 5 after a follower ended or fell silent.
     fn succeed(&mut self, now: f64, out: &mut Vec<MembershipChange>) {
         let heard = self.followers.iter().filter(|(_, f)| !f.silent);
         let sound: Vec<u32> = heard
@@ -253,12 +269,13 @@
             }
             f.told.insert(proxy, Told::exact(all.turns));
         }
-        // Its word may have moved the count: what the others have told fits by its state only.
+        // The overall counts may have changed: the other followers' counts are estimates now.
         for (_, g) in self.followers.iter_mut().filter(|(id, _)| **id != sole) {
             g.told.values_mut().for_each(|told| told.guessed = true);
         }
     }
 
+    /// A follower reports that a proxy is joined, in its snapshot or as a join.
     pub fn hello(
         &mut self,
         follower: u32,
@@ -274,12 +291,12 @@
         (all.zone, all.visits_per_ms) = (zone, visits_per_ms);
         let (joined, quiet) = (all.is_joined(), all.is_quiet(now));
         let next = match f.has_told(proxy).map(|told| told.settled(all, now)) {
-            // Rule 1: it may have left and come back unseen.
+            // Rule 1: it may have left and rejoined unseen.
             None if f.alone && joined => Told::exact(all.turns + 2),
             None if accompanied && !quiet => Told::guess(all.least(true)),
             None if joined => Told::exact(all.turns),
             None => Told::exact(all.turns + 1),
-            // An unbroken stream that tells of a joining twice: the leaving between was implied.
+            // A second join in one stream implies a leave in between.
             Some(Told { turns, guessed }) => {
                 let turns = turns + if turns % 2 == 1 { 2 } else { 1 };
                 Told { turns, guessed }
@@ -299,6 +316,7 @@
         }
     }
 
+    /// A follower reports that a proxy left.
     pub fn bye(&mut self, follower: u32, proxy: usize, now: f64, out: &mut Vec<MembershipChange>) {
         self.end_snapshot(follower, now, out);
         let Some(f) = self.followers.get_mut(&follower) else {
@@ -317,7 +335,7 @@
         }
     }
 
-    /// Anything but a joining ends a follower's snapshot: who is not in it has left.
+    /// Ends a follower's snapshot, as any event but a join does: a proxy missing from it has left.
     pub fn end_snapshot(&mut self, follower: u32, now: f64, out: &mut Vec<MembershipChange>) {
         let accompanied = self.is_accompanied(follower);
         let Some(f) = self.followers.get_mut(&follower) else {
@@ -343,9 +361,9 @@
         }
     }
 
-    /// A proxy that is joined, as if it had joined anew: what was ordered to it may be lost.
+    /// Starts a new epoch of a joined proxy, because commands sent to it may be lost.
     pub fn renew_epoch(&mut self, proxy: usize) {
-        // The followers' counts move with it, so that their next news is news.
+        // The followers' counts move along, so that their next events still count as changes.
         if let Some(all) = self.all.get_mut(&proxy) {
             (all.turns, all.before) = (all.turns + 2, all.before + 2);
             for f in self.followers.values_mut() {
