--- a/crates/platform/src/delivery.rs
+++ b/crates/platform/src/delivery.rs
@@ -1,114 +1,137 @@
-//! What is sent to the relay, what is sent again, and when a call is given up.
+//! Decides what is sent to the relay, what is sent again, and when a call counts as lost.
 //!
-//! One call is under way at a time, in the order decided; one decision's orders are one call, split
-//! only above the size that a call may have. Orders set and do not add, so the end is the same whatever
-//! is sent twice; but what is sent costs lines and messages. The rules, in their order:
+//! One call is under way at a time, in the order of the decisions. The commands of one decision are one
+//! call, split only above the size limit of a call. Commands set values and do not add to them, so
+//! sending one twice has the same result, but everything sent costs lines and messages. The rules, in
+//! order:
 //!
-//! 1. **Overtaken**: an order that a later one sets again is not sent with its old value; a binding of
-//!    a proxy that has left or joined anew since is not sent at all.
-//! 2. **Taken**: `OK n` for all of it ends the call.
-//! 3. **Halted**: `OK n` short of all: the order that halted it is left out, the rest goes at once.
-//! 4. **Turned away** (`too_many_calls`): asked again after a wait, nothing is lost.
-//! 5. **Not sent**: the call never left us whole: sent again, after waits that grow to a bound.
-//! 6. **Unknown** (silence, a break after the last byte, an answer that cannot be read): what costs few
-//!    lines goes again at once as it was, while all that went so lately stays a small share of what may
-//!    wait in the channel. Guards against tables that stay behind their decision; may harm where the
-//!    relay breaks every call, which the share bounds.
-//! 7. Of a dearer one, what shuts servers out or lets them back goes again at once, ahead of all else:
-//!    it is short, and the rules on drains wait for nobody. The rest waits aside for an answer to its
-//!    mark, which shows that it was carried out; later calls go on meanwhile. Without one in time it was
-//!    not carried out, and nothing of it waits in the channel: lines and levels go again, bindings are
-//!    given back to the planner, which paces them.
-//!    Either goes at once the first time, and after waits that grow from then on.
-//! 8. **Refused** (`bad_request`): once sent again, then dropped and told.
-//! 9. **Long out of reach**: what waits is cut down to what no later order sets again.
-//! 10. **Acknowledged**: an answer to a mark that has left shows that its call was carried out, whenever
-//!     it comes: before the call's end is known, while it waits to go again, or in doubt. It does not go
-//!     again. Only the call that held the mark is shown: a part before it stays in doubt.
+//! 1. **Superseded**: a command that a later one overrides is not sent with its old value. A binding of
+//!    a proxy that has left or rejoined since is not sent at all.
+//! 2. **Accepted**: `OK n` for all commands ends the call.
+//! 3. **Halted**: `OK n` for fewer: the command that halted the relay is dropped, the rest is sent at
+//!    once.
+//! 4. **Turned away** (`too_many_calls`): sent again after a delay; nothing is lost.
+//! 5. **Not sent**: the call did not leave completely: sent again, with delays that grow to a bound.
+//! 6. **Unconfirmed** (no reply, a connection lost after the last byte, an unreadable reply): a call of
+//!    few lines is sent again unchanged at once, while all lines resent this way recently stay a small
+//!    share of what may wait in the channel. This keeps tables from lagging behind their decision. It
+//!    could do harm where the relay breaks every call, so the share bounds it.
+//! 7. Of an unconfirmed call of more lines, withdrawals and restores are sent again at once, ahead of
+//!    everything else: they are short, and drains must not be delayed. The rest is set aside until its
+//!    mark is acknowledged, which shows that it was carried out; later calls go on meanwhile. Without
+//!    an acknowledgement in time it was not carried out and nothing of it waits in the channel:
+//!    weights and levels are sent again, bindings are returned to the planner, which paces them.
+//!    Calls are resent by rules 6 and 7 at once the first time, and after growing delays from then on.
+//! 8. **Refused** (`bad_request`): sent once more, then dropped and logged.
+//! 9. **Relay out of reach for long**: the queue is reduced to commands that no later one overrides.
+//! 10. **Acknowledged**: the acknowledgement of a mark that was sent shows that its call was carried
+//!     out, whenever it arrives: before the call's outcome is known, while the call waits to be resent,
+//!     or while it is set aside. The call is not sent again. Only the call that contained the mark is
+//!     confirmed: an earlier part of a split decision stays unconfirmed.
 
 use crate::relay::{Command, MAX_CALL_BYTES, NameLookup, Reply};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Waits before a call that did not leave, or was turned away, is sent again (ms).
+/// First delay before a call is sent again; it doubles with each attempt.
 const FIRST_WAIT_MS: f64 = 20.0;
+/// Bound of that delay.
 const LONGEST_WAIT_MS: f64 = 320.0;
-/// A mark's answer is on its way for a message's mean way and the time its lines wait before it; past
-/// so many ways, and this much beside (ms), none will come.
+/// An acknowledgement takes a message's latency and the time its lines wait in the channel. None is
+/// expected after this many mean latencies, plus half the time of a full channel and `BESIDE_MS`.
 const WAYS: f64 = 3.0;
+/// Fixed part of the time allowed for an acknowledgement.
 const BESIDE_MS: f64 = 300.0;
-/// Of the lines that may wait, the share that may go again unasked in the time that a full channel
-/// takes. The planner leaves more than this free whatever it orders.
+/// Share of the channel's capacity that may be resent at once (rule 6) within the time that a full
+/// channel takes to empty. The planner always leaves more than this free.
 const AGAIN: f64 = 0.2;
-/// Decisions that wait before they are cut down to what still counts.
+/// Number of queued decisions above which superseded commands are removed (rule 9).
 const MANY: usize = 64;
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallOutcome {
+    /// The relay replied.
     Replied(Reply),
-    /// It did not leave us whole.
+    /// The call did not leave completely.
     NotSent,
-    /// It left, and nothing that can be relied on came back.
+    /// The call left, but no usable reply arrived.
     Unknown,
 }
 
-/// What a binding is to: a proxy, at one of its joinings.
+/// A proxy and the epoch in which it is bound (see [`Membership::epoch`](crate::membership::Membership::epoch)).
 pub type ProxyEpoch = (usize, u64);
 
+/// The commands of one decision that are not yet confirmed.
 #[derive(Clone, Debug)]
 struct Batch {
     orders: Vec<Command>,
-    /// The joining that each binding was for, in the order of the bindings.
+    /// The proxy and epoch of each binding, in the order of the bindings.
     turns: Vec<ProxyEpoch>,
+    /// The mark sent after the last command.
     mark: Option<u32>,
-    /// Its mark has left with all that remains of it: an answer to it is an answer to this.
+    /// Whether the mark was sent with all remaining commands, so that its acknowledgement confirms them.
     marked: bool,
-    /// That answer has come.
+    /// Whether the mark was acknowledged.
     acknowledged: bool,
-    /// Lines that it costs in the channel.
+    /// Lines that the decision costs in the channel.
     lines: f64,
+    /// Failed attempts so far.
     tries: u32,
+    /// Whether the relay refused it once (rule 8).
     refused: bool,
 }
 
+/// An unconfirmed batch that waits for its acknowledgement (rule 7).
 struct Doubt {
     batch: Batch,
+    /// When it counts as not carried out (ms).
     until: f64,
 }
 
-/// A call to be made now.
+/// A call to make now.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
+    /// Identifies the call when its outcome is reported.
     pub number: u64,
+    /// The line to send, with its end.
     pub text: String,
 }
 
-/// What the planner has to hear of.
+/// What the delivery reports back.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Feedback {
-    /// Bindings that were not carried out.
+    /// Bindings that were not carried out and must be decided again.
     pub lost_bindings: Vec<ProxyEpoch>,
+    /// Lines for the operators' log.
     pub notes: Vec<String>,
 }
 
+/// The queue of calls to the relay, with retries and unconfirmed calls.
 pub struct Delivery {
+    /// Batches in the order of their decisions; a call under way belongs to the first.
     queue: VecDeque<Batch>,
     doubts: Vec<Doubt>,
-    /// The number of the call under way, how many orders of the first batch it holds, and whether its
-    /// mark is among them.
+    /// The call under way: its number, how many commands of the first batch it contains, and whether it
+    /// contains the mark.
     under_way: Option<(u64, usize, bool)>,
+    /// The number of the latest call.
     next: u64,
+    /// No call is made before this time (ms).
     not_before: f64,
+    /// Time allowed for an acknowledgement.
     patience_ms: f64,
-    /// Lines that went again lately, when that was reckoned, and the pace at which they are forgotten.
+    /// Lines resent recently by rule 6; they decay with time.
     again: f64,
+    /// When that number was last updated (ms).
     again_at: f64,
+    /// Capacity of the channel's queue, in lines.
     most_waiting: f64,
     lines_per_ms: f64,
 }
 
 impl Delivery {
-    /// By the mean way of a message (ms), the lines that may wait and those sent by millisecond.
+    /// Creates an empty queue from the mean latency of a message, the channel's capacity in lines and
+    /// the rate at which it sends them.
     pub fn new(way_ms: f64, most_waiting: f64, lines_per_ms: f64) -> Delivery {
         let backlog_ms = most_waiting / lines_per_ms.max(f64::MIN_POSITIVE);
         Delivery {
@@ -125,8 +148,8 @@
         }
     }
 
-    /// A decision's orders, in their order, the joinings that its bindings are for, and the lines that
-    /// it costs.
+    /// Queues the commands of a decision. `turns` are the proxies and epochs of its bindings, in their
+    /// order; `lines` is what it costs in the channel.
     pub fn enqueue(
         &mut self,
         orders: Vec<Command>,
@@ -153,7 +176,7 @@
         }
     }
 
-    /// Rule 9: at most one order for each thing that orders set; a call under way is left as it is.
+    /// Rule 9: keeps only the last command for each key. A call under way stays as it is.
     fn cut_down(&mut self) {
         let fixed = usize::from(self.under_way.is_some());
         let mut later = BTreeSet::new();
@@ -168,7 +191,7 @@
         });
     }
 
-    /// Servers that an order names which may still be sent.
+    /// Returns the servers named by commands that may still be sent.
     pub fn referenced_servers(&self) -> BTreeSet<usize> {
         let doubted = self.doubts.iter().map(|d| &d.batch);
         let orders = self.queue.iter().chain(doubted).flat_map(|b| &b.orders);
@@ -179,7 +202,7 @@
         named.collect()
     }
 
-    /// Rule 1 for what is in doubt: it may go again after what has been decided since.
+    /// Rule 1 for unconfirmed batches, which may be resent after later decisions.
     fn overtake_doubts(&mut self) {
         if self.doubts.is_empty() {
             return;
@@ -191,12 +214,12 @@
         self.doubts.retain(|d| !d.batch.orders.is_empty());
     }
 
-    /// How many decisions wait to be sent, and how many are in doubt.
+    /// Returns the number of queued decisions and of unconfirmed ones.
     pub fn pending_counts(&self) -> (usize, usize) {
         (self.queue.len(), self.doubts.len())
     }
 
-    /// Rule 10: a proxy has answered for a mark.
+    /// Rule 10: a proxy has acknowledged a mark.
     pub fn mark_acknowledged(&mut self, mark: u32) {
         self.doubts.retain(|d| !d.batch.is_shown_by(mark));
         let under_way = self.under_way.is_some();
@@ -205,12 +228,12 @@
             let shown = batch.is_shown_by(mark);
             batch.acknowledged |= shown;
             place += 1;
-            // The call under way is still to end.
+            // The outcome of the call under way is still to come.
             !shown || under_way && place == 1
         });
     }
 
-    /// When `next` has something to do without anything else coming.
+    /// Returns when [`Delivery::next_call`] has something to do without further input (ms).
     pub fn wake_at(&self) -> Option<f64> {
         let idle = self.under_way.is_none() && !self.queue.is_empty();
         let send = idle.then_some(self.not_before);
@@ -218,8 +241,8 @@
         doubts.chain(send).min_by(f64::total_cmp)
     }
 
-    /// The call to make now, if there is one and none is under way. `stands` tells whether a proxy is
-    /// still at that joining.
+    /// Returns the call to make now, if there is one and none is under way. `stands` tells whether a
+    /// proxy is still joined in the given epoch.
     pub fn next_call(
         &mut self,
         now: f64,
@@ -248,7 +271,7 @@
                 text.push(';');
             }
             order.write(names, &mut text);
-            // A little is kept for the mark.
+            // Leave room for the mark.
             if text.len() > MAX_CALL_BYTES - 32 && count > 0 {
                 text.truncate(before);
                 break;
@@ -272,7 +295,7 @@
         })
     }
 
-    /// Rule 1.
+    /// Applies rule 1 to the first batch.
     fn drop_overtaken(&mut self, stands: &dyn Fn(ProxyEpoch) -> bool) {
         let Some(mut first) = self.queue.pop_front() else {
             return;
@@ -282,7 +305,7 @@
         self.queue.push_front(first);
     }
 
-    /// Rule 6, its end.
+    /// Rule 7: resends what was not acknowledged in time, and returns its bindings.
     fn settle_doubts(&mut self, now: f64, returned: &mut Feedback) {
         let over = |d: &Doubt| d.until <= now;
         if !self.doubts.iter().any(over) {
@@ -299,13 +322,13 @@
                 "a call of unknown outcome was not carried out: {} orders go again",
                 batch.orders.len()
             ));
-            // Ahead of what was decided later, which overtakes it.
+            // Ahead of later decisions, which supersede it.
             let at = usize::from(self.under_way.is_some());
             self.queue.insert(at.min(self.queue.len()), batch);
         }
     }
 
-    /// How the call under way ended.
+    /// Records how the call under way ended.
     pub fn call_ended(
         &mut self,
         now: f64,
@@ -351,7 +374,7 @@
                 returned.notes.push(format!(
                     "the relay halted at order {n} of {sent}: {halted:?}"
                 ));
-                // At its mark: all that it was for has been taken.
+                // Halted at the mark, all commands before it were accepted.
                 first.cut((n + 1).min(count));
                 if first.orders.is_empty() {
                     self.queue.pop_front();
@@ -384,10 +407,10 @@
                 let Some(mut batch) = self.queue.pop_front() else {
                     return;
                 };
-                // What the call did not hold yet follows as it would have.
+                // Commands that did not fit into this call stay queued.
                 let rest = batch.split(count);
                 if !rest.orders.is_empty() {
-                    // The mark goes with them, and shows nothing of what is in doubt here.
+                    // The mark stays with them and does not confirm the unconfirmed part.
                     batch.mark = None;
                     self.queue.push_front(rest);
                 }
@@ -415,7 +438,7 @@
     }
 }
 
-/// What an order sets: a later one of the same key overtakes it.
+/// What a command sets: a later one with the same key supersedes it. Ordered only for use in sets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Key {
     Share(usize, usize),
@@ -436,6 +459,7 @@
 }
 
 impl Batch {
+    /// Whether the acknowledgement of a mark confirms this batch.
     fn is_shown_by(&self, mark: u32) -> bool {
         self.marked && self.mark == Some(mark)
     }
@@ -444,7 +468,7 @@
         self.orders.iter().map(key)
     }
 
-    /// Keeps the orders that pass, and the turns of the bindings that do.
+    /// Keeps the commands that pass, with the epochs of the bindings among them.
     fn keep(&mut self, pass: impl Fn(Key, Option<ProxyEpoch>) -> bool) {
         let mut turns = std::mem::take(&mut self.turns).into_iter();
         let kept = &mut self.turns;
@@ -459,13 +483,13 @@
         });
     }
 
-    /// Drops the first so many orders.
+    /// Drops the first `count` commands.
     fn cut(&mut self, count: usize) {
         let rest = self.split(count);
         *self = rest;
     }
 
-    /// Takes what lies behind the first so many orders away; the mark goes with the end.
+    /// Splits off the commands after the first `count`. The mark is with the last part.
     fn split(&mut self, count: usize) -> Batch {
         let orders = self.orders.split_off(count.min(self.orders.len()));
         let bound = |o: &&Command| matches!(o, Command::Bind { .. });
@@ -484,6 +508,7 @@
         }
     }
 
+    /// Takes out the withdrawals and restores.
     fn take_shuts(&mut self) -> Vec<Command> {
         let (shuts, rest) = std::mem::take(&mut self.orders)
             .into_iter()
