--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -1,5 +1,7 @@
-//! The core: inputs of one moment in, what is to be done out. It drives the one planner directly and
-//! decides nothing itself beyond the rules of [`crate::delivery`] and [`crate::membership`].
+//! The core: a deterministic state machine that takes the inputs of one moment and returns effects.
+//!
+//! It feeds the planner and passes its decisions on. It decides nothing itself beyond the rules of
+//! [`crate::delivery`] and [`crate::membership`].
 
 use crate::delivery::{Call, CallOutcome, Delivery, Feedback};
 use crate::discovery::EndpointList;
@@ -13,18 +15,18 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What discovery has to tell counts as told no later than this long after (PROTOCOL, "Figures"; ms): no
-/// discovery is further behind.
+/// Bound on how far discovery's lists lag behind (PROTOCOL, "Figures").
 pub const MAX_DISCOVERY_LAG_MS: f64 = 6000.0;
 
-/// One thing that happened.
+/// An event that the core handles.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// What a watch brought; watches are numbered in the order in which they asked.
+    /// A list from a discovery watch. Watches are numbered in the order of their requests.
     EndpointList {
         watch: u32,
         list: EndpointList,
     },
+    /// An event from a follower's stream.
     RelayEvent {
         follower: u32,
         event: RelayEvent,
@@ -43,41 +45,47 @@
         healthy: bool,
         took_ms: f64,
     },
-    /// A probe that was never sent tells nothing of the server.
+    /// A probe was dropped unsent, so it says nothing about the server.
     ProbeNotSent(ProbeTarget),
+    /// A call to the relay ended.
     CallEnded {
         number: u64,
         outcome: CallOutcome,
     },
 }
 
-/// What a probe was sent to: an index, and which name's turn it was.
+/// The server that a probe is sent to: its index, and the index's generation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProbeTarget {
     pub server: usize,
     pub generation: u32,
 }
 
-/// What is to be done.
+/// What the caller must do after a step.
 #[derive(Debug, Default)]
 pub struct Effects {
+    /// The call to make to the relay.
     pub call: Option<Call>,
+    /// The probes to send.
     pub probes: Vec<(ProbeTarget, SocketAddr)>,
-    /// Call again at this time at the latest.
+    /// When to call [`Core::step`] again at the latest (ms).
     pub wake_at: Option<f64>,
-    /// For the operators' log.
+    /// Lines for the operators' log.
     pub notes: Vec<String>,
 }
 
-/// Counts of what was left out, for the log.
+/// Counts of reports and of ignored inputs, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counters {
+    /// Reports received.
     pub reports: u64,
-    /// Reports that named a server or a proxy that is not known.
+    /// Reports of an unknown server or proxy.
     pub unknown_subjects: u64,
+    /// Lists ignored because their version is too old.
     pub stale_lists: u64,
 }
 
+/// Looks up names in the slots and in the settings.
 struct NamesOf<'a>(&'a ServerSlots, &'a Deployment);
 
 impl NameLookup for NamesOf<'_> {
@@ -90,26 +98,28 @@
     }
 }
 
+/// The state behind all decisions: planner, servers, membership and delivery.
 pub struct Core {
     planner: Planner,
     told: Deployment,
     places: ServerSlots,
     joined: Membership,
     delivery: Delivery,
-    /// The table that each joined proxy was bound to.
+    /// The table that each joined proxy is bound to.
     tables: BTreeMap<usize, usize>,
-    /// The newest list's version.
+    /// Version of the newest list.
     index: u64,
-    /// Watches from this one on ask by the numbering that counts.
+    /// Lists of watches before this one are ignored, because discovery has restarted its versions since.
     first_watch: u32,
-    /// Since when, and by which watch, whole lists lie below the version that stands.
+    /// Since when, and first from which watch, full lists have been below the current version.
     below: Option<(f64, u32)>,
+    /// When the planner wants to decide again (ms).
     alarm: Option<f64>,
     pub counters: Counters,
 }
 
 impl Core {
-    /// Begins at that time, with the list as it was last known.
+    /// Creates a core at time `now` (ms) with the last known list of servers.
     pub fn new(now: f64, seed: u64, told: Deployment, known: &EndpointList) -> Core {
         let opening = &told.opening;
         let mut core = Core {
@@ -129,13 +139,13 @@
         core
     }
 
-    /// The version to ask discovery for the changes after.
+    /// Returns the version after which to ask discovery for changes.
     pub fn discovery_index(&self) -> u64 {
         self.index
     }
 
-    /// One line on the whole, and one on each server that is listed: what the module believes of it
-    /// (see [`dahliapoint::Belief`]). For the operators' debug log.
+    /// Describes the state in one line of counts and one line for each listed server (see
+    /// [`dahliapoint::Belief`]), for the operators' debug log.
     pub fn state_lines(&self) -> Vec<String> {
         let (queued, doubted) = self.delivery.pending_counts();
         let mut out = vec![format!(
@@ -157,7 +167,7 @@
         out
     }
 
-    /// Takes all that came at one moment, decides once, and tells what is to be done.
+    /// Handles all inputs of one moment, decides, and returns what to do.
     pub fn step(&mut self, now: f64, inputs: impl IntoIterator<Item = Input>) -> Effects {
         let (mut effects, mut returned) = (Effects::default(), Feedback::default());
         let mut told = false;
@@ -170,7 +180,7 @@
         if told {
             self.decide(now, &mut effects);
         }
-        // What a doubt gives back is news to the planner: once more, and no more than that.
+        // Lost bindings are new information for the planner: it decides once more, and only once.
         effects.call = self.next_call(now, &mut returned);
         if !returned.lost_bindings.is_empty() {
             self.give_back(std::mem::take(&mut returned.lost_bindings));
@@ -192,7 +202,7 @@
         self.delivery.next_call(now, &names, &stands, returned)
     }
 
-    /// Tells whether the planner was told anything.
+    /// Handles one input. Returns whether the planner has anything new.
     fn take(&mut self, now: f64, input: Input, returned: &mut Feedback) -> bool {
         match input {
             Input::EndpointList { watch, list } => {
@@ -255,10 +265,12 @@
         }
     }
 
-    /// Versions never go back, and a list told twice changes nothing: a watch beside another, or bytes
-    /// that were held up, tell what is past. Discovery itself may begin its versions anew: then a
-    /// watch that asks for what came after ours is told a whole list below it, and another one still
-    /// is once no discovery can be that far behind. From then on older watches tell nothing.
+    /// Whether a list is newer than what is known, or a repeated full list.
+    ///
+    /// Versions never go back: a second watch or delayed bytes may bring old lists. But discovery itself
+    /// may restart its versions. Then a watch that asks for the changes after the current version gets
+    /// a full list below it, and so does a later watch once [`MAX_DISCOVERY_LAG_MS`] have passed. From
+    /// then on lists of older watches are ignored.
     fn counts(
         &mut self,
         now: f64,
@@ -288,12 +300,13 @@
         anew
     }
 
+    /// Applies a list to the slots and to the planner.
     fn listed(&mut self, now: f64, list: &EndpointList, extent: Extent) {
         self.places
             .release_idle(now, &self.delivery.referenced_servers());
         let mut roster = Vec::with_capacity(list.endpoints.len());
         for entry in &list.endpoints {
-            // One that nobody here ever knew cannot leave.
+            // A server that was never known cannot leave.
             if entry.admin_state == Standing::Gone && self.places.find(&entry.name).is_none() {
                 continue;
             }
@@ -313,6 +326,7 @@
         self.planner.roster_changed(now, extent, &roster);
     }
 
+    /// Handles an event of a follower. Returns whether the planner has anything new.
     fn news(&mut self, now: f64, follower: u32, news: RelayEvent) -> bool {
         let mut changes = Vec::new();
         let mut told = false;
@@ -344,7 +358,7 @@
         self.tell_joined(&changes) || told
     }
 
-    /// Tells whether there was anything to tell.
+    /// Passes joins and leaves to the planner. Returns whether there were any.
     fn tell_joined(&mut self, changes: &[MembershipChange]) -> bool {
         for change in changes {
             match change {
@@ -364,7 +378,7 @@
         !changes.is_empty()
     }
 
-    /// Bindings that were not carried out: the planner binds anew, at its own pace.
+    /// Returns bindings that were not carried out to the planner, which binds again at its own pace.
     fn give_back(&mut self, unbound: Vec<(usize, u64)>) {
         for (proxy, turn) in unbound {
             if self.joined.is_joined(proxy) && self.joined.epoch(proxy) == turn {
@@ -375,6 +389,7 @@
         }
     }
 
+    /// Passes a report to the planner. Returns whether its subject is known.
     fn report(&mut self, now: f64, report: &Report) -> bool {
         self.counters.reports += 1;
         match report {
@@ -416,6 +431,7 @@
         true
     }
 
+    /// Lets the planner decide, queues its commands and adds its probes and notes to the effects.
     fn decide(&mut self, now: f64, effects: &mut Effects) {
         let orders = self.planner.decide(now);
         if let Some(at) = orders.wake_at {
@@ -446,7 +462,7 @@
         self.delivery.enqueue(in_order(orders), turns, mark, lines);
     }
 
-    /// A note of the planner's, with names in the place of indices.
+    /// Replaces the index in a planner's note (`server 3 ...`, `zone 0 ...`) by the name.
     fn named(&self, note: &str) -> String {
         let mut words = note.splitn(3, ' ');
         let (Some(kind), Some(index), Some(rest)) = (words.next(), words.next(), words.next())
@@ -461,8 +477,8 @@
         name.map_or_else(|| note.to_string(), |name| format!("{kind} {name} {rest}"))
     }
 
-    /// The lines that orders cost in the channel: each proxy concerned is sent one message, of a head
-    /// and its lines.
+    /// Returns the lines that a decision costs in the channel: each proxy concerned gets one message,
+    /// which consists of a fixed overhead and its lines.
     fn cost(&self, orders: &Orders) -> f64 {
         let head = self.told.opening.message_lines + 1.0;
         let mut changes: BTreeMap<usize, f64> = BTreeMap::new();
@@ -490,7 +506,7 @@
     }
 }
 
-/// As one message a proxy, in the order of the fields of [`Orders`].
+/// Converts a decision to commands, in the order of the fields of [`Orders`].
 fn in_order(orders: Orders) -> Vec<Command> {
     let lines = orders.lines.into_iter();
     let lines = lines.map(|(table, server, weight)| Command::Share {
