--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,9 +1,10 @@
-//! The platform's protocol without I/O: what its parties say, read line by line; what is ordered,
-//! written; and the core that drives the one planner: `(now, inputs) -> effects`. Deterministic.
+//! The platform's protocol without I/O, and the core that drives the planner: a deterministic function
+//! `(now, inputs) -> effects`.
 //!
-//! The codecs ([`line_buffer`], [`chunked`], [`fields`], [`inbound`], [`relay`], [`discovery`]) know bytes and fields.
-//! [`delivery`] holds the rules of what is sent and what is sent again, [`membership`] those of what
-//! several followers of the news tell, [`slots`] names and indices. [`core`] puts them together.
+//! The codecs [`line_buffer`], [`chunked`], [`fields`], [`inbound`], [`relay`] and [`discovery`] parse
+//! and write bytes. [`delivery`] decides what is sent to the relay and what is sent again,
+//! [`membership`] merges several event streams of the relay, and [`slots`] maps server names to
+//! indices. [`core`] puts them together.
 
 pub mod chunked;
 pub mod core;
