--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -31,15 +31,17 @@
         follower: u32,
         event: RelayEvent,
     },
-    /// A follower's sign of life has stayed away.
+    /// A follower's heartbeat is overdue.
     FollowerSilent {
         follower: u32,
     },
-    /// A follower's connection is over.
+    /// A follower's connection ended.
     FollowerEnded {
         follower: u32,
     },
+    /// A report from a collector.
     Report(Report),
+    /// The result of a probe.
     ProbeAnswered {
         probe: ProbeTarget,
         healthy: bool,
