--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -22,23 +22,13 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A list from a discovery watch. Watches are numbered in the order of their requests.
-    EndpointList {
-        watch: u32,
-        list: EndpointList,
-    },
+    EndpointList { watch: u32, list: EndpointList },
     /// An event from a follower's stream.
-    RelayEvent {
-        follower: u32,
-        event: RelayEvent,
-    },
+    RelayEvent { follower: u32, event: RelayEvent },
     /// A follower's heartbeat is overdue.
-    FollowerSilent {
-        follower: u32,
-    },
+    FollowerSilent { follower: u32 },
     /// A follower's connection ended.
-    FollowerEnded {
-        follower: u32,
-    },
+    FollowerEnded { follower: u32 },
     /// A report from a collector.
     Report(Report),
     /// The result of a probe.
@@ -50,10 +40,7 @@
     /// A probe was dropped unsent, so it says nothing about the server.
     ProbeNotSent(ProbeTarget),
     /// A call to the relay ended.
-    CallEnded {
-        number: u64,
-        outcome: CallOutcome,
-    },
+    CallEnded { number: u64, outcome: CallOutcome },
 }
 
 /// The server that a probe is sent to: its index, and the index's generation.
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -1,4 +1,4 @@
-//! Tables of lines for each codec, and mangled ones that must never panic.
+//! Tables of lines for each codec, and corrupted lines, which must never cause a panic.
 
 use dahliapoint::Standing;
 use dahliapoint_opening::{Deployment, deployment};
--- a/crates/platform/tests/core.rs
+++ b/crates/platform/tests/core.rs
@@ -1,4 +1,4 @@
-//! The core as `(now, inputs) -> effects`: calls half done, gaps in the news, lists that go back.
+//! The core as `(now, inputs) -> effects`: unconfirmed calls, gaps in event streams, outdated lists.
 
 use dahliapoint::Standing;
 use dahliapoint_opening::{Deployment, deployment};
@@ -51,7 +51,7 @@
     Input::EndpointList { watch: 0, list }
 }
 
-/// A core, a relay that takes every call unless told otherwise, and all that it was ordered.
+/// A core, a relay that accepts every call, and all commands that it got.
 struct World {
     core: Core,
     now: f64,
@@ -61,12 +61,12 @@
 }
 
 impl World {
-    /// Three servers, listed long ago, and one follower.
+    /// Starts with three servers, listed long ago, and one follower.
     fn new() -> World {
         World::of(8000)
     }
 
-    /// With so many lines that may wait in the channel.
+    /// Like `new`, with this many lines that may wait in the channel.
     fn of(most_waiting: u32) -> World {
         let up = |n| entry(n, Standing::Ready, 0.0);
         let known = list(5, true, vec![up("s-1"), up("s-2"), up("s-3")]);
@@ -93,7 +93,7 @@
         effects
     }
 
-    /// Tells it, and lets the relay take whatever it calls for.
+    /// Steps with these inputs and lets the relay accept the calls.
     fn tell(&mut self, inputs: Vec<Input>) {
         let mut effects = self.step(inputs);
         while let Some(call) = effects.call {
@@ -124,7 +124,7 @@
         self.news(follower, news);
     }
 
-    /// Lets time pass, waking whenever it asked to.
+    /// Lets time pass and steps whenever the core asked to be woken.
     fn pass(&mut self, ms: f64) {
         let end = self.now + ms;
         while let Some(at) = self.wake.filter(|at| *at <= end) {
@@ -231,7 +231,8 @@
     let mut world = World::new();
     world.news(0, vec![hello(3), hello(4)]);
     world.follow(1, &[3, 4]);
-    // The first is heard beside the second, so no gap lies between them; likewise the third.
+    // The first sends an event while the second is there, so there is no gap between them; likewise
+    // for the second and third.
     world.news(0, vec![RelayEvent::Heartbeat]);
     world.tell(vec![Input::FollowerEnded { follower: 0 }]);
     world.follow(2, &[3, 4]);
@@ -240,7 +241,7 @@
         (world.count("bind,3,0,*"), world.count("bind,4,0,*")),
         (1, 1)
     );
-    // None is left: whoever is told anew is bound anew, whoever is not has left.
+    // None is left: a proxy in the next snapshot is bound again, a proxy missing from it has left.
     world.tell(vec![
         Input::FollowerEnded { follower: 1 },
         Input::FollowerEnded { follower: 2 },
@@ -250,8 +251,8 @@
         (world.count("bind,3,0,*"), world.count("bind,4,0,*")),
         (1, 2)
     );
-    // The last one ends and was not heard since another began: a gap may lie between the two, and
-    // who stands by the other's word is bound anew; so also where it falls silent.
+    // The last one ends without an event since another started: there may be a gap between the two, so
+    // the proxies that the other reported are bound again; likewise when it falls silent.
     world.follow(4, &[4]);
     world.tell(vec![Input::FollowerEnded { follower: 3 }]);
     assert_eq!(world.count("bind,4,0,*"), 3);
@@ -263,7 +264,7 @@
 #[test]
 fn a_binding_of_unknown_outcome_is_made_again_unless_its_mark_is_answered() {
     for answered in [false, true] {
-        // So few that a binding is dear.
+        // A small channel, so that a binding is too costly to be resent at once.
         let mut world = World::of(40);
         let joins = Input::RelayEvent {
             follower: 0,
@@ -328,7 +329,7 @@
         let fresh = entry("s-4", Standing::Ready, START + ahead);
         world.tell(vec![lists(6, false, vec![fresh])]);
         world.pass(4000.0);
-        // Cold, so it is probed and its line is below its weight; but it has one.
+        // It is cold, so it is probed and its weight is below the listed one, but not zero.
         assert!(!world.probes.is_empty());
         let lines = world.began("share,0,s-4,");
         let weight: f64 = lines[0].rsplit(',').next().unwrap().parse().unwrap();
@@ -340,7 +341,7 @@
 fn an_index_that_a_waiting_order_names_is_not_given_to_another_server() {
     let mut world = World::new();
     world.news(0, vec![hello(3)]);
-    // The relay is out of reach from here on: the withdrawal of s-2 waits.
+    // The relay is out of reach from here on, so the withdrawal of s-2 stays queued.
     let gone = lists(6, false, vec![entry("s-2", Standing::Gone, 0.0)]);
     let mut call = world.step(vec![gone]).call;
     let mut index = 7;
@@ -361,7 +362,7 @@
             assert!(!call.text.contains("withdraw,s-9"), "{}", call.text);
         }
     }
-    // It is back: whoever left is shut out, whoever came is not.
+    // The relay is back: the server that left is withdrawn, the new one is not.
     world.tell(
         call.into_iter()
             .map(|c| Input::CallEnded {
@@ -393,7 +394,7 @@
         world.tell(vec![lists(6 + round, false, entries)]);
         world.pass(INDEX_REUSE_DELAY_MS);
     }
-    // Three that serve, one that comes, and those that have gone lately.
+    // One line of counts and one for each of the three listed servers.
     assert!(
         world.core.state_lines().len() <= 1 + 3,
         "{:?}",
@@ -411,8 +412,8 @@
 #[test]
 fn a_list_that_is_told_again_begins_no_ramp_anew() {
     let up = |n, since| entry(n, Standing::Ready, since);
-    // The line of a server that has just come, after so long; told once, or again each second: the
-    // whole list at the same version, as each watch that asks anew gets it, or an entry that is as it was.
+    // Returns the weight of a new server after 9 s. Its entry is received once, or again each second:
+    // in a full list of the same version, as each new watch gets it, or as an unchanged entry.
     let line = |since: f64, again: &str| {
         let all = || {
             let old = ["s-1", "s-2", "s-3"].map(|n| up(n, 0.0));
@@ -435,7 +436,7 @@
             .map_or("", |l| l.rsplit(',').next().unwrap())
             .to_string()
     };
-    // As discovery has its start: an hour ahead of our clock, just now, and long ago.
+    // Its listed start is an hour ahead of the local clock, now, or long ago.
     for since in [START + 3_600_000.0, START, 0.0] {
         let once = line(since, "");
         assert!(once.parse::<f64>().unwrap() > 0.0);
@@ -447,8 +448,9 @@
 
 #[test]
 fn lists_of_two_watches_end_the_same_in_any_order() {
-    // The truth: s-1 drains at 6, s-4 comes at 7, s-1 has gone at 8. One watch tells changes; another
-    // began at some version and tells the whole list there, then what follows. Every order of the two.
+    // s-1 drains at version 6, s-4 is added at 7, s-1 is removed at 8. One watch sends these changes.
+    // Another starts at some version with the full list, then sends the changes after it. All
+    // interleavings of the two are tested.
     let up = |n| entry(n, Standing::Ready, 0.0);
     let changes = || {
         vec![
@@ -508,7 +510,7 @@
         all.extend((standing == Standing::Draining).then(|| entry("s-1", standing, 0.0)));
         let list = list(40, true, all);
         world.tell(vec![Input::EndpointList { watch: 7, list }]);
-        // The other two are not in it, or drain.
+        // The other two are missing from the list or drain.
         assert_eq!(
             (world.count("withdraw,s-1"), world.count("withdraw,s-3")),
             (1, 1)
@@ -533,21 +535,21 @@
     };
     let mut world = World::new();
     world.news(0, vec![hello(3)]);
-    // A discovery that is late: not believed, and the next that reaches ours makes it good.
+    // A list from a lagging discovery is ignored, and a change above the current version ends the wait.
     world.tell(vec![below(1)]);
     world.pass(MAX_DISCOVERY_LAG_MS);
     world.tell(vec![change(1, 6, "s-3")]);
     world.tell(vec![below(2)]);
     assert_eq!(world.count("withdraw,s-1"), 0);
     assert_eq!(world.count("withdraw,s-3"), 1);
-    // The same watch says it twice, or another one too soon: not yet.
+    // The same watch repeats the list, or another watch sends it too soon: still ignored.
     world.pass(MAX_DISCOVERY_LAG_MS - 1.0);
     world.tell(vec![below(3)]);
     assert_eq!(world.count("withdraw,s-1"), 0);
     world.pass(1.0);
     world.tell(vec![below(2)]);
     assert_eq!(world.count("withdraw,s-1"), 0);
-    // Changes below ours show nothing; another watch's whole list does.
+    // Changes below the current version prove nothing; a full list from another watch does.
     world.tell(vec![change(4, 3, "s-2")]);
     assert_eq!(world.count("withdraw,s-2"), 0);
     world.tell(vec![below(4)]);
@@ -555,7 +557,7 @@
         (world.count("withdraw,s-1"), world.core.discovery_index()),
         (1, 2)
     );
-    // What an older watch still tells is of the old numbering, however high.
+    // An older watch still uses the old versions, so its changes are ignored however high they are.
     world.tell(vec![change(3, 60, "s-2")]);
     assert_eq!(
         (world.count("withdraw,s-2"), world.core.discovery_index()),
--- a/crates/platform/tests/delivery.rs
+++ b/crates/platform/tests/delivery.rs
@@ -1,4 +1,4 @@
-//! The rules of delivery, as tables of what happens.
+//! The rules of delivery: what is sent after each outcome of a call.
 
 use dahliapoint_platform::delivery::{CallOutcome, Delivery, Feedback};
 use dahliapoint_platform::relay::{Command, NameLookup, Reply};
@@ -34,8 +34,7 @@
     Command::Bind { proxy, table: 0 }
 }
 
-/// A delivery, and what it gave back; the mean way is 100 ms, a full channel of
-/// 1000 lines takes 1 s.
+/// A delivery and its feedback. The mean latency is 100 ms, and the channel of 1000 lines empties in 1 s.
 struct Line {
     d: Delivery,
     back: Feedback,
@@ -53,7 +52,7 @@
         }
     }
 
-    /// A dear decision, of lines past what may go again unasked.
+    /// Adds a decision that costs too many lines to be resent at once.
     fn add(&mut self, orders: Vec<Command>, turns: Vec<(usize, u64)>, mark: Option<u32>) {
         self.d.enqueue(orders, turns, mark, 900.0);
     }
@@ -97,7 +96,7 @@
         line.call().unwrap();
         line.taken(taken);
         let again = line.call().unwrap_or_default();
-        // Nothing is left but the mark, of which no message would tell.
+        // A mark alone is not sent: it concerns no proxy, so no message would carry it.
         let wanted = if rest == "mark" { "" } else { rest };
         assert_eq!(again, wanted, "halted at {taken}");
         assert_eq!(line.back.notes.len(), 1);
@@ -156,7 +155,7 @@
         line.ends(outcome);
         assert_eq!(line.call().unwrap(), "withdraw,s2");
         line.taken(1);
-        // What was decided since goes on, and overtakes what is in doubt.
+        // Later decisions are still sent, and supersede unconfirmed commands.
         line.add(vec![share(1, 0.2)], vec![], Some(4));
         assert_eq!(line.call().unwrap(), "share,0,s1,0.2;mark,4,0");
         line.taken(2);
@@ -183,7 +182,7 @@
         assert_eq!(line.call() == Some(first), again, "{i}");
         line.taken(3);
     }
-    // After the time that a full channel takes, it is little once more.
+    // After the time in which a full channel empties, there is room for resent lines again.
     line.now += 1000.0;
     line.d.enqueue(vec![shut(1)], vec![], None, 90.0);
     line.call().unwrap();
@@ -193,7 +192,7 @@
 
 #[test]
 fn a_relay_that_answers_nothing_readable_is_not_asked_in_a_hot_loop() {
-    // What costs no lines (nobody has joined), and withdrawals, which go ahead of all else.
+    // Commands that cost no lines (no proxy has joined), and withdrawals, which go first.
     for (orders, lines) in [(vec![share(0, 1.0)], 0.0), (vec![shut(1)], 900.0)] {
         let mut line = Line::new();
         line.d.enqueue(orders, vec![], None, lines);
@@ -260,7 +259,7 @@
     assert_eq!((bound, line.d.pending_counts()), (6000, (0, 0)));
 }
 
-/// When a mark's answer comes, seen from the call that carried it.
+/// When a mark is acknowledged, relative to the call that contained it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Comes {
     BeforeItsEnd,
@@ -319,7 +318,7 @@
 
 #[test]
 fn an_answer_shows_nothing_of_a_call_whose_mark_has_not_left() {
-    // The number was used before: its old answer comes while the new one waits, or is being sent.
+    // The mark's number was used before: the old acknowledgement arrives before the new mark is sent.
     for sent in [false, true] {
         let mut line = Line::new();
         line.add(vec![share(1, 1.0)], vec![], Some(2));
--- a/crates/platform/tests/membership.rs
+++ b/crates/platform/tests/membership.rs
@@ -1,9 +1,9 @@
-//! The rules of who is joined, as tables of what followers of the news tell; and all orders in which
-//! the news of two followers can come.
+//! The rules of membership, as tables of what followers report; and all interleavings of the events of
+//! two followers.
 
 use dahliapoint_platform::membership::{MAX_FOLLOWER_LAG_MS, Membership, MembershipChange};
 
-/// What happens: a follower begins, is silent, ends, or tells of a proxy.
+/// A follower starts, falls silent, ends, reports a proxy or sends a heartbeat; or time passes.
 #[derive(Clone, Copy, Debug)]
 enum Told {
     Begun(u32),
@@ -19,7 +19,7 @@
     let (mut joined, mut out, mut now) = (Membership::default(), Vec::new(), 0.0);
     for t in told {
         now += 1.0;
-        // As the core does with whatever comes.
+        // The core does this for each event.
         if let Told::Hello(f, _) | Told::Bye(f, _) | Told::Beat(f) = *t {
             joined.follower_active(f);
         }
@@ -200,8 +200,8 @@
     }
 }
 
-/// One proxy that joins and leaves by turns: what a follower tells that begins after so many of these,
-/// up to the last.
+/// One proxy joins and leaves alternately, `last` times in all: the events of a follower that starts
+/// after the first `after` of them.
 fn stream(follower: u32, after: usize, last: usize) -> Vec<Told> {
     let mut out = vec![Told::Begun(follower)];
     out.extend((after % 2 == 1).then_some(Told::Hello(follower, 1)));
@@ -217,7 +217,7 @@
     }
 }
 
-/// All orders in which two streams can come.
+/// All interleavings of two streams.
 fn merges(one: &[Told], other: &[Told]) -> Vec<Vec<Told>> {
     let with = |first: Told, rest: Vec<Vec<Told>>| {
         let put = |mut rest: Vec<Told>| {
@@ -236,7 +236,7 @@
     }
 }
 
-/// Joinings and leavings by turns, so many.
+/// Alternating joins and leaves, `many` in all.
 fn turns(many: usize) -> Vec<(char, usize)> {
     let sign = |n| if n % 2 == 1 { '+' } else { '-' };
     (1..=many).map(|n| (sign(n), 1)).collect()
@@ -252,8 +252,8 @@
                 use Told::{Beat, Begun, Ended, Wait};
                 let mut told = vec![Begun(0), Beat(0)];
                 told.extend(&order);
-                // Both are heard for longer than one lags behind the other; then the old one ends,
-                // as after a new configuration, and the new one goes on alone.
+                // Both stay active for longer than the allowed lag. Then the old one ends, as after a
+                // change of the relay's address, and the new one continues alone.
                 told.extend([Beat(0), Beat(1), Wait, Beat(0), Beat(1), Ended(0)]);
                 told.extend((last + 1..=last + 3).map(|n| event(1, n)));
                 told.push(Beat(1));
@@ -270,7 +270,7 @@
     use Told::{Beat, Begun, Ended, Silent, Wait};
     for last in 0..=4 {
         for (heard, after) in (0..=last).flat_map(|h| (h..=last).map(move |a| (h, a))) {
-            // The old one has told of so many when the new one begins, and tells nothing more.
+            // The old one has reported `heard` changes when the new one starts, and reports no more.
             let mut before = vec![Begun(0), Beat(0)];
             before.extend((1..=heard).map(|n| event(0, n)));
             let new = stream(1, after, last);
@@ -283,7 +283,7 @@
                 let out = play(&told);
                 let joined = out.last().is_some_and(|(sign, _)| *sign == '+');
                 assert_eq!(joined, last % 2 == 1, "{told:?}");
-                // Whoever is joined in the end may have come back unseen: it has joined anew since.
+                // A proxy joined in the end may have rejoined unseen, so it must have joined anew.
                 assert!(!joined || out.len() > known, "{told:?}");
             }
         }
--- a/crates/platform/tests/shapes.rs
+++ b/crates/platform/tests/shapes.rs
@@ -1,5 +1,5 @@
-//! Settings of other customers' shapes, written as the protocol's pages word them, through `opening`, the core
-//! and the planner: nothing depends on a name or on a count.
+//! Runs settings of different customers through `opening`, the core and the planner: nothing may depend
+//! on names or counts of zones, classes, servers or proxies.
 
 use dahliapoint_opening::{Deployment, deployment};
 use dahliapoint_platform::core::{Core, Effects, Input};
@@ -20,7 +20,7 @@
     admit: &'static str,
     retries: u64,
     probing: bool,
-    /// Lines a second, lines that may wait, a message's head.
+    /// Lines per second, lines that may wait, overhead of a message in lines.
     channel: (f64, f64, f64),
     messages_most: u64,
     report_ms: u64,
@@ -136,17 +136,17 @@
     }
 }
 
-/// What the relay was ordered, and what a proxy holds by it.
+/// What the relay was told to do.
 #[derive(Default)]
 struct Ordered {
     tables: BTreeMap<usize, usize>,
     lines: BTreeMap<String, f64>,
-    /// The table that each server has a line in.
+    /// The table that holds each server's line.
     line_in: BTreeMap<String, usize>,
     withdrawn: BTreeSet<String>,
     classes: BTreeSet<String>,
     probes: usize,
-    /// When each proxy was written a message.
+    /// Times of the messages to each proxy (ms).
     messages: BTreeMap<usize, Vec<f64>>,
 }
 
@@ -179,7 +179,7 @@
         self.wake = effects.wake_at;
     }
 
-    /// The relay takes a call whole; every proxy that is concerned answers its mark at once.
+    /// The relay accepts the whole call, and every proxy concerned acknowledges its mark at once.
     fn note(&mut self, effects: &Effects) -> Option<Vec<Input>> {
         self.ordered.probes += effects.probes.len();
         let call = effects.call.as_ref()?;
@@ -229,7 +229,7 @@
                         "withdraw" => drop(self.ordered.withdrawn.insert(server.into())),
                         _ => drop(self.ordered.withdrawn.remove(server)),
                     }
-                    // A line at each proxy that holds a table with that server.
+                    // Each proxy bound to a table with that server gets a line.
                     let table = self.ordered.line_in.get(server);
                     concerned.extend(table.map(|t| of(&self.ordered, *t)).unwrap_or_default());
                 }
@@ -304,7 +304,7 @@
             "{case}: all are bound"
         );
         assert_eq!(world.ordered.lines.len(), shape.servers, "{case}");
-        // Reports of every class and zone; the last server fails all that it is sent.
+        // Every class and zone reports; the last server fails all tries.
         for round in 0..8 {
             let mut lines = Vec::new();
             for s in 0..shape.servers {
@@ -334,11 +334,11 @@
             "{case}: the failing one is out"
         );
         assert_eq!(world.ordered.lines["s-0"], 1.5, "{case}: the listed weight");
-        // A drain is withdrawn at once, and once.
+        // A draining server is withdrawn at once.
         let list = shape.list(2, false, [(0, "draining")].into_iter());
         world.tell(vec![Input::EndpointList { watch: 0, list }]);
         assert!(world.ordered.withdrawn.contains("s-0"), "{case}");
-        // Half the fleet is replaced, a server at a time: new ones get lines, old ones lose theirs.
+        // Half the servers are replaced one by one: the new ones get weight, the old ones lose theirs.
         let half = shape.servers.div_ceil(2);
         for s in 0..half {
             let changes = [(s, "removed"), (shape.servers + s, "up")];
