--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -20,10 +20,10 @@
 
 use crate::reach::Shared;
 use dahliapoint_fibers::{Socket, TcpListener, accept, sleep, spawn, yield_now};
-use dahliapoint_platform::arriving::{self, Said};
 use dahliapoint_platform::core::Input;
-use dahliapoint_platform::lines::Lines;
-use dahliapoint_platform::words::Fault;
+use dahliapoint_platform::fields::LineError;
+use dahliapoint_platform::inbound::{self, Message};
+use dahliapoint_platform::line_buffer::LineBuffer;
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -200,7 +200,7 @@
 
     /// Serves a connection until it ends; returns whether an answer was written.
     fn serve(&self, number: u64, socket: &Socket) -> bool {
-        let mut lines = Lines::of(MOST_BEFORE_JOINING);
+        let mut lines = LineBuffer::new(MOST_BEFORE_JOINING);
         let (mut zone, mut answered) = (None, false);
         let mut until = Instant::now() + JOIN_WITHIN;
         let mut buffer = [0; 4096];
@@ -218,10 +218,10 @@
             lines.push(&buffer[..n]);
             let mut inputs = Vec::new();
             while let Some(line) = lines.next_line() {
-                let line = line.map_err(|_| Fault::Unreadable);
-                let said = line.and_then(|line| arriving::read(line, &self.reach.deployment));
+                let line = line.map_err(|_| LineError::Malformed);
+                let said = line.and_then(|line| inbound::parse(line, &self.reach.deployment));
                 match said {
-                    Ok(Said::Probe) => {
+                    Ok(Message::Probe) => {
                         if socket
                             .write_all(b"alive\r\n", Instant::now() + TAKEN_WITHIN)
                             .is_err()
@@ -233,19 +233,19 @@
                             until = Instant::now() + KEEP_ALIVE;
                         }
                     }
-                    Ok(Said::Agent { zone: named }) => {
+                    Ok(Message::Agent { zone: named }) => {
                         zone = Some(named);
                         self.joins(number, named, socket);
                     }
-                    Ok(Said::Report(report)) if zone.is_some() => {
+                    Ok(Message::Report(report)) if zone.is_some() => {
                         inputs.push(Input::Report(report))
                     }
-                    Err(Fault::Spoilt(field)) if zone.is_some() => {
+                    Err(LineError::InvalidField(field)) if zone.is_some() => {
                         let text = line.map_or(String::new(), start_of);
                         let told = || format!("field {field:?} is no good, left out: {text:?}");
                         self.reach.teller.fault("report", told);
                     }
-                    Ok(Said::Report(_)) | Err(_) => {
+                    Ok(Message::Report(_)) | Err(_) => {
                         self.reach.put(inputs);
                         let text = line.map_or("a line without end".into(), start_of);
                         let told =
@@ -261,7 +261,7 @@
                 }
             }
             if zone.is_some() {
-                lines.allow(arriving::MOST_BYTES);
+                lines.set_max_len(inbound::MAX_LINE_BYTES);
                 until = Instant::now() + SILENT;
                 self.heard(number);
             }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -4,7 +4,7 @@
 use crate::reach::Shared;
 use dahliapoint_fibers::{Queue, Received};
 use dahliapoint_platform::core::{Core, Effects, Input};
-use dahliapoint_platform::delivery::{Call, Outcome};
+use dahliapoint_platform::delivery::{Call, CallOutcome};
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
@@ -56,7 +56,9 @@
         if tracing::enabled!(tracing::Level::DEBUG) {
             self.trace(came, reports, &effects);
         }
-        self.reach.index.store(self.core.index(), Ordering::Release);
+        self.reach
+            .index
+            .store(self.core.discovery_index(), Ordering::Release);
         effects
     }
 
@@ -66,7 +68,7 @@
         let call = effects.call.as_ref().map_or("", |c| c.text.trim_end());
         tracing::debug!(came, reports, probes = effects.probes.len(), call, "moment");
         if reports > 0 {
-            for line in self.core.beliefs() {
+            for line in self.core.state_lines() {
                 tracing::debug!("{line}");
             }
         }
@@ -83,16 +85,16 @@
                 self.reach
                     .teller
                     .fault("probes", || "too many wait: one is not sent".into());
-                back.push(Input::Unasked(probe));
+                back.push(Input::ProbeNotSent(probe));
             }
         }
         if let Some(call) = effects.call
             && let Err(call) = self.calls.try_put(call)
         {
             // One call is in flight at a time, so there is room; if not, the call counts as not sent.
-            back.push(Input::Called {
+            back.push(Input::CallEnded {
                 number: call.number,
-                outcome: Outcome::NotSent,
+                outcome: CallOutcome::NotSent,
             });
         }
         if !back.is_empty() {
--- a/crates/node/src/probes.rs
+++ b/crates/node/src/probes.rs
@@ -2,7 +2,7 @@
 
 use crate::reach::Shared;
 use dahliapoint_fibers::{Queue, Received, Socket, spawn};
-use dahliapoint_platform::core::{Asked, Input};
+use dahliapoint_platform::core::{Input, ProbeTarget};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -14,7 +14,7 @@
 const PATIENCE: Duration = Duration::from_millis(500);
 
 /// A probe: the core's key for the result, and the server's address.
-pub type Probe = (Asked, SocketAddr);
+pub type Probe = (ProbeTarget, SocketAddr);
 
 /// Starts the workers, which run until the process ends, and returns their queue. Every queued probe
 /// leads to one `Input::Probed`, however it ends.
@@ -25,11 +25,11 @@
         spawn(move || {
             while let Some((probe, to)) = one(&probes) {
                 let began = Instant::now();
-                let fine = ask(to, began + PATIENCE).unwrap_or(false);
+                let healthy = ask(to, began + PATIENCE).unwrap_or(false);
                 let took_ms = began.elapsed().as_secs_f64() * 1000.0;
-                reach.put(vec![Input::Probed {
+                reach.put(vec![Input::ProbeAnswered {
                     probe,
-                    fine,
+                    healthy,
                     took_ms,
                 }]);
             }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -1,6 +1,6 @@
 //! Connections to the relay: two followers that read its news, and one caller that sends calls.
 //!
-//! No news is missed while one follower stays connected (see `platform::joined`), so there are two
+//! No news is missed while one follower stays connected (see `platform::membership`), so there are two
 //! slots. When a follower falls silent or its address is replaced, a successor is started next to it;
 //! the old one ends once the successor has received the current state and news still in transit has
 //! had time to arrive.
@@ -9,10 +9,10 @@
 use crate::reach::{Addresses, Shared};
 use dahliapoint_fibers::{Queue, Received, Socket, sleep, spawn, yield_now};
 use dahliapoint_platform::core::Input;
-use dahliapoint_platform::delivery::{Call, Outcome};
-use dahliapoint_platform::joined::LAG_MS;
-use dahliapoint_platform::lines::Lines;
-use dahliapoint_platform::relay::{self, News};
+use dahliapoint_platform::delivery::{Call, CallOutcome};
+use dahliapoint_platform::line_buffer::LineBuffer;
+use dahliapoint_platform::membership::MAX_FOLLOWER_LAG_MS;
+use dahliapoint_platform::relay::{self, RelayEvent};
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
@@ -24,7 +24,7 @@
 /// unreachable.
 const SILENT: Duration = Duration::from_millis(2300);
 /// How long a follower goes on once its successor is ready, for news still in transit.
-const LAG: Duration = Duration::from_millis(LAG_MS as u64);
+const LAG: Duration = Duration::from_millis(MAX_FOLLOWER_LAG_MS as u64);
 /// How often a waiting follower checks for a new address and for silence.
 const LOOK: Duration = Duration::from_millis(200);
 /// The longest line accepted from the relay, in bytes.
@@ -60,7 +60,7 @@
             Ok(socket) => {
                 let ended = listen(&reach, &socket, at, id, &settled);
                 socket.shutdown();
-                reach.put(vec![Input::Unfollowed { follower: id }]);
+                reach.put(vec![Input::FollowerEnded { follower: id }]);
                 ended
             }
             Err(e) => Ended::Broken(format!("{}: {e}", at.relay)),
@@ -96,7 +96,7 @@
     {
         return broken("`follow` could not be written");
     }
-    let mut lines = Lines::of(MOST_LINE);
+    let mut lines = LineBuffer::new(MOST_LINE);
     let mut beside = Beside::of(at, SILENT, LAG);
     let mut buffer = [0; 8192];
     let (mut begun, mut told_silent) = (false, false);
@@ -121,7 +121,7 @@
             Err(e) if e.kind() == std::io::ErrorKind::TimedOut => {
                 if beside.is_silent() && !told_silent {
                     told_silent = true;
-                    reach.put(vec![Input::Silent { follower: id }]);
+                    reach.put(vec![Input::FollowerSilent { follower: id }]);
                 }
                 continue;
             }
@@ -138,14 +138,17 @@
                 return broken("a line without end");
             };
             let told = &reach.deployment;
-            match relay::news(line, &told.zones, told.proxies) {
-                Some(News::Begun) if begun => {}
+            match relay::parse_event(line, &told.zones, told.proxies) {
+                Some(RelayEvent::Started) if begun => {}
                 Some(news) => {
-                    begun |= news == News::Begun;
-                    if !matches!(news, News::Begun | News::Hello { .. }) {
+                    begun |= news == RelayEvent::Started;
+                    if !matches!(news, RelayEvent::Started | RelayEvent::Hello { .. }) {
                         settled.store(true, Ordering::Release);
                     }
-                    inputs.push(Input::News { follower: id, news });
+                    inputs.push(Input::RelayEvent {
+                        follower: id,
+                        event: news,
+                    });
                 }
                 None if !begun => return broken("`follow` was not taken"),
                 None => {
@@ -176,7 +179,7 @@
                 let (outcome, socket) = make(&reach, at, fresh.map(|(s, ..)| s), &call);
                 held = socket.map(|s| (s, at.turn, Instant::now()));
                 let number = call.number;
-                reach.put(vec![Input::Called { number, outcome }]);
+                reach.put(vec![Input::CallEnded { number, outcome }]);
             }
         }
     });
@@ -196,7 +199,7 @@
     at: Addresses,
     held: Option<Socket>,
     call: &Call,
-) -> (Outcome, Option<Socket>) {
+) -> (CallOutcome, Option<Socket>) {
     let fault = |why: String| {
         reach
             .teller
@@ -206,22 +209,22 @@
         Ok(socket) => socket,
         Err(e) => {
             fault(e.to_string());
-            return (Outcome::NotSent, None);
+            return (CallOutcome::NotSent, None);
         }
     };
     let bytes = call.text.as_bytes();
     if !reach.shutdown.try_begin_write() {
-        return (Outcome::NotSent, None);
+        return (CallOutcome::NotSent, None);
     }
     let written = socket.write_all(bytes, Instant::now() + WRITTEN_WITHIN);
     reach.shutdown.end_write();
     if let Err(done) = written {
         fault(format!("broken after {done} of {} bytes", bytes.len()));
         socket.shutdown();
-        return (Outcome::NotSent, None);
+        return (CallOutcome::NotSent, None);
     }
     let until = Instant::now() + ANSWERED_WITHIN;
-    let mut lines = Lines::of(MOST_LINE);
+    let mut lines = LineBuffer::new(MOST_LINE);
     let mut buffer = [0; 1024];
     loop {
         match socket.read(&mut buffer, Some(until)) {
@@ -233,28 +236,28 @@
                 };
                 fault(why);
                 socket.shutdown();
-                return (Outcome::Unknown, None);
+                return (CallOutcome::Unknown, None);
             }
         }
         match lines.next_line() {
             None => {}
             Some(Ok(line)) => {
-                let answer = relay::answer(line);
-                if answer != relay::Answer::Unreadable {
+                let answer = relay::parse_reply(line);
+                if answer != relay::Reply::Unreadable {
                     // Bytes after the answer would be read as the next call's answer, so the
                     // connection is not used again.
-                    let clean = lines.open() == 0;
-                    return (Outcome::Answered(answer), clean.then_some(socket));
+                    let clean = lines.pending_len() == 0;
+                    return (CallOutcome::Replied(answer), clean.then_some(socket));
                 }
                 let text = String::from_utf8_lossy(line).into_owned();
                 fault(format!("answer {text:?}"));
                 socket.shutdown();
-                return (Outcome::Unknown, None);
+                return (CallOutcome::Unknown, None);
             }
             Some(Err(_)) => {
                 fault("an answer without end".into());
                 socket.shutdown();
-                return (Outcome::Unknown, None);
+                return (CallOutcome::Unknown, None);
             }
         }
     }
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -7,10 +7,10 @@
 use crate::beside::{Beside, Due, Serves};
 use crate::reach::{Addresses, Shared};
 use dahliapoint_fibers::{Socket, sleep, spawn, yield_now};
-use dahliapoint_platform::chunks::Chunks;
-use dahliapoint_platform::core::{Input, TOLD_WITHIN_MS};
+use dahliapoint_platform::chunked::ChunkedDecoder;
+use dahliapoint_platform::core::{Input, MAX_DISCOVERY_LAG_MS};
 use dahliapoint_platform::discovery;
-use dahliapoint_platform::lines::Lines;
+use dahliapoint_platform::line_buffer::LineBuffer;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
@@ -24,7 +24,7 @@
 /// How often a waiting watch checks for a new address and for silence.
 const LOOK: Duration = Duration::from_millis(200);
 /// How long versions may stay below the newest known one before the watch asks again.
-const TOLD_WITHIN: Duration = Duration::from_millis(TOLD_WITHIN_MS as u64);
+const TOLD_WITHIN: Duration = Duration::from_millis(MAX_DISCOVERY_LAG_MS as u64);
 /// The largest response head, in bytes.
 const MOST_HEAD: usize = 8192;
 /// The longest line of the list, in bytes.
@@ -113,7 +113,7 @@
     let mut below: Option<Instant> = None;
     let mut buffer = [0; 8192];
     let mut held: Vec<u8> = Vec::new();
-    let mut body: Option<(Option<Chunks>, Lines)> = None;
+    let mut body: Option<(Option<ChunkedDecoder>, LineBuffer)> = None;
     loop {
         let read = socket.read(&mut buffer, Some(Instant::now() + LOOK));
         if beside.is_over() {
@@ -149,7 +149,10 @@
                 Ok(None) => continue,
                 Ok(Some((length, chunked))) => {
                     held.drain(..length);
-                    body = Some((chunked.then(Chunks::default), Lines::of(MOST_LINE)));
+                    body = Some((
+                        chunked.then(ChunkedDecoder::default),
+                        LineBuffer::new(MOST_LINE),
+                    ));
                 }
                 Err(why) => return Ended::Broken(why),
             }
@@ -182,13 +185,13 @@
                 brought.store(true, Ordering::Release);
                 continue;
             }
-            match discovery::read(line, &reach.deployment.zones) {
+            match discovery::parse(line, &reach.deployment.zones) {
                 Ok(list) => {
                     brought.store(true, Ordering::Release);
                     let since = below.unwrap_or_else(Instant::now);
                     below = (list.index < after).then_some(since);
                     let watch = number;
-                    inputs.push(Input::List { watch, list });
+                    inputs.push(Input::EndpointList { watch, list });
                 }
                 // The next watch asks for everything after the current version, which includes the
                 // content of this line.
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -1,11 +1,11 @@
-//! Tables of lines for each codec, and mangled ones that must never panic.
+//! Tables of lines for each codec, and corrupted lines, which must never cause a panic.
 
 use dahliapoint::Standing;
 use dahliapoint_opening::{Deployment, deployment};
-use dahliapoint_platform::arriving::{self, Report, Said};
-use dahliapoint_platform::relay::{self, Answer, News};
-use dahliapoint_platform::words::Fault;
-use dahliapoint_platform::{chunks, discovery, lines};
+use dahliapoint_platform::fields::LineError;
+use dahliapoint_platform::inbound::{self, Message, Report};
+use dahliapoint_platform::relay::{self, RelayEvent, Reply};
+use dahliapoint_platform::{chunked, discovery, line_buffer};
 use proptest::prelude::*;
 use serde_json::json;
 
@@ -39,7 +39,7 @@
 #[test]
 fn what_is_said_at_the_door() {
     let outcomes = |tries: f64, failed: f64| {
-        Ok(Said::Report(Report::Outcomes {
+        Ok(Message::Report(Report::Outcomes {
             zone: 0,
             server: "s-1".into(),
             tries,
@@ -49,17 +49,17 @@
         }))
     };
     let demand = |visits: f64| {
-        Ok(Said::Report(Report::Demand {
+        Ok(Message::Report(Report::Demand {
             proxy: 17,
             class: 0,
             visits,
             span_ms: 1000.0,
         }))
     };
-    let spoilt = |field| Err(Fault::Spoilt(field));
-    let cases: Vec<(&[u8], Result<Said, Fault>)> = vec![
-        (b"probe", Ok(Said::Probe)),
-        (b"agent zone=b", Ok(Said::Agent { zone: 1 })),
+    let spoilt = |field| Err(LineError::InvalidField(field));
+    let cases: Vec<(&[u8], Result<Message, LineError>)> = vec![
+        (b"probe", Ok(Message::Probe)),
+        (b"agent zone=b", Ok(Message::Agent { zone: 1 })),
         (b"agent zone=c", spoilt("zone")),
         (b"agent", spoilt("zone")),
         (
@@ -90,16 +90,16 @@
         (b"demand proxy=x class=lookup tries=19 failed=0 span_ms=1000.0", spoilt("proxy")),
         (b"demand proxy=17 class=other tries=19 failed=0 span_ms=1000.0", spoilt("class")),
         (b"demand proxy=17 class=lookup failed=0 span_ms=1000.0", spoilt("tries")),
-        (b"hello proxy=17 zone=a weight=2 fresh=1", Err(Fault::Unreadable)),
-        (b"GET / HTTP/1.1", Err(Fault::Unreadable)),
-        (b"txn share,4,s-1,1", Err(Fault::Unreadable)),
-        (b"", Err(Fault::Unreadable)),
-        (b"outcomes\x00", Err(Fault::Unreadable)),
-        (b"\xff\xfe", Err(Fault::Unreadable)),
+        (b"hello proxy=17 zone=a weight=2 fresh=1", Err(LineError::Malformed)),
+        (b"GET / HTTP/1.1", Err(LineError::Malformed)),
+        (b"txn share,4,s-1,1", Err(LineError::Malformed)),
+        (b"", Err(LineError::Malformed)),
+        (b"outcomes\x00", Err(LineError::Malformed)),
+        (b"\xff\xfe", Err(LineError::Malformed)),
     ];
     for (line, wanted) in cases {
         assert_eq!(
-            arriving::read(line, &told()),
+            inbound::parse(line, &told()),
             wanted,
             "{}",
             String::from_utf8_lossy(line)
@@ -109,44 +109,44 @@
 
 #[test]
 fn what_the_relay_says() {
-    let answers: [(&[u8], Answer); 8] = [
-        (b"OK 2", Answer::Taken(2)),
-        (b"OK", Answer::Unreadable),
-        (b"OK -1", Answer::Unreadable),
-        (b"OK 2 3", Answer::Unreadable),
-        (b"error too_many_calls", Answer::TooMany),
-        (b"bad_request", Answer::Bad),
-        (b"\xff", Answer::Unreadable),
-        (b"", Answer::Unreadable),
+    let answers: [(&[u8], Reply); 8] = [
+        (b"OK 2", Reply::Accepted(2)),
+        (b"OK", Reply::Unreadable),
+        (b"OK -1", Reply::Unreadable),
+        (b"OK 2 3", Reply::Unreadable),
+        (b"error too_many_calls", Reply::TooManyCalls),
+        (b"bad_request", Reply::BadRequest),
+        (b"\xff", Reply::Unreadable),
+        (b"", Reply::Unreadable),
     ];
     for (line, wanted) in answers {
         assert_eq!(
-            relay::answer(line),
+            relay::parse_reply(line),
             wanted,
             "{}",
             String::from_utf8_lossy(line)
         );
     }
-    let hello = |pace, fresh| {
-        Some(News::Hello {
+    let hello = |visits_per_s, fresh| {
+        Some(RelayEvent::Hello {
             proxy: 17,
             zone: 0,
-            pace,
+            visits_per_s,
             fresh,
         })
     };
-    let news: [(&[u8], Option<News>); 12] = [
-        (b"OK", Some(News::Begun)),
-        (b"*", Some(News::Alive)),
+    let news: [(&[u8], Option<RelayEvent>); 12] = [
+        (b"OK", Some(RelayEvent::Started)),
+        (b"*", Some(RelayEvent::Heartbeat)),
         (b"* hello 17 a 21.5 1", hello(21.5, true)),
         (b"* hello 17 a 21.5 0", hello(21.5, false)),
         (b"* hello 17 c 21.5 0", None),
         (b"* hello 20 a 21.5 0", None),
         (b"* hello 17 a -1 0", None),
-        (b"* bye 17", Some(News::Bye { proxy: 17 })),
+        (b"* bye 17", Some(RelayEvent::Bye { proxy: 17 })),
         (
             b"* ack 17 905 310.4",
-            Some(News::Ack {
+            Some(RelayEvent::Ack {
                 proxy: 17,
                 mark: 905,
             }),
@@ -158,7 +158,7 @@
     for (line, wanted) in news {
         let zones = told().zones;
         assert_eq!(
-            relay::news(line, &zones, 20),
+            relay::parse_event(line, &zones, 20),
             wanted,
             "{}",
             String::from_utf8_lossy(line)
@@ -177,11 +177,11 @@
         {"name":"s,5","zone":"a","status":"up","weight":1},
         {"name":"s-6","zone":"a","status":"up","weight":-1},
         {"zone":"a"}, 7]}"#;
-    let list = discovery::read(line, &zones).unwrap();
+    let list = discovery::parse(line, &zones).unwrap();
     let found: Vec<_> = list
-        .entries
+        .endpoints
         .iter()
-        .map(|e| (e.name.as_str(), e.standing, e.address.is_some()))
+        .map(|e| (e.name.as_str(), e.admin_state, e.address.is_some()))
         .collect();
     assert_eq!(
         found,
@@ -190,8 +190,11 @@
             ("s-2", Standing::Draining, false)
         ]
     );
-    assert_eq!((list.index, list.whole, list.left_out.len()), (41, true, 6));
-    assert_eq!(list.entries[1].since_ms, 1.7e12);
+    assert_eq!(
+        (list.index, list.is_snapshot, list.rejected.len()),
+        (41, true, 6)
+    );
+    assert_eq!(list.endpoints[1].started_at_ms, 1.7e12);
     for line in [
         &b"{}"[..],
         b"[]",
@@ -199,7 +202,7 @@
         b"x",
         b"",
     ] {
-        assert!(discovery::read(line, &zones).is_err());
+        assert!(discovery::parse(line, &zones).is_err());
     }
 }
 
@@ -222,13 +225,13 @@
         }).collect();
         all.push(bytes.clone());
         for line in &all {
-            let _ = arriving::read(line, &told);
-            let _ = relay::answer(line);
-            let _ = relay::news(line, &told.zones, told.proxies);
-            let _ = discovery::read(line, &told.zones);
-            let _ = chunks::Chunks::default().push(line, &mut Vec::new());
+            let _ = inbound::parse(line, &told);
+            let _ = relay::parse_reply(line);
+            let _ = relay::parse_event(line, &told.zones, told.proxies);
+            let _ = discovery::parse(line, &told.zones);
+            let _ = chunked::ChunkedDecoder::default().push(line, &mut Vec::new());
         }
-        let mut lines = lines::Lines::of(50);
+        let mut lines = line_buffer::LineBuffer::new(50);
         lines.push(&bytes);
         let mut given = 0;
         while let Some(line) = lines.next_line() {
--- a/crates/platform/tests/core.rs
+++ b/crates/platform/tests/core.rs
@@ -1,13 +1,13 @@
-//! The core as `(now, inputs) -> effects`: calls half done, gaps in the news, lists that go back.
+//! The core as `(now, inputs) -> effects`: unconfirmed calls, gaps in event streams, outdated lists.
 
 use dahliapoint::Standing;
 use dahliapoint_opening::{Deployment, deployment};
-use dahliapoint_platform::arriving::Report;
-use dahliapoint_platform::core::{Core, Effects, Input, TOLD_WITHIN_MS};
-use dahliapoint_platform::delivery::Outcome;
-use dahliapoint_platform::discovery::{Entry, List};
-use dahliapoint_platform::places::QUIET_MS;
-use dahliapoint_platform::relay::{Answer, News};
+use dahliapoint_platform::core::{Core, Effects, Input, MAX_DISCOVERY_LAG_MS};
+use dahliapoint_platform::delivery::CallOutcome;
+use dahliapoint_platform::discovery::{Endpoint, EndpointList};
+use dahliapoint_platform::inbound::Report;
+use dahliapoint_platform::relay::{RelayEvent, Reply};
+use dahliapoint_platform::slots::INDEX_REUSE_DELAY_MS;
 use serde_json::json;
 
 const START: f64 = 1.7e12;
@@ -26,32 +26,32 @@
     deployment(&settings).unwrap()
 }
 
-fn entry(name: &str, standing: Standing, since_ms: f64) -> Entry {
-    Entry {
+fn entry(name: &str, standing: Standing, since_ms: f64) -> Endpoint {
+    Endpoint {
         name: name.into(),
         address: Some("127.0.0.1:9".parse().unwrap()),
         zone: 0,
-        standing,
+        admin_state: standing,
         weight: 1.0,
-        since_ms,
+        started_at_ms: since_ms,
     }
 }
 
-fn list(index: u64, whole: bool, entries: Vec<Entry>) -> List {
-    List {
+fn list(index: u64, whole: bool, entries: Vec<Endpoint>) -> EndpointList {
+    EndpointList {
         index,
-        whole,
-        entries,
-        left_out: Vec::new(),
+        is_snapshot: whole,
+        endpoints: entries,
+        rejected: Vec::new(),
     }
 }
 
-fn lists(index: u64, whole: bool, entries: Vec<Entry>) -> Input {
+fn lists(index: u64, whole: bool, entries: Vec<Endpoint>) -> Input {
     let list = list(index, whole, entries);
-    Input::List { watch: 0, list }
+    Input::EndpointList { watch: 0, list }
 }
 
-/// A core, a relay that takes every call unless told otherwise, and all that it was ordered.
+/// A core, a relay that accepts every call, and all commands that it got.
 struct World {
     core: Core,
     now: f64,
@@ -61,17 +61,17 @@
 }
 
 impl World {
-    /// Three servers, listed long ago, and one follower.
+    /// Starts with three servers, listed long ago, and one follower.
     fn new() -> World {
         World::of(8000)
     }
 
-    /// With so many lines that may wait in the channel.
+    /// Like `new`, with this many lines that may wait in the channel.
     fn of(most_waiting: u32) -> World {
         let up = |n| entry(n, Standing::Ready, 0.0);
         let known = list(5, true, vec![up("s-1"), up("s-2"), up("s-3")]);
         let mut world = World {
-            core: Core::begun(START, 7, told(most_waiting), &known),
+            core: Core::new(START, 7, told(most_waiting), &known),
             now: START,
             ordered: Vec::new(),
             wake: None,
@@ -93,35 +93,38 @@
         effects
     }
 
-    /// Tells it, and lets the relay take whatever it calls for.
+    /// Steps with these inputs and lets the relay accept the calls.
     fn tell(&mut self, inputs: Vec<Input>) {
         let mut effects = self.step(inputs);
         while let Some(call) = effects.call {
             let text = call.text.trim_start_matches("txn ").trim_end();
             let orders: Vec<String> = text.split(';').map(str::to_string).collect();
-            let outcome = Outcome::Answered(Answer::Taken(orders.len()));
+            let outcome = CallOutcome::Replied(Reply::Accepted(orders.len()));
             self.ordered.extend(orders);
             let number = call.number;
-            effects = self.step(vec![Input::Called { number, outcome }]);
+            effects = self.step(vec![Input::CallEnded { number, outcome }]);
         }
     }
 
-    fn news(&mut self, follower: u32, news: Vec<News>) {
+    fn news(&mut self, follower: u32, news: Vec<RelayEvent>) {
         self.tell(
             news.into_iter()
-                .map(|news| Input::News { follower, news })
+                .map(|news| Input::RelayEvent {
+                    follower,
+                    event: news,
+                })
                 .collect(),
         );
     }
 
     fn follow(&mut self, follower: u32, stands: &[usize]) {
-        let mut news = vec![News::Begun];
+        let mut news = vec![RelayEvent::Started];
         news.extend(stands.iter().map(|p| hello(*p)));
-        news.push(News::Alive);
+        news.push(RelayEvent::Heartbeat);
         self.news(follower, news);
     }
 
-    /// Lets time pass, waking whenever it asked to.
+    /// Lets time pass and steps whenever the core asked to be woken.
     fn pass(&mut self, ms: f64) {
         let end = self.now + ms;
         while let Some(at) = self.wake.filter(|at| *at <= end) {
@@ -143,11 +146,11 @@
     }
 }
 
-fn hello(proxy: usize) -> News {
-    News::Hello {
+fn hello(proxy: usize) -> RelayEvent {
+    RelayEvent::Hello {
         proxy,
         zone: 0,
-        pace: 1.0,
+        visits_per_s: 1.0,
         fresh: true,
     }
 }
@@ -191,12 +194,12 @@
     world.news(
         0,
         vec![
-            News::Ack { proxy: 9, mark: 1 },
-            News::Ack {
+            RelayEvent::Ack { proxy: 9, mark: 1 },
+            RelayEvent::Ack {
                 proxy: 3,
                 mark: 999,
             },
-            News::Bye { proxy: 11 },
+            RelayEvent::Bye { proxy: 11 },
         ],
     );
     let stranger = Report::Outcomes {
@@ -220,7 +223,7 @@
         vec![entry("s-8", Standing::Gone, 0.0)],
     )]);
     assert_eq!(world.ordered.len(), before);
-    assert_eq!(world.core.tally.strangers, 2);
+    assert_eq!(world.core.counters.unknown_subjects, 2);
 }
 
 #[test]
@@ -228,43 +231,44 @@
     let mut world = World::new();
     world.news(0, vec![hello(3), hello(4)]);
     world.follow(1, &[3, 4]);
-    // The first is heard beside the second, so no gap lies between them; likewise the third.
-    world.news(0, vec![News::Alive]);
-    world.tell(vec![Input::Unfollowed { follower: 0 }]);
+    // The first sends an event while the second is there, so there is no gap between them; likewise
+    // for the second and third.
+    world.news(0, vec![RelayEvent::Heartbeat]);
+    world.tell(vec![Input::FollowerEnded { follower: 0 }]);
     world.follow(2, &[3, 4]);
-    world.news(1, vec![News::Alive]);
+    world.news(1, vec![RelayEvent::Heartbeat]);
     assert_eq!(
         (world.count("bind,3,0,*"), world.count("bind,4,0,*")),
         (1, 1)
     );
-    // None is left: whoever is told anew is bound anew, whoever is not has left.
+    // None is left: a proxy in the next snapshot is bound again, a proxy missing from it has left.
     world.tell(vec![
-        Input::Unfollowed { follower: 1 },
-        Input::Unfollowed { follower: 2 },
+        Input::FollowerEnded { follower: 1 },
+        Input::FollowerEnded { follower: 2 },
     ]);
     world.follow(3, &[4]);
     assert_eq!(
         (world.count("bind,3,0,*"), world.count("bind,4,0,*")),
         (1, 2)
     );
-    // The last one ends and was not heard since another began: a gap may lie between the two, and
-    // who stands by the other's word is bound anew; so also where it falls silent.
+    // The last one ends without an event since another started: there may be a gap between the two, so
+    // the proxies that the other reported are bound again; likewise when it falls silent.
     world.follow(4, &[4]);
-    world.tell(vec![Input::Unfollowed { follower: 3 }]);
+    world.tell(vec![Input::FollowerEnded { follower: 3 }]);
     assert_eq!(world.count("bind,4,0,*"), 3);
     world.follow(5, &[4]);
-    world.tell(vec![Input::Silent { follower: 4 }]);
+    world.tell(vec![Input::FollowerSilent { follower: 4 }]);
     assert_eq!(world.count("bind,4,0,*"), 4);
 }
 
 #[test]
 fn a_binding_of_unknown_outcome_is_made_again_unless_its_mark_is_answered() {
     for answered in [false, true] {
-        // So few that a binding is dear.
+        // A small channel, so that a binding is too costly to be resent at once.
         let mut world = World::of(40);
-        let joins = Input::News {
+        let joins = Input::RelayEvent {
             follower: 0,
-            news: hello(3),
+            event: hello(3),
         };
         let call = world.step(vec![joins]).call.unwrap();
         assert!(call.text.contains("bind,3,0,*"), "{}", call.text);
@@ -276,11 +280,11 @@
             .unwrap()
             .parse()
             .unwrap();
-        let outcome = Outcome::Unknown;
+        let outcome = CallOutcome::Unknown;
         let number = call.number;
-        world.tell(vec![Input::Called { number, outcome }]);
+        world.tell(vec![Input::CallEnded { number, outcome }]);
         if answered {
-            world.news(0, vec![News::Ack { proxy: 3, mark }]);
+            world.news(0, vec![RelayEvent::Ack { proxy: 3, mark }]);
         }
         world.pass(5000.0);
         assert_eq!(world.count("bind,3,0,*"), usize::from(!answered));
@@ -325,7 +329,7 @@
         let fresh = entry("s-4", Standing::Ready, START + ahead);
         world.tell(vec![lists(6, false, vec![fresh])]);
         world.pass(4000.0);
-        // Cold, so it is probed and its line is below its weight; but it has one.
+        // It is cold, so it is probed and its weight is below the listed one, but not zero.
         assert!(!world.probes.is_empty());
         let lines = world.began("share,0,s-4,");
         let weight: f64 = lines[0].rsplit(',').next().unwrap().parse().unwrap();
@@ -337,16 +341,16 @@
 fn an_index_that_a_waiting_order_names_is_not_given_to_another_server() {
     let mut world = World::new();
     world.news(0, vec![hello(3)]);
-    // The relay is out of reach from here on: the withdrawal of s-2 waits.
+    // The relay is out of reach from here on, so the withdrawal of s-2 stays queued.
     let gone = lists(6, false, vec![entry("s-2", Standing::Gone, 0.0)]);
     let mut call = world.step(vec![gone]).call;
     let mut index = 7;
     for second in 1..=60 {
         world.now = START + f64::from(second) * 1000.0;
         let mut inputs = Vec::new();
-        inputs.extend(call.take().map(|c| Input::Called {
+        inputs.extend(call.take().map(|c| Input::CallEnded {
             number: c.number,
-            outcome: Outcome::NotSent,
+            outcome: CallOutcome::NotSent,
         }));
         if second == 40 {
             let fresh = entry("s-9", Standing::Ready, world.now);
@@ -358,12 +362,12 @@
             assert!(!call.text.contains("withdraw,s-9"), "{}", call.text);
         }
     }
-    // It is back: whoever left is shut out, whoever came is not.
+    // The relay is back: the server that left is withdrawn, the new one is not.
     world.tell(
         call.into_iter()
-            .map(|c| Input::Called {
+            .map(|c| Input::CallEnded {
                 number: c.number,
-                outcome: Outcome::NotSent,
+                outcome: CallOutcome::NotSent,
             })
             .collect(),
     );
@@ -388,13 +392,13 @@
         ];
         names.push(fresh);
         world.tell(vec![lists(6 + round, false, entries)]);
-        world.pass(QUIET_MS);
+        world.pass(INDEX_REUSE_DELAY_MS);
     }
-    // Three that serve, one that comes, and those that have gone lately.
+    // One line of counts and one for each of the three listed servers.
     assert!(
-        world.core.beliefs().len() <= 1 + 3,
+        world.core.state_lines().len() <= 1 + 3,
         "{:?}",
-        world.core.beliefs()
+        world.core.state_lines()
     );
     for name in &names {
         let lines = world.began(&format!("share,0,{name},"));
@@ -408,8 +412,8 @@
 #[test]
 fn a_list_that_is_told_again_begins_no_ramp_anew() {
     let up = |n, since| entry(n, Standing::Ready, since);
-    // The line of a server that has just come, after so long; told once, or again each second: the
-    // whole list at the same version, as each watch that asks anew gets it, or an entry that is as it was.
+    // Returns the weight of a new server after 9 s. Its entry is received once, or again each second:
+    // in a full list of the same version, as each new watch gets it, or as an unchanged entry.
     let line = |since: f64, again: &str| {
         let all = || {
             let old = ["s-1", "s-2", "s-3"].map(|n| up(n, 0.0));
@@ -432,7 +436,7 @@
             .map_or("", |l| l.rsplit(',').next().unwrap())
             .to_string()
     };
-    // As discovery has its start: an hour ahead of our clock, just now, and long ago.
+    // Its listed start is an hour ahead of the local clock, now, or long ago.
     for since in [START + 3_600_000.0, START, 0.0] {
         let once = line(since, "");
         assert!(once.parse::<f64>().unwrap() > 0.0);
@@ -444,8 +448,9 @@
 
 #[test]
 fn lists_of_two_watches_end_the_same_in_any_order() {
-    // The truth: s-1 drains at 6, s-4 comes at 7, s-1 has gone at 8. One watch tells changes; another
-    // began at some version and tells the whole list there, then what follows. Every order of the two.
+    // s-1 drains at version 6, s-4 is added at 7, s-1 is removed at 8. One watch sends these changes.
+    // Another starts at some version with the full list, then sends the changes after it. All
+    // interleavings of the two are tested.
     let up = |n| entry(n, Standing::Ready, 0.0);
     let changes = || {
         vec![
@@ -466,7 +471,7 @@
     };
     let from = |at: u64| changes().into_iter().filter(move |(index, _)| *index > at);
     for began in 5..=8 {
-        let one: Vec<List> = from(5).map(|(i, e)| list(i, false, e)).collect();
+        let one: Vec<EndpointList> = from(5).map(|(i, e)| list(i, false, e)).collect();
         let mut other = vec![whole(began)];
         other.extend(from(began).map(|(i, e)| list(i, false, e)));
         let many = one.len() + other.len();
@@ -483,10 +488,10 @@
                     _ => (1, other.next()),
                 };
                 let list = next.unwrap().clone();
-                world.tell(vec![Input::List { watch, list }]);
+                world.tell(vec![Input::EndpointList { watch, list }]);
             }
             let case = format!("began at {began}, order {order:b}");
-            assert_eq!(world.core.index(), 8, "{case}");
+            assert_eq!(world.core.discovery_index(), 8, "{case}");
             assert_eq!(world.count("withdraw,s-1"), 1, "{case}");
             assert_eq!(world.count("restore,s-1"), 0, "{case}");
             world.pass(4000.0);
@@ -504,8 +509,8 @@
         let mut all = vec![entry("s-2", Standing::Ready, 0.0)];
         all.extend((standing == Standing::Draining).then(|| entry("s-1", standing, 0.0)));
         let list = list(40, true, all);
-        world.tell(vec![Input::List { watch: 7, list }]);
-        // The other two are not in it, or drain.
+        world.tell(vec![Input::EndpointList { watch: 7, list }]);
+        // The other two are missing from the list or drain.
         assert_eq!(
             (world.count("withdraw,s-1"), world.count("withdraw,s-3")),
             (1, 1)
@@ -516,7 +521,7 @@
 #[test]
 fn versions_that_begin_anew_are_believed_once_no_discovery_can_be_so_far_behind() {
     let drains = |n| entry(n, Standing::Draining, 0.0);
-    let below = |watch| Input::List {
+    let below = |watch| Input::EndpointList {
         watch,
         list: list(
             2,
@@ -524,34 +529,43 @@
             vec![drains("s-1"), entry("s-2", Standing::Ready, 0.0)],
         ),
     };
-    let change = |watch, index, name| Input::List {
+    let change = |watch, index, name| Input::EndpointList {
         watch,
         list: list(index, false, vec![drains(name)]),
     };
     let mut world = World::new();
     world.news(0, vec![hello(3)]);
-    // A discovery that is late: not believed, and the next that reaches ours makes it good.
+    // A list from a lagging discovery is ignored, and a change above the current version ends the wait.
     world.tell(vec![below(1)]);
-    world.pass(TOLD_WITHIN_MS);
+    world.pass(MAX_DISCOVERY_LAG_MS);
     world.tell(vec![change(1, 6, "s-3")]);
     world.tell(vec![below(2)]);
     assert_eq!(world.count("withdraw,s-1"), 0);
     assert_eq!(world.count("withdraw,s-3"), 1);
-    // The same watch says it twice, or another one too soon: not yet.
-    world.pass(TOLD_WITHIN_MS - 1.0);
+    // The same watch repeats the list, or another watch sends it too soon: still ignored.
+    world.pass(MAX_DISCOVERY_LAG_MS - 1.0);
     world.tell(vec![below(3)]);
     assert_eq!(world.count("withdraw,s-1"), 0);
     world.pass(1.0);
     world.tell(vec![below(2)]);
     assert_eq!(world.count("withdraw,s-1"), 0);
-    // Changes below ours show nothing; another watch's whole list does.
+    // Changes below the current version prove nothing; a full list from another watch does.
     world.tell(vec![change(4, 3, "s-2")]);
     assert_eq!(world.count("withdraw,s-2"), 0);
     world.tell(vec![below(4)]);
-    assert_eq!((world.count("withdraw,s-1"), world.core.index()), (1, 2));
-    // What an older watch still tells is of the old numbering, however high.
+    assert_eq!(
+        (world.count("withdraw,s-1"), world.core.discovery_index()),
+        (1, 2)
+    );
+    // An older watch still uses the old versions, so its changes are ignored however high they are.
     world.tell(vec![change(3, 60, "s-2")]);
-    assert_eq!((world.count("withdraw,s-2"), world.core.index()), (0, 2));
+    assert_eq!(
+        (world.count("withdraw,s-2"), world.core.discovery_index()),
+        (0, 2)
+    );
     world.tell(vec![change(4, 3, "s-2")]);
-    assert_eq!((world.count("withdraw,s-2"), world.core.index()), (1, 3));
+    assert_eq!(
+        (world.count("withdraw,s-2"), world.core.discovery_index()),
+        (1, 3)
+    );
 }
