--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -182,7 +182,7 @@
             tries: terms.usual_tries,
         };
         Controller {
-            planner: Planner::begun(now, seed, &opening(&terms)),
+            planner: Planner::new(now, seed, &opening(&terms)),
             patience: Patience::of(&terms),
             presence: Presence::new(terms.beat_ms),
             servers: Servers::default(),
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -113,7 +113,7 @@
     pub fn begun(now: f64, seed: u64, told: Deployment, known: &List) -> Core {
         let opening = &told.opening;
         let mut core = Core {
-            planner: Planner::begun(now, seed, opening),
+            planner: Planner::new(now, seed, opening),
             places: Places::default(),
             joined: Joined::default(),
             delivery: Delivery::of(opening.way_ms, opening.most_waiting, opening.lines_per_ms),
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -86,7 +86,7 @@
                 .map_err(|e| format!("Born: {e}"))?
                 .opening;
             let (zones, classes) = (opening.zones as u64, opening.classes.len() as u64);
-            let planner = Planner::begun(now, f.whole("randomSeed")?, &opening);
+            let planner = Planner::new(now, f.whole("randomSeed")?, &opening);
             let instance = Instance {
                 planner,
                 servers: Vec::new(),
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,6 +1,6 @@
 //! Every decision of dahliapoint, to be read aloud.
 //!
-//! How it is called: `Planner::begun` when a controller starts, then one method for each thing that
+//! How it is called: `Planner::new` when a controller starts, then one method for each thing that
 //! happens (`roster_changed`, `proxy_joined`, `tries_met`, ...), which only notes it. What comes at
 //! one moment is one input: after it, `Planner::decide` goes through `RULES` from the top until none
 //! fires, and returns the `Orders` to carry out. Their interface is in `src/lib.rs`, plain memory and
@@ -128,7 +128,7 @@
 }
 
 impl Planner {
-    pub fn begun(now: f64, seed: u64, told: &Opening) -> Planner {
+    pub fn new(now: f64, seed: u64, told: &Opening) -> Planner {
         let limits = told.classes.iter().map(|c| c.soft_limit_ms);
         let earnings = told.classes.iter().map(|c| c.earnings);
         let dear = earnings.clone().fold(0.0, f64::max);
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -101,7 +101,7 @@
 
     fn bare(told: &Opening) -> Fleet {
         Fleet {
-            planner: Planner::begun(1e6, 7, told),
+            planner: Planner::new(1e6, 7, told),
             now: 1e6,
             table: BTreeMap::new(),
             out: BTreeMap::new(),
@@ -392,7 +392,7 @@
 fn pacing_keeps_the_queue_and_the_messages_short() {
     // A channel that answers nothing: half the backlog and no more is written to.
     let told = but(|o| o.most_waiting = 300.0);
-    let mut planner = Planner::begun(0.0, 1, &told);
+    let mut planner = Planner::new(0.0, 1, &told);
     planner.roster_changed(0.0, Extent::Remembered, &ready(10));
     let mut binds = Vec::new();
     for proxy in 0..20 {
@@ -440,7 +440,7 @@
 
 /// A fleet of so many servers and proxies, zones in turn; few visits to each proxy.
 fn large(servers: usize, proxies: usize, told: &Opening) -> (Planner, Vec<usize>, Orders) {
-    let mut planner = Planner::begun(0.0, 7, told);
+    let mut planner = Planner::new(0.0, 7, told);
     planner.roster_changed(0.0, Extent::Remembered, &ready(servers));
     (0..proxies).for_each(|p| planner.proxy_joined(p, p % 2, 0.002));
     let orders = planner.decide(0.0);
@@ -673,7 +673,7 @@
 impl Homely {
     fn new() -> Homely {
         let told = but(|o| (o.may_probe, o.most_waiting) = (false, 1e6));
-        let mut planner = Planner::begun(0.0, 7, &told);
+        let mut planner = Planner::new(0.0, 7, &told);
         planner.roster_changed(0.0, Extent::Remembered, &ready(120));
         (0..60).for_each(|p| planner.proxy_joined(p, 0, 0.002));
         let mut homely = Homely {
