--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -9,7 +9,7 @@
 use crate::{AdminState, Entry, FurtherTry, Input, Line, LineState, Message, Output, Report};
 use crate::{Scope, Session, Terms, Way};
 use dahliapoint::rules::Planner;
-use dahliapoint::{Admission, Class, Extent, Listed, Opening, Orders, Standing, Tries};
+use dahliapoint::{Admission, Class, Extent, Listed, PlannerSettings, Orders, Standing, Tries};
 use dahliapoint_intake::belief::Change;
 use dahliapoint_intake::coverage::Heard;
 use serde::Serialize;
@@ -126,9 +126,9 @@
     pub guard: WardView,
 }
 
-fn opening(terms: &Terms) -> Opening {
+fn opening(terms: &Terms) -> PlannerSettings {
     let limit = (terms.most_messages - terms.writes_by_joining) / terms.writes_by_message;
-    Opening {
+    PlannerSettings {
         zones: terms.zones.len(),
         classes: terms
             .classes
--- a/crates/opening/src/lib.rs
+++ b/crates/opening/src/lib.rs
@@ -1,7 +1,7 @@
 //! The platform's settings object, as an instance is given it at its start, turned into what the
 //! planner is told. Used by the adapter on the simulator's wire and by the controller on sockets.
 
-use dahliapoint::{Admission, Class, Opening, Tries};
+use dahliapoint::{Admission, Class, PlannerSettings, Tries};
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
@@ -104,7 +104,7 @@
 /// What the platform tells of a deployment: the planner's opening, and the names that its messages use.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    pub opening: Opening,
+    pub opening: PlannerSettings,
     pub zones: Vec<String>,
     pub classes: Vec<String>,
     /// Proxies are numbered from 0 to this less 1.
@@ -128,7 +128,7 @@
         earnings: lane.credit,
     };
     let (facts, bounds) = (&told.specifics, &told.rules);
-    let opening = Opening {
+    let opening = PlannerSettings {
         zones: told.zones.len(),
         classes: told.lanes.iter().map(class).collect(),
         admission: match facts.admit.as_str() {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -26,7 +26,7 @@
 
 /// What a planner is told when it begins; turned at once into the few figures that decisions use.
 #[derive(Clone, Debug)]
-pub struct Opening {
+pub struct PlannerSettings {
     pub zones: usize,
     pub classes: Vec<Class>,
     pub admission: Admission,
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -11,7 +11,7 @@
 
 use crate::state::{self, Bounds, Bucket, Chance, Channel, Heard, Norms, Part};
 use crate::state::{Proxy, Server, View};
-use crate::{Admission, Belief, Extent, Listed, Met, Opening, Orders, Standing, Tries};
+use crate::{Admission, Belief, Extent, Listed, Met, PlannerSettings, Orders, Standing, Tries};
 use std::collections::BTreeMap;
 
 /// First settings of the design: the tick, the ramp in ticks, and its floor.
@@ -128,7 +128,7 @@
 }
 
 impl Planner {
-    pub fn new(now: f64, seed: u64, told: &Opening) -> Planner {
+    pub fn new(now: f64, seed: u64, told: &PlannerSettings) -> Planner {
         let limits = told.classes.iter().map(|c| c.soft_limit_ms);
         let earnings = told.classes.iter().map(|c| c.earnings);
         let dear = earnings.clone().fold(0.0, f64::max);
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -1,15 +1,15 @@
 //! The planner against tables of cases, without any bench: what was told, what it ordered.
 
 use dahliapoint::rules::Planner;
-use dahliapoint::{Admission, Class, Extent, Listed, Met, Opening, Orders, Standing, Tries};
+use dahliapoint::{Admission, Class, Extent, Listed, Met, PlannerSettings, Orders, Standing, Tries};
 use std::collections::BTreeMap;
 
-fn opening() -> Opening {
+fn opening() -> PlannerSettings {
     let class = |earnings| Class {
         soft_limit_ms: 1000.0,
         earnings,
     };
-    Opening {
+    PlannerSettings {
         zones: 2,
         classes: vec![class(1.0), class(2.0)],
         admission: Admission::Unused,
@@ -34,7 +34,7 @@
     }
 }
 
-fn but(change: impl FnOnce(&mut Opening)) -> Opening {
+fn but(change: impl FnOnce(&mut PlannerSettings)) -> PlannerSettings {
     let mut told = opening();
     change(&mut told);
     told
@@ -83,7 +83,7 @@
 
 impl Fleet {
     /// So many ready servers, zones in turn, and two proxies in each zone.
-    fn of(servers: usize, told: &Opening) -> Fleet {
+    fn of(servers: usize, told: &PlannerSettings) -> Fleet {
         let mut fleet = Fleet::bare(told);
         fleet.list(Extent::Remembered, &ready(servers));
         for proxy in 0..4 {
@@ -99,7 +99,7 @@
         fleet
     }
 
-    fn bare(told: &Opening) -> Fleet {
+    fn bare(told: &PlannerSettings) -> Fleet {
         Fleet {
             planner: Planner::new(1e6, 7, told),
             now: 1e6,
@@ -439,7 +439,7 @@
 }
 
 /// A fleet of so many servers and proxies, zones in turn; few visits to each proxy.
-fn large(servers: usize, proxies: usize, told: &Opening) -> (Planner, Vec<usize>, Orders) {
+fn large(servers: usize, proxies: usize, told: &PlannerSettings) -> (Planner, Vec<usize>, Orders) {
     let mut planner = Planner::new(0.0, 7, told);
     planner.roster_changed(0.0, Extent::Remembered, &ready(servers));
     (0..proxies).for_each(|p| planner.proxy_joined(p, p % 2, 0.002));
@@ -449,7 +449,7 @@
     (planner, parts, orders)
 }
 
-fn roomy() -> Opening {
+fn roomy() -> PlannerSettings {
     but(|o| o.most_waiting = 1e6)
 }
 
