--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -9,7 +9,9 @@
 use crate::{AdminState, Entry, FurtherTry, Input, Line, LineState, Message, Output, Report};
 use crate::{Scope, Session, Terms, Way};
 use dahliapoint::rules::Planner;
-use dahliapoint::{Admission, Class, Extent, Listed, PlannerSettings, Orders, Standing, Tries};
+use dahliapoint::{
+    Admission, Class, Extent, Listed, Orders, PlannerSettings, RetryPolicy, Standing,
+};
 use dahliapoint_intake::belief::Change;
 use dahliapoint_intake::coverage::Heard;
 use serde::Serialize;
@@ -161,9 +163,9 @@
         fall_multiple: terms.fall_multiple,
         dropped_may_stay: terms.dropped_may_stay,
         usual_tries: match terms.usual_tries {
-            FurtherTry::Never => Tries::Never,
-            FurtherTry::OnProof => Tries::OnProof,
-            FurtherTry::OnFailure => Tries::OnFailure,
+            FurtherTry::Never => RetryPolicy::Never,
+            FurtherTry::OnProof => RetryPolicy::OnProof,
+            FurtherTry::OnFailure => RetryPolicy::OnFailure,
         },
         may_probe: terms.may_probe,
         must_ask: false,
@@ -608,9 +610,9 @@
         }
         for (part, class, share, tries) in orders.levels {
             let tries = match tries {
-                Tries::Never => FurtherTry::Never,
-                Tries::OnProof => FurtherTry::OnProof,
-                Tries::OnFailure => FurtherTry::OnFailure,
+                RetryPolicy::Never => FurtherTry::Never,
+                RetryPolicy::OnProof => FurtherTry::OnProof,
+                RetryPolicy::OnFailure => FurtherTry::OnFailure,
             };
             let tries = self.ward.tries(tries, self.terms.classes[class].repeatable);
             self.ways[class] = Way { share, tries };
--- a/crates/opening/src/lib.rs
+++ b/crates/opening/src/lib.rs
@@ -1,7 +1,7 @@
 //! The platform's settings object, as an instance is given it at its start, turned into what the
 //! planner is told. Used by the adapter on the simulator's wire and by the controller on sockets.
 
-use dahliapoint::{Admission, Class, PlannerSettings, Tries};
+use dahliapoint::{Admission, Class, PlannerSettings, RetryPolicy};
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
@@ -150,9 +150,9 @@
         fall_multiple: bounds.fall_multiple,
         dropped_may_stay: bounds.soft_removal,
         usual_tries: match facts.base_mode {
-            0 => Tries::Never,
-            1 => Tries::OnProof,
-            _ => Tries::OnFailure,
+            0 => RetryPolicy::Never,
+            1 => RetryPolicy::OnProof,
+            _ => RetryPolicy::OnFailure,
         },
         may_probe: told.limits.probing,
         must_ask: told.registry_mode == "ask",
--- a/crates/platform/src/relay.rs
+++ b/crates/platform/src/relay.rs
@@ -1,6 +1,6 @@
 //! The relay's text (PROTOCOL, "The relay"): orders out, answers and news in.
 
-use dahliapoint::Tries;
+use dahliapoint::RetryPolicy;
 use std::fmt::Write;
 
 /// A call carries up to this many bytes of orders.
@@ -18,7 +18,7 @@
         table: usize,
         class: usize,
         share: f64,
-        tries: Tries,
+        tries: RetryPolicy,
     },
     Shut {
         server: usize,
@@ -54,9 +54,9 @@
                 tries,
             } => {
                 let way = match tries {
-                    Tries::Never => 0,
-                    Tries::OnProof => 1,
-                    Tries::OnFailure => 2,
+                    RetryPolicy::Never => 0,
+                    RetryPolicy::OnProof => 1,
+                    RetryPolicy::OnFailure => 2,
                 };
                 write!(to, "admit,{table},{},{share},{way}", names.class(*class))
             }
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -1,6 +1,6 @@
 //! Fields of the wire: read with a plain word on what is missing or of the wrong kind.
 
-use dahliapoint::{Standing, Tries};
+use dahliapoint::{RetryPolicy, Standing};
 use serde_json::{Map, Value};
 
 pub fn ms(ns: u64) -> f64 {
@@ -126,10 +126,10 @@
 }
 
 /// The wire's number for a way of trying again.
-pub fn way_of(tries: Tries) -> u64 {
+pub fn way_of(tries: RetryPolicy) -> u64 {
     match tries {
-        Tries::Never => 0,
-        Tries::OnProof => 1,
-        Tries::OnFailure => 2,
+        RetryPolicy::Never => 0,
+        RetryPolicy::OnProof => 1,
+        RetryPolicy::OnFailure => 2,
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -56,7 +56,7 @@
     /// A server merely dropped from the list may stay in tables.
     pub dropped_may_stay: bool,
     /// How proxies try again where no order says otherwise.
-    pub usual_tries: Tries,
+    pub usual_tries: RetryPolicy,
     pub may_probe: bool,
     /// The list must be asked for.
     pub must_ask: bool,
@@ -66,7 +66,7 @@
 
 /// When proxies try another server.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-pub enum Tries {
+pub enum RetryPolicy {
     Never,
     /// Once, after proof that the first try never ran.
     OnProof,
@@ -133,7 +133,7 @@
     /// Lines of the shared table: its part, server and weight; 0 takes the line away.
     pub lines: Vec<(usize, usize, f64)>,
     /// Levels of the shared table: its part, class, share let in, and when to try again.
-    pub levels: Vec<(usize, usize, f64, Tries)>,
+    pub levels: Vec<(usize, usize, f64, RetryPolicy)>,
     /// Servers shut out of all tables (true), or allowed again.
     pub withdrawals: Vec<(usize, bool)>,
     /// Proxies to be bound to the shared table, and to which part of it.
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -11,7 +11,9 @@
 
 use crate::state::{self, Bounds, Bucket, Chance, Channel, Heard, Norms, Part};
 use crate::state::{Proxy, Server, View};
-use crate::{Admission, Belief, Extent, Listed, Met, PlannerSettings, Orders, Standing, Tries};
+use crate::{
+    Admission, Belief, Extent, Listed, Met, Orders, PlannerSettings, RetryPolicy, Standing,
+};
 use std::collections::BTreeMap;
 
 /// First settings of the design: the tick, the ramp in ticks, and its floor.
@@ -88,7 +90,7 @@
     /// The share of the dearest visits let in, when that last moved, and what was ordered by class.
     level: f64,
     level_since: f64,
-    ways: Vec<(f64, Tries)>,
+    ways: Vec<(f64, RetryPolicy)>,
     /// The most tries by millisecond and weight that the fleet has carried short of overload.
     carried: f64,
     norms: Norms,
@@ -450,7 +452,7 @@
             let level = if heavy { down } else { up };
             (self.level, self.level_since) = (level.clamp(0.1, 1.0), self.now);
         }
-        let share = |cheap: &f64| (self.level.powf(*cheap), Tries::OnProof);
+        let share = |cheap: &f64| (self.level.powf(*cheap), RetryPolicy::OnProof);
         let ways: Vec<_> = self.told.cheapness.iter().map(share).collect();
         let parts = self.channel.parts.len();
         let price = |part| self.channel.price(Some(part), ways.len() as f64);
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -1,7 +1,9 @@
 //! The planner against tables of cases, without any bench: what was told, what it ordered.
 
 use dahliapoint::rules::Planner;
-use dahliapoint::{Admission, Class, Extent, Listed, Met, PlannerSettings, Orders, Standing, Tries};
+use dahliapoint::{
+    Admission, Class, Extent, Listed, Met, Orders, PlannerSettings, RetryPolicy, Standing,
+};
 use std::collections::BTreeMap;
 
 fn opening() -> PlannerSettings {
@@ -27,7 +29,7 @@
         warm_after_ms: 16_000.0,
         fall_multiple: 3.0,
         dropped_may_stay: false,
-        usual_tries: Tries::Never,
+        usual_tries: RetryPolicy::Never,
         may_probe: true,
         must_ask: false,
         sliced: false,
@@ -65,7 +67,7 @@
     table: BTreeMap<usize, f64>,
     out: BTreeMap<usize, bool>,
     bound: Vec<usize>,
-    levels: BTreeMap<usize, (f64, Tries)>,
+    levels: BTreeMap<usize, (f64, RetryPolicy)>,
     probed: Vec<usize>,
     messages: usize,
     notes: Vec<String>,
@@ -376,7 +378,7 @@
         let told = but(|o| o.admission = admission);
         let mut fleet = Fleet::of(8, &told);
         fleet.pass(10, |s, _| Some((10.0, 4.0, 1500.0)).filter(|_| s < 8));
-        assert!(fleet.levels.values().all(|l| l.1 == Tries::OnProof));
+        assert!(fleet.levels.values().all(|l| l.1 == RetryPolicy::OnProof));
         let (cheap, dear) = (fleet.levels[&0].0, fleet.levels[&1].0);
         if admission == Admission::Share {
             assert!(cheap < dear && dear < 1.0, "{cheap} {dear}");
