--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -9,9 +9,7 @@
 use crate::{AdminState, Entry, FurtherTry, Input, Line, LineState, Message, Output, Report};
 use crate::{Scope, Session, Terms, Way};
 use dahliapoint::rules::Planner;
-use dahliapoint::{
-    Admission, Class, Extent, Listed, Orders, PlannerSettings, RetryPolicy, Standing,
-};
+use dahliapoint::{Admission, Class, Extent, Listed, Orders, PlannerSettings, RetryPolicy};
 use dahliapoint_intake::belief::Change;
 use dahliapoint_intake::coverage::Heard;
 use serde::Serialize;
@@ -349,9 +347,9 @@
                 server,
                 zone,
                 standing: match entry.state {
-                    AdminState::Ready => Standing::Ready,
-                    AdminState::Draining => Standing::Draining,
-                    AdminState::Gone => Standing::Gone,
+                    AdminState::Ready => dahliapoint::AdminState::Ready,
+                    AdminState::Draining => dahliapoint::AdminState::Draining,
+                    AdminState::Gone => dahliapoint::AdminState::Gone,
                 },
                 weight: entry.weight,
                 started_ms: self.servers.slots[server].started.map(|(_, at)| at),
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -8,7 +8,7 @@
 use crate::places::Places;
 use crate::relay::{Names, News, Order};
 use dahliapoint::rules::Planner;
-use dahliapoint::{Extent, Listed, Met, Orders, Standing};
+use dahliapoint::{AdminState, Extent, Listed, Met, Orders};
 use dahliapoint_opening::Deployment;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -146,7 +146,7 @@
             self.tally.old_lists
         )];
         for (place, b) in self.places.all.iter().zip(self.planner.beliefs()) {
-            if place.standing == Standing::Gone {
+            if place.standing == AdminState::Gone {
                 continue;
             }
             out.push(format!(
@@ -287,7 +287,7 @@
         let mut roster = Vec::with_capacity(list.entries.len());
         for entry in &list.entries {
             // One that nobody here ever knew cannot leave.
-            if entry.standing == Standing::Gone && self.places.find(&entry.name).is_none() {
+            if entry.standing == AdminState::Gone && self.places.find(&entry.name).is_none() {
                 continue;
             }
             let server = self.places.place(entry, now);
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery's lists (PROTOCOL, "Discovery").
 
-use dahliapoint::Standing;
+use dahliapoint::AdminState;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
     /// None where it cannot be read: it serves proxies all the same, but cannot be probed.
     pub address: Option<SocketAddr>,
     pub zone: usize,
-    pub standing: Standing,
+    pub standing: AdminState,
     pub weight: f64,
     /// Unix time of its last start (ms); 0 for long ago.
     pub since_ms: f64,
@@ -80,9 +80,9 @@
         return Err("name");
     }
     let standing = match text("status")? {
-        "up" => Standing::Ready,
-        "draining" => Standing::Draining,
-        "removed" => Standing::Gone,
+        "up" => AdminState::Ready,
+        "draining" => AdminState::Draining,
+        "removed" => AdminState::Gone,
         _ => return Err("status"),
     };
     let zone = text("zone")?;
--- a/crates/platform/src/places.rs
+++ b/crates/platform/src/places.rs
@@ -5,7 +5,7 @@
 //! order that names it waits to be sent. Only within its zone: the planner has dealt it to a part of that zone.
 
 use crate::discovery::Entry;
-use dahliapoint::Standing;
+use dahliapoint::AdminState;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
@@ -17,7 +17,7 @@
     pub name: String,
     pub address: Option<SocketAddr>,
     pub zone: usize,
-    pub standing: Standing,
+    pub standing: AdminState,
     /// The line that was last ordered; 0: none.
     pub line: f64,
     /// The table that its line is in, from the first on.
@@ -96,7 +96,7 @@
         let mut there = vec![false; self.all.len()];
         listed.iter().for_each(|i| there[*i] = true);
         for (place, _) in self.all.iter_mut().zip(&there).filter(|(_, t)| !**t) {
-            place.standing = Standing::Gone;
+            place.standing = AdminState::Gone;
             place.settle(now);
         }
     }
@@ -128,7 +128,7 @@
 
 impl Place {
     fn settle(&mut self, now: f64) {
-        let idle = self.standing == Standing::Gone && self.line == 0.0;
+        let idle = self.standing == AdminState::Gone && self.line == 0.0;
         self.idle_since = match idle {
             true => self.idle_since.or(Some(now)),
             false => None,
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -1,6 +1,6 @@
 //! Tables of lines for each codec, and mangled ones that must never panic.
 
-use dahliapoint::Standing;
+use dahliapoint::AdminState;
 use dahliapoint_opening::{Deployment, deployment};
 use dahliapoint_platform::arriving::{self, Report, Said};
 use dahliapoint_platform::relay::{self, Answer, News};
@@ -186,8 +186,8 @@
     assert_eq!(
         found,
         [
-            ("s-1", Standing::Ready, true),
-            ("s-2", Standing::Draining, false)
+            ("s-1", AdminState::Ready, true),
+            ("s-2", AdminState::Draining, false)
         ]
     );
     assert_eq!((list.index, list.whole, list.left_out.len()), (41, true, 6));
--- a/crates/platform/tests/core.rs
+++ b/crates/platform/tests/core.rs
@@ -1,6 +1,6 @@
 //! The core as `(now, inputs) -> effects`: calls half done, gaps in the news, lists that go back.
 
-use dahliapoint::Standing;
+use dahliapoint::AdminState;
 use dahliapoint_opening::{Deployment, deployment};
 use dahliapoint_platform::arriving::Report;
 use dahliapoint_platform::core::{Core, Effects, Input, TOLD_WITHIN_MS};
@@ -26,7 +26,7 @@
     deployment(&settings).unwrap()
 }
 
-fn entry(name: &str, standing: Standing, since_ms: f64) -> Entry {
+fn entry(name: &str, standing: AdminState, since_ms: f64) -> Entry {
     Entry {
         name: name.into(),
         address: Some("127.0.0.1:9".parse().unwrap()),
@@ -68,7 +68,7 @@
 
     /// With so many lines that may wait in the channel.
     fn of(most_waiting: u32) -> World {
-        let up = |n| entry(n, Standing::Ready, 0.0);
+        let up = |n| entry(n, AdminState::Ready, 0.0);
         let known = list(5, true, vec![up("s-1"), up("s-2"), up("s-3")]);
         let mut world = World {
             core: Core::begun(START, 7, told(most_waiting), &known),
@@ -157,14 +157,14 @@
     let mut world = World::new();
     world.news(0, vec![hello(3)]);
     assert_eq!(world.count("bind,3,0,*"), 1);
-    let drains = lists(6, false, vec![entry("s-2", Standing::Draining, 0.0)]);
+    let drains = lists(6, false, vec![entry("s-2", AdminState::Draining, 0.0)]);
     world.tell(vec![drains]);
     assert_eq!(world.count("withdraw,s-2"), 1);
 }
 
 #[test]
 fn versions_never_go_back_and_nothing_is_told_twice() {
-    let gone = || entry("s-1", Standing::Gone, 0.0);
+    let gone = || entry("s-1", AdminState::Gone, 0.0);
     for (index, whole, entries, withdrawn) in [
         (4, true, vec![], false),
         (4, false, vec![gone()], false),
@@ -217,7 +217,7 @@
     world.tell(vec![lists(
         6,
         false,
-        vec![entry("s-8", Standing::Gone, 0.0)],
+        vec![entry("s-8", AdminState::Gone, 0.0)],
     )]);
     assert_eq!(world.ordered.len(), before);
     assert_eq!(world.core.tally.strangers, 2);
@@ -322,7 +322,7 @@
     for ahead in [0.0, 3_600_000.0] {
         let mut world = World::new();
         world.news(0, vec![hello(3)]);
-        let fresh = entry("s-4", Standing::Ready, START + ahead);
+        let fresh = entry("s-4", AdminState::Ready, START + ahead);
         world.tell(vec![lists(6, false, vec![fresh])]);
         world.pass(4000.0);
         // Cold, so it is probed and its line is below its weight; but it has one.
@@ -338,7 +338,7 @@
     let mut world = World::new();
     world.news(0, vec![hello(3)]);
     // The relay is out of reach from here on: the withdrawal of s-2 waits.
-    let gone = lists(6, false, vec![entry("s-2", Standing::Gone, 0.0)]);
+    let gone = lists(6, false, vec![entry("s-2", AdminState::Gone, 0.0)]);
     let mut call = world.step(vec![gone]).call;
     let mut index = 7;
     for second in 1..=60 {
@@ -349,7 +349,7 @@
             outcome: Outcome::NotSent,
         }));
         if second == 40 {
-            let fresh = entry("s-9", Standing::Ready, world.now);
+            let fresh = entry("s-9", AdminState::Ready, world.now);
             inputs.push(lists(index, false, vec![fresh]));
             index += 1;
         }
@@ -383,8 +383,8 @@
         let fresh = format!("s-{}", 10 + round);
         let old = names.remove(0);
         let entries = vec![
-            entry(&fresh, Standing::Ready, world.now),
-            entry(&old, Standing::Gone, 0.0),
+            entry(&fresh, AdminState::Ready, world.now),
+            entry(&old, AdminState::Gone, 0.0),
         ];
         names.push(fresh);
         world.tell(vec![lists(6 + round, false, entries)]);
@@ -407,7 +407,7 @@
 
 #[test]
 fn a_list_that_is_told_again_begins_no_ramp_anew() {
-    let up = |n, since| entry(n, Standing::Ready, since);
+    let up = |n, since| entry(n, AdminState::Ready, since);
     // The line of a server that has just come, after so long; told once, or again each second: the
     // whole list at the same version, as each watch that asks anew gets it, or an entry that is as it was.
     let line = |since: f64, again: &str| {
@@ -446,19 +446,19 @@
 fn lists_of_two_watches_end_the_same_in_any_order() {
     // The truth: s-1 drains at 6, s-4 comes at 7, s-1 has gone at 8. One watch tells changes; another
     // began at some version and tells the whole list there, then what follows. Every order of the two.
-    let up = |n| entry(n, Standing::Ready, 0.0);
+    let up = |n| entry(n, AdminState::Ready, 0.0);
     let changes = || {
         vec![
-            (6, vec![entry("s-1", Standing::Draining, 0.0)]),
+            (6, vec![entry("s-1", AdminState::Draining, 0.0)]),
             (7, vec![up("s-4")]),
-            (8, vec![entry("s-1", Standing::Gone, 0.0)]),
+            (8, vec![entry("s-1", AdminState::Gone, 0.0)]),
         ]
     };
     let whole = |at: u64| {
         let mut all = vec![up("s-2"), up("s-3")];
         match at {
             5 => all.push(up("s-1")),
-            6 | 7 => all.push(entry("s-1", Standing::Draining, 0.0)),
+            6 | 7 => all.push(entry("s-1", AdminState::Draining, 0.0)),
             _ => {}
         }
         all.extend((at >= 7).then(|| up("s-4")));
@@ -497,12 +497,12 @@
 
 #[test]
 fn a_drain_inside_a_whole_list_after_silence_is_withdrawn_at_once() {
-    for standing in [Standing::Draining, Standing::Gone] {
+    for standing in [AdminState::Draining, AdminState::Gone] {
         let mut world = World::new();
         world.news(0, vec![hello(3)]);
         world.pass(60_000.0);
-        let mut all = vec![entry("s-2", Standing::Ready, 0.0)];
-        all.extend((standing == Standing::Draining).then(|| entry("s-1", standing, 0.0)));
+        let mut all = vec![entry("s-2", AdminState::Ready, 0.0)];
+        all.extend((standing == AdminState::Draining).then(|| entry("s-1", standing, 0.0)));
         let list = list(40, true, all);
         world.tell(vec![Input::List { watch: 7, list }]);
         // The other two are not in it, or drain.
@@ -515,13 +515,13 @@
 
 #[test]
 fn versions_that_begin_anew_are_believed_once_no_discovery_can_be_so_far_behind() {
-    let drains = |n| entry(n, Standing::Draining, 0.0);
+    let drains = |n| entry(n, AdminState::Draining, 0.0);
     let below = |watch| Input::List {
         watch,
         list: list(
             2,
             true,
-            vec![drains("s-1"), entry("s-2", Standing::Ready, 0.0)],
+            vec![drains("s-1"), entry("s-2", AdminState::Ready, 0.0)],
         ),
     };
     let change = |watch, index, name| Input::List {
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -1,6 +1,6 @@
 //! Fields of the wire: read with a plain word on what is missing or of the wrong kind.
 
-use dahliapoint::{RetryPolicy, Standing};
+use dahliapoint::{AdminState, RetryPolicy};
 use serde_json::{Map, Value};
 
 pub fn ms(ns: u64) -> f64 {
@@ -95,7 +95,7 @@
 pub struct Entry {
     pub id: u64,
     pub zone: u64,
-    pub standing: Standing,
+    pub standing: AdminState,
     pub weight: f64,
     pub started_ms: Option<f64>,
 }
@@ -104,9 +104,9 @@
     pub fn of(value: &Value) -> Result<Entry, String> {
         let f = Fields::of(value, "list entry", "Catalog: elements")?;
         let standing = match f.text("availability")? {
-            "active" => Standing::Ready,
-            "leaving" => Standing::Draining,
-            "left" => Standing::Gone,
+            "active" => AdminState::Ready,
+            "leaving" => AdminState::Draining,
+            "left" => AdminState::Gone,
             _ => return Err(f.wrong("availability", "a standing")),
         };
         f.whole("cohort")?;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -76,7 +76,7 @@
 
 /// What the list says of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Standing {
+pub enum AdminState {
     Ready,
     Draining,
     Gone,
@@ -87,7 +87,7 @@
 pub struct Listed {
     pub server: usize,
     pub zone: usize,
-    pub standing: Standing,
+    pub standing: AdminState,
     pub weight: f64,
     /// When it last started, if lately.
     pub started_ms: Option<f64>,
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -12,7 +12,7 @@
 use crate::state::{self, Bounds, Bucket, Chance, Channel, Heard, Norms, Part};
 use crate::state::{Proxy, Server, View};
 use crate::{
-    Admission, Belief, Extent, Listed, Met, Orders, PlannerSettings, RetryPolicy, Standing,
+    AdminState, Admission, Belief, Extent, Listed, Met, Orders, PlannerSettings, RetryPolicy,
 };
 use std::collections::BTreeMap;
 
@@ -196,12 +196,12 @@
         let may_stay = self.told.dropped_may_stay;
         let server = self.servers.get_mut(s);
         if let Some(s) = server.filter(|s| !(may_stay && s.ready() && s.health > 0.0)) {
-            s.standing = Standing::Gone;
+            s.standing = AdminState::Gone;
         }
     }
 
     fn note_listed(&mut self, l: &Listed, at_start: bool) {
-        if l.standing == Standing::Gone {
+        if l.standing == AdminState::Gone {
             return self.note_gone(l.server);
         }
         let (now, zones) = (self.now, self.cut.len());
@@ -210,7 +210,7 @@
         }
         let server = &mut self.servers[l.server];
         let fresh = l.started_ms.filter(|at| now - at < self.told.warm_after_ms);
-        let returned = !server.ready() && l.standing == Standing::Ready;
+        let returned = !server.ready() && l.standing == AdminState::Ready;
         let restarted = fresh.is_some() && l.started_ms != server.started;
         server.zone = l.zone;
         server.weight = if l.weight > 0.0 { l.weight } else { 1.0 };
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,6 +1,6 @@
 //! What the planner remembers, and the sums it is asked for. Nothing here decides anything.
 
-use crate::{Met, Standing};
+use crate::{AdminState, Met};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Time buckets kept of what was met; the oldest is used again.
@@ -93,7 +93,7 @@
     /// A list has named it.
     pub known: bool,
     pub zone: usize,
-    pub standing: Standing,
+    pub standing: AdminState,
     pub weight: f64,
     pub started: Option<f64>,
     /// When its ramp began; long ago for servers listed at the controller's start.
@@ -125,7 +125,7 @@
         Server {
             known: false,
             zone: 0,
-            standing: Standing::Gone,
+            standing: AdminState::Gone,
             weight: 1.0,
             started: None,
             entered: f64::NEG_INFINITY,
@@ -146,7 +146,7 @@
     }
 
     pub fn ready(&self) -> bool {
-        self.standing == Standing::Ready
+        self.standing == AdminState::Ready
     }
 
     /// Lets the sums end where a line that waits its turn can reach, and adds them up.
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -2,7 +2,7 @@
 
 use dahliapoint::rules::Planner;
 use dahliapoint::{
-    Admission, Class, Extent, Listed, Met, Orders, PlannerSettings, RetryPolicy, Standing,
+    AdminState, Admission, Class, Extent, Listed, Met, Orders, PlannerSettings, RetryPolicy,
 };
 use std::collections::BTreeMap;
 
@@ -57,7 +57,9 @@
 
 fn ready(servers: usize) -> Vec<Listed> {
     let servers = 0..servers;
-    servers.map(|s| listed(s, Standing::Ready, None)).collect()
+    servers
+        .map(|s| listed(s, AdminState::Ready, None))
+        .collect()
 }
 
 /// A planner, and what the proxies would hold if every order arrived.
@@ -73,7 +75,7 @@
     notes: Vec<String>,
 }
 
-fn listed(server: usize, standing: Standing, started_ms: Option<f64>) -> Listed {
+fn listed(server: usize, standing: AdminState, started_ms: Option<f64>) -> Listed {
     Listed {
         server,
         zone: server % 2,
@@ -176,10 +178,10 @@
 fn admin_state_follows_the_list() {
     let now = 1e6;
     let cases = [
-        ("draining", Standing::Draining, None, 0.0, true),
-        ("gone", Standing::Gone, None, 0.0, true),
-        ("ready as before", Standing::Ready, None, 1.0, false),
-        ("started anew", Standing::Ready, Some(now), 0.06, false),
+        ("draining", AdminState::Draining, None, 0.0, true),
+        ("gone", AdminState::Gone, None, 0.0, true),
+        ("ready as before", AdminState::Ready, None, 1.0, false),
+        ("started anew", AdminState::Ready, Some(now), 0.06, false),
     ];
     for (case, standing, started, line, out) in cases {
         let mut fleet = Fleet::of(6, &opening());
@@ -197,7 +199,7 @@
         let mut fleet = Fleet::of(3, &told);
         fleet.list(Extent::Whole, &ready(2));
         assert_eq!(fleet.line(2) == 1.0, may_stay);
-        fleet.list(Extent::Changes, &[listed(0, Standing::Draining, None)]);
+        fleet.list(Extent::Changes, &[listed(0, AdminState::Draining, None)]);
         assert_eq!(fleet.line(0), 0.0, "a drain binds in either case");
     }
 }
@@ -208,8 +210,8 @@
     fleet.pass(4, |s, _| WELL.filter(|_| s < 6));
     let mut before = 0.0;
     for _ in 0..3 {
-        fleet.list(Extent::Changes, &[listed(0, Standing::Gone, None)]);
-        let back = listed(0, Standing::Ready, Some(fleet.now));
+        fleet.list(Extent::Changes, &[listed(0, AdminState::Gone, None)]);
+        let back = listed(0, AdminState::Ready, Some(fleet.now));
         fleet.list(Extent::Changes, &[back]);
         fleet.pass(2, |s, _| WELL.filter(|_| s < 6));
         assert!(fleet.line(0) > 0.0 && fleet.line(0) < 0.35);
@@ -222,9 +224,9 @@
 #[test]
 fn a_restarted_controller_takes_a_recent_start_for_cold_and_sends_drains_again() {
     let mut fleet = Fleet::bare(&opening());
-    let cold = listed(0, Standing::Ready, Some(fleet.now - 10_000.0));
-    let old = [1, 2, 3].map(|s| listed(s, Standing::Ready, Some(1000.0)));
-    let drains = listed(4, Standing::Draining, None);
+    let cold = listed(0, AdminState::Ready, Some(fleet.now - 10_000.0));
+    let old = [1, 2, 3].map(|s| listed(s, AdminState::Ready, Some(1000.0)));
+    let drains = listed(4, AdminState::Draining, None);
     fleet.list(Extent::Remembered, &[cold, old[0], old[1], old[2], drains]);
     fleet.tell(|p, _| p.proxy_joined(0, 0, PACE));
     assert!(fleet.line(0) < 0.3 && fleet.line(1) == 1.0);
@@ -235,11 +237,11 @@
 #[test]
 fn no_proxy_is_left_bare() {
     let mut fleet = Fleet::of(2, &opening());
-    fleet.list(Extent::Changes, &[listed(0, Standing::Draining, None)]);
+    fleet.list(Extent::Changes, &[listed(0, AdminState::Draining, None)]);
     fleet.pass(8, |s, _| (s == 1).then_some((10.0, 10.0, 0.0)));
     assert!(fleet.line(1) > 0.0);
-    let fresh = listed(5, Standing::Ready, Some(fleet.now));
-    fleet.list(Extent::Changes, &[fresh, listed(1, Standing::Gone, None)]);
+    let fresh = listed(5, AdminState::Ready, Some(fleet.now));
+    fleet.list(Extent::Changes, &[fresh, listed(1, AdminState::Gone, None)]);
     assert!(fleet.line(5) > 0.0);
     let empty = Fleet::of(0, &opening());
     assert!(empty.bound.is_empty());
@@ -347,10 +349,10 @@
     // A vanished server came back while everything failed and clients came again.
     let mut fleet = Fleet::of(8, &opening());
     fleet.pass(6, |s, _| WELL.filter(|_| s < 8));
-    fleet.list(Extent::Changes, &[listed(0, Standing::Gone, None)]);
+    fleet.list(Extent::Changes, &[listed(0, AdminState::Gone, None)]);
     let jam = |s, z| one(0, None, Some((30.0, 27.0, 1800.0)))(s, z);
     fleet.pass(4, jam);
-    let back = listed(0, Standing::Ready, Some(fleet.now));
+    let back = listed(0, AdminState::Ready, Some(fleet.now));
     fleet.list(Extent::Changes, &[back]);
     for _ in 0..6 {
         fleet.pass(2, jam);
@@ -366,7 +368,7 @@
     // Four servers restarted at once; the rest, over their load, answered late but answered.
     let mut fleet = Fleet::of(8, &opening());
     fleet.pass(6, |s, _| WELL.filter(|_| s < 8));
-    let back = listed(0, Standing::Ready, Some(fleet.now));
+    let back = listed(0, AdminState::Ready, Some(fleet.now));
     fleet.list(Extent::Changes, &[back]);
     fleet.pass(4, one(0, Some((1.0, 0.0, 300.0)), Some((30.0, 2.0, 950.0))));
     assert!(fleet.line(0) > 0.25, "{}", fleet.line(0));
@@ -408,7 +410,7 @@
     fleet.messages = 0;
     for round in 0..40 {
         fleet.now += 200.0;
-        let standing = [Standing::Gone, Standing::Ready][round % 2];
+        let standing = [AdminState::Gone, AdminState::Ready][round % 2];
         let flaps = listed(round % 5, standing, Some(fleet.now));
         fleet.list(Extent::Changes, &[flaps]);
     }
@@ -422,7 +424,7 @@
     fleet.tell(|p, _| p.orders_applied(9, 3));
     fleet.pass(3, |s, _| WELL.filter(|_| s == 11));
     assert!(fleet.table.is_empty(), "no list named that server");
-    let mut weightless = listed(0, Standing::Ready, None);
+    let mut weightless = listed(0, AdminState::Ready, None);
     weightless.weight = 0.0;
     fleet.list(Extent::Whole, &[weightless]);
     fleet.tell(|p, _| p.proxy_joined(1, 0, PACE));
@@ -469,7 +471,7 @@
     assert_eq!(orders.binds.len(), 60);
     // All servers of one part are gone: its proxies are bound elsewhere at once.
     let gone = (0..120).filter(|s| parts[*s] == 0);
-    let gone: Vec<_> = gone.map(|s| listed(s, Standing::Gone, None)).collect();
+    let gone: Vec<_> = gone.map(|s| listed(s, AdminState::Gone, None)).collect();
     planner.roster_changed(500.0, Extent::Changes, &gone);
     let more = planner.decide(500.0);
     assert_eq!(more.withdrawals.len(), gone.len());
@@ -559,14 +561,14 @@
     assert_eq!(bound, 60);
     // Half the fleet restarts and nothing is answered for any more: a drain still goes out.
     let back: Vec<_> = (0..60)
-        .map(|s| listed(s, Standing::Ready, Some(7e3)))
+        .map(|s| listed(s, AdminState::Ready, Some(7e3)))
         .collect();
     planner.roster_changed(7e3, Extent::Changes, &back);
     planner.decide(7e3);
     planner.roster_changed(
         7001.0,
         Extent::Changes,
-        &[listed(90, Standing::Draining, None)],
+        &[listed(90, AdminState::Draining, None)],
     );
     assert_eq!(planner.decide(7001.0).withdrawals, vec![(90, true)]);
 }
@@ -601,7 +603,7 @@
     let (mut planner, parts, orders) = large(120, 60, &roomy());
     let back = (0..120).filter(|s| s % 2 == 1);
     let back: Vec<_> = back
-        .map(|s| listed(s, Standing::Ready, Some(900.0)))
+        .map(|s| listed(s, AdminState::Ready, Some(900.0)))
         .collect();
     planner.roster_changed(1000.0, Extent::Changes, &back);
     let more = planner.decide(1000.0);
@@ -633,7 +635,7 @@
 #[test]
 fn a_cold_server_that_a_probe_finds_full_has_no_line_for_a_while() {
     let mut fleet = Fleet::warm();
-    fleet.list(Extent::Changes, &[listed(3, Standing::Ready, Some(1e6))]);
+    fleet.list(Extent::Changes, &[listed(3, AdminState::Ready, Some(1e6))]);
     assert!(fleet.line(3) > 0.0 && fleet.probed.contains(&3));
     fleet.tell(|p, now| p.probe_answered(now, 3, false, 250.0));
     assert_eq!(fleet.line(3), 0.0);
@@ -655,7 +657,7 @@
             fleet.tell(|p, _| (0..4).for_each(|i| p.proxy_joined(i, i % 2, PACE)));
             assert!(before > 2 && now < 1e6 + 10_000.0);
         }
-        let standing = [Standing::Gone, Standing::Ready][round % 2];
+        let standing = [AdminState::Gone, AdminState::Ready][round % 2];
         let flaps = listed(round % 5, standing, Some(fleet.now));
         fleet.list(Extent::Changes, &[flaps]);
     }
@@ -766,7 +768,7 @@
     let mut homely = Homely::new();
     homely.pass(4, |_| WELL);
     let home = |standing, started| move |s: usize| listed(2 * s, standing, started);
-    let gone: Vec<Listed> = (0..60).map(home(Standing::Gone, None)).collect();
+    let gone: Vec<Listed> = (0..60).map(home(AdminState::Gone, None)).collect();
     homely
         .planner
         .roster_changed(homely.now, Extent::Changes, &gone);
@@ -774,7 +776,7 @@
     assert_eq!(homely.abroad(), 60, "{:?}", homely.notes);
     // Four of them return, cold: what they can do is no home for all.
     let first: Vec<Listed> = (0..4)
-        .map(home(Standing::Ready, Some(homely.now)))
+        .map(home(AdminState::Ready, Some(homely.now)))
         .collect();
     homely
         .planner
@@ -806,7 +808,7 @@
     // One server of a part comes and goes: the part's proxies are written what can wait, and no more.
     let mut written = 0;
     for round in 0..30 {
-        let standing = [Standing::Gone, Standing::Ready][round % 2];
+        let standing = [AdminState::Gone, AdminState::Ready][round % 2];
         let now = 100.0 * (1 + round) as f64;
         let orders = step(&mut planner, now, &[listed(mine[0], standing, Some(now))]);
         written += usize::from(!orders.withdrawals.is_empty() || !orders.lines.is_empty());
@@ -818,7 +820,7 @@
     let orders = step(
         &mut planner,
         3100.0,
-        &[listed(other, Standing::Ready, Some(3100.0))],
+        &[listed(other, AdminState::Ready, Some(3100.0))],
     );
     assert!(
         orders.lines.iter().any(|l| l.1 == other && l.2 < 0.5),
@@ -829,7 +831,7 @@
     // Most of the part drains: its proxies leave it, though they were written much.
     let drains: Vec<Listed> = mine[1..]
         .iter()
-        .map(|s| listed(*s, Standing::Draining, None))
+        .map(|s| listed(*s, AdminState::Draining, None))
         .collect();
     let before = bound.values().filter(|part| **part == parts[0]).count();
     let orders = step(&mut planner, 3200.0, &drains);
