--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -9,7 +9,7 @@
 use crate::{AdminState, Entry, FurtherTry, Input, Line, LineState, Message, Output, Report};
 use crate::{Scope, Session, Terms, Way};
 use dahliapoint::rules::Planner;
-use dahliapoint::{Admission, Class, Extent, Listed, Orders, PlannerSettings, RetryPolicy};
+use dahliapoint::{Admission, Class, Extent, Orders, PlannerSettings, RetryPolicy, RosterEntry};
 use dahliapoint_intake::belief::Change;
 use dahliapoint_intake::coverage::Heard;
 use serde::Serialize;
@@ -343,7 +343,7 @@
                 // The line is told anew with the next message, with the same weight.
                 self.moved.push(server);
             }
-            listed.push(Listed {
+            listed.push(RosterEntry {
                 server,
                 zone,
                 standing: match entry.state {
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -8,7 +8,7 @@
 use crate::places::Places;
 use crate::relay::{Names, News, Order};
 use dahliapoint::rules::Planner;
-use dahliapoint::{AdminState, Extent, Listed, Met, Orders};
+use dahliapoint::{AdminState, Extent, Met, Orders, RosterEntry};
 use dahliapoint_opening::Deployment;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -291,7 +291,7 @@
                 continue;
             }
             let server = self.places.place(entry, now);
-            roster.push(Listed {
+            roster.push(RosterEntry {
                 server,
                 zone: entry.zone,
                 standing: entry.standing,
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -4,7 +4,7 @@
 mod wire;
 
 use dahliapoint::rules::Planner;
-use dahliapoint::{Extent, Listed, Met, Orders};
+use dahliapoint::{Extent, Met, Orders, RosterEntry};
 use dahliapoint_opening::deployment;
 use serde_json::{Map, Value, json};
 use std::collections::{BTreeMap, HashMap};
@@ -131,7 +131,7 @@
                     if entry.zone >= i.zones {
                         return Err(f.wrong("sheet", "a list of zones that the settings name"));
                     }
-                    roster.push(Listed {
+                    roster.push(RosterEntry {
                         server: i.place(entry.id),
                         zone: entry.zone as usize,
                         standing: entry.standing,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -84,7 +84,7 @@
 
 /// One entry of the list of servers.
 #[derive(Clone, Copy, Debug)]
-pub struct Listed {
+pub struct RosterEntry {
     pub server: usize,
     pub zone: usize,
     pub standing: AdminState,
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -12,7 +12,7 @@
 use crate::state::{self, Bounds, Bucket, Chance, Channel, Heard, Norms, Part};
 use crate::state::{Proxy, Server, View};
 use crate::{
-    AdminState, Admission, Belief, Extent, Listed, Met, Orders, PlannerSettings, RetryPolicy,
+    AdminState, Admission, Belief, Extent, Met, Orders, PlannerSettings, RetryPolicy, RosterEntry,
 };
 use std::collections::BTreeMap;
 
@@ -179,7 +179,7 @@
 
     // ---- what is told ----
 
-    pub fn roster_changed(&mut self, now: f64, extent: Extent, roster: &[Listed]) {
+    pub fn roster_changed(&mut self, now: f64, extent: Extent, roster: &[RosterEntry]) {
         self.now = now;
         let named = |s| extent == Extent::Changes || roster.iter().any(|l| l.server == s);
         for s in (0..self.servers.len()).filter(|s| !named(*s)) {
@@ -200,7 +200,7 @@
         }
     }
 
-    fn note_listed(&mut self, l: &Listed, at_start: bool) {
+    fn note_listed(&mut self, l: &RosterEntry, at_start: bool) {
         if l.standing == AdminState::Gone {
             return self.note_gone(l.server);
         }
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -2,7 +2,7 @@
 
 use dahliapoint::rules::Planner;
 use dahliapoint::{
-    AdminState, Admission, Class, Extent, Listed, Met, Orders, PlannerSettings, RetryPolicy,
+    AdminState, Admission, Class, Extent, Met, Orders, PlannerSettings, RetryPolicy, RosterEntry,
 };
 use std::collections::BTreeMap;
 
@@ -55,7 +55,7 @@
     }
 }
 
-fn ready(servers: usize) -> Vec<Listed> {
+fn ready(servers: usize) -> Vec<RosterEntry> {
     let servers = 0..servers;
     servers
         .map(|s| listed(s, AdminState::Ready, None))
@@ -75,8 +75,8 @@
     notes: Vec<String>,
 }
 
-fn listed(server: usize, standing: AdminState, started_ms: Option<f64>) -> Listed {
-    Listed {
+fn listed(server: usize, standing: AdminState, started_ms: Option<f64>) -> RosterEntry {
+    RosterEntry {
         server,
         zone: server % 2,
         standing,
@@ -137,7 +137,7 @@
         }
     }
 
-    fn list(&mut self, extent: Extent, roster: &[Listed]) {
+    fn list(&mut self, extent: Extent, roster: &[RosterEntry]) {
         self.tell(|p, now| p.roster_changed(now, extent, roster));
     }
 
@@ -768,14 +768,14 @@
     let mut homely = Homely::new();
     homely.pass(4, |_| WELL);
     let home = |standing, started| move |s: usize| listed(2 * s, standing, started);
-    let gone: Vec<Listed> = (0..60).map(home(AdminState::Gone, None)).collect();
+    let gone: Vec<RosterEntry> = (0..60).map(home(AdminState::Gone, None)).collect();
     homely
         .planner
         .roster_changed(homely.now, Extent::Changes, &gone);
     homely.decide();
     assert_eq!(homely.abroad(), 60, "{:?}", homely.notes);
     // Four of them return, cold: what they can do is no home for all.
-    let first: Vec<Listed> = (0..4)
+    let first: Vec<RosterEntry> = (0..4)
         .map(home(AdminState::Ready, Some(homely.now)))
         .collect();
     homely
@@ -798,7 +798,7 @@
     let of = |part: usize| (0..120).filter(move |s| s % 2 == part % 2);
     let mine: Vec<usize> = of(0).filter(|s| parts[*s] == parts[0]).collect();
     let mut mark = orders.mark;
-    let mut step = |planner: &mut Planner, now: f64, roster: &[Listed]| {
+    let mut step = |planner: &mut Planner, now: f64, roster: &[RosterEntry]| {
         (0..60).for_each(|p| planner.orders_applied(p, mark.unwrap_or(0)));
         planner.roster_changed(now, Extent::Changes, roster);
         let orders = planner.decide(now);
@@ -829,7 +829,7 @@
     );
     bound.extend(orders.binds);
     // Most of the part drains: its proxies leave it, though they were written much.
-    let drains: Vec<Listed> = mine[1..]
+    let drains: Vec<RosterEntry> = mine[1..]
         .iter()
         .map(|s| listed(*s, AdminState::Draining, None))
         .collect();
