--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -9,7 +9,9 @@
 use crate::{AdminState, Entry, FurtherTry, Input, Line, LineState, Message, Output, Report};
 use crate::{Scope, Session, Terms, Way};
 use dahliapoint::rules::Planner;
-use dahliapoint::{Admission, Class, Extent, Orders, PlannerSettings, RetryPolicy, RosterEntry};
+use dahliapoint::{
+    Admission, Class, Orders, PlannerSettings, RetryPolicy, RosterEntry, RosterUpdate,
+};
 use dahliapoint_intake::belief::Change;
 use dahliapoint_intake::coverage::Heard;
 use serde::Serialize;
@@ -359,9 +361,9 @@
             self.servers.gone_but(&placed, now);
         }
         let extent = match (whole, self.listed) {
-            (true, false) => Extent::Remembered,
-            (true, true) => Extent::Whole,
-            (false, _) => Extent::Changes,
+            (true, false) => RosterUpdate::Restored,
+            (true, true) => RosterUpdate::Snapshot,
+            (false, _) => RosterUpdate::Changes,
         };
         self.listed |= whole;
         self.planner.roster_changed(now, extent, &listed);
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -8,7 +8,7 @@
 use crate::places::Places;
 use crate::relay::{Names, News, Order};
 use dahliapoint::rules::Planner;
-use dahliapoint::{AdminState, Extent, Met, Orders, RosterEntry};
+use dahliapoint::{AdminState, Met, Orders, RosterEntry, RosterUpdate};
 use dahliapoint_opening::Deployment;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -125,7 +125,7 @@
             tally: Tally::default(),
             told,
         };
-        core.listed(now, known, Extent::Remembered);
+        core.listed(now, known, RosterUpdate::Restored);
         core
     }
 
@@ -197,8 +197,8 @@
         match input {
             Input::List { watch, list } => {
                 let extent = match list.whole {
-                    true => Extent::Whole,
-                    false => Extent::Changes,
+                    true => RosterUpdate::Snapshot,
+                    false => RosterUpdate::Changes,
                 };
                 if !self.counts(now, watch, &list, returned) {
                     self.tally.old_lists += 1;
@@ -282,7 +282,7 @@
         anew
     }
 
-    fn listed(&mut self, now: f64, list: &List, extent: Extent) {
+    fn listed(&mut self, now: f64, list: &List, extent: RosterUpdate) {
         self.places.forget(now, &self.delivery.servers());
         let mut roster = Vec::with_capacity(list.entries.len());
         for entry in &list.entries {
@@ -299,7 +299,7 @@
                 started_ms: self.places.all[server].started,
             });
         }
-        if extent != Extent::Changes {
+        if extent != RosterUpdate::Changes {
             let listed: Vec<usize> = roster.iter().map(|l| l.server).collect();
             self.places.gone_but(&listed, now);
         }
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -4,7 +4,7 @@
 mod wire;
 
 use dahliapoint::rules::Planner;
-use dahliapoint::{Extent, Met, Orders, RosterEntry};
+use dahliapoint::{Met, Orders, RosterEntry, RosterUpdate};
 use dahliapoint_opening::deployment;
 use serde_json::{Map, Value, json};
 use std::collections::{BTreeMap, HashMap};
@@ -113,9 +113,9 @@
                 let kind = f.text("kind")?;
                 f.whole("gen")?;
                 let extent = match kind {
-                    "warm_copy" => Extent::Remembered,
-                    "total" => Extent::Whole,
-                    "incr" => Extent::Changes,
+                    "warm_copy" => RosterUpdate::Restored,
+                    "total" => RosterUpdate::Snapshot,
+                    "incr" => RosterUpdate::Changes,
                     "lost" => {
                         i.planner.roster_lost(now);
                         return Ok(Some(who));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -95,10 +95,10 @@
 
 /// A list of servers: whole, or only what changed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Extent {
+pub enum RosterUpdate {
     /// The list as this controller last held it; may be stale.
-    Remembered,
-    Whole,
+    Restored,
+    Snapshot,
     Changes,
 }
 
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -12,7 +12,8 @@
 use crate::state::{self, Bounds, Bucket, Chance, Channel, Heard, Norms, Part};
 use crate::state::{Proxy, Server, View};
 use crate::{
-    AdminState, Admission, Belief, Extent, Met, Orders, PlannerSettings, RetryPolicy, RosterEntry,
+    AdminState, Admission, Belief, Met, Orders, PlannerSettings, RetryPolicy, RosterEntry,
+    RosterUpdate,
 };
 use std::collections::BTreeMap;
 
@@ -179,14 +180,14 @@
 
     // ---- what is told ----
 
-    pub fn roster_changed(&mut self, now: f64, extent: Extent, roster: &[RosterEntry]) {
+    pub fn roster_changed(&mut self, now: f64, extent: RosterUpdate, roster: &[RosterEntry]) {
         self.now = now;
-        let named = |s| extent == Extent::Changes || roster.iter().any(|l| l.server == s);
+        let named = |s| extent == RosterUpdate::Changes || roster.iter().any(|l| l.server == s);
         for s in (0..self.servers.len()).filter(|s| !named(*s)) {
             self.note_gone(s);
         }
         for l in roster {
-            self.note_listed(l, extent == Extent::Remembered);
+            self.note_listed(l, extent == RosterUpdate::Restored);
         }
     }
 
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -2,7 +2,8 @@
 
 use dahliapoint::rules::Planner;
 use dahliapoint::{
-    AdminState, Admission, Class, Extent, Met, Orders, PlannerSettings, RetryPolicy, RosterEntry,
+    AdminState, Admission, Class, Met, Orders, PlannerSettings, RetryPolicy, RosterEntry,
+    RosterUpdate,
 };
 use std::collections::BTreeMap;
 
@@ -89,7 +90,7 @@
     /// So many ready servers, zones in turn, and two proxies in each zone.
     fn of(servers: usize, told: &PlannerSettings) -> Fleet {
         let mut fleet = Fleet::bare(told);
-        fleet.list(Extent::Remembered, &ready(servers));
+        fleet.list(RosterUpdate::Restored, &ready(servers));
         for proxy in 0..4 {
             fleet.tell(|p, _| p.proxy_joined(proxy, proxy % 2, PACE));
         }
@@ -137,7 +138,7 @@
         }
     }
 
-    fn list(&mut self, extent: Extent, roster: &[RosterEntry]) {
+    fn list(&mut self, extent: RosterUpdate, roster: &[RosterEntry]) {
         self.tell(|p, now| p.roster_changed(now, extent, roster));
     }
 
@@ -185,7 +186,7 @@
     ];
     for (case, standing, started, line, out) in cases {
         let mut fleet = Fleet::of(6, &opening());
-        fleet.list(Extent::Changes, &[listed(2, standing, started)]);
+        fleet.list(RosterUpdate::Changes, &[listed(2, standing, started)]);
         assert!((fleet.line(2) - line).abs() < 0.001, "{case}");
         assert_eq!(fleet.out.get(&2).copied().unwrap_or(false), out, "{case}");
         assert_eq!(fleet.line(3), 1.0, "{case}: the others stay");
@@ -197,9 +198,12 @@
     for may_stay in [false, true] {
         let told = but(|o| o.dropped_may_stay = may_stay);
         let mut fleet = Fleet::of(3, &told);
-        fleet.list(Extent::Whole, &ready(2));
+        fleet.list(RosterUpdate::Snapshot, &ready(2));
         assert_eq!(fleet.line(2) == 1.0, may_stay);
-        fleet.list(Extent::Changes, &[listed(0, AdminState::Draining, None)]);
+        fleet.list(
+            RosterUpdate::Changes,
+            &[listed(0, AdminState::Draining, None)],
+        );
         assert_eq!(fleet.line(0), 0.0, "a drain binds in either case");
     }
 }
@@ -210,9 +214,9 @@
     fleet.pass(4, |s, _| WELL.filter(|_| s < 6));
     let mut before = 0.0;
     for _ in 0..3 {
-        fleet.list(Extent::Changes, &[listed(0, AdminState::Gone, None)]);
+        fleet.list(RosterUpdate::Changes, &[listed(0, AdminState::Gone, None)]);
         let back = listed(0, AdminState::Ready, Some(fleet.now));
-        fleet.list(Extent::Changes, &[back]);
+        fleet.list(RosterUpdate::Changes, &[back]);
         fleet.pass(2, |s, _| WELL.filter(|_| s < 6));
         assert!(fleet.line(0) > 0.0 && fleet.line(0) < 0.35);
         before = fleet.line(0);
@@ -227,7 +231,10 @@
     let cold = listed(0, AdminState::Ready, Some(fleet.now - 10_000.0));
     let old = [1, 2, 3].map(|s| listed(s, AdminState::Ready, Some(1000.0)));
     let drains = listed(4, AdminState::Draining, None);
-    fleet.list(Extent::Remembered, &[cold, old[0], old[1], old[2], drains]);
+    fleet.list(
+        RosterUpdate::Restored,
+        &[cold, old[0], old[1], old[2], drains],
+    );
     fleet.tell(|p, _| p.proxy_joined(0, 0, PACE));
     assert!(fleet.line(0) < 0.3 && fleet.line(1) == 1.0);
     assert_eq!(fleet.out.get(&4), Some(&true));
@@ -237,11 +244,17 @@
 #[test]
 fn no_proxy_is_left_bare() {
     let mut fleet = Fleet::of(2, &opening());
-    fleet.list(Extent::Changes, &[listed(0, AdminState::Draining, None)]);
+    fleet.list(
+        RosterUpdate::Changes,
+        &[listed(0, AdminState::Draining, None)],
+    );
     fleet.pass(8, |s, _| (s == 1).then_some((10.0, 10.0, 0.0)));
     assert!(fleet.line(1) > 0.0);
     let fresh = listed(5, AdminState::Ready, Some(fleet.now));
-    fleet.list(Extent::Changes, &[fresh, listed(1, AdminState::Gone, None)]);
+    fleet.list(
+        RosterUpdate::Changes,
+        &[fresh, listed(1, AdminState::Gone, None)],
+    );
     assert!(fleet.line(5) > 0.0);
     let empty = Fleet::of(0, &opening());
     assert!(empty.bound.is_empty());
@@ -349,11 +362,11 @@
     // A vanished server came back while everything failed and clients came again.
     let mut fleet = Fleet::of(8, &opening());
     fleet.pass(6, |s, _| WELL.filter(|_| s < 8));
-    fleet.list(Extent::Changes, &[listed(0, AdminState::Gone, None)]);
+    fleet.list(RosterUpdate::Changes, &[listed(0, AdminState::Gone, None)]);
     let jam = |s, z| one(0, None, Some((30.0, 27.0, 1800.0)))(s, z);
     fleet.pass(4, jam);
     let back = listed(0, AdminState::Ready, Some(fleet.now));
-    fleet.list(Extent::Changes, &[back]);
+    fleet.list(RosterUpdate::Changes, &[back]);
     for _ in 0..6 {
         fleet.pass(2, jam);
         let sum: f64 = (0..8).map(|s| fleet.line(s)).sum();
@@ -369,7 +382,7 @@
     let mut fleet = Fleet::of(8, &opening());
     fleet.pass(6, |s, _| WELL.filter(|_| s < 8));
     let back = listed(0, AdminState::Ready, Some(fleet.now));
-    fleet.list(Extent::Changes, &[back]);
+    fleet.list(RosterUpdate::Changes, &[back]);
     fleet.pass(4, one(0, Some((1.0, 0.0, 300.0)), Some((30.0, 2.0, 950.0))));
     assert!(fleet.line(0) > 0.25, "{}", fleet.line(0));
 }
@@ -397,7 +410,7 @@
     // A channel that answers nothing: half the backlog and no more is written to.
     let told = but(|o| o.most_waiting = 300.0);
     let mut planner = Planner::new(0.0, 1, &told);
-    planner.roster_changed(0.0, Extent::Remembered, &ready(10));
+    planner.roster_changed(0.0, RosterUpdate::Restored, &ready(10));
     let mut binds = Vec::new();
     for proxy in 0..20 {
         planner.proxy_joined(proxy, 0, PACE);
@@ -412,7 +425,7 @@
         fleet.now += 200.0;
         let standing = [AdminState::Gone, AdminState::Ready][round % 2];
         let flaps = listed(round % 5, standing, Some(fleet.now));
-        fleet.list(Extent::Changes, &[flaps]);
+        fleet.list(RosterUpdate::Changes, &[flaps]);
     }
     assert!(fleet.messages <= 10);
 }
@@ -426,7 +439,7 @@
     assert!(fleet.table.is_empty(), "no list named that server");
     let mut weightless = listed(0, AdminState::Ready, None);
     weightless.weight = 0.0;
-    fleet.list(Extent::Whole, &[weightless]);
+    fleet.list(RosterUpdate::Snapshot, &[weightless]);
     fleet.tell(|p, _| p.proxy_joined(1, 0, PACE));
     assert!(fleet.line(0) > 0.0, "a weight of 0 is no weight listed");
     fleet.tell(|p, _| p.proxy_joined(1, 0, PACE));
@@ -445,7 +458,7 @@
 /// A fleet of so many servers and proxies, zones in turn; few visits to each proxy.
 fn large(servers: usize, proxies: usize, told: &PlannerSettings) -> (Planner, Vec<usize>, Orders) {
     let mut planner = Planner::new(0.0, 7, told);
-    planner.roster_changed(0.0, Extent::Remembered, &ready(servers));
+    planner.roster_changed(0.0, RosterUpdate::Restored, &ready(servers));
     (0..proxies).for_each(|p| planner.proxy_joined(p, p % 2, 0.002));
     let orders = planner.decide(0.0);
     let mut parts = vec![usize::MAX; servers];
@@ -472,7 +485,7 @@
     // All servers of one part are gone: its proxies are bound elsewhere at once.
     let gone = (0..120).filter(|s| parts[*s] == 0);
     let gone: Vec<_> = gone.map(|s| listed(s, AdminState::Gone, None)).collect();
-    planner.roster_changed(500.0, Extent::Changes, &gone);
+    planner.roster_changed(500.0, RosterUpdate::Changes, &gone);
     let more = planner.decide(500.0);
     assert_eq!(more.withdrawals.len(), gone.len());
     let there = orders.binds.iter().filter(|b| b.1 == 0).map(|b| b.0);
@@ -563,11 +576,11 @@
     let back: Vec<_> = (0..60)
         .map(|s| listed(s, AdminState::Ready, Some(7e3)))
         .collect();
-    planner.roster_changed(7e3, Extent::Changes, &back);
+    planner.roster_changed(7e3, RosterUpdate::Changes, &back);
     planner.decide(7e3);
     planner.roster_changed(
         7001.0,
-        Extent::Changes,
+        RosterUpdate::Changes,
         &[listed(90, AdminState::Draining, None)],
     );
     assert_eq!(planner.decide(7001.0).withdrawals, vec![(90, true)]);
@@ -605,7 +618,7 @@
     let back: Vec<_> = back
         .map(|s| listed(s, AdminState::Ready, Some(900.0)))
         .collect();
-    planner.roster_changed(1000.0, Extent::Changes, &back);
+    planner.roster_changed(1000.0, RosterUpdate::Changes, &back);
     let more = planner.decide(1000.0);
     assert!(more.lines.iter().all(|l| l.2 <= 0.25), "{:?}", more.lines);
     let away =
@@ -635,7 +648,10 @@
 #[test]
 fn a_cold_server_that_a_probe_finds_full_has_no_line_for_a_while() {
     let mut fleet = Fleet::warm();
-    fleet.list(Extent::Changes, &[listed(3, AdminState::Ready, Some(1e6))]);
+    fleet.list(
+        RosterUpdate::Changes,
+        &[listed(3, AdminState::Ready, Some(1e6))],
+    );
     assert!(fleet.line(3) > 0.0 && fleet.probed.contains(&3));
     fleet.tell(|p, now| p.probe_answered(now, 3, false, 250.0));
     assert_eq!(fleet.line(3), 0.0);
@@ -659,7 +675,7 @@
         }
         let standing = [AdminState::Gone, AdminState::Ready][round % 2];
         let flaps = listed(round % 5, standing, Some(fleet.now));
-        fleet.list(Extent::Changes, &[flaps]);
+        fleet.list(RosterUpdate::Changes, &[flaps]);
     }
     assert!(fleet.messages <= 10, "{}", fleet.messages);
 }
@@ -678,7 +694,7 @@
     fn new() -> Homely {
         let told = but(|o| (o.may_probe, o.most_waiting) = (false, 1e6));
         let mut planner = Planner::new(0.0, 7, &told);
-        planner.roster_changed(0.0, Extent::Remembered, &ready(120));
+        planner.roster_changed(0.0, RosterUpdate::Restored, &ready(120));
         (0..60).for_each(|p| planner.proxy_joined(p, 0, 0.002));
         let mut homely = Homely {
             planner,
@@ -771,7 +787,7 @@
     let gone: Vec<RosterEntry> = (0..60).map(home(AdminState::Gone, None)).collect();
     homely
         .planner
-        .roster_changed(homely.now, Extent::Changes, &gone);
+        .roster_changed(homely.now, RosterUpdate::Changes, &gone);
     homely.decide();
     assert_eq!(homely.abroad(), 60, "{:?}", homely.notes);
     // Four of them return, cold: what they can do is no home for all.
@@ -780,7 +796,7 @@
         .collect();
     homely
         .planner
-        .roster_changed(homely.now, Extent::Changes, &first);
+        .roster_changed(homely.now, RosterUpdate::Changes, &first);
     homely.decide();
     assert!(
         homely.abroad() > 50,
@@ -800,7 +816,7 @@
     let mut mark = orders.mark;
     let mut step = |planner: &mut Planner, now: f64, roster: &[RosterEntry]| {
         (0..60).for_each(|p| planner.orders_applied(p, mark.unwrap_or(0)));
-        planner.roster_changed(now, Extent::Changes, roster);
+        planner.roster_changed(now, RosterUpdate::Changes, roster);
         let orders = planner.decide(now);
         mark = orders.mark.or(mark);
         orders
