--- a/crates/control/src/reports.rs
+++ b/crates/control/src/reports.rs
@@ -3,7 +3,7 @@
 //! is decided in `dahliapoint-intake`.
 
 use crate::{MetLine, Report};
-use dahliapoint::Met;
+use dahliapoint::TryStats;
 use dahliapoint_intake::belief::{Belief, Change, Views, Word};
 use dahliapoint_intake::coverage::{Coverage, Heard};
 use dahliapoint_intake::estimates::{self, Estimates, Noted};
@@ -100,7 +100,7 @@
 
 /// What a round comes to.
 pub struct Round {
-    pub met: Vec<Met>,
+    pub met: Vec<TryStats>,
     pub came: Vec<Came>,
     /// Sums that were too uncertain to be told.
     pub vague: u64,
@@ -250,7 +250,7 @@
                 vague += 1;
                 continue;
             }
-            met.push(Met {
+            met.push(TryStats {
                 zone,
                 server,
                 tries: sum.tries,
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -8,7 +8,7 @@
 use crate::places::Places;
 use crate::relay::{Names, News, Order};
 use dahliapoint::rules::Planner;
-use dahliapoint::{AdminState, Met, Orders, RosterEntry, RosterUpdate};
+use dahliapoint::{AdminState, Orders, RosterEntry, RosterUpdate, TryStats};
 use dahliapoint_opening::Deployment;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -373,7 +373,7 @@
                     self.tally.strangers += 1;
                     return false;
                 };
-                let met = Met {
+                let met = TryStats {
                     zone: *zone,
                     server,
                     tries: *tries,
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -4,7 +4,7 @@
 mod wire;
 
 use dahliapoint::rules::Planner;
-use dahliapoint::{Met, Orders, RosterEntry, RosterUpdate};
+use dahliapoint::{Orders, RosterEntry, RosterUpdate, TryStats};
 use dahliapoint_opening::deployment;
 use serde_json::{Map, Value, json};
 use std::collections::{BTreeMap, HashMap};
@@ -157,7 +157,7 @@
             }
             "UpstreamStats" => {
                 f.load("telemetry")?;
-                let met = Met {
+                let met = TryStats {
                     window_ms: ms(f.whole("windowNs")?),
                     zone: f.below("campus", i.zones)? as usize,
                     tries: f.whole("n")? as f64,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -104,7 +104,7 @@
 
 /// What the proxies of a zone met at a server.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Met {
+pub struct TryStats {
     pub zone: usize,
     pub server: usize,
     pub tries: f64,
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -12,8 +12,8 @@
 use crate::state::{self, Bounds, Bucket, Chance, Channel, Heard, Norms, Part};
 use crate::state::{Proxy, Server, View};
 use crate::{
-    AdminState, Admission, Belief, Met, Orders, PlannerSettings, RetryPolicy, RosterEntry,
-    RosterUpdate,
+    AdminState, Admission, Belief, Orders, PlannerSettings, RetryPolicy, RosterEntry, RosterUpdate,
+    TryStats,
 };
 use std::collections::BTreeMap;
 
@@ -258,7 +258,7 @@
         self.channel.answered(proxy.and_then(|p| p.answered(mark)));
     }
 
-    pub fn tries_met(&mut self, now: f64, met: &Met) {
+    pub fn tries_met(&mut self, now: f64, met: &TryStats) {
         let server = self.servers.get_mut(met.server);
         if let Some(server) = server.filter(|_| met.tries > 0.0) {
             server.views[met.zone].note(now, self.told.bucket_ms, met);
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,6 +1,6 @@
 //! What the planner remembers, and the sums it is asked for. Nothing here decides anything.
 
-use crate::{AdminState, Met};
+use crate::{AdminState, TryStats};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Time buckets kept of what was met; the oldest is used again.
@@ -59,7 +59,7 @@
 
     /// Spreads a line evenly over the stretch that it covers. One that reaches back past `since` is
     /// of another time, and only shows that something came.
-    pub fn note(&mut self, now: f64, bucket_ms: f64, met: &Met) {
+    pub fn note(&mut self, now: f64, bucket_ms: f64, met: &TryStats) {
         self.heard = now;
         if now - met.window_ms < self.since {
             return;
@@ -402,7 +402,7 @@
 }
 
 impl Heard {
-    pub fn note(&mut self, met: &Met, report_ms: f64) {
+    pub fn note(&mut self, met: &TryStats, report_ms: f64) {
         self.lines += 1.0;
         self.tries += met.tries;
         self.late += met.tries * (met.window_ms - report_ms).max(0.0);
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -2,8 +2,8 @@
 
 use dahliapoint::rules::Planner;
 use dahliapoint::{
-    AdminState, Admission, Class, Met, Orders, PlannerSettings, RetryPolicy, RosterEntry,
-    RosterUpdate,
+    AdminState, Admission, Class, Orders, PlannerSettings, RetryPolicy, RosterEntry, RosterUpdate,
+    TryStats,
 };
 use std::collections::BTreeMap;
 
@@ -149,7 +149,7 @@
             for server in 0..12 {
                 for zone in 0..2 {
                     if let Some((tries, failed, mean_ms)) = seen(server, zone) {
-                        let met = Met {
+                        let met = TryStats {
                             zone,
                             server,
                             tries,
@@ -595,12 +595,12 @@
         fleet.now += 1000.0;
         for server in (0..8).filter(|s| s % 4 == second % 4) {
             let mean_ms = if server == 3 { 1500.0 } else { 200.0 };
-            let met = Met {
+            let met = TryStats {
                 server,
                 tries: 20.0,
                 mean_ms,
                 window_ms: 4000.0,
-                ..Met::default()
+                ..TryStats::default()
             };
             fleet.planner.tries_met(fleet.now, &met);
         }
@@ -725,7 +725,7 @@
             for server in 0..120 {
                 let used = self.bound.values().any(|part| *part == self.parts[server]);
                 if let Some((tries, failed, mean_ms)) = seen(server % 2).filter(|_| used) {
-                    let met = Met {
+                    let met = TryStats {
                         zone: 0,
                         server,
                         tries,
