--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -557,11 +557,11 @@
         self.lately.clear();
         for m in &round.met {
             *self.lately.entry(m.server).or_default() += m.tries * 1e3 / m.window_ms.max(1.0);
-            self.planner.tries_met(now, m);
+            self.planner.tries_reported(now, m);
         }
         for c in round.came {
             self.planner
-                .visits_came(c.proxy, c.class, c.visits, c.window_ms);
+                .visits_reported(c.proxy, c.class, c.visits, c.window_ms);
         }
         for heard in round.heard {
             let (p, word) = match heard {
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -381,7 +381,7 @@
                     window_ms: *span_ms,
                     mean_ms: *mean_ms,
                 };
-                self.planner.tries_met(now, &met);
+                self.planner.tries_reported(now, &met);
             }
             Report::Demand {
                 proxy,
@@ -393,7 +393,8 @@
                     self.tally.strangers += 1;
                     return false;
                 }
-                self.planner.visits_came(*proxy, *class, *visits, *span_ms);
+                self.planner
+                    .visits_reported(*proxy, *class, *visits, *span_ms);
             }
         }
         true
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -165,7 +165,7 @@
                     mean_ms: ms(f.whole("costTimeNs")?),
                     server: i.place(f.below("backend", 1 << 32)?),
                 };
-                i.planner.tries_met(now, &met);
+                i.planner.tries_reported(now, &met);
             }
             "HealthResult" => {
                 let took_ms = ms(f.whole("costTimeNs")?);
@@ -188,7 +188,7 @@
                 let class = f.below("grade", i.classes)? as usize;
                 let (visits, window) = (f.whole("n")? as f64, ms(f.whole("windowNs")?));
                 let proxy = f.below("agent", 65536)? as usize;
-                i.planner.visits_came(proxy, class, visits, window);
+                i.planner.visits_reported(proxy, class, visits, window);
             }
             "Custody" => {
                 f.whole("table")?;
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,7 +1,7 @@
 //! Every decision of dahliapoint, to be read aloud.
 //!
 //! How it is called: `Planner::new` when a controller starts, then one method for each thing that
-//! happens (`roster_changed`, `proxy_joined`, `tries_met`, ...), which only notes it. What comes at
+//! happens (`roster_changed`, `proxy_joined`, `tries_reported`, ...), which only notes it. What comes at
 //! one moment is one input: after it, `Planner::decide` goes through `RULES` from the top until none
 //! fires, and returns the `Orders` to carry out. Their interface is in `src/lib.rs`, plain memory and
 //! sums in `src/state.rs`. No call reads a clock, a file or a wire.
@@ -258,7 +258,7 @@
         self.channel.answered(proxy.and_then(|p| p.answered(mark)));
     }
 
-    pub fn tries_met(&mut self, now: f64, met: &TryStats) {
+    pub fn tries_reported(&mut self, now: f64, met: &TryStats) {
         let server = self.servers.get_mut(met.server);
         if let Some(server) = server.filter(|_| met.tries > 0.0) {
             server.views[met.zone].note(now, self.told.bucket_ms, met);
@@ -266,7 +266,7 @@
         }
     }
 
-    pub fn visits_came(&mut self, proxy: usize, class: usize, visits: f64, window_ms: f64) {
+    pub fn visits_reported(&mut self, proxy: usize, class: usize, visits: f64, window_ms: f64) {
         self.heard.lines += 1.0;
         if let Some(p) = self.proxies.get_mut(&proxy) {
             p.came(class, visits / window_ms.max(self.told.report_ms));
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -157,7 +157,7 @@
                             mean_ms,
                             window_ms: 1000.0,
                         };
-                        self.planner.tries_met(self.now, &met);
+                        self.planner.tries_reported(self.now, &met);
                     }
                 }
             }
@@ -602,7 +602,7 @@
                 window_ms: 4000.0,
                 ..TryStats::default()
             };
-            fleet.planner.tries_met(fleet.now, &met);
+            fleet.planner.tries_reported(fleet.now, &met);
         }
         fleet.tell(|_, _| ());
     }
@@ -733,7 +733,7 @@
                         mean_ms,
                         window_ms: 1000.0,
                     };
-                    self.planner.tries_met(self.now, &met);
+                    self.planner.tries_reported(self.now, &met);
                 }
             }
             self.decide();
