--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -135,7 +135,7 @@
     }
 
     /// One line on the whole, and one on each server that is listed: what the module believes of it
-    /// (see [`dahliapoint::Belief`]). For the operators' debug log.
+    /// (see [`dahliapoint::ServerStatus`]). For the operators' debug log.
     pub fn beliefs(&self) -> Vec<String> {
         let (queued, doubted) = self.delivery.waiting();
         let mut out = vec![format!(
@@ -145,13 +145,13 @@
             self.tally.strangers,
             self.tally.old_lists
         )];
-        for (place, b) in self.places.all.iter().zip(self.planner.beliefs()) {
+        for (place, b) in self.places.all.iter().zip(self.planner.server_statuses()) {
             if place.standing == AdminState::Gone {
                 continue;
             }
             out.push(format!(
                 "server {} {:?} line {:.3} health {:.2} out {} cold {} tries {:.1} failed {:.1} mean_ms {:.1}",
-                place.name, place.standing, b.line, b.health, b.withdrawn, b.cold, b.tries, b.failed, b.mean_ms
+                place.name, place.standing, b.published_weight, b.health, b.withdrawn, b.cold, b.tries, b.failed, b.mean_ms
             ));
         }
         out
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -117,8 +117,8 @@
 
 /// What the planner believes of a server: its line, the health that scales it, and what was met lately.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Belief {
-    pub line: f64,
+pub struct ServerStatus {
+    pub published_weight: f64,
     pub health: f64,
     pub withdrawn: bool,
     pub cold: bool,
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -12,8 +12,8 @@
 use crate::state::{self, Bounds, Bucket, Chance, Channel, Heard, Norms, Part};
 use crate::state::{Proxy, Server, View};
 use crate::{
-    AdminState, Admission, Belief, Orders, PlannerSettings, RetryPolicy, RosterEntry, RosterUpdate,
-    TryStats,
+    AdminState, Admission, Orders, PlannerSettings, RetryPolicy, RosterEntry, RosterUpdate,
+    ServerStatus, TryStats,
 };
 use std::collections::BTreeMap;
 
@@ -819,9 +819,9 @@
     }
 
     /// What is believed of each server, by index: for the operators' log.
-    pub fn beliefs(&self) -> impl Iterator<Item = Belief> + '_ {
-        self.servers.iter().map(|s| Belief {
-            line: s.line,
+    pub fn server_statuses(&self) -> impl Iterator<Item = ServerStatus> + '_ {
+        self.servers.iter().map(|s| ServerStatus {
+            published_weight: s.line,
             health: s.health,
             withdrawn: s.withdrawn,
             cold: s.cold,
