--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -629,7 +629,7 @@
             touched.standing.push(s);
         }
         let mut bound = Vec::new();
-        for (proxy, part) in orders.binds {
+        for (proxy, part) in orders.bindings {
             if let Some(p) = self.proxies.get_mut(&proxy) {
                 p.part = Some(part);
                 bound.push(proxy);
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -422,11 +422,11 @@
         let named = orders.notes.iter().map(|note| self.named(note));
         effects.notes.extend(named);
         let joined = &self.joined;
-        let turns = orders.binds.iter().map(|b| (b.0, joined.turn(b.0)));
+        let turns = orders.bindings.iter().map(|b| (b.0, joined.turn(b.0)));
         let turns = turns.collect();
         let mark = orders.mark;
         let lines = self.cost(&orders);
-        self.tables.extend(orders.binds.iter().copied());
+        self.tables.extend(orders.bindings.iter().copied());
         self.delivery.add(in_order(orders), turns, mark, lines);
     }
 
@@ -469,7 +469,7 @@
             let of = self.places.all.iter().filter(|p| p.table == Some(table));
             of.count() as f64 + self.told.classes.len() as f64 + head
         };
-        let bound = orders.binds.iter().map(|(_, table)| whole(*table));
+        let bound = orders.bindings.iter().map(|(_, table)| whole(*table));
         told.chain(bound).sum()
     }
 }
@@ -491,7 +491,7 @@
     });
     let shuts = orders.withdrawals.into_iter();
     let shuts = shuts.map(|(server, out)| Order::Shut { server, out });
-    let binds = orders.binds.into_iter();
+    let binds = orders.bindings.into_iter();
     let binds = binds.map(|(proxy, table)| Order::Bind { proxy, table });
     lines.chain(levels).chain(shuts).chain(binds).collect()
 }
--- a/crates/standins/src/sabotage.rs
+++ b/crates/standins/src/sabotage.rs
@@ -150,7 +150,7 @@
                 orders.lines.extend(more.map(|(p, s)| (*p, *s, 300.0)));
             }
             Wrong::RetriesAll => {
-                let parts: BTreeSet<usize> = orders.binds.iter().map(|b| b.1).collect();
+                let parts: BTreeSet<usize> = orders.bindings.iter().map(|b| b.1).collect();
                 for part in parts {
                     let all = (0..self.classes).map(|c| (part, c, 1.0, RetryPolicy::OnFailure));
                     orders.levels.extend(all);
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -246,7 +246,7 @@
             json!({"backend": i.servers[server], "flag": out_of_all}),
         );
     }
-    for (proxy, table) in orders.binds {
+    for (proxy, table) in orders.bindings {
         put(
             "UseTable",
             json!({"mask": 0, "table": table, "agent": proxy}),
@@ -258,7 +258,7 @@
     for server in orders.probes {
         put("HealthCheck", json!({"backend": i.servers[server]}));
     }
-    if orders.ask_list {
+    if orders.request_roster {
         put("StreamChanges", json!({"flag": true}));
     }
     if let Some(at) = orders.wake_at {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -137,13 +137,13 @@
     /// Servers shut out of all tables (true), or allowed again.
     pub withdrawals: Vec<(usize, bool)>,
     /// Proxies to be bound to the shared table, and to which part of it.
-    pub binds: Vec<(usize, usize)>,
+    pub bindings: Vec<(usize, usize)>,
     /// A number that each proxy concerned answers with.
     pub mark: Option<u32>,
     /// Servers to probe.
     pub probes: Vec<usize>,
     /// Ask for the list, and for its changes from now on.
-    pub ask_list: bool,
+    pub request_roster: bool,
     /// Call [`rules::Planner::decide`] at this time.
     pub wake_at: Option<f64>,
     /// Lines for the operators' log.
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -287,7 +287,7 @@
         let due = self.now >= self.ask_at;
         if due {
             self.ask_at = f64::INFINITY;
-            self.out.ask_list = true;
+            self.out.request_roster = true;
         }
         due
     }
@@ -571,11 +571,11 @@
             return false;
         };
         let price = self.table_lines(to) + self.told.message_lines;
-        if self.out.binds.iter().any(|b| b.0 == i) || !self.fits(HALF, price) {
+        if self.out.bindings.iter().any(|b| b.0 == i) || !self.fits(HALF, price) {
             return false;
         }
         self.channel.add(None, 0.0, price);
-        self.out.binds.push((i, to));
+        self.out.bindings.push((i, to));
         if let Some(proxy) = self.proxies.get_mut(&i) {
             (proxy.part, proxy.sent) = (Some(to), price);
         }
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -126,7 +126,7 @@
         let levels = orders.levels.iter().map(|l| (l.1, (l.2, l.3)));
         self.levels.extend(levels);
         self.out.extend(orders.withdrawals);
-        self.bound.extend(orders.binds.iter().map(|b| b.0));
+        self.bound.extend(orders.bindings.iter().map(|b| b.0));
         self.probed.extend(orders.probes);
         self.notes.extend(orders.notes);
         for proxy in 0..4 {
@@ -414,7 +414,7 @@
     let mut binds = Vec::new();
     for proxy in 0..20 {
         planner.proxy_joined(proxy, 0, PACE);
-        binds.extend(planner.decide(1.0).binds);
+        binds.extend(planner.decide(1.0).bindings);
     }
     assert!(!binds.is_empty() && binds.len() * 17 <= 150, "{binds:?}");
     // Few messages to a proxy: a flapping list does not use them all up.
@@ -449,10 +449,10 @@
 #[test]
 fn the_list_is_asked_for_where_it_must_be_and_again_when_lost() {
     let mut fleet = Fleet::bare(&but(|o| o.must_ask = true));
-    assert!(fleet.planner.decide(fleet.now).ask_list);
-    assert!(!fleet.planner.decide(fleet.now + 1.0).ask_list);
+    assert!(fleet.planner.decide(fleet.now).request_roster);
+    assert!(!fleet.planner.decide(fleet.now + 1.0).request_roster);
     fleet.planner.roster_lost(fleet.now + 2.0);
-    assert!(fleet.planner.decide(fleet.now + 4000.0).ask_list);
+    assert!(fleet.planner.decide(fleet.now + 4000.0).request_roster);
 }
 
 /// A fleet of so many servers and proxies, zones in turn; few visits to each proxy.
@@ -475,24 +475,24 @@
     let (mut planner, parts, orders) = large(120, 60, &roomy());
     let many = 1 + parts.iter().max().unwrap();
     assert!(many > 3 && parts.iter().all(|p| *p < many), "{parts:?}");
-    for (proxy, part) in &orders.binds {
+    for (proxy, part) in &orders.bindings {
         let servers = (0..120).filter(|s| parts[*s] == *part);
         assert!(servers.clone().all(|s| s % 2 == proxy % 2), "at home");
-        assert_eq!(orders.binds.iter().filter(|b| b.0 == *proxy).count(), 1);
+        assert_eq!(orders.bindings.iter().filter(|b| b.0 == *proxy).count(), 1);
         assert!(servers.count() >= 4);
     }
-    assert_eq!(orders.binds.len(), 60);
+    assert_eq!(orders.bindings.len(), 60);
     // All servers of one part are gone: its proxies are bound elsewhere at once.
     let gone = (0..120).filter(|s| parts[*s] == 0);
     let gone: Vec<_> = gone.map(|s| listed(s, AdminState::Gone, None)).collect();
     planner.roster_changed(500.0, RosterUpdate::Changes, &gone);
     let more = planner.decide(500.0);
     assert_eq!(more.withdrawals.len(), gone.len());
-    let there = orders.binds.iter().filter(|b| b.1 == 0).map(|b| b.0);
+    let there = orders.bindings.iter().filter(|b| b.1 == 0).map(|b| b.0);
     assert!(
         there
             .into_iter()
-            .all(|p| more.binds.iter().any(|b| b.0 == p && b.1 != 0))
+            .all(|p| more.bindings.iter().any(|b| b.0 == p && b.1 != 0))
     );
 }
 
@@ -548,7 +548,7 @@
         (0..60).for_each(|p| planner.orders_applied(p, orders.mark.unwrap_or(0)));
         let away = (1..50).step_by(2);
         away.for_each(|p| planner.proxy_left(p));
-        planner.decide(later).binds.len()
+        planner.decide(later).bindings.len()
     };
     assert_eq!(moved(500.0), 0);
     // They stayed away for as long as a ramp: what is left is dealt out anew.
@@ -561,14 +561,14 @@
     let most_waiting = 500.0;
     let told = but(|o| o.most_waiting = most_waiting);
     let (mut planner, _, first) = large(120, 60, &told);
-    let mut bound = first.binds.len();
+    let mut bound = first.bindings.len();
     let mut mark = first.mark;
     assert!(bound > 0 && bound < 60, "{bound}");
     for step in 1..60 {
         let now = f64::from(step) * 100.0;
         (0..60).for_each(|p| planner.orders_applied(p, mark.unwrap_or(0)));
         let orders = planner.decide(now);
-        bound += orders.binds.len();
+        bound += orders.bindings.len();
         mark = orders.mark.or(mark);
     }
     assert_eq!(bound, 60);
@@ -623,8 +623,8 @@
     assert!(more.lines.iter().all(|l| l.2 <= 0.25), "{:?}", more.lines);
     let away =
         |b: &&(usize, usize)| b.0 % 2 == 1 && parts[0..].iter().step_by(2).any(|p| *p == b.1);
-    let left = more.binds.iter().filter(away).count();
-    assert!(left * 3 > orders.binds.len());
+    let left = more.bindings.iter().filter(away).count();
+    assert!(left * 3 > orders.bindings.len());
 }
 
 #[test]
@@ -710,7 +710,7 @@
     fn decide(&mut self) {
         let orders = self.planner.decide(self.now);
         orders.lines.iter().for_each(|l| self.parts[l.1] = l.0);
-        self.bound.extend(orders.binds);
+        self.bound.extend(orders.bindings);
         self.notes.extend(orders.notes);
         (0..60).for_each(|p| {
             self.planner
@@ -810,7 +810,7 @@
 fn a_part_that_was_written_much_holds_up_no_other_and_can_be_left_in_a_jam() {
     let told = but(|o| (o.most_messages, o.most_waiting) = (14.0, 1e6));
     let (mut planner, parts, orders) = large(120, 60, &told);
-    let mut bound: BTreeMap<usize, usize> = orders.binds.iter().copied().collect();
+    let mut bound: BTreeMap<usize, usize> = orders.bindings.iter().copied().collect();
     let of = |part: usize| (0..120).filter(move |s| s % 2 == part % 2);
     let mine: Vec<usize> = of(0).filter(|s| parts[*s] == parts[0]).collect();
     let mut mark = orders.mark;
@@ -828,7 +828,7 @@
         let now = 100.0 * (1 + round) as f64;
         let orders = step(&mut planner, now, &[listed(mine[0], standing, Some(now))]);
         written += usize::from(!orders.withdrawals.is_empty() || !orders.lines.is_empty());
-        bound.extend(orders.binds);
+        bound.extend(orders.bindings);
     }
     assert!((7..=13).contains(&written), "{written}");
     // A server of another part restarts: its line falls at once.
@@ -843,7 +843,7 @@
         "{:?}",
         orders.lines
     );
-    bound.extend(orders.binds);
+    bound.extend(orders.bindings);
     // Most of the part drains: its proxies leave it, though they were written much.
     let drains: Vec<RosterEntry> = mine[1..]
         .iter()
@@ -852,9 +852,9 @@
     let before = bound.values().filter(|part| **part == parts[0]).count();
     let orders = step(&mut planner, 3200.0, &drains);
     assert_eq!(orders.withdrawals.len(), drains.len());
-    bound.extend(orders.binds);
+    bound.extend(orders.bindings);
     let orders = step(&mut planner, 3400.0, &[]);
-    bound.extend(orders.binds);
+    bound.extend(orders.bindings);
     let left = bound.values().filter(|part| **part == parts[0]).count();
     assert!(before > 1 && left <= 1, "{before} {left}");
 }
