--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -348,7 +348,7 @@
             listed.push(RosterEntry {
                 server,
                 zone,
-                standing: match entry.state {
+                admin_state: match entry.state {
                     AdminState::Ready => dahliapoint::AdminState::Ready,
                     AdminState::Draining => dahliapoint::AdminState::Draining,
                     AdminState::Gone => dahliapoint::AdminState::Gone,
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -294,7 +294,7 @@
             roster.push(RosterEntry {
                 server,
                 zone: entry.zone,
-                standing: entry.standing,
+                admin_state: entry.standing,
                 weight: entry.weight,
                 started_ms: self.places.all[server].started,
             });
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -134,7 +134,7 @@
                     roster.push(RosterEntry {
                         server: i.place(entry.id),
                         zone: entry.zone as usize,
-                        standing: entry.standing,
+                        admin_state: entry.admin_state,
                         weight: entry.weight,
                         started_ms: entry.started_ms,
                     });
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -95,7 +95,7 @@
 pub struct Entry {
     pub id: u64,
     pub zone: u64,
-    pub standing: AdminState,
+    pub admin_state: AdminState,
     pub weight: f64,
     pub started_ms: Option<f64>,
 }
@@ -103,7 +103,7 @@
 impl Entry {
     pub fn of(value: &Value) -> Result<Entry, String> {
         let f = Fields::of(value, "list entry", "Catalog: elements")?;
-        let standing = match f.text("availability")? {
+        let admin_state = match f.text("availability")? {
             "active" => AdminState::Ready,
             "leaving" => AdminState::Draining,
             "left" => AdminState::Gone,
@@ -118,7 +118,7 @@
         Ok(Entry {
             id: f.below("backend", 1 << 32)?,
             zone: f.whole("campus")?,
-            standing,
+            admin_state,
             weight: f.number("heft")?,
             started_ms: (started > 0).then(|| ms(started)),
         })
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -87,7 +87,7 @@
 pub struct RosterEntry {
     pub server: usize,
     pub zone: usize,
-    pub standing: AdminState,
+    pub admin_state: AdminState,
     pub weight: f64,
     /// When it last started, if lately.
     pub started_ms: Option<f64>,
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -197,12 +197,12 @@
         let may_stay = self.told.dropped_may_stay;
         let server = self.servers.get_mut(s);
         if let Some(s) = server.filter(|s| !(may_stay && s.ready() && s.health > 0.0)) {
-            s.standing = AdminState::Gone;
+            s.admin_state = AdminState::Gone;
         }
     }
 
     fn note_listed(&mut self, l: &RosterEntry, at_start: bool) {
-        if l.standing == AdminState::Gone {
+        if l.admin_state == AdminState::Gone {
             return self.note_gone(l.server);
         }
         let (now, zones) = (self.now, self.cut.len());
@@ -211,12 +211,12 @@
         }
         let server = &mut self.servers[l.server];
         let fresh = l.started_ms.filter(|at| now - at < self.told.warm_after_ms);
-        let returned = !server.ready() && l.standing == AdminState::Ready;
+        let returned = !server.ready() && l.admin_state == AdminState::Ready;
         let restarted = fresh.is_some() && l.started_ms != server.started;
         server.zone = l.zone;
         server.weight = if l.weight > 0.0 { l.weight } else { 1.0 };
         server.started = l.started_ms;
-        server.standing = l.standing;
+        server.admin_state = l.admin_state;
         if at_start && !server.known {
             // Listed at our start: full weight, but the list may say that it began lately.
             server.entered = fresh.unwrap_or(f64::NEG_INFINITY);
--- a/src/state.rs
+++ b/src/state.rs
@@ -93,7 +93,7 @@
     /// A list has named it.
     pub known: bool,
     pub zone: usize,
-    pub standing: AdminState,
+    pub admin_state: AdminState,
     pub weight: f64,
     pub started: Option<f64>,
     /// When its ramp began; long ago for servers listed at the controller's start.
@@ -125,7 +125,7 @@
         Server {
             known: false,
             zone: 0,
-            standing: AdminState::Gone,
+            admin_state: AdminState::Gone,
             weight: 1.0,
             started: None,
             entered: f64::NEG_INFINITY,
@@ -146,7 +146,7 @@
     }
 
     pub fn ready(&self) -> bool {
-        self.standing == AdminState::Ready
+        self.admin_state == AdminState::Ready
     }
 
     /// Lets the sums end where a line that waits its turn can reach, and adds them up.
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -76,11 +76,11 @@
     notes: Vec<String>,
 }
 
-fn listed(server: usize, standing: AdminState, started_ms: Option<f64>) -> RosterEntry {
+fn listed(server: usize, admin_state: AdminState, started_ms: Option<f64>) -> RosterEntry {
     RosterEntry {
         server,
         zone: server % 2,
-        standing,
+        admin_state,
         weight: 1.0,
         started_ms,
     }
@@ -184,9 +184,9 @@
         ("ready as before", AdminState::Ready, None, 1.0, false),
         ("started anew", AdminState::Ready, Some(now), 0.06, false),
     ];
-    for (case, standing, started, line, out) in cases {
+    for (case, admin_state, started, line, out) in cases {
         let mut fleet = Fleet::of(6, &opening());
-        fleet.list(RosterUpdate::Changes, &[listed(2, standing, started)]);
+        fleet.list(RosterUpdate::Changes, &[listed(2, admin_state, started)]);
         assert!((fleet.line(2) - line).abs() < 0.001, "{case}");
         assert_eq!(fleet.out.get(&2).copied().unwrap_or(false), out, "{case}");
         assert_eq!(fleet.line(3), 1.0, "{case}: the others stay");
@@ -423,8 +423,8 @@
     fleet.messages = 0;
     for round in 0..40 {
         fleet.now += 200.0;
-        let standing = [AdminState::Gone, AdminState::Ready][round % 2];
-        let flaps = listed(round % 5, standing, Some(fleet.now));
+        let admin_state = [AdminState::Gone, AdminState::Ready][round % 2];
+        let flaps = listed(round % 5, admin_state, Some(fleet.now));
         fleet.list(RosterUpdate::Changes, &[flaps]);
     }
     assert!(fleet.messages <= 10);
@@ -499,12 +499,12 @@
 #[test]
 fn parts_hold_half_of_what_a_proxy_draws_for_itself() {
     // Few visits to each proxy: with whole tables nearly every one of them opened a connection.
-    for (standing, least, most) in [(10.0, 4, 6), (24.0, 7, 8)] {
-        let told = but(|o| (o.standing_lines, o.most_waiting) = (standing, 1e6));
+    for (initial, least, most) in [(10.0, 4, 6), (24.0, 7, 8)] {
+        let told = but(|o| (o.standing_lines, o.most_waiting) = (initial, 1e6));
         let (_, parts, _) = large(30, 60, &told);
         for part in &parts {
             let many = parts.iter().filter(|p| *p == part).count();
-            assert!((least..=most).contains(&many), "{standing}: {parts:?}");
+            assert!((least..=most).contains(&many), "{initial}: {parts:?}");
         }
     }
 }
@@ -673,8 +673,8 @@
             fleet.tell(|p, _| (0..4).for_each(|i| p.proxy_joined(i, i % 2, PACE)));
             assert!(before > 2 && now < 1e6 + 10_000.0);
         }
-        let standing = [AdminState::Gone, AdminState::Ready][round % 2];
-        let flaps = listed(round % 5, standing, Some(fleet.now));
+        let admin_state = [AdminState::Gone, AdminState::Ready][round % 2];
+        let flaps = listed(round % 5, admin_state, Some(fleet.now));
         fleet.list(RosterUpdate::Changes, &[flaps]);
     }
     assert!(fleet.messages <= 10, "{}", fleet.messages);
@@ -783,7 +783,7 @@
 fn proxies_of_a_lost_zone_do_not_wait_for_its_first_servers_to_return() {
     let mut homely = Homely::new();
     homely.pass(4, |_| WELL);
-    let home = |standing, started| move |s: usize| listed(2 * s, standing, started);
+    let home = |admin_state, started| move |s: usize| listed(2 * s, admin_state, started);
     let gone: Vec<RosterEntry> = (0..60).map(home(AdminState::Gone, None)).collect();
     homely
         .planner
@@ -824,9 +824,13 @@
     // One server of a part comes and goes: the part's proxies are written what can wait, and no more.
     let mut written = 0;
     for round in 0..30 {
-        let standing = [AdminState::Gone, AdminState::Ready][round % 2];
+        let admin_state = [AdminState::Gone, AdminState::Ready][round % 2];
         let now = 100.0 * (1 + round) as f64;
-        let orders = step(&mut planner, now, &[listed(mine[0], standing, Some(now))]);
+        let orders = step(
+            &mut planner,
+            now,
+            &[listed(mine[0], admin_state, Some(now))],
+        );
         written += usize::from(!orders.withdrawals.is_empty() || !orders.lines.is_empty());
         bound.extend(orders.bindings);
     }
