--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -144,32 +144,32 @@
             true => Admission::Share,
             false => Admission::Unused,
         },
-        most_waiting: terms.most_waiting,
+        max_queued_lines: terms.most_waiting,
         lines_per_ms: terms.lines_per_s / 1000.0,
-        way_ms: terms.way_ms,
-        message_lines: terms.message_lines,
-        idle_ms: terms.idle_ms,
-        standing_lines: terms.standing_lines,
-        most_messages: if terms.most_messages > 0.0 {
+        message_latency_ms: terms.way_ms,
+        message_overhead_lines: terms.message_lines,
+        idle_timeout_ms: terms.idle_ms,
+        initial_servers: terms.standing_lines,
+        max_messages: if terms.most_messages > 0.0 {
             limit
         } else {
             0.0
         },
-        message_span_ms: terms.message_span_ms,
-        report_every_ms: terms.report_every_ms,
-        reports_per_ms: terms.reports_per_s / 1000.0,
-        cold_share: terms.cold_share,
-        warm_after_ms: terms.warm_after_ms,
-        fall_multiple: terms.fall_multiple,
-        dropped_may_stay: terms.dropped_may_stay,
-        usual_tries: match terms.usual_tries {
+        message_window_ms: terms.message_span_ms,
+        report_interval_ms: terms.report_every_ms,
+        report_lines_per_ms: terms.reports_per_s / 1000.0,
+        cold_capacity_share: terms.cold_share,
+        warm_up_ms: terms.warm_after_ms,
+        overload_multiple: terms.fall_multiple,
+        keep_unlisted_servers: terms.dropped_may_stay,
+        default_retry_policy: match terms.usual_tries {
             FurtherTry::Never => RetryPolicy::Never,
             FurtherTry::OnProof => RetryPolicy::OnProof,
             FurtherTry::OnFailure => RetryPolicy::OnFailure,
         },
         may_probe: terms.may_probe,
-        must_ask: false,
-        sliced: false,
+        must_request_roster: false,
+        sharded: false,
     }
 }
 
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -116,7 +116,11 @@
             planner: Planner::new(now, seed, opening),
             places: Places::default(),
             joined: Joined::default(),
-            delivery: Delivery::of(opening.way_ms, opening.most_waiting, opening.lines_per_ms),
+            delivery: Delivery::of(
+                opening.message_latency_ms,
+                opening.max_queued_lines,
+                opening.lines_per_ms,
+            ),
             tables: BTreeMap::new(),
             index: known.index,
             first_watch: 0,
@@ -448,7 +452,7 @@
     /// The lines that orders cost in the channel: each proxy concerned is sent one message, of a head
     /// and its lines.
     fn cost(&self, orders: &Orders) -> f64 {
-        let head = self.told.opening.message_lines + 1.0;
+        let head = self.told.opening.message_overhead_lines + 1.0;
         let mut changes: BTreeMap<usize, f64> = BTreeMap::new();
         let lines = orders.lines.iter().map(|l| l.0);
         for table in lines.chain(orders.levels.iter().map(|l| l.0)) {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -31,37 +31,37 @@
     pub classes: Vec<Class>,
     pub admission: Admission,
     /// Lines that may wait in the channel.
-    pub most_waiting: f64,
+    pub max_queued_lines: f64,
     /// Lines that it sends by millisecond when all is well, and the mean way of a message after.
     pub lines_per_ms: f64,
-    pub way_ms: f64,
+    pub message_latency_ms: f64,
     /// Lines that a message costs beyond its own.
-    pub message_lines: f64,
+    pub message_overhead_lines: f64,
     /// A proxy closes a connection that was idle for so long.
-    pub idle_ms: f64,
+    pub idle_timeout_ms: f64,
     /// Servers that a proxy draws for itself at its start.
-    pub standing_lines: f64,
-    /// Messages to one proxy within `message_span_ms`; 0: no such limit.
-    pub most_messages: f64,
-    pub message_span_ms: f64,
-    pub report_every_ms: f64,
+    pub initial_servers: f64,
+    /// Messages to one proxy within `message_window_ms`; 0: no such limit.
+    pub max_messages: f64,
+    pub message_window_ms: f64,
+    pub report_interval_ms: f64,
     /// Lines of reports by millisecond that the controller is told at most.
-    pub reports_per_ms: f64,
+    pub report_lines_per_ms: f64,
     /// A server starts at no less than this share of its capacity ...
-    pub cold_share: f64,
+    pub cold_capacity_share: f64,
     /// ... is warm after this long ...
-    pub warm_after_ms: f64,
+    pub warm_up_ms: f64,
     /// ... and falls over at this multiple of what it can do.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// A server merely dropped from the list may stay in tables.
-    pub dropped_may_stay: bool,
+    pub keep_unlisted_servers: bool,
     /// How proxies try again where no order says otherwise.
-    pub usual_tries: RetryPolicy,
+    pub default_retry_policy: RetryPolicy,
     pub may_probe: bool,
     /// The list must be asked for.
-    pub must_ask: bool,
+    pub must_request_roster: bool,
     /// Tables belong to slices of keys; the shared table has no place there.
-    pub sliced: bool,
+    pub sharded: bool,
 }
 
 /// When proxies try another server.
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -135,30 +135,30 @@
         let limits = told.classes.iter().map(|c| c.soft_limit_ms);
         let earnings = told.classes.iter().map(|c| c.earnings);
         let dear = earnings.clone().fold(0.0, f64::max);
-        let capped = Some(told.most_messages).filter(|m| *m > 0.0);
+        let capped = Some(told.max_messages).filter(|m| *m > 0.0);
         Planner {
             now,
             told: Bounds {
-                report_ms: told.report_every_ms,
-                most_heard: told.reports_per_ms * told.report_every_ms,
-                bucket_ms: told.report_every_ms.max(TICK_MS / 2.0),
+                report_ms: told.report_interval_ms,
+                most_heard: told.report_lines_per_ms * told.report_interval_ms,
+                bucket_ms: told.report_interval_ms.max(TICK_MS / 2.0),
                 tight_ms: limits.fold(f64::INFINITY, f64::min),
                 cheapness: earnings.map(|e| dear / e.max(dear / 8.0)).collect(),
-                most_waiting: told.most_waiting,
-                under_way: told.lines_per_ms * told.way_ms,
-                message_lines: told.message_lines + 1.0,
+                most_waiting: told.max_queued_lines,
+                under_way: told.lines_per_ms * told.message_latency_ms,
+                message_lines: told.message_overhead_lines + 1.0,
                 most_messages: capped.unwrap_or(f64::INFINITY),
-                standing_lines: told.standing_lines,
-                kept_ms: told.idle_ms * KEPT,
-                cold_share: told.cold_share,
-                warm_after_ms: told.warm_after_ms,
-                cold_excess: told.fall_multiple * COLD_PART,
-                dropped_may_stay: told.dropped_may_stay,
+                standing_lines: told.initial_servers,
+                kept_ms: told.idle_timeout_ms * KEPT,
+                cold_share: told.cold_capacity_share,
+                warm_after_ms: told.warm_up_ms,
+                cold_excess: told.overload_multiple * COLD_PART,
+                dropped_may_stay: told.keep_unlisted_servers,
                 may_probe: told.may_probe,
                 may_refuse: told.admission == Admission::Share,
-                has_tables: !told.sliced,
+                has_tables: !told.sharded,
             },
-            channel: Channel::of(told.message_lines + 1.0, told.message_span_ms),
+            channel: Channel::of(told.message_overhead_lines + 1.0, told.message_window_ms),
             servers: Vec::new(),
             proxies: BTreeMap::new(),
             gone: BTreeMap::new(),
@@ -166,13 +166,17 @@
             abroad: vec![false; told.zones],
             level: 1.0,
             level_since: now,
-            ways: vec![(1.0, told.usual_tries); told.classes.len()],
+            ways: vec![(1.0, told.default_retry_policy); told.classes.len()],
             carried: 0.0,
             norms: Norms::default(),
             heard: Heard::default(),
             tick: now + TICK_MS,
             alarm: now,
-            ask_at: if told.must_ask { now } else { f64::INFINITY },
+            ask_at: if told.must_request_roster {
+                now
+            } else {
+                f64::INFINITY
+            },
             chance: Chance::from(seed),
             out: Orders::default(),
         }
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -16,24 +16,24 @@
         zones: 2,
         classes: vec![class(1.0), class(2.0)],
         admission: Admission::Unused,
-        most_waiting: 10_000.0,
+        max_queued_lines: 10_000.0,
         lines_per_ms: 10.0,
-        way_ms: 0.0,
-        idle_ms: 15_000.0,
-        standing_lines: 5.0,
-        message_lines: 4.0,
-        most_messages: 0.0,
-        message_span_ms: 10_000.0,
-        report_every_ms: 1000.0,
-        reports_per_ms: 0.1,
-        cold_share: 0.2,
-        warm_after_ms: 16_000.0,
-        fall_multiple: 3.0,
-        dropped_may_stay: false,
-        usual_tries: RetryPolicy::Never,
+        message_latency_ms: 0.0,
+        idle_timeout_ms: 15_000.0,
+        initial_servers: 5.0,
+        message_overhead_lines: 4.0,
+        max_messages: 0.0,
+        message_window_ms: 10_000.0,
+        report_interval_ms: 1000.0,
+        report_lines_per_ms: 0.1,
+        cold_capacity_share: 0.2,
+        warm_up_ms: 16_000.0,
+        overload_multiple: 3.0,
+        keep_unlisted_servers: false,
+        default_retry_policy: RetryPolicy::Never,
         may_probe: true,
-        must_ask: false,
-        sliced: false,
+        must_request_roster: false,
+        sharded: false,
     }
 }
 
@@ -196,7 +196,7 @@
 #[test]
 fn a_server_dropped_from_a_whole_list_is_withdrawn_unless_it_may_stay() {
     for may_stay in [false, true] {
-        let told = but(|o| o.dropped_may_stay = may_stay);
+        let told = but(|o| o.keep_unlisted_servers = may_stay);
         let mut fleet = Fleet::of(3, &told);
         fleet.list(RosterUpdate::Snapshot, &ready(2));
         assert_eq!(fleet.line(2) == 1.0, may_stay);
@@ -408,7 +408,7 @@
 #[test]
 fn pacing_keeps_the_queue_and_the_messages_short() {
     // A channel that answers nothing: half the backlog and no more is written to.
-    let told = but(|o| o.most_waiting = 300.0);
+    let told = but(|o| o.max_queued_lines = 300.0);
     let mut planner = Planner::new(0.0, 1, &told);
     planner.roster_changed(0.0, RosterUpdate::Restored, &ready(10));
     let mut binds = Vec::new();
@@ -418,7 +418,7 @@
     }
     assert!(!binds.is_empty() && binds.len() * 17 <= 150, "{binds:?}");
     // Few messages to a proxy: a flapping list does not use them all up.
-    let told = but(|o| o.most_messages = 10.0);
+    let told = but(|o| o.max_messages = 10.0);
     let mut fleet = Fleet::of(6, &told);
     fleet.messages = 0;
     for round in 0..40 {
@@ -448,7 +448,7 @@
 
 #[test]
 fn the_list_is_asked_for_where_it_must_be_and_again_when_lost() {
-    let mut fleet = Fleet::bare(&but(|o| o.must_ask = true));
+    let mut fleet = Fleet::bare(&but(|o| o.must_request_roster = true));
     assert!(fleet.planner.decide(fleet.now).request_roster);
     assert!(!fleet.planner.decide(fleet.now + 1.0).request_roster);
     fleet.planner.roster_lost(fleet.now + 2.0);
@@ -467,7 +467,7 @@
 }
 
 fn roomy() -> PlannerSettings {
-    but(|o| o.most_waiting = 1e6)
+    but(|o| o.max_queued_lines = 1e6)
 }
 
 #[test]
@@ -500,7 +500,7 @@
 fn parts_hold_half_of_what_a_proxy_draws_for_itself() {
     // Few visits to each proxy: with whole tables nearly every one of them opened a connection.
     for (initial, least, most) in [(10.0, 4, 6), (24.0, 7, 8)] {
-        let told = but(|o| (o.standing_lines, o.most_waiting) = (initial, 1e6));
+        let told = but(|o| (o.initial_servers, o.max_queued_lines) = (initial, 1e6));
         let (_, parts, _) = large(30, 60, &told);
         for part in &parts {
             let many = parts.iter().filter(|p| *p == part).count();
@@ -559,7 +559,7 @@
 fn bindings_are_paid_singly_and_drains_keep_a_reserve() {
     // At size nobody was ever bound, and withdrawals found the channel full of other lines.
     let most_waiting = 500.0;
-    let told = but(|o| o.most_waiting = most_waiting);
+    let told = but(|o| o.max_queued_lines = most_waiting);
     let (mut planner, _, first) = large(120, 60, &told);
     let mut bound = first.bindings.len();
     let mut mark = first.mark;
@@ -589,7 +589,7 @@
 #[test]
 fn a_line_that_waited_its_turn_counts_over_the_stretch_it_covers() {
     // Each server's line comes every four seconds only, since no more lines are told.
-    let told = but(|o| o.reports_per_ms = 0.002);
+    let told = but(|o| o.report_lines_per_ms = 0.002);
     let mut fleet = Fleet::of(8, &told);
     for second in 0..24 {
         fleet.now += 1000.0;
@@ -661,7 +661,7 @@
 
 #[test]
 fn messages_written_before_a_proxy_left_and_came_back_still_count() {
-    let told = but(|o| o.most_messages = 10.0);
+    let told = but(|o| o.max_messages = 10.0);
     let mut fleet = Fleet::of(6, &told);
     fleet.messages = 0;
     for round in 0..40 {
@@ -692,7 +692,7 @@
 
 impl Homely {
     fn new() -> Homely {
-        let told = but(|o| (o.may_probe, o.most_waiting) = (false, 1e6));
+        let told = but(|o| (o.may_probe, o.max_queued_lines) = (false, 1e6));
         let mut planner = Planner::new(0.0, 7, &told);
         planner.roster_changed(0.0, RosterUpdate::Restored, &ready(120));
         (0..60).for_each(|p| planner.proxy_joined(p, 0, 0.002));
@@ -808,7 +808,7 @@
 
 #[test]
 fn a_part_that_was_written_much_holds_up_no_other_and_can_be_left_in_a_jam() {
-    let told = but(|o| (o.most_messages, o.most_waiting) = (14.0, 1e6));
+    let told = but(|o| (o.max_messages, o.max_queued_lines) = (14.0, 1e6));
     let (mut planner, parts, orders) = large(120, 60, &told);
     let mut bound: BTreeMap<usize, usize> = orders.bindings.iter().copied().collect();
     let of = |part: usize| (0..120).filter(move |s| s % 2 == part % 2);
