--- a/crates/node/src/beside.rs
+++ b/crates/node/src/beside.rs
@@ -108,7 +108,7 @@
             "specifics": {"mostWaiting": 1, "egressPerS": 1.0, "pushDelayNs": 1, "overhead": 1.0,
                 "reportEveryNs": 1, "ingestRate": 1.0},
             "limits": {"connIdleNs": 1}});
-        let told = dahliapoint_opening::deployment(&settings).unwrap();
+        let told = dahliapoint_opening::parse_deployment(&settings).unwrap();
         let at = "127.0.0.1:1".parse().unwrap();
         Reach::new(at, at, told, 0, 1)
     }
--- a/crates/node/src/configuration.rs
+++ b/crates/node/src/configuration.rs
@@ -63,7 +63,7 @@
         }
     })?;
     from.end().map_err(|e| e.to_string())?;
-    let deployment = dahliapoint_opening::deployment(&told.settings)?;
+    let deployment = dahliapoint_opening::parse_deployment(&told.settings)?;
     let known = match told.known {
         None | Some(Value::Null) => List {
             index: 0,
--- a/crates/opening/src/lib.rs
+++ b/crates/opening/src/lib.rs
@@ -117,7 +117,7 @@
 ///
 /// # Errors
 /// The field at fault and what is wanted, in one sentence.
-pub fn deployment(settings: &Value) -> Result<Deployment, String> {
+pub fn parse_deployment(settings: &Value) -> Result<Deployment, String> {
     let told: Told = serde_path_to_error::deserialize(settings)
         .map_err(|e| format!("field \"settings.{}\": {}", e.path(), e.inner()))?;
     if told.lanes.len() > 32 {
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -1,7 +1,7 @@
 //! Tables of lines for each codec, and mangled ones that must never panic.
 
 use dahliapoint::AdminState;
-use dahliapoint_opening::{Deployment, deployment};
+use dahliapoint_opening::{Deployment, parse_deployment};
 use dahliapoint_platform::arriving::{self, Report, Said};
 use dahliapoint_platform::relay::{self, Answer, News};
 use dahliapoint_platform::words::Fault;
@@ -20,7 +20,7 @@
         "limits": {"connIdleNs": 15_000_000_000_u64, "probing": true},
         "tickNs": 2_000_000,
     });
-    deployment(&settings).unwrap()
+    parse_deployment(&settings).unwrap()
 }
 
 #[test]
@@ -30,9 +30,9 @@
         (told.classes[1].as_str(), told.proxies, told.tick_ms),
         ("pay", 20, 2.0)
     );
-    let why = deployment(&json!({"lanes": [], "zones": []})).unwrap_err();
+    let why = parse_deployment(&json!({"lanes": [], "zones": []})).unwrap_err();
     assert!(why.contains("rules"), "{why}");
-    let why = deployment(&json!({"lanes": [{"aimNs": "x", "credit": 1}]})).unwrap_err();
+    let why = parse_deployment(&json!({"lanes": [{"aimNs": "x", "credit": 1}]})).unwrap_err();
     assert!(why.contains("settings.lanes[0].aimNs"), "{why}");
 }
 
--- a/crates/platform/tests/core.rs
+++ b/crates/platform/tests/core.rs
@@ -1,7 +1,7 @@
 //! The core as `(now, inputs) -> effects`: calls half done, gaps in the news, lists that go back.
 
 use dahliapoint::AdminState;
-use dahliapoint_opening::{Deployment, deployment};
+use dahliapoint_opening::{Deployment, parse_deployment};
 use dahliapoint_platform::arriving::Report;
 use dahliapoint_platform::core::{Core, Effects, Input, TOLD_WITHIN_MS};
 use dahliapoint_platform::delivery::Outcome;
@@ -23,7 +23,7 @@
         "limits": {"connIdleNs": 15_000_000_000_u64, "probing": true},
         "tickNs": 2_000_000,
     });
-    deployment(&settings).unwrap()
+    parse_deployment(&settings).unwrap()
 }
 
 fn entry(name: &str, standing: AdminState, since_ms: f64) -> Entry {
--- a/crates/platform/tests/shapes.rs
+++ b/crates/platform/tests/shapes.rs
@@ -1,7 +1,7 @@
 //! Settings of other customers' shapes, written as the protocol's pages word them, through `opening`, the core
 //! and the planner: nothing depends on a name or on a count.
 
-use dahliapoint_opening::{Deployment, deployment};
+use dahliapoint_opening::{Deployment, parse_deployment};
 use dahliapoint_platform::arriving::{self, Said};
 use dahliapoint_platform::core::{Core, Effects, Input};
 use dahliapoint_platform::delivery::Outcome;
@@ -160,7 +160,7 @@
 
 impl World {
     fn new(shape: &Shape) -> World {
-        let told = deployment(&shape.settings()).unwrap();
+        let told = parse_deployment(&shape.settings()).unwrap();
         let known = shape.list(1, true, (0..shape.servers).map(|s| (s, "up")));
         World {
             core: Core::begun(START, 7, told.clone(), &known),
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -5,7 +5,7 @@
 
 use dahliapoint::rules::Planner;
 use dahliapoint::{Orders, RosterEntry, RosterUpdate, TryStats};
-use dahliapoint_opening::deployment;
+use dahliapoint_opening::parse_deployment;
 use serde_json::{Map, Value, json};
 use std::collections::{BTreeMap, HashMap};
 use wire::{Fields, ms};
@@ -82,7 +82,7 @@
         let who = f.instance("who")?;
         if name == "Born" {
             let settings = f.object("settings")?;
-            let opening = deployment(&settings)
+            let opening = parse_deployment(&settings)
                 .map_err(|e| format!("Born: {e}"))?
                 .opening;
             let (zones, classes) = (opening.zones as u64, opening.classes.len() as u64);
