--- a/crates/node/src/life.rs
+++ b/crates/node/src/life.rs
@@ -71,7 +71,7 @@
     }
     tracing::info!(
         name, %listen, %discovery, relay = %relay_at, servers = known.entries.len(), index = known.index,
-        proxies = deployment.proxies, sockets, "serving"
+        proxies = deployment.proxy_count, sockets, "serving"
     );
     let core = Core::begun(reach.clock.now_ms(), seed, deployment, &known);
     connections::listen(reach.clone(), listener, sockets);
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -18,7 +18,9 @@
 impl Owner {
     /// Decides for good; returns only if the queue is closed.
     pub fn work(mut self) {
-        let tick = Duration::from_secs_f64(self.reach.deployment.tick_ms.clamp(0.5, 50.0) / 1000.0);
+        let tick = Duration::from_secs_f64(
+            self.reach.deployment.batch_window_ms.clamp(0.5, 50.0) / 1000.0,
+        );
         let mut effects = self.step(Vec::new());
         loop {
             let wake = self.perform(effects);
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -126,7 +126,7 @@
                 return broken("a line without end");
             };
             let told = &reach.deployment;
-            match relay::news(line, &told.zones, told.proxies) {
+            match relay::news(line, &told.zones, told.proxy_count) {
                 Some(News::Begun) if begun => {}
                 Some(news) => {
                     begun |= news == News::Begun;
--- a/crates/opening/src/lib.rs
+++ b/crates/opening/src/lib.rs
@@ -104,13 +104,13 @@
 /// What the platform tells of a deployment: the planner's opening, and the names that its messages use.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    pub opening: PlannerSettings,
+    pub planner_settings: PlannerSettings,
     pub zones: Vec<String>,
     pub classes: Vec<String>,
     /// Proxies are numbered from 0 to this less 1.
-    pub proxies: usize,
+    pub proxy_count: usize,
     /// What comes within this time is one moment (ms).
-    pub tick_ms: f64,
+    pub batch_window_ms: f64,
 }
 
 /// The settings as the planner is told them, and the names beside.
@@ -128,7 +128,7 @@
         earnings: lane.credit,
     };
     let (facts, bounds) = (&told.specifics, &told.rules);
-    let opening = PlannerSettings {
+    let planner_settings = PlannerSettings {
         zones: told.zones.len(),
         classes: told.lanes.iter().map(class).collect(),
         admission: match facts.admit.as_str() {
@@ -159,10 +159,10 @@
         sharded: facts.shards > 0,
     };
     Ok(Deployment {
-        opening,
+        planner_settings,
         classes: told.lanes.iter().map(|lane| lane.name.clone()).collect(),
-        proxies: facts.proxies,
-        tick_ms: told.tick_ns,
+        proxy_count: facts.proxies,
+        batch_window_ms: told.tick_ns,
         zones: told.zones,
     })
 }
--- a/crates/platform/src/arriving.rs
+++ b/crates/platform/src/arriving.rs
@@ -73,7 +73,7 @@
         }
         "demand" => {
             let proxy: usize = words.whole("proxy")?;
-            if proxy >= told.proxies {
+            if proxy >= told.proxy_count {
                 return Err(Fault::Spoilt("proxy"));
             }
             let (tries, failed): (u64, u64) = (words.whole("tries")?, words.whole("failed")?);
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -111,7 +111,7 @@
 impl Core {
     /// Begins at that time, with the list as it was last known.
     pub fn begun(now: f64, seed: u64, told: Deployment, known: &List) -> Core {
-        let opening = &told.opening;
+        let opening = &told.planner_settings;
         let mut core = Core {
             planner: Planner::new(now, seed, opening),
             places: Places::default(),
@@ -452,7 +452,7 @@
     /// The lines that orders cost in the channel: each proxy concerned is sent one message, of a head
     /// and its lines.
     fn cost(&self, orders: &Orders) -> f64 {
-        let head = self.told.opening.message_overhead_lines + 1.0;
+        let head = self.told.planner_settings.message_overhead_lines + 1.0;
         let mut changes: BTreeMap<usize, f64> = BTreeMap::new();
         let lines = orders.lines.iter().map(|l| l.0);
         for table in lines.chain(orders.levels.iter().map(|l| l.0)) {
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -27,7 +27,11 @@
 fn settings_name_the_field_that_is_at_fault() {
     let told = told();
     assert_eq!(
-        (told.classes[1].as_str(), told.proxies, told.tick_ms),
+        (
+            told.classes[1].as_str(),
+            told.proxy_count,
+            told.batch_window_ms
+        ),
         ("pay", 20, 2.0)
     );
     let why = parse_deployment(&json!({"lanes": [], "zones": []})).unwrap_err();
@@ -224,7 +228,7 @@
         for line in &all {
             let _ = arriving::read(line, &told);
             let _ = relay::answer(line);
-            let _ = relay::news(line, &told.zones, told.proxies);
+            let _ = relay::news(line, &told.zones, told.proxy_count);
             let _ = discovery::read(line, &told.zones);
             let _ = chunks::Chunks::default().push(line, &mut Vec::new());
         }
--- a/crates/platform/tests/shapes.rs
+++ b/crates/platform/tests/shapes.rs
@@ -256,7 +256,7 @@
 
     fn news(&mut self, lines: &[String]) {
         let news = |line: &String| {
-            let news = relay::news(line.as_bytes(), &self.told.zones, self.told.proxies);
+            let news = relay::news(line.as_bytes(), &self.told.zones, self.told.proxy_count);
             let news = news.unwrap_or_else(|| panic!("{line}"));
             Input::News { follower: 0, news }
         };
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -84,7 +84,7 @@
             let settings = f.object("settings")?;
             let opening = parse_deployment(&settings)
                 .map_err(|e| format!("Born: {e}"))?
-                .opening;
+                .planner_settings;
             let (zones, classes) = (opening.zones as u64, opening.classes.len() as u64);
             let planner = Planner::new(now, f.whole("randomSeed")?, &opening);
             let instance = Instance {
