--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -43,7 +43,7 @@
 
 impl Host {
     /// Answers one batch, or says in a plain sentence what is wrong with it.
-    pub fn answer(&mut self, line: &[u8]) -> Result<String, String> {
+    pub fn handle_batch(&mut self, line: &[u8]) -> Result<String, String> {
         let batch: Value =
             serde_json::from_slice(line).map_err(|e| format!("not a JSON batch: {e}"))?;
         let batch = Fields::of(&batch, "batch", "batch")?;
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -18,7 +18,7 @@
         if line.trim_ascii().is_empty() {
             continue;
         }
-        let reply = match host.answer(&line) {
+        let reply = match host.handle_batch(&line) {
             Ok(reply) => reply,
             Err(e) => return refuse(&e),
         };
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/wirehost/tests/wire.rs
@@ -33,7 +33,7 @@
         events.join(",")
     );
     let reply: Value =
-        serde_json::from_str(&host.answer(line.as_bytes())?).expect("a reply is JSON");
+        serde_json::from_str(&host.handle_batch(line.as_bytes())?).expect("a reply is JSON");
     assert_eq!(reply["turn"], turn);
     Ok(reply["actions"].as_array().expect("actions").clone())
 }
@@ -145,6 +145,9 @@
         "{\"turn\":1}",
         "{\"turn\":1,\"atTimeNs\":5,\"input\":{}}",
     ] {
-        assert!(Host::default().answer(line.as_bytes()).is_err(), "{line}");
+        assert!(
+            Host::default().handle_batch(line.as_bytes()).is_err(),
+            "{line}"
+        );
     }
 }
