--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,11 @@
-//! The interface of dahliapoint's decisions: plain values that go in and come out.
+//! Decisions of dahliapoint, independent of any transport.
 //!
-//! Times are milliseconds with fractions on one clock that never goes back. Servers, proxies,
-//! zones, kinds and classes are small indices that the caller hands out. Nothing here knows of any
-//! wire; [`rules::Planner`] takes one call for each thing that happens and, when all that came at
-//! one moment is told, answers with [`Orders`].
+//! This module defines the plain values that go in and out of [`rules::Planner`]: settings, roster
+//! entries, statistics and [`Orders`]. Times are fractional milliseconds of one monotonic clock.
+//! Servers, proxies, zones and classes are small indices that the caller assigns.
+//!
+//! The caller reports each event by one method call. After all events of one moment it calls
+//! [`rules::Planner::decide`], which returns the orders to carry out.
 
 pub mod rules;
 mod state;
@@ -11,141 +13,167 @@
 /// A class of visits.
 #[derive(Clone, Copy, Debug)]
 pub struct Class {
+    /// Time after which a visit counts as late.
     pub soft_limit_ms: f64,
+    /// Value of one served visit; the classes with the lowest are limited first in overload.
     pub earnings: f64,
 }
 
-/// How the proxies of a deployment take levels.
+/// How the proxies of a deployment apply admission levels.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
-    /// A share of the visits is let in.
+    /// A level is the share of visits that is admitted.
     Share,
-    /// Levels are ignored, or are counted in a way the planner does not use.
+    /// Levels are ignored, or have a meaning that the planner doesn't support.
     Unused,
 }
 
-/// What a planner is told when it begins; turned at once into the few figures that decisions use.
+/// Settings of a planner: the deployment's limits and capabilities.
 #[derive(Clone, Debug)]
 pub struct PlannerSettings {
+    /// Number of zones.
     pub zones: usize,
+    /// Classes of visits, by index.
     pub classes: Vec<Class>,
+    /// How proxies apply admission levels.
     pub admission: Admission,
-    /// Lines that may wait in the channel.
+    /// Table lines that may be queued in the channel to the proxies.
     pub max_queued_lines: f64,
-    /// Lines that it sends by millisecond when all is well, and the mean way of a message after.
+    /// Lines that the channel sends per millisecond when nothing is wrong.
     pub lines_per_ms: f64,
+    /// Mean time from sending a message to its arrival.
     pub message_latency_ms: f64,
-    /// Lines that a message costs beyond its own.
+    /// Fixed cost of a message, in lines.
     pub message_overhead_lines: f64,
-    /// A proxy closes a connection that was idle for so long.
+    /// Proxies close a connection that was idle for this long.
     pub idle_timeout_ms: f64,
-    /// Servers that a proxy draws for itself at its start.
+    /// Number of servers that a proxy picks by itself at its start, before it is bound to a table.
     pub initial_servers: f64,
-    /// Messages to one proxy within `message_window_ms`; 0: no such limit.
+    /// Messages that one proxy may be sent within `message_window_ms`; 0 means no limit.
     pub max_messages: f64,
+    /// The window in which `max_messages` applies.
     pub message_window_ms: f64,
+    /// Interval at which proxies report.
     pub report_interval_ms: f64,
-    /// Lines of reports by millisecond that the controller is told at most.
+    /// Lines of reports per millisecond that reach the controller at most.
     pub report_lines_per_ms: f64,
-    /// A server starts at no less than this share of its capacity ...
+    /// Share of its capacity that a server has at least when it has just started.
     pub cold_capacity_share: f64,
-    /// ... is warm after this long ...
+    /// Time from a server's start to its full capacity.
     pub warm_up_ms: f64,
-    /// ... and falls over at this multiple of what it can do.
+    /// A server breaks down at this multiple of its current capacity.
     pub overload_multiple: f64,
-    /// A server merely dropped from the list may stay in tables.
+    /// A server that is merely missing from a roster snapshot may stay in the tables.
     pub keep_unlisted_servers: bool,
-    /// How proxies try again where no order says otherwise.
+    /// The retry policy that proxies follow until they are ordered another one.
     pub default_retry_policy: RetryPolicy,
+    /// Servers may be probed.
     pub may_probe: bool,
-    /// The list must be asked for.
+    /// The roster is only sent on request.
     pub must_request_roster: bool,
-    /// Tables belong to slices of keys; the shared table has no place there.
+    /// Tables belong to shards of keys, so there is no shared table.
     pub sharded: bool,
 }
 
-/// When proxies try another server.
+/// When a proxy tries another server after a failed try.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub enum RetryPolicy {
+    /// Not at all.
     Never,
-    /// Once, after proof that the first try never ran.
+    /// Once, if the first try provably never ran.
     OnProof,
     /// Once, after any failure.
     OnFailure,
 }
 
-/// What the list says of a server.
+/// The state that the roster gives a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdminState {
+    /// It may be sent visits.
     Ready,
+    /// It finishes what it has and must get no new visits.
     Draining,
+    /// It doesn't exist any more.
     Gone,
 }
 
-/// One entry of the list of servers.
+/// One server in the roster.
 #[derive(Clone, Copy, Debug)]
 pub struct RosterEntry {
     pub server: usize,
     pub zone: usize,
     pub admin_state: AdminState,
+    /// Capacity relative to other servers; 0 means not given and counts as 1.
     pub weight: f64,
-    /// When it last started, if lately.
+    /// Time of its last start, if known.
     pub started_ms: Option<f64>,
 }
 
-/// A list of servers: whole, or only what changed.
+/// What a list of roster entries covers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RosterUpdate {
-    /// The list as this controller last held it; may be stale.
+    /// The whole roster as saved by an earlier run of the controller; may be stale.
     Restored,
+    /// The whole roster; servers that it lacks count as gone (but see
+    /// [`PlannerSettings::keep_unlisted_servers`]).
     Snapshot,
+    /// Only the entries that changed.
     Changes,
 }
 
-/// What the proxies of a zone met at a server.
+/// Statistics of the tries that the proxies of one zone made at one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TryStats {
+    /// Zone of the proxies.
     pub zone: usize,
     pub server: usize,
+    /// All tries, failed ones included.
     pub tries: f64,
     pub failed: f64,
-    /// The stretch of time that this covers.
+    /// The time span that the statistics cover.
     pub window_ms: f64,
-    /// Mean time of the tries that did not fail.
+    /// Mean duration of the tries that did not fail.
     pub mean_ms: f64,
 }
 
-/// What the planner believes of a server: its line, the health that scales it, and what was met lately.
+/// The planner's view of one server, for logs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerStatus {
+    /// Weight of its line in the shared table; 0 if it has none.
     pub published_weight: f64,
+    /// Factor on its listed weight: 1 if it works well, 0 if it is ejected.
     pub health: f64,
+    /// It is shut out of all tables.
     pub withdrawn: bool,
+    /// It may not have warmed up since its last start.
     pub cold: bool,
+    /// Recent tries at it.
     pub tries: f64,
+    /// Recent tries that failed.
     pub failed: f64,
+    /// Mean duration of the recent tries that did not fail.
     pub mean_ms: f64,
 }
 
-/// What a call leads to, to be carried out in the order of the fields, as one message a proxy.
+/// The result of a decision. It is carried out in the order of the fields, as one message per proxy.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Orders {
-    /// Lines of the shared table: its part, server and weight; 0 takes the line away.
+    /// Changed lines of the shared table, as (part, server, weight); weight 0 removes the line.
     pub lines: Vec<(usize, usize, f64)>,
-    /// Levels of the shared table: its part, class, share let in, and when to try again.
+    /// Changed admission levels, as (part, class, share admitted, retry policy).
     pub levels: Vec<(usize, usize, f64, RetryPolicy)>,
-    /// Servers shut out of all tables (true), or allowed again.
+    /// Servers to shut out of all tables (true) or to allow again (false).
     pub withdrawals: Vec<(usize, bool)>,
-    /// Proxies to be bound to the shared table, and to which part of it.
+    /// Proxies to bind to a part of the shared table, as (proxy, part).
     pub bindings: Vec<(usize, usize)>,
-    /// A number that each proxy concerned answers with.
+    /// Number by which each proxy that gets a message acknowledges it; none if nothing is sent.
     pub mark: Option<u32>,
     /// Servers to probe.
     pub probes: Vec<usize>,
-    /// Ask for the list, and for its changes from now on.
+    /// Request the roster and all later changes of it.
     pub request_roster: bool,
-    /// Call [`rules::Planner::decide`] at this time.
+    /// Time of the next call of [`rules::Planner::decide`], if the earlier one no longer holds.
     pub wake_at: Option<f64>,
-    /// Lines for the operators' log.
+    /// Messages for the operators' log.
     pub notes: Vec<String>,
 }
