--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,13 +1,15 @@
-//! Every decision of dahliapoint, to be read aloud.
+//! The planner: all decisions of dahliapoint.
 //!
-//! How it is called: `Planner::new` when a controller starts, then one method for each thing that
-//! happens (`roster_changed`, `proxy_joined`, `tries_reported`, ...), which only notes it. What comes at
-//! one moment is one input: after it, `Planner::decide` goes through `RULES` from the top until none
-//! fires, and returns the `Orders` to carry out. Their interface is in `src/lib.rs`, plain memory and
-//! sums in `src/state.rs`. No call reads a clock, a file or a wire.
+//! Usage: `Planner::new` when a controller starts, then one method per event (`roster_changed`,
+//! `proxy_joined`, `tries_reported`, ...). These methods only record the event. All events of one
+//! moment form one input: after them, `Planner::decide` evaluates `RULES` from the top, again and
+//! again, until no rule fires, and returns the `Orders` to carry out. The types of the interface are
+//! in `src/lib.rs`, the state and its statistics in `src/state.rs`. Nothing here reads a clock, a
+//! file or a socket.
 //!
-//! The order of the rules: what the list demands; what the evidence says, links before servers; the
-//! way back; levels and tries; the table and who is bound to it; last the probes, which cost work.
+//! Order of the rules: roster requests and admin states; health from the reports, zones before
+//! servers; recovery; admission levels and retries; weights and bindings; probes last, as they cost
+//! work.
 
 use crate::state::{self, Bounds, Bucket, Chance, Channel, Heard, Norms, Part};
 use crate::state::{Proxy, Server, View};
@@ -17,86 +19,108 @@
 };
 use std::collections::BTreeMap;
 
-/// First settings of the design: the tick, the ramp in ticks, and its floor.
+/// Interval at which changed weights are published. Other delays are multiples of it.
 const TICK_MS: f64 = 2000.0;
+/// Time in which a returning server's weight rises linearly to its full value.
 const RAMP_TICKS: f64 = 5.0;
+/// Share of the full weight at which that rise starts.
 const RAMP_FLOOR: f64 = 0.1;
-/// A line is written anew when it is off by more than this share.
+/// A weight is published again when it is off by more than this share.
 const LINE_SLACK: f64 = 0.02;
-/// Time buckets that count as lately, and that must all be slow.
+/// Time buckets that count as recent. A server is slow if it was slow in each of as many.
 const LATELY: u64 = 3;
-/// Visits met that a verdict needs.
+/// Recent tries that it takes to judge a server.
 const ENOUGH: f64 = 8.0;
-/// Of the lines of reports that can come at one time, those that show that others wait.
+/// Other report lines are still queued if at least this share of the lines that can come in one
+/// interval came.
 const FULL: f64 = 0.9;
-/// Failing: at least this share, and so many times the fleet's norm.
+/// A server fails if at least this share of its tries does, and more than the fleet's median by
+/// the outlier factor.
 const FAILING: f64 = 0.3;
-/// Slow: so many times the fleet's norm, and over this share of the tightest soft limit.
+/// A server is an outlier at this multiple of the fleet's value.
 const SLOW: f64 = 2.0;
+/// A server can only be slow above this share of the lowest soft limit.
 const LAG: f64 = 0.5;
-/// The best quarter is so many times as fast as the median: there is room, trims follow sooner.
+/// If the median server is slower than the best quarter by this factor, the fleet has spare capacity
+/// and weights are reduced sooner.
 const APART: f64 = 3.0;
-/// The fleet is strained: over this share of the limit at the rank asked, or failing so much there.
+/// The fleet is strained if the value at the given quantile exceeds this share of the lowest soft
+/// limit ...
 const STRAIN: f64 = 0.4;
+/// ... or if this share of the tries fails there.
 const STRAIN_FAILING: f64 = 0.1;
-/// Overload: the fleet's median time over this share of the tightest soft limit.
+/// The fleet is overloaded if its median time exceeds this share of the lowest soft limit.
 const OVERLOAD: f64 = 0.9;
-/// No more is refused when so little of what was carried is tried: a backlog drains.
+/// Below this share of the sustained rate of tries, slow answers come from a backlog that drains:
+/// admission is not lowered further.
 const DRAINS: f64 = 0.5;
-/// A step of trimming, and the least health that it leaves.
+/// Factor on the health of a slow server at each step.
 const TRIM: f64 = 0.6;
+/// Slow servers whose health is at or below this are not reduced further.
 const TRIM_LEAST: f64 = 0.1;
-/// Servers are put out until so much of the listed weight of ready servers has no health.
+/// Share of the listed weight of ready servers that may be lost to bad health.
 const MOST_EJECTED: f64 = 0.35;
-/// The part of what pushes a cold server over that its line may bring; what of it is left until the
-/// pace is known; its divisor in overload; and how far a line grows on the server's good showing.
+/// A cold server is sent at most this share of the load that it breaks down at.
 const COLD_PART: f64 = 0.4;
+/// Factor on that limit until the load of the fleet is known.
 const UNKNOWN_ROOM: f64 = 0.25;
+/// Divisor of that limit while the fleet is overloaded.
 const COLD_CAUTION: f64 = 3.0;
+/// Growth of a cold server's weight per publication while it answers fast and gets few tries.
 const COLD_GROWTH: f64 = 1.5;
-/// Ticks that a server is put out for, and how often a relapse doubles that.
+/// Time that a server stays ejected; a quarter of it in a strained fleet. A cold server whose probe
+/// failed gets no weight for as long.
 const HOLD_TICKS: f64 = 2.5;
+/// How often that time can double for a server that fails again and again.
 const RELAPSES: u32 = 3;
 
-/// Of the servers that a proxy's visits keep connections to, those in its part of the table; and of
-/// those that it draws for itself at its start, those that a part has at the least.
+/// A part of the table is so small that a proxy's visits to one server are this share of the idle
+/// timeout apart on average.
 const KEPT: f64 = 0.15;
+/// A part has at least this share of the number of servers that a proxy picks by itself at its start.
 const DRAWN: f64 = 0.5;
-/// A line that falls below this share of what it was does not wait for the tick.
+/// A weight that falls below this share of its published value is published before the next tick.
 const LOW: f64 = 0.7;
-/// Shares of the backlog that lines may fill: tables that can wait, and falls and returns.
+/// Share of the channel's queue that ordinary lines may fill.
 const HALF: f64 = 0.5;
+/// Share of the channel's queue that large drops in weight and servers allowed again may fill.
 const URGENT: f64 = 0.7;
-/// A part is this much busier than the least busy one before proxies are moved; and before that presses.
+/// Proxies are moved to another part if their own has this many times the load.
 const UNEVEN: f64 = 1.2;
+/// At this many times the load, moving them is urgent.
 const JAMMED: f64 = 2.0;
-/// Of the messages that a proxy may be written: what can wait, and what presses.
+/// Share of a proxy's message limit that ordinary messages may use.
 const USUAL: f64 = 0.7;
+/// Share of a proxy's message limit that urgent messages may use.
 const PRESSING: f64 = 0.85;
-/// What a part of another zone must be less busy by.
+/// Factor on the load of parts in other zones, so that the proxy's own zone is preferred.
 const AWAY: f64 = 1.1;
 
+/// Decides on weights, admission levels, bindings and probes from roster updates and load reports.
 pub struct Planner {
     now: f64,
     told: Bounds,
     servers: Vec<Server>,
     proxies: BTreeMap<usize, Proxy>,
-    /// Proxies that left lately, and when.
+    /// Proxies that left recently, with the time.
     gone: BTreeMap<usize, (f64, Proxy)>,
-    /// What is written to the proxies of each part of the shared table.
+    /// The parts of the shared table and the messages to their proxies.
     channel: Channel,
-    /// Zones that no joined proxy reaches, and those that are asked all the same, for need.
+    /// By zone: no joined proxy reaches it.
     cut: Vec<bool>,
+    /// By zone: it is used out of need although nothing shows that it is reachable again.
     abroad: Vec<bool>,
-    /// The share of the dearest visits let in, when that last moved, and what was ordered by class.
+    /// Share of the visits with the highest earnings that is admitted.
     level: f64,
+    /// When it was last adjusted.
     level_since: f64,
+    /// By class: the share admitted and the retry policy as last ordered.
     ways: Vec<(f64, RetryPolicy)>,
-    /// The most tries by millisecond and weight that the fleet has carried short of overload.
+    /// Highest rate of tries, per millisecond and unit of weight, that the fleet has served without
+    /// overload.
     carried: f64,
     norms: Norms,
-    /// What came with the newest reports; times of the next tick, of the alarm set, and of
-    /// the next asking for the list.
+    /// Totals of the reports since the last decision.
     heard: Heard,
     tick: f64,
     alarm: f64,
@@ -105,9 +129,12 @@
     out: Orders,
 }
 
+/// Changes the state and adds to the orders if its condition holds; returns whether it did.
 type Rule = fn(&mut Planner) -> bool;
+/// Whether the reports speak against a server.
 type Verdict = fn(&Planner, &Server) -> bool;
 
+/// All rules, in the order of evaluation.
 const RULES: [Rule; 14] = [
     Planner::ask_for_the_list,
     Planner::part_the_table,
@@ -125,12 +152,13 @@
     Planner::probe_the_doubtful,
 ];
 
-/// Whether so much was met that a verdict may rest on it: half as much will do where it is clear.
+/// Whether there are enough tries to judge a server; in a clear case half as many do.
 fn enough(met: &Bucket, clear: bool) -> bool {
     met.tries >= if clear { ENOUGH / 2.0 } else { ENOUGH }
 }
 
 impl Planner {
+    /// Creates a planner at the time `now`, without servers or proxies.
     pub fn new(now: f64, seed: u64, told: &PlannerSettings) -> Planner {
         let limits = told.classes.iter().map(|c| c.soft_limit_ms);
         let earnings = told.classes.iter().map(|c| c.earnings);
@@ -182,8 +210,9 @@
         }
     }
 
-    // ---- what is told ----
+    // ---- events ----
 
+    /// A list of roster entries arrived.
     pub fn roster_changed(&mut self, now: f64, extent: RosterUpdate, roster: &[RosterEntry]) {
         self.now = now;
         let named = |s| extent == RosterUpdate::Changes || roster.iter().any(|l| l.server == s);
@@ -195,8 +224,8 @@
         }
     }
 
-    /// Where a server that is merely dropped may stay, it does while it answers well: a list that
-    /// is wrong then withdraws nobody.
+    /// Marks a server as gone. Where unlisted servers may stay, one that is ready and has some health
+    /// does, so that a wrong roster doesn't withdraw working servers.
     fn note_gone(&mut self, s: usize) {
         let may_stay = self.told.dropped_may_stay;
         let server = self.servers.get_mut(s);
@@ -205,6 +234,7 @@
         }
     }
 
+    /// Applies one roster entry.
     fn note_listed(&mut self, l: &RosterEntry, at_start: bool) {
         if l.admin_state == AdminState::Gone {
             return self.note_gone(l.server);
@@ -222,7 +252,7 @@
         server.started = l.started_ms;
         server.admin_state = l.admin_state;
         if at_start && !server.known {
-            // Listed at our start: full weight, but the list may say that it began lately.
+            // Listed when the controller started: no ramp, unless the server itself started recently.
             server.entered = fresh.unwrap_or(f64::NEG_INFINITY);
         } else if restarted || returned {
             (server.entered, server.health, server.judged) = (now, 1.0, now);
@@ -231,12 +261,13 @@
         server.known = true;
     }
 
+    /// The source of the roster was lost; the roster is requested again after a tick.
     pub fn roster_lost(&mut self, now: f64) {
         self.ask_at = now + TICK_MS;
     }
 
-    /// A proxy joins, to which so many visits come by millisecond. What it was written before it left
-    /// counts: whoever limits messages counts them by proxy, not by stream.
+    /// A proxy joined; `pace` is its rate of visits per millisecond. Messages sent to it before it left
+    /// still count, as message limits apply to a proxy and not to one of its streams.
     pub fn proxy_joined(&mut self, proxy: usize, zone: usize, pace: f64) {
         let mut fresh = Proxy::of(zone, pace, self.ways.len());
         if let Some((_, before)) = self.gone.remove(&proxy) {
@@ -245,23 +276,26 @@
         self.proxies.insert(proxy, fresh);
     }
 
+    /// A proxy left.
     pub fn proxy_left(&mut self, proxy: usize) {
         let left = self.proxies.remove(&proxy);
         self.gone.extend(left.map(|p| (proxy, (self.now, p))));
     }
 
-    /// What would have bound a proxy did not reach it: it is bound again, by the same rule.
+    /// The message that binds a proxy was not delivered; the proxy will be bound again.
     pub fn binding_lost(&mut self, proxy: usize) {
         if let Some(p) = self.proxies.get_mut(&proxy) {
             p.part = None;
         }
     }
 
+    /// A proxy acknowledged the message with this mark and all before it.
     pub fn orders_applied(&mut self, proxy: usize, mark: u32) {
         let proxy = self.proxies.get_mut(&proxy);
         self.channel.answered(proxy.and_then(|p| p.answered(mark)));
     }
 
+    /// A report of tries at a server arrived.
     pub fn tries_reported(&mut self, now: f64, met: &TryStats) {
         let server = self.servers.get_mut(met.server);
         if let Some(server) = server.filter(|_| met.tries > 0.0) {
@@ -270,6 +304,7 @@
         }
     }
 
+    /// A report of the visits that came to a proxy arrived.
     pub fn visits_reported(&mut self, proxy: usize, class: usize, visits: f64, window_ms: f64) {
         self.heard.lines += 1.0;
         if let Some(p) = self.proxies.get_mut(&proxy) {
@@ -277,6 +312,7 @@
         }
     }
 
+    /// A probe of a server ended after `took_ms`.
     pub fn probe_answered(&mut self, now: f64, server: usize, fine: bool, took_ms: f64) {
         let slow = !fine || took_ms > self.told.tight_ms * STRAIN;
         if let Some(s) = self.servers.get_mut(server) {
@@ -285,8 +321,9 @@
         }
     }
 
-    // ---- the rules: each is a condition and an effect that ends it ----
+    // ---- rules: each has a condition, and an effect that makes the condition false ----
 
+    /// Requests the roster when that is due.
     fn ask_for_the_list(&mut self) -> bool {
         let due = self.now >= self.ask_at;
         if due {
@@ -296,9 +333,10 @@
         due
     }
 
-    /// The shared table has one part, unless there are more servers than a proxy's visits can keep
-    /// connections to. Guards against a connection for every visit, dear handshakes, servers full of
-    /// connections, and tables that the channel cannot carry. May harm when parts differ in visits.
+    /// Splits the shared table into parts, once, if there are more servers than a proxy's visits can
+    /// keep connections open to. Prevents a new connection for every visit, costly handshakes, servers
+    /// with too many connections, and tables too large for the channel. Does harm if the load differs
+    /// between parts.
     fn part_the_table(&mut self) -> bool {
         let proxies = self.proxies.len() as f64;
         let servers = self.ready().count() as f64;
@@ -320,7 +358,7 @@
         true
     }
 
-    /// Each server is in one part: the one with the fewest, of its own zone if there is any.
+    /// Assigns a new server to the part with the fewest servers, in its own zone if that has a part.
     fn deal_a_server(&mut self) -> bool {
         let Some(s) = self.first(|s| s.ready() && s.part.is_none()) else {
             return false;
@@ -334,7 +372,8 @@
         !self.channel.parts.is_empty()
     }
 
-    /// Draining or gone: withdrawn at once, from whatever tables the proxies hold; but never bare.
+    /// Withdraws a server that is draining or gone, at once and from all tables, unless no ready
+    /// server has a weight yet.
     fn withdraw_what_is_not_ready(&mut self) -> bool {
         let ready = self.ready().next().is_some() && !self.proxies.is_empty();
         let bare = ready && !self.ready().any(|s| s.line > 0.0);
@@ -343,18 +382,19 @@
         found.is_some_and(|s| self.shut_or_allow(s, true, 1.0))
     }
 
+    /// Allows a withdrawn server that is ready again.
     fn allow_what_is_ready_again(&mut self) -> bool {
-        // A cold one only once its line is low.
+        // A cold server must have a low weight first.
         let low = |s: &Server| !s.cold || s.line <= s.weight * self.able(s);
         let due = |s: &Server| s.ready() && s.withdrawn && low(s);
         let found = self.first(|s| due(s) && self.may_write(USUAL, self.written(s)));
         found.is_some_and(|s| self.shut_or_allow(s, false, URGENT))
     }
 
-    /// Guards against a cut between zones: no proxy of a zone is joined, and next to nothing comes
-    /// back from its servers to the others, or none ask them. The link is at fault: the servers leave
-    /// the table together, keep their health, and come back together. Also meets a whole zone without
-    /// power. May harm when a zone without proxies has few servers and all are truly sick.
+    /// Detects a network partition: no proxy of a zone is joined, and its servers answer almost nothing
+    /// to the other zones, or in a split table get no visits from them. The link is taken to be at
+    /// fault: the servers leave the table together, keep their health and return together. Also covers
+    /// a zone without power. Does harm if a zone without proxies has few servers and all of them fail.
     fn see_a_cut_link(&mut self) -> bool {
         let off = |zone: &usize| {
             let good =
@@ -378,11 +418,12 @@
         true
     }
 
-    /// Back from a cut, without a ramp: a proxy of that zone has joined, or a server there answers. Where
-    /// nothing may be probed and proxies join their own zone's controller, neither ever comes: then the
-    /// zone is asked by visits: at once where no warm server is at hand, or, a ramp after it was cut,
-    /// while those at hand are strained. Guards against a zone's jam beside idle ones, and against a
-    /// lost zone's proxies that all fall on its first servers to return. May harm while a cut lasts.
+    /// Uses an unreachable zone again, without a ramp, when one of its proxies has joined or one of its
+    /// servers has answered a probe. Neither ever happens where probes are not allowed and proxies join
+    /// the controller of their own zone. There the zone is tried with visits: at once if no other zone
+    /// has a warm server, or after the time of a ramp if the others are strained. Prevents overload of
+    /// one zone next to idle ones, and all proxies of a lost zone falling on its first servers to
+    /// return. Does harm while the partition lasts.
     fn see_a_link_mended(&mut self) -> bool {
         let answer = |s: &Server| s.ready() && s.answered > s.judged;
         let answers = |zone| self.first(|s| s.zone == zone && answer(s)).is_some();
@@ -394,7 +435,7 @@
         let lately = |s: &Server| self.now - s.judged < RAMP_TICKS * TICK_MS;
         let long = |zone| self.first(|s| s.zone == zone && lately(s)).is_none();
         let needed = |zone: usize| {
-            // At once only where nothing but its absence spoke against it.
+            // At once only if the zone wasn't tried this way before.
             let unasked = none && !self.abroad[zone];
             !self.told.may_probe && (unasked || (none || strained) && long(zone))
         };
@@ -409,22 +450,23 @@
         true
     }
 
-    /// Guards against servers that fail much more than the fleet does, fast or by time-outs: also those
-    /// that take visits and answer none, and machines that vanished while the list still has them.
-    /// May harm when one class fails by itself and comes to few servers.
+    /// Ejects a server that fails much more often than the fleet, by errors or by timeouts. Covers
+    /// servers that accept visits and never answer, and machines that disappeared but are still in the
+    /// roster. Does harm if one class of visits always fails and goes to few servers.
     fn put_out_the_failing(&mut self) -> bool {
         self.judge(Planner::failing, 0.0, self.norms.half, "failing")
     }
 
-    /// Guards against servers slower than the fleet, or listed too heavy: a step down at a time. May
-    /// harm when costly visits fall on one by chance.
+    /// Reduces the weight of a server that is slower than the fleet, or listed with too high a weight,
+    /// by one step at a time. Does harm if costly visits hit one server by chance.
     fn trim_the_slow(&mut self) -> bool {
         let slow: Verdict = |p, s| s.health > TRIM_LEAST && p.slow(s, SLOW);
         self.judge(slow, TRIM, self.norms.quarter, "slow")
     }
 
-    /// Back from out through the ramp, when a probe is answered (it alone proves little); a trimmed line
-    /// by a step. Either after a time that doubles with each relapse: flapping regains nothing.
+    /// Lets health return: an ejected server starts a ramp once it has answered a probe (which alone
+    /// proves little), a reduced one gains one step. Each needs a time that doubles with every earlier
+    /// return, so that a flapping server doesn't regain its weight.
     fn let_health_return(&mut self) -> bool {
         let (now, ask) = (self.now, self.told.may_probe);
         let hurry = self.strained(self.norms.half, STRAIN);
@@ -447,8 +489,9 @@
         true
     }
 
-    /// Further tries after proof that the first never ran, everywhere: they repeat no effect. And
-    /// where a deployment can refuse, a guard against overload: the least earnings go first.
+    /// Orders retries for all classes where the first try provably never ran, as these can't repeat an
+    /// effect. Where proxies support admission levels, also lowers them in overload, and most for the
+    /// classes with the lowest earnings.
     fn set_levels_and_tries(&mut self) -> bool {
         if self.told.may_refuse && self.now - self.level_since >= TICK_MS {
             let tried = self.norms.pace(self.window_ms()) >= DRAINS * self.carried;
@@ -479,9 +522,9 @@
         true
     }
 
-    /// The shared table: listed weight times ramp times health, changed lines only, on the tick.
-    /// What must fall far falls at once: restarted or judged servers do not wait for it; nor does a
-    /// part that is empty. What fits is written, the farthest falls first; the rest waits its turn.
+    /// Publishes changed weights of the shared table, on the tick. Large drops, as of restarted or
+    /// failing servers, and lines of an empty part are published at once. Lines are written as far as
+    /// the limits of the channel allow, the largest drops first; the others wait.
     fn publish(&mut self) -> bool {
         let due = self.now >= self.tick;
         if due {
@@ -533,11 +576,11 @@
         wrote || due
     }
 
-    /// A joining proxy is bound to the least busy part, at home if it can be; one that still waits
-    /// keeps the table it holds. When a part is much busier than another for what its
-    /// servers take, as after a shrink or a shift, proxies are moved; from an empty one, at once.
-    /// Proxies that left keep their tables, and their visits come back: for as long as a ramp they count
-    /// as there. Guards against a zone that is being cut off, whose parts seem idle just before.
+    /// Binds a new proxy to the part with the least load, preferably of its own zone; until then the
+    /// proxy keeps the table that it has. Moves proxies from a part with much more load per weight than
+    /// another, as after servers left, and at once from a part without weight. Proxies that left count
+    /// for the time of a ramp, since they keep their tables and their visits return. Without that, the
+    /// parts of a zone that is being cut off would seem idle while its proxies leave.
     fn bind_a_proxy(&mut self) -> bool {
         let (now, ramp) = (self.now, RAMP_TICKS * TICK_MS);
         let kept = ramp.max(self.channel.span_ms);
@@ -558,7 +601,7 @@
             loads[from].1 == 0.0 || p.pace > 0.0 && least(p).is_some_and(better)
         };
         let waiting = self.proxies.iter().find(|(_, p)| p.part.is_none());
-        // Its own messages count; what presses may use more of them.
+        // The limit counts the proxy's own messages; urgent moves may use more of it.
         let moves = |p: &Proxy| {
             let from = p.part.filter(|from| uneven(p, *from, UNEVEN));
             from.is_some_and(|from| {
@@ -586,7 +629,8 @@
         true
     }
 
-    /// Silence is not health: a server that is out, cold, or beyond a cut, is asked.
+    /// Probes a server that is ejected, cold or in an unreachable zone: it gets few visits or none, and
+    /// the absence of failures doesn't show that it works.
     fn probe_the_doubtful(&mut self) -> bool {
         let doubtful = |s: &Server| s.ready() && (s.health == 0.0 || s.cold || self.cut[s.zone]);
         let due = |s: &Server| doubtful(s) && self.now - s.asked >= TICK_MS / 2.0;
@@ -598,33 +642,37 @@
         true
     }
 
-    // ---- what the rules go by ----
+    // ---- conditions and values that the rules use ----
 
+    /// Index of the first server that passes the test.
     fn first(&self, test: impl Fn(&Server) -> bool) -> Option<usize> {
         self.servers.iter().position(test)
     }
 
+    /// All servers whose admin state is ready.
     fn ready(&self) -> impl Iterator<Item = &Server> + Clone {
         self.servers.iter().filter(|s| s.ready())
     }
 
-    /// Visits have come to servers of a zone lately.
+    /// Whether servers of a zone have been tried recently.
     fn asked(&self, zone: usize) -> bool {
         let there = self.ready().filter(|s| s.zone == zone);
         there.map(|s| s.lately.tries).sum::<f64>() >= ENOUGH
     }
 
+    /// Whether a proxy of a zone is joined.
     fn joined(&self, zone: usize) -> bool {
         self.proxies.values().any(|p| p.zone == zone)
     }
 
-    /// No line of that part is left to pick, though a server is ready.
+    /// Whether a part has ready servers, but none with a published weight.
     fn bare(&self, part: Option<usize>) -> bool {
         let mut there = self.ready().filter(|s| s.part == part).peekable();
         part.is_some() && there.peek().is_some() && !there.any(|s| s.line > 0.0)
     }
 
-    /// Proxies not bound yet hold a few lines, this one perhaps.
+    /// Withdraws a server (`out`) or allows it again, if the channel has room. Proxies that are not
+    /// bound yet hold a few lines of their own, this server's perhaps, and get a share of the messages.
     fn shut_or_allow(&mut self, s: usize, out: bool, share: f64) -> bool {
         let part = self.servers[s].part;
         let strays = self.proxies.values().filter(|p| p.part.is_none()).count() as f64;
@@ -639,8 +687,8 @@
         true
     }
 
-    /// Reckoned once an input: the norms, and what the fleet carries short of overload. At size a
-    /// line of reports waits its turn: then lately reaches as far back as the newest line does.
+    /// Updates the statistics of the fleet, once per input. In a large fleet, report lines are queued
+    /// before they arrive: then the recent time is extended to reach back to the newest of them.
     fn weigh_the_fleet(&mut self) {
         let heard = std::mem::take(&mut self.heard);
         if heard.tries > 0.0 {
@@ -658,13 +706,15 @@
         }
     }
 
-    /// The fleet as a whole is slow or failing: what one server loses the others could not carry.
+    /// Whether the fleet as a whole is slow or failing, so that others can't take over the load of one
+    /// server. `norm` is the fleet's share of failures and mean time.
     fn strained(&self, norm: (f64, f64), limit: f64) -> bool {
         norm.0 > STRAIN_FAILING || norm.1 > self.told.tight_ms * limit
     }
 
-    /// Failing for every zone that has sent it enough: failures seen from one zone only point to a
-    /// link. One whose good answers have been slow is overloaded, not broken: others would be next.
+    /// Whether a server fails for every zone that has tried it often enough; failures in one zone only
+    /// point to a link. A server whose successful tries were slow is overloaded rather than broken:
+    /// without it, the others would be overloaded next.
     fn failing(&self, s: &Server) -> bool {
         let least = FAILING.max(self.norms.half.0 * SLOW);
         let bad = |b: &Bucket| b.share_failed() >= least;
@@ -676,7 +726,8 @@
         broken && enough(&all, silent) && bad(&all) && tried.all(|b| bad(&b))
     }
 
-    /// Slow, or past answering, in each of the last buckets, so that one costly visit does not count.
+    /// Whether a server was slow or didn't answer in each of the last buckets, so that one costly visit
+    /// doesn't count. `times` is the multiple of the best quarter's time that counts as slow.
     fn slow(&self, s: &Server, times: f64) -> bool {
         let bar = (times * self.norms.quarter.1).max(self.told.tight_ms * LAG);
         let mut each = (1..=LATELY).map(|back| s.sum(back, 1));
@@ -685,9 +736,10 @@
         enough(&s.lately, clear) && each.all(late)
     }
 
-    /// Takes health from the first server that the verdict is on; all of it only within what may be
-    /// ejected: evidence against most of the fleet is not a fault of each server, but a trim short of
-    /// strain only shares the work out. In a strained fleet only where no good answer comes at all.
+    /// Multiplies the health of the first server that `bad` holds for by `keep`. The total loss is
+    /// limited, as failures of most of the fleet are not the fault of each server; the limit doesn't
+    /// apply to reductions in a fleet without strain, which only redistribute the load. In a strained
+    /// fleet, only servers without any successful try are affected.
     fn judge(&mut self, bad: Verdict, keep: f64, norm: (f64, f64), word: &str) -> bool {
         let strained = self.strained(norm, STRAIN);
         let apart = self.norms.half.1 > APART * self.norms.quarter.1;
@@ -714,7 +766,8 @@
         true
     }
 
-    /// Clears the record of a zone's servers: what was seen there was the link.
+    /// Marks a zone as unreachable or reachable and resets the health and statistics of its servers,
+    /// since what was reported of them was due to the link.
     fn forgive(&mut self, zone: usize, cut: bool, word: &str) {
         self.cut[zone] = cut;
         for s in self.servers.iter_mut().filter(|s| s.zone == zone) {
@@ -724,8 +777,9 @@
         self.out.notes.push(format!("zone {zone} {word}"));
     }
 
-    /// What each line ought to be, by server and part: listed weight times ramp times health; no cold
-    /// server's beyond its budget. If nothing is left in a part, health and cuts are set aside there.
+    /// The weight that each server should have, as (server, part, weight): listed weight times ramp
+    /// times health, limited for cold servers. In a part where no weight would remain, health and
+    /// unreachable zones are ignored.
     fn targets(&self) -> Vec<(usize, usize, f64)> {
         let ramp = |s: &Server| {
             let gone = (self.now - s.entered) / (RAMP_TICKS * TICK_MS);
@@ -738,7 +792,7 @@
         let dealt = || self.servers.iter().filter_map(|s| s.part.map(|p| (s, p)));
         dealt().for_each(|(s, p)| some[p] |= judged(s) > 0.0);
         let line = |s: &Server, p: usize| if some[p] { judged(s) } else { whole(s) };
-        // Proxies avoid what fails, so only what the warm servers answer counts as their part.
+        // Proxies avoid servers that fail, so only the share that warm servers answer counts.
         let (mut warm, mut tries) = (vec![0.0; some.len()], vec![0.0; some.len()]);
         let mut any = vec![false; some.len()];
         for (s, p) in dealt() {
@@ -751,9 +805,9 @@
         let over = self.strained(self.norms.half, OVERLOAD);
         let caution = if over { COLD_CAUTION } else { 1.0 };
         let room = |p: usize| {
-            // A controller that has seen nothing carried yet reckons with a fleet far over its load.
+            // Without a known load, the fleet is assumed to be far above its capacity.
             let known = self.carried > 0.0 && tries[p] > 0.0;
-            // Where none is warm, what the part as a whole is sent is up to who is bound to it.
+            // Without warm servers, the load of the part depends only on the proxies bound to it.
             let some = warm[p] * self.carried / (tries[p] / self.window_ms());
             let room = if any[p] { some } else { 1.0 };
             if known {
@@ -764,15 +818,15 @@
         };
         let capped = |s: &Server, p: usize| {
             let part = room(p) * self.able(s) * self.told.cold_excess;
-            // Where next to nothing else is answered, any line at all would draw everything.
+            // If hardly any other server answers, any weight at all would attract all visits.
             let part = if part < RAMP_FLOOR / 2.0 { 0.0 } else { part };
-            // While it is really sent little and answers that fast, the line may grow.
+            // While the server gets few tries and answers fast, its weight may grow.
             let able = self.carried * s.weight * self.able(s) * self.told.cold_excess;
             let little = s.lately.tries / self.window_ms() < able / 3.0;
             let fast = s.lately.good() > 0.0 && s.lately.mean_ms() < self.told.tight_ms * LAG;
             let grown = if little && fast { COLD_GROWTH } else { 0.0 };
             let most = (grown * s.line).max(part * s.weight);
-            // Reports are late: a probe that waits tells at once that it is sent too much.
+            // Reports are delayed, but a slow probe shows at once that the server is sent too much.
             let full = self.now - s.refused < HOLD_TICKS * TICK_MS;
             let most = if full { 0.0 } else { most };
             let budget = s.cold && any.contains(&true);
@@ -783,46 +837,47 @@
         dealt.filter_map(line).collect()
     }
 
-    /// What part of its work a server that started lately can do at the least.
+    /// Minimum share of its capacity that a server has at this time after its start.
     fn able(&self, s: &Server) -> f64 {
         let age = s.started.map_or(f64::INFINITY, |at| self.now - at);
         let warm = (age / self.told.warm_after_ms).min(1.0);
         self.told.cold_share + (1.0 - self.told.cold_share) * warm
     }
 
-    /// The time that lately stands for: its newest bucket is still filling, unless lines are late.
+    /// Length of the recent time. Its newest bucket is still filling, unless reports are delayed.
     fn window_ms(&self) -> f64 {
         let filled = (self.norms.wait / self.told.bucket_ms).min(1.0);
         self.told.bucket_ms * ((self.norms.lately - 1) as f64 + filled)
     }
 
-    /// Lines of a part of the table, its levels and its withdrawals.
+    /// Number of lines that a binding to a part sends: weights, withdrawals and levels.
     fn table_lines(&self, part: usize) -> f64 {
         let kept = self.servers.iter().filter(|s| s.part == Some(part));
         let lines = kept.filter(|s| s.line > 0.0 || s.withdrawn).count();
         (lines + self.ways.len()) as f64
     }
 
-    /// Pacing: all lines that no proxy has answered for may still wait in the channel, but for those
-    /// on their way. What can wait leaves a share free, and a reserve even if nothing is on its way.
+    /// Whether lines that cost `price` fit into a share of the channel's queue. All lines that no proxy
+    /// has acknowledged may still be queued, except those that can be in flight. Ordinary lines leave
+    /// room for urgent ones, even in case nothing is in flight.
     fn fits(&self, share: f64, price: f64) -> bool {
         let lines = self.channel.waiting + self.channel.adds + price;
         let queued = lines - self.told.under_way.min(self.channel.waiting);
         queued.max(lines * share / share.max(URGENT)) <= self.told.most_waiting * share
     }
 
-    /// Messages that a server's line would add to.
+    /// Most messages that any proxy of a server's part was sent recently.
     fn written(&self, s: &Server) -> f64 {
         s.part.map_or(0.0, |part| self.channel.busiest(Some(part)))
     }
 
-    /// A proxy that was written so many messages lately may be written one more; a part's, where the
-    /// busiest of its proxies may. Others are not held up by it.
+    /// Whether a proxy that was sent `written` messages recently may be sent another one, within a share
+    /// of its limit. For a part, `written` is that of its proxy with the most; other parts don't wait.
     fn may_write(&self, share: f64, written: f64) -> bool {
         written < (self.told.most_messages - 1.0) * share
     }
 
-    /// What is believed of each server, by index: for the operators' log.
+    /// The status of each server, by index, for logs.
     pub fn server_statuses(&self) -> impl Iterator<Item = ServerStatus> + '_ {
         self.servers.iter().map(|s| ServerStatus {
             published_weight: s.line,
@@ -835,7 +890,8 @@
         })
     }
 
-    /// Goes through the rules until none fires, then closes the message and sets the alarm.
+    /// Evaluates the rules until none fires, and returns the orders with the mark of the message and
+    /// the time of the next call.
     pub fn decide(&mut self, now: f64) -> Orders {
         self.now = now;
         self.weigh_the_fleet();
