--- a/crates/opening/src/lib.rs
+++ b/crates/opening/src/lib.rs
@@ -1,5 +1,5 @@
-//! The platform's settings object, as an instance is given it at its start, turned into what the
-//! planner is told. Used by the adapter on the simulator's wire and by the controller on sockets.
+//! Parses the platform's settings object, which an instance gets at its start, into the settings of
+//! the planner. Used by the adapter to the simulator and by the controller on sockets.
 
 use dahliapoint::{Admission, Class, PlannerSettings, RetryPolicy};
 use serde::de::Error as _;
@@ -10,7 +10,7 @@
     ns as f64 / 1e6
 }
 
-/// The settings, by their names on the wire. What no decision uses is not read.
+/// The settings object with the field names of the platform. Fields that no decision uses are ignored.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Told {
@@ -101,22 +101,25 @@
     Ok(value)
 }
 
-/// What the platform tells of a deployment: the planner's opening, and the names that its messages use.
+/// A deployment as described by the platform: the planner's settings and the names that messages use.
 #[derive(Clone, Debug)]
 pub struct Deployment {
+    /// Settings of the planner.
     pub planner_settings: PlannerSettings,
+    /// Names of the zones, by index.
     pub zones: Vec<String>,
+    /// Names of the classes, by index.
     pub classes: Vec<String>,
-    /// Proxies are numbered from 0 to this less 1.
+    /// Number of proxies; their indices start at 0.
     pub proxy_count: usize,
-    /// What comes within this time is one moment (ms).
+    /// Events that arrive within this time are handled as one input (ms).
     pub batch_window_ms: f64,
 }
 
-/// The settings as the planner is told them, and the names beside.
+/// Parses the platform's settings object.
 ///
 /// # Errors
-/// The field at fault and what is wanted, in one sentence.
+/// Names the field that is missing or invalid, and what is expected of it.
 pub fn parse_deployment(settings: &Value) -> Result<Deployment, String> {
     let told: Told = serde_path_to_error::deserialize(settings)
         .map_err(|e| format!("field \"settings.{}\": {}", e.path(), e.inner()))?;
--- a/src/state.rs
+++ b/src/state.rs
@@ -506,7 +506,7 @@
     pub most_waiting: f64,
     /// Lines that can be in flight in the channel.
     pub under_way: f64,
-    /// Cost of a message beyond its lines, with its mark, in lines.
+    /// Fixed cost of a message, in lines: the deployment's overhead and one line more.
     pub message_lines: f64,
     /// Messages that one proxy may be sent within the channel's window; infinite without a limit.
     pub most_messages: f64,
