--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -1,5 +1,5 @@
-//! The adapter: decodes the wire into calls of the planner and encodes what comes back. It knows
-//! the wire's names, its units and its ids; it decides nothing.
+//! Adapter between the simulator and the planner: decodes the simulator's events into method calls and
+//! encodes the orders as actions. It maps names, units and ids, and decides nothing.
 
 mod wire;
 
@@ -10,27 +10,33 @@
 use std::collections::{BTreeMap, HashMap};
 use wire::{Fields, ms};
 
-/// The one timer of an instance; older ones are overtaken by newer ones.
+/// Id of the only timer of an instance; setting it again replaces the earlier one.
 const ALARM: u32 = 1;
 
-/// All instances of this process; they share nothing but the numbered lists of the wire.
+/// All planner instances of this process. They share only the numbered roster lists.
 #[derive(Default)]
 pub struct Host {
+    /// Lists of roster entries, by the number that events refer to.
     lists: BTreeMap<u64, Vec<wire::Entry>>,
-    /// Each instance ever started here; none in the place of one that was killed.
+    /// Every instance that was started, by name; none if it was stopped since.
     instances: BTreeMap<String, Option<Instance>>,
 }
 
-/// One planner, and the names its indices stand for.
+/// A planner and the ids that its indices stand for.
 struct Instance {
     planner: Planner,
+    /// Ids of the servers, by index.
     servers: Vec<u64>,
+    /// Indices of the servers, by id.
     places: HashMap<u64, usize>,
+    /// Number of zones.
     zones: u64,
+    /// Number of classes.
     classes: u64,
 }
 
 impl Instance {
+    /// Index of the server with this id; a new id gets the next index.
     fn place(&mut self, id: u64) -> usize {
         let next = self.servers.len();
         let place = *self.places.entry(id).or_insert(next);
@@ -42,7 +48,10 @@
 }
 
 impl Host {
-    /// Answers one batch, or says in a plain sentence what is wrong with it.
+    /// Handles one batch of events, a JSON object, and returns the reply with the resulting actions.
+    ///
+    /// # Errors
+    /// Names the event and the field that are invalid.
     pub fn handle_batch(&mut self, line: &[u8]) -> Result<String, String> {
         let batch: Value =
             serde_json::from_slice(line).map_err(|e| format!("not a JSON batch: {e}"))?;
@@ -58,7 +67,7 @@
                 .map_err(|e| format!("batch {turn}, event {number}: {e}"))?;
             concerned.extend(who.filter(|who| !concerned.contains(who)));
         }
-        // What came at one moment is one input: each instance concerned decides once.
+        // All events of a batch form one input: each instance concerned decides once.
         let mut actions = Vec::new();
         for who in concerned {
             if let Some(Some(i)) = self.instances.get_mut(who) {
@@ -69,7 +78,7 @@
         Ok(json!({"turn": turn, "actions": actions}).to_string())
     }
 
-    /// Tells an event to the instance it names, and says which one that is.
+    /// Passes an event to the instance that it names. Returns that name, unless no decision is needed.
     fn take<'a>(&mut self, now: f64, event: &'a Value) -> Result<Option<&'a str>, String> {
         let name = Fields::of(event, "event", "event")?.text("verb")?;
         let f = Fields::of(event, "event", name)?;
@@ -182,7 +191,6 @@
             "DeadlineHit" => {
                 f.whole("ref")?;
             }
-            // What came to proxies, slices and peers: taken, checked, and no decision uses them yet.
             "Ingress" => {
                 f.whole("bad")?;
                 let class = f.below("grade", i.classes)? as usize;
@@ -190,6 +198,7 @@
                 let proxy = f.below("agent", 65536)? as usize;
                 i.planner.visits_reported(proxy, class, visits, window);
             }
+            // Events on shards and peers are checked, but no decision uses them.
             "Custody" => {
                 f.whole("table")?;
                 f.flag("flag")?;
@@ -214,7 +223,7 @@
     }
 }
 
-/// Writes orders as actions, in the order of the fields of [`Orders`].
+/// Encodes orders as actions, in the order of the fields of [`Orders`].
 fn encode(who: &str, i: &Instance, orders: Orders, out: &mut Vec<Value>) {
     let mut put = |verb: &str, fields: Value| {
         let mut action = Map::new();
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts planners on the simulator's wire: standard input and output, one JSON value a line.
+//! Runs planners for the simulator: reads batches of events from standard input and writes replies to
+//! standard output, one JSON object per line.
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
@@ -32,6 +33,7 @@
     }
 }
 
+/// Reports an error; the process exits with the code for bad input.
 fn refuse(why: &str) -> ExitCode {
     eprintln!("dahliapoint-wirehost: {why}");
     ExitCode::from(2)
