--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// Reports an error; the process exits with the code for bad input.
+/// Prints an error and returns the exit code 2.
 fn refuse(why: &str) -> ExitCode {
     eprintln!("dahliapoint-wirehost: {why}");
     ExitCode::from(2)
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/wirehost/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter against lines of the wire: good ones, odd ones and bad ones.
+//! Tests of the adapter with batches of events: valid, unusual and invalid ones.
 
 use dahliapoint_wirehost::Host;
 use serde_json::{Value, json};
@@ -26,6 +26,7 @@
 const CAME: &str =
     r#"{"verb":"Ingress","who":"controller/0","n":9,"bad":0,"windowNs":0,"agent":41,"grade":0}"#;
 
+/// Sends a batch of events and returns the actions.
 fn batch(host: &mut Host, turn: u64, events: &[&str]) -> Result<Vec<Value>, String> {
     let at = 1_000_000_000_000u64 + turn * 1_000_000;
     let line = format!(
@@ -38,6 +39,7 @@
     Ok(reply["actions"].as_array().expect("actions").clone())
 }
 
+/// The actions with this verb.
 fn of<'a>(actions: &'a [Value], verb: &str) -> Vec<&'a Value> {
     actions.iter().filter(|a| a["verb"] == verb).collect()
 }
@@ -100,7 +102,7 @@
 
 #[test]
 fn bad_input_is_named_by_batch_event_and_field() {
-    // An event, what in it is replaced by what, and what is said of it.
+    // Event | text in it | replacement | text of the error
     let cases = r#"
         joined | "agent":41,   |                  | Connected: field "agent" is missing
         joined | 41            | -1               | "agent" is not a whole number
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,13 +1,14 @@
-//! What CI does with tests that are known to fail: a stand-in for `cargo` has three tests, of which some
-//! fail, and the script that runs them is the real one.
+//! Tests of the CI script `.ci/tests`, which lets only tests named in `KNOWN-RED.txt` fail. The script is
+//! the real one; a fake `cargo` lists and runs a few tests, some of which fail.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Lists `a::one`, `a::two`, `b::three` and `b::four`, and `c::twin` twice; runs what is not skipped, or what is
-/// named; tests of the file `failing` fail. What ran is written down.
+/// The fake `cargo`. It lists `a::one`, `a::two`, `b::three`, `b::four`, and `c::twin` twice. It runs the
+/// tests that are named, or all that are not skipped, and appends their names to the file `ran`. The tests
+/// named in the file `failing` fail.
 const CARGO: &str = r#"#!/usr/bin/env bash
 all="a::one a::two b::three b::four"
 shift
@@ -32,6 +33,7 @@
 exit $code
 "#;
 
+/// A temporary folder with the fake `cargo`; removed when dropped.
 struct Root(PathBuf);
 
 impl Drop for Root {
@@ -41,6 +43,7 @@
 }
 
 impl Root {
+    /// Creates the folder, with `KNOWN-RED.txt` if `red` has its text, and the names of failing tests.
     fn with(case: usize, red: Option<&str>, failing: &str) -> Root {
         let name = format!("dahliapoint-known-red-{}-{case}", std::process::id());
         let root = Root(std::env::temp_dir().join(name));
@@ -55,7 +58,7 @@
         root
     }
 
-    /// Whether it passed, all that it printed, and the tests that ran.
+    /// Runs the script: whether it passed, its output, and the tests that ran.
     fn run(&self) -> (bool, String, String) {
         let script = Path::new(env!("CARGO_MANIFEST_DIR")).join(".ci/tests");
         let path = std::env::var("PATH").unwrap();
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -1,4 +1,4 @@
-//! The planner against tables of cases, without any bench: what was told, what it ordered.
+//! Tests of the planner: events and reports go in, the orders that come out are checked.
 
 use dahliapoint::rules::Planner;
 use dahliapoint::{
@@ -43,9 +43,10 @@
     told
 }
 
+/// Reported at a server within a second: tries, failed tries and mean time; none without a report.
 type Seen = Option<(f64, f64, f64)>;
 
-/// What is seen at one server, and at the seven others.
+/// Reports of one server, and of the others of the first eight, for both zones.
 fn one(odd: usize, seen: Seen, others: Seen) -> impl Fn(usize, usize) -> Seen {
     move |s, _| {
         if s == odd {
@@ -63,7 +64,7 @@
         .collect()
 }
 
-/// A planner, and what the proxies would hold if every order arrived.
+/// A planner, and the state of four proxies that receive and acknowledge every order.
 struct Fleet {
     planner: Planner,
     now: f64,
@@ -87,7 +88,7 @@
 }
 
 impl Fleet {
-    /// So many ready servers, zones in turn, and two proxies in each zone.
+    /// A fleet with this number of ready servers, in alternating zones, and two proxies in each zone.
     fn of(servers: usize, told: &PlannerSettings) -> Fleet {
         let mut fleet = Fleet::bare(told);
         fleet.list(RosterUpdate::Restored, &ready(servers));
@@ -97,13 +98,14 @@
         fleet
     }
 
-    /// Eight servers, met and doing well.
+    /// Eight servers that have worked well for some time.
     fn warm() -> Fleet {
         let mut fleet = Fleet::of(8, &opening());
         fleet.pass(4, |s, _| WELL.filter(|_| s < 8));
         fleet
     }
 
+    /// A fleet without servers and proxies.
     fn bare(told: &PlannerSettings) -> Fleet {
         Fleet {
             planner: Planner::new(1e6, 7, told),
@@ -118,6 +120,7 @@
         }
     }
 
+    /// Passes events to the planner, carries out the resulting orders and acknowledges them.
     fn tell(&mut self, call: impl FnOnce(&mut Planner, f64)) {
         call(&mut self.planner, self.now);
         let orders = self.planner.decide(self.now);
@@ -142,7 +145,7 @@
         self.tell(|p, now| p.roster_changed(now, extent, roster));
     }
 
-    /// Lets seconds pass; each second every server is met as `seen` says: tries, failed, mean time.
+    /// Lets seconds pass. Each second, reports arrive as `seen` gives them for a server and a zone.
     fn pass(&mut self, seconds: usize, seen: impl Fn(usize, usize) -> Option<(f64, f64, f64)>) {
         for _ in 0..seconds {
             self.now += 1000.0;
@@ -359,7 +362,7 @@
 
 #[test]
 fn a_cold_server_in_a_jam_is_kept_within_a_budget() {
-    // A vanished server came back while everything failed and clients came again.
+    // A server returned while most tries in the fleet failed and clients retried.
     let mut fleet = Fleet::of(8, &opening());
     fleet.pass(6, |s, _| WELL.filter(|_| s < 8));
     fleet.list(RosterUpdate::Changes, &[listed(0, AdminState::Gone, None)]);
@@ -378,7 +381,7 @@
 
 #[test]
 fn a_cold_server_that_is_sent_little_grows_in_overload() {
-    // Four servers restarted at once; the rest, over their load, answered late but answered.
+    // The other servers are overloaded and answer late, but they answer.
     let mut fleet = Fleet::of(8, &opening());
     fleet.pass(6, |s, _| WELL.filter(|_| s < 8));
     let back = listed(0, AdminState::Ready, Some(fleet.now));
@@ -407,7 +410,7 @@
 
 #[test]
 fn pacing_keeps_the_queue_and_the_messages_short() {
-    // A channel that answers nothing: half the backlog and no more is written to.
+    // No proxy acknowledges anything: only half of the queue is used.
     let told = but(|o| o.max_queued_lines = 300.0);
     let mut planner = Planner::new(0.0, 1, &told);
     planner.roster_changed(0.0, RosterUpdate::Restored, &ready(10));
@@ -417,7 +420,7 @@
         binds.extend(planner.decide(1.0).bindings);
     }
     assert!(!binds.is_empty() && binds.len() * 17 <= 150, "{binds:?}");
-    // Few messages to a proxy: a flapping list does not use them all up.
+    // With a limit of messages per proxy, a flapping server does not use them all up.
     let told = but(|o| o.max_messages = 10.0);
     let mut fleet = Fleet::of(6, &told);
     fleet.messages = 0;
@@ -455,7 +458,8 @@
     assert!(fleet.planner.decide(fleet.now + 4000.0).request_roster);
 }
 
-/// A fleet of so many servers and proxies, zones in turn; few visits to each proxy.
+/// A planner with this number of servers and proxies, in alternating zones, and few visits per proxy;
+/// the part of each server; and the first orders.
 fn large(servers: usize, proxies: usize, told: &PlannerSettings) -> (Planner, Vec<usize>, Orders) {
     let mut planner = Planner::new(0.0, 7, told);
     planner.roster_changed(0.0, RosterUpdate::Restored, &ready(servers));
@@ -482,7 +486,7 @@
         assert!(servers.count() >= 4);
     }
     assert_eq!(orders.bindings.len(), 60);
-    // All servers of one part are gone: its proxies are bound elsewhere at once.
+    // All servers of one part are gone: its proxies are bound to other parts at once.
     let gone = (0..120).filter(|s| parts[*s] == 0);
     let gone: Vec<_> = gone.map(|s| listed(s, AdminState::Gone, None)).collect();
     planner.roster_changed(500.0, RosterUpdate::Changes, &gone);
@@ -498,7 +502,7 @@
 
 #[test]
 fn parts_hold_half_of_what_a_proxy_draws_for_itself() {
-    // Few visits to each proxy: with whole tables nearly every one of them opened a connection.
+    // With few visits per proxy and an unsplit table, nearly every visit opened a connection.
     for (initial, least, most) in [(10.0, 4, 6), (24.0, 7, 8)] {
         let told = but(|o| (o.initial_servers, o.max_queued_lines) = (initial, 1e6));
         let (_, parts, _) = large(30, 60, &told);
@@ -512,7 +516,7 @@
 #[test]
 fn few_visits_are_enough_where_the_verdict_is_clear() {
     type Case = (&'static str, (f64, f64, f64), std::ops::RangeInclusive<f64>);
-    // Each controller sees its own part of few visits: 5 in the time that counts as lately.
+    // A controller that sees only a part of few visits: 5 tries in the recent time.
     let cases: [Case; 5] = [
         ("answers nothing", (1.7, 1.7, 0.0), 0.0..=0.0),
         ("far too slow", (1.7, 0.0, 2500.0), 0.05..=0.7),
@@ -542,7 +546,7 @@
 
 #[test]
 fn proxies_that_left_just_now_leave_no_idle_part_to_move_to() {
-    // A zone is being cut off: its proxies leave one by one before anything else is seen.
+    // A zone is being cut off: its proxies leave one by one before anything else is reported.
     let moved = |later: f64| {
         let (mut planner, _, orders) = large(120, 60, &roomy());
         (0..60).for_each(|p| planner.orders_applied(p, orders.mark.unwrap_or(0)));
@@ -551,13 +555,13 @@
         planner.decide(later).bindings.len()
     };
     assert_eq!(moved(500.0), 0);
-    // They stayed away for as long as a ramp: what is left is dealt out anew.
+    // They stayed away for the time of a ramp: the remaining proxies are rebalanced.
     assert!(moved(10_500.0) > 0);
 }
 
 #[test]
 fn bindings_are_paid_singly_and_drains_keep_a_reserve() {
-    // At size nobody was ever bound, and withdrawals found the channel full of other lines.
+    // In a large fleet no proxy was ever bound, and withdrawals found the queue full of other lines.
     let most_waiting = 500.0;
     let told = but(|o| o.max_queued_lines = most_waiting);
     let (mut planner, _, first) = large(120, 60, &told);
@@ -572,7 +576,7 @@
         mark = orders.mark.or(mark);
     }
     assert_eq!(bound, 60);
-    // Half the fleet restarts and nothing is answered for any more: a drain still goes out.
+    // Half the fleet restarts and no message is acknowledged any more: a drain is still sent.
     let back: Vec<_> = (0..60)
         .map(|s| listed(s, AdminState::Ready, Some(7e3)))
         .collect();
@@ -588,7 +592,7 @@
 
 #[test]
 fn a_line_that_waited_its_turn_counts_over_the_stretch_it_covers() {
-    // Each server's line comes every four seconds only, since no more lines are told.
+    // The limit of report lines lets each server be reported only every four seconds.
     let told = but(|o| o.report_lines_per_ms = 0.002);
     let mut fleet = Fleet::of(8, &told);
     for second in 0..24 {
@@ -612,7 +616,7 @@
 
 #[test]
 fn a_whole_cold_zone_is_left_but_for_what_it_can_take() {
-    // All machines of a zone restarted: their part has no warm server to be measured by.
+    // All servers of a zone restarted: their parts have no warm server to compare with.
     let (mut planner, parts, orders) = large(120, 60, &roomy());
     let back = (0..120).filter(|s| s % 2 == 1);
     let back: Vec<_> = back
@@ -666,7 +670,7 @@
     fleet.messages = 0;
     for round in 0..40 {
         fleet.now += 200.0;
-        // Half-way all of them leave and join anew, as where a controller's news broke.
+        // Half-way all proxies leave and join again, as when their streams break.
         if round == 20 {
             let (before, now) = (fleet.messages, fleet.now);
             fleet.tell(|p, _| (0..4).for_each(|proxy| p.proxy_left(proxy)));
@@ -680,8 +684,8 @@
     assert!(fleet.messages <= 10, "{}", fleet.messages);
 }
 
-/// A controller of zone 0, whose proxies are all of that zone and which may not probe; zone 1 is asked by
-/// others. Both zones have parts of the table.
+/// A controller of zone 0: all its proxies are in that zone, and it may not probe. Proxies of zone 1
+/// belong to other controllers. Both zones have parts of the table.
 struct Homely {
     planner: Planner,
     parts: Vec<usize>,
@@ -718,7 +722,8 @@
         });
     }
 
-    /// Seconds pass in which servers that proxies are bound to are met so, by zone.
+    /// Lets seconds pass. Each second, servers that proxies are bound to are reported as `seen` gives it
+    /// for their zone.
     fn pass(&mut self, seconds: usize, seen: impl Fn(usize) -> Seen) {
         for _ in 0..seconds {
             self.now += 1000.0;
@@ -790,7 +795,7 @@
         .roster_changed(homely.now, RosterUpdate::Changes, &gone);
     homely.decide();
     assert_eq!(homely.abroad(), 60, "{:?}", homely.notes);
-    // Four of them return, cold: what they can do is no home for all.
+    // Four of them return, cold: they can't take the visits of all proxies.
     let first: Vec<RosterEntry> = (0..4)
         .map(home(AdminState::Ready, Some(homely.now)))
         .collect();
@@ -821,7 +826,7 @@
         mark = orders.mark.or(mark);
         orders
     };
-    // One server of a part comes and goes: the part's proxies are written what can wait, and no more.
+    // One server of a part flaps: the part's proxies get ordinary messages up to their limit.
     let mut written = 0;
     for round in 0..30 {
         let admin_state = [AdminState::Gone, AdminState::Ready][round % 2];
@@ -835,7 +840,7 @@
         bound.extend(orders.bindings);
     }
     assert!((7..=13).contains(&written), "{written}");
-    // A server of another part restarts: its line falls at once.
+    // A server of another part restarts: its weight drops at once.
     let other = (0..120).find(|s| parts[*s] != parts[0]).unwrap();
     let orders = step(
         &mut planner,
@@ -848,7 +853,7 @@
         orders.lines
     );
     bound.extend(orders.bindings);
-    // Most of the part drains: its proxies leave it, though they were written much.
+    // Most of the part drains: its proxies are moved although they were sent many messages.
     let drains: Vec<RosterEntry> = mine[1..]
         .iter()
         .map(|s| listed(*s, AdminState::Draining, None))
