--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -381,7 +381,8 @@
 
 #[test]
 fn a_cold_server_that_is_sent_little_grows_in_overload() {
-    // The other servers are overloaded and answer late, but they answer.
+    // Case behind it: four servers restarted at once; the others were overloaded and answered late, but
+    // answered.
     let mut fleet = Fleet::of(8, &opening());
     fleet.pass(6, |s, _| WELL.filter(|_| s < 8));
     let back = listed(0, AdminState::Ready, Some(fleet.now));
