--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -9,7 +9,9 @@
 use crate::{AdminState, Entry, FurtherTry, Input, Line, LineState, Message, Output, Report};
 use crate::{Scope, Session, Terms, Way};
 use dahliapoint::rules::Planner;
-use dahliapoint::{Admission, Class, Extent, Listed, Opening, Orders, Standing, Tries};
+use dahliapoint::{
+    Admission, Class, Orders, PlannerSettings, RetryPolicy, RosterEntry, RosterUpdate,
+};
 use dahliapoint_intake::belief::Change;
 use dahliapoint_intake::coverage::Heard;
 use serde::Serialize;
@@ -126,9 +128,9 @@
     pub guard: WardView,
 }
 
-fn opening(terms: &Terms) -> Opening {
+fn opening(terms: &Terms) -> PlannerSettings {
     let limit = (terms.most_messages - terms.writes_by_joining) / terms.writes_by_message;
-    Opening {
+    PlannerSettings {
         zones: terms.zones.len(),
         classes: terms
             .classes
@@ -142,32 +144,32 @@
             true => Admission::Share,
             false => Admission::Unused,
         },
-        most_waiting: terms.most_waiting,
+        max_queued_lines: terms.most_waiting,
         lines_per_ms: terms.lines_per_s / 1000.0,
-        way_ms: terms.way_ms,
-        message_lines: terms.message_lines,
-        idle_ms: terms.idle_ms,
-        standing_lines: terms.standing_lines,
-        most_messages: if terms.most_messages > 0.0 {
+        message_latency_ms: terms.way_ms,
+        message_overhead_lines: terms.message_lines,
+        idle_timeout_ms: terms.idle_ms,
+        initial_servers: terms.standing_lines,
+        max_messages: if terms.most_messages > 0.0 {
             limit
         } else {
             0.0
         },
-        message_span_ms: terms.message_span_ms,
-        report_every_ms: terms.report_every_ms,
-        reports_per_ms: terms.reports_per_s / 1000.0,
-        cold_share: terms.cold_share,
-        warm_after_ms: terms.warm_after_ms,
-        fall_multiple: terms.fall_multiple,
-        dropped_may_stay: terms.dropped_may_stay,
-        usual_tries: match terms.usual_tries {
-            FurtherTry::Never => Tries::Never,
-            FurtherTry::OnProof => Tries::OnProof,
-            FurtherTry::OnFailure => Tries::OnFailure,
+        message_window_ms: terms.message_span_ms,
+        report_interval_ms: terms.report_every_ms,
+        report_lines_per_ms: terms.reports_per_s / 1000.0,
+        cold_capacity_share: terms.cold_share,
+        warm_up_ms: terms.warm_after_ms,
+        overload_multiple: terms.fall_multiple,
+        keep_unlisted_servers: terms.dropped_may_stay,
+        default_retry_policy: match terms.usual_tries {
+            FurtherTry::Never => RetryPolicy::Never,
+            FurtherTry::OnProof => RetryPolicy::OnProof,
+            FurtherTry::OnFailure => RetryPolicy::OnFailure,
         },
         may_probe: terms.may_probe,
-        must_ask: false,
-        sliced: false,
+        must_request_roster: false,
+        sharded: false,
     }
 }
 
@@ -182,7 +184,7 @@
             tries: terms.usual_tries,
         };
         Controller {
-            planner: Planner::begun(now, seed, &opening(&terms)),
+            planner: Planner::new(now, seed, &opening(&terms)),
             patience: Patience::of(&terms),
             presence: Presence::new(terms.beat_ms),
             servers: Servers::default(),
@@ -343,13 +345,13 @@
                 // The line is told anew with the next message, with the same weight.
                 self.moved.push(server);
             }
-            listed.push(Listed {
+            listed.push(RosterEntry {
                 server,
                 zone,
-                standing: match entry.state {
-                    AdminState::Ready => Standing::Ready,
-                    AdminState::Draining => Standing::Draining,
-                    AdminState::Gone => Standing::Gone,
+                admin_state: match entry.state {
+                    AdminState::Ready => dahliapoint::AdminState::Ready,
+                    AdminState::Draining => dahliapoint::AdminState::Draining,
+                    AdminState::Gone => dahliapoint::AdminState::Gone,
                 },
                 weight: entry.weight,
                 started_ms: self.servers.slots[server].started.map(|(_, at)| at),
@@ -359,9 +361,9 @@
             self.servers.gone_but(&placed, now);
         }
         let extent = match (whole, self.listed) {
-            (true, false) => Extent::Remembered,
-            (true, true) => Extent::Whole,
-            (false, _) => Extent::Changes,
+            (true, false) => RosterUpdate::Restored,
+            (true, true) => RosterUpdate::Snapshot,
+            (false, _) => RosterUpdate::Changes,
         };
         self.listed |= whole;
         self.planner.roster_changed(now, extent, &listed);
@@ -555,11 +557,11 @@
         self.lately.clear();
         for m in &round.met {
             *self.lately.entry(m.server).or_default() += m.tries * 1e3 / m.window_ms.max(1.0);
-            self.planner.tries_met(now, m);
+            self.planner.tries_reported(now, m);
         }
         for c in round.came {
             self.planner
-                .visits_came(c.proxy, c.class, c.visits, c.window_ms);
+                .visits_reported(c.proxy, c.class, c.visits, c.window_ms);
         }
         for heard in round.heard {
             let (p, word) = match heard {
@@ -608,9 +610,9 @@
         }
         for (part, class, share, tries) in orders.levels {
             let tries = match tries {
-                Tries::Never => FurtherTry::Never,
-                Tries::OnProof => FurtherTry::OnProof,
-                Tries::OnFailure => FurtherTry::OnFailure,
+                RetryPolicy::Never => FurtherTry::Never,
+                RetryPolicy::OnProof => FurtherTry::OnProof,
+                RetryPolicy::OnFailure => FurtherTry::OnFailure,
             };
             let tries = self.ward.tries(tries, self.terms.classes[class].repeatable);
             self.ways[class] = Way { share, tries };
@@ -627,7 +629,7 @@
             touched.standing.push(s);
         }
         let mut bound = Vec::new();
-        for (proxy, part) in orders.binds {
+        for (proxy, part) in orders.bindings {
             if let Some(p) = self.proxies.get_mut(&proxy) {
                 p.part = Some(part);
                 bound.push(proxy);
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -21,7 +21,9 @@
 impl Owner {
     /// Runs the loop; returns only if the input queue is closed.
     pub fn work(mut self) {
-        let tick = Duration::from_secs_f64(self.reach.deployment.tick_ms.clamp(0.5, 50.0) / 1000.0);
+        let tick = Duration::from_secs_f64(
+            self.reach.deployment.batch_window_ms.clamp(0.5, 50.0) / 1000.0,
+        );
         let mut effects = self.step(Vec::new());
         loop {
             let wake = self.perform(effects);
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -138,7 +138,7 @@
                 return broken("a line without end");
             };
             let told = &reach.deployment;
-            match relay::parse_event(line, &told.zones, told.proxies) {
+            match relay::parse_event(line, &told.zones, told.proxy_count) {
                 Some(RelayEvent::Started) if begun => {}
                 Some(news) => {
                     begun |= news == RelayEvent::Started;
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -10,7 +10,7 @@
 use crate::relay::{Command, NameLookup, RelayEvent};
 use crate::slots::ServerSlots;
 use dahliapoint::rules::Planner;
-use dahliapoint::{Extent, Listed, Met, Orders, Standing};
+use dahliapoint::{AdminState, Orders, RosterEntry, RosterUpdate, TryStats};
 use dahliapoint_opening::Deployment;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -110,12 +110,16 @@
 impl Core {
     /// Creates a core at time `now` (ms) with the last known list of servers.
     pub fn new(now: f64, seed: u64, told: Deployment, known: &EndpointList) -> Core {
-        let opening = &told.opening;
+        let opening = &told.planner_settings;
         let mut core = Core {
-            planner: Planner::begun(now, seed, opening),
+            planner: Planner::new(now, seed, opening),
             places: ServerSlots::default(),
             joined: Membership::default(),
-            delivery: Delivery::new(opening.way_ms, opening.most_waiting, opening.lines_per_ms),
+            delivery: Delivery::new(
+                opening.message_latency_ms,
+                opening.max_queued_lines,
+                opening.lines_per_ms,
+            ),
             tables: BTreeMap::new(),
             index: known.index,
             first_watch: 0,
@@ -124,7 +128,7 @@
             counters: Counters::default(),
             told,
         };
-        core.listed(now, known, Extent::Remembered);
+        core.listed(now, known, RosterUpdate::Restored);
         core
     }
 
@@ -134,7 +138,7 @@
     }
 
     /// Describes the state in one line of counts and one line for each listed server (see
-    /// [`dahliapoint::Belief`]), for the operators' debug log.
+    /// [`dahliapoint::ServerStatus`]), for the operators' debug log.
     pub fn state_lines(&self) -> Vec<String> {
         let (queued, doubted) = self.delivery.pending_counts();
         let mut out = vec![format!(
@@ -144,13 +148,13 @@
             self.counters.unknown_subjects,
             self.counters.stale_lists
         )];
-        for (place, b) in self.places.all.iter().zip(self.planner.beliefs()) {
-            if place.admin_state == Standing::Gone {
+        for (place, b) in self.places.all.iter().zip(self.planner.server_statuses()) {
+            if place.admin_state == AdminState::Gone {
                 continue;
             }
             out.push(format!(
                 "server {} {:?} line {:.3} health {:.2} out {} cold {} tries {:.1} failed {:.1} mean_ms {:.1}",
-                place.name, place.admin_state, b.line, b.health, b.withdrawn, b.cold, b.tries, b.failed, b.mean_ms
+                place.name, place.admin_state, b.published_weight, b.health, b.withdrawn, b.cold, b.tries, b.failed, b.mean_ms
             ));
         }
         out
@@ -196,8 +200,8 @@
         match input {
             Input::EndpointList { watch, list } => {
                 let extent = match list.is_snapshot {
-                    true => Extent::Whole,
-                    false => Extent::Changes,
+                    true => RosterUpdate::Snapshot,
+                    false => RosterUpdate::Changes,
                 };
                 if !self.counts(now, watch, &list, returned) {
                     self.counters.stale_lists += 1;
@@ -290,25 +294,25 @@
     }
 
     /// Applies a list to the slots and to the planner.
-    fn listed(&mut self, now: f64, list: &EndpointList, extent: Extent) {
+    fn listed(&mut self, now: f64, list: &EndpointList, extent: RosterUpdate) {
         self.places
             .release_idle(now, &self.delivery.referenced_servers());
         let mut roster = Vec::with_capacity(list.endpoints.len());
         for entry in &list.endpoints {
             // A server that was never known cannot leave.
-            if entry.admin_state == Standing::Gone && self.places.find(&entry.name).is_none() {
+            if entry.admin_state == AdminState::Gone && self.places.find(&entry.name).is_none() {
                 continue;
             }
             let server = self.places.upsert(entry, now);
-            roster.push(Listed {
+            roster.push(RosterEntry {
                 server,
                 zone: entry.zone,
-                standing: entry.admin_state,
+                admin_state: entry.admin_state,
                 weight: entry.weight,
                 started_ms: self.places.all[server].started_at_ms,
             });
         }
-        if extent != Extent::Changes {
+        if extent != RosterUpdate::Changes {
             let listed: Vec<usize> = roster.iter().map(|l| l.server).collect();
             self.places.mark_unlisted_gone(&listed, now);
         }
@@ -394,7 +398,7 @@
                     self.counters.unknown_subjects += 1;
                     return false;
                 };
-                let met = Met {
+                let met = TryStats {
                     zone: *zone,
                     server,
                     tries: *tries,
@@ -402,7 +406,7 @@
                     window_ms: *span_ms,
                     mean_ms: *mean_ms,
                 };
-                self.planner.tries_met(now, &met);
+                self.planner.tries_reported(now, &met);
             }
             Report::Demand {
                 proxy,
@@ -414,7 +418,8 @@
                     self.counters.unknown_subjects += 1;
                     return false;
                 }
-                self.planner.visits_came(*proxy, *class, *visits, *span_ms);
+                self.planner
+                    .visits_reported(*proxy, *class, *visits, *span_ms);
             }
         }
         true
@@ -443,11 +448,11 @@
         let named = orders.notes.iter().map(|note| self.named(note));
         effects.notes.extend(named);
         let joined = &self.joined;
-        let turns = orders.binds.iter().map(|b| (b.0, joined.epoch(b.0)));
+        let turns = orders.bindings.iter().map(|b| (b.0, joined.epoch(b.0)));
         let turns = turns.collect();
         let mark = orders.mark;
         let lines = self.cost(&orders);
-        self.tables.extend(orders.binds.iter().copied());
+        self.tables.extend(orders.bindings.iter().copied());
         self.delivery.enqueue(in_order(orders), turns, mark, lines);
     }
 
@@ -469,7 +474,7 @@
     /// Returns the lines that a decision costs in the channel: each proxy concerned gets one message,
     /// which consists of a fixed overhead and its lines.
     fn cost(&self, orders: &Orders) -> f64 {
-        let head = self.told.opening.message_lines + 1.0;
+        let head = self.told.planner_settings.message_overhead_lines + 1.0;
         let mut changes: BTreeMap<usize, f64> = BTreeMap::new();
         let lines = orders.lines.iter().map(|l| l.0);
         for table in lines.chain(orders.levels.iter().map(|l| l.0)) {
@@ -490,7 +495,7 @@
             let of = self.places.all.iter().filter(|p| p.table == Some(table));
             of.count() as f64 + self.told.classes.len() as f64 + head
         };
-        let bound = orders.binds.iter().map(|(_, table)| whole(*table));
+        let bound = orders.bindings.iter().map(|(_, table)| whole(*table));
         told.chain(bound).sum()
     }
 }
@@ -512,7 +517,7 @@
     });
     let shuts = orders.withdrawals.into_iter();
     let shuts = shuts.map(|(server, withdrawn)| Command::Withdraw { server, withdrawn });
-    let binds = orders.binds.into_iter();
+    let binds = orders.bindings.into_iter();
     let binds = binds.map(|(proxy, table)| Command::Bind { proxy, table });
     lines.chain(levels).chain(shuts).chain(binds).collect()
 }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Parses the endpoint lists that discovery sends (PROTOCOL, "Discovery").
 
-use dahliapoint::Standing;
+use dahliapoint::AdminState;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
     /// `None` if it cannot be parsed: the server still gets traffic, but cannot be probed.
     pub address: Option<SocketAddr>,
     pub zone: usize,
-    pub admin_state: Standing,
+    pub admin_state: AdminState,
     pub weight: f64,
     /// Unix time of its last start (ms); 0 means long ago.
     pub started_at_ms: f64,
@@ -83,9 +83,9 @@
         return Err("name");
     }
     let admin_state = match text("status")? {
-        "up" => Standing::Ready,
-        "draining" => Standing::Draining,
-        "removed" => Standing::Gone,
+        "up" => AdminState::Ready,
+        "draining" => AdminState::Draining,
+        "removed" => AdminState::Gone,
         _ => return Err("status"),
     };
     let zone = text("zone")?;
--- a/crates/platform/src/inbound.rs
+++ b/crates/platform/src/inbound.rs
@@ -75,7 +75,7 @@
         }
         "demand" => {
             let proxy: usize = words.integer("proxy")?;
-            if proxy >= told.proxies {
+            if proxy >= told.proxy_count {
                 return Err(LineError::InvalidField("proxy"));
             }
             let (tries, failed): (u64, u64) = (words.integer("tries")?, words.integer("failed")?);
--- a/crates/platform/src/relay.rs
+++ b/crates/platform/src/relay.rs
@@ -1,6 +1,6 @@
 //! The relay's text protocol (PROTOCOL, "The relay"): commands out, replies and events in.
 
-use dahliapoint::Tries;
+use dahliapoint::RetryPolicy;
 use std::fmt::Write;
 
 /// Limit of the commands of one call, in bytes.
@@ -20,7 +20,7 @@
         table: usize,
         class: usize,
         share: f64,
-        tries: Tries,
+        tries: RetryPolicy,
     },
     /// Withdraws a server at every proxy, or restores it.
     Withdraw { server: usize, withdrawn: bool },
@@ -55,9 +55,9 @@
                 tries,
             } => {
                 let way = match tries {
-                    Tries::Never => 0,
-                    Tries::OnProof => 1,
-                    Tries::OnFailure => 2,
+                    RetryPolicy::Never => 0,
+                    RetryPolicy::OnProof => 1,
+                    RetryPolicy::OnFailure => 2,
                 };
                 write!(to, "admit,{table},{},{share},{way}", names.class(*class))
             }
--- a/crates/platform/src/slots.rs
+++ b/crates/platform/src/slots.rs
@@ -5,7 +5,7 @@
 //! it. It is reused only in the same zone, because the planner assigned it to a part of that zone.
 
 use crate::discovery::Endpoint;
-use dahliapoint::Standing;
+use dahliapoint::AdminState;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
@@ -18,7 +18,7 @@
     pub name: String,
     pub address: Option<SocketAddr>,
     pub zone: usize,
-    pub admin_state: Standing,
+    pub admin_state: AdminState,
     /// The last ordered weight; 0 if it has no line in a table.
     pub weight: f64,
     /// The table that holds its line, once one was ordered. Kept when the index is reused.
@@ -101,7 +101,7 @@
         let mut there = vec![false; self.all.len()];
         listed.iter().for_each(|i| there[*i] = true);
         for (place, _) in self.all.iter_mut().zip(&there).filter(|(_, t)| !**t) {
-            place.admin_state = Standing::Gone;
+            place.admin_state = AdminState::Gone;
             place.settle(now);
         }
     }
@@ -137,7 +137,7 @@
 
 impl ServerSlot {
     fn settle(&mut self, now: f64) {
-        let idle = self.admin_state == Standing::Gone && self.weight == 0.0;
+        let idle = self.admin_state == AdminState::Gone && self.weight == 0.0;
         self.idle_since = match idle {
             true => self.idle_since.or(Some(now)),
             false => None,
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -1,7 +1,7 @@
 //! Tables of lines for each codec, and corrupted lines, which must never cause a panic.
 
-use dahliapoint::Standing;
-use dahliapoint_opening::{Deployment, deployment};
+use dahliapoint::AdminState;
+use dahliapoint_opening::{Deployment, parse_deployment};
 use dahliapoint_platform::fields::LineError;
 use dahliapoint_platform::inbound::{self, Message, Report};
 use dahliapoint_platform::relay::{self, RelayEvent, Reply};
@@ -20,19 +20,23 @@
         "limits": {"connIdleNs": 15_000_000_000_u64, "probing": true},
         "tickNs": 2_000_000,
     });
-    deployment(&settings).unwrap()
+    parse_deployment(&settings).unwrap()
 }
 
 #[test]
 fn settings_name_the_field_that_is_at_fault() {
     let told = told();
     assert_eq!(
-        (told.classes[1].as_str(), told.proxies, told.tick_ms),
+        (
+            told.classes[1].as_str(),
+            told.proxy_count,
+            told.batch_window_ms
+        ),
         ("pay", 20, 2.0)
     );
-    let why = deployment(&json!({"lanes": [], "zones": []})).unwrap_err();
+    let why = parse_deployment(&json!({"lanes": [], "zones": []})).unwrap_err();
     assert!(why.contains("rules"), "{why}");
-    let why = deployment(&json!({"lanes": [{"aimNs": "x", "credit": 1}]})).unwrap_err();
+    let why = parse_deployment(&json!({"lanes": [{"aimNs": "x", "credit": 1}]})).unwrap_err();
     assert!(why.contains("settings.lanes[0].aimNs"), "{why}");
 }
 
@@ -186,8 +190,8 @@
     assert_eq!(
         found,
         [
-            ("s-1", Standing::Ready, true),
-            ("s-2", Standing::Draining, false)
+            ("s-1", AdminState::Ready, true),
+            ("s-2", AdminState::Draining, false)
         ]
     );
     assert_eq!(
@@ -227,7 +231,7 @@
         for line in &all {
             let _ = inbound::parse(line, &told);
             let _ = relay::parse_reply(line);
-            let _ = relay::parse_event(line, &told.zones, told.proxies);
+            let _ = relay::parse_event(line, &told.zones, told.proxy_count);
             let _ = discovery::parse(line, &told.zones);
             let _ = chunked::ChunkedDecoder::default().push(line, &mut Vec::new());
         }
--- a/crates/platform/tests/core.rs
+++ b/crates/platform/tests/core.rs
@@ -1,7 +1,7 @@
 //! The core as `(now, inputs) -> effects`: unconfirmed calls, gaps in event streams, outdated lists.
 
-use dahliapoint::Standing;
-use dahliapoint_opening::{Deployment, deployment};
+use dahliapoint::AdminState;
+use dahliapoint_opening::{Deployment, parse_deployment};
 use dahliapoint_platform::core::{Core, Effects, Input, MAX_DISCOVERY_LAG_MS};
 use dahliapoint_platform::delivery::CallOutcome;
 use dahliapoint_platform::discovery::{Endpoint, EndpointList};
@@ -23,10 +23,10 @@
         "limits": {"connIdleNs": 15_000_000_000_u64, "probing": true},
         "tickNs": 2_000_000,
     });
-    deployment(&settings).unwrap()
+    parse_deployment(&settings).unwrap()
 }
 
-fn entry(name: &str, standing: Standing, since_ms: f64) -> Endpoint {
+fn entry(name: &str, standing: AdminState, since_ms: f64) -> Endpoint {
     Endpoint {
         name: name.into(),
         address: Some("127.0.0.1:9".parse().unwrap()),
@@ -68,7 +68,7 @@
 
     /// Like `new`, with this many lines that may wait in the channel.
     fn of(most_waiting: u32) -> World {
-        let up = |n| entry(n, Standing::Ready, 0.0);
+        let up = |n| entry(n, AdminState::Ready, 0.0);
         let known = list(5, true, vec![up("s-1"), up("s-2"), up("s-3")]);
         let mut world = World {
             core: Core::new(START, 7, told(most_waiting), &known),
@@ -160,14 +160,14 @@
     let mut world = World::new();
     world.news(0, vec![hello(3)]);
     assert_eq!(world.count("bind,3,0,*"), 1);
-    let drains = lists(6, false, vec![entry("s-2", Standing::Draining, 0.0)]);
+    let drains = lists(6, false, vec![entry("s-2", AdminState::Draining, 0.0)]);
     world.tell(vec![drains]);
     assert_eq!(world.count("withdraw,s-2"), 1);
 }
 
 #[test]
 fn versions_never_go_back_and_nothing_is_told_twice() {
-    let gone = || entry("s-1", Standing::Gone, 0.0);
+    let gone = || entry("s-1", AdminState::Gone, 0.0);
     for (index, whole, entries, withdrawn) in [
         (4, true, vec![], false),
         (4, false, vec![gone()], false),
@@ -220,7 +220,7 @@
     world.tell(vec![lists(
         6,
         false,
-        vec![entry("s-8", Standing::Gone, 0.0)],
+        vec![entry("s-8", AdminState::Gone, 0.0)],
     )]);
     assert_eq!(world.ordered.len(), before);
     assert_eq!(world.core.counters.unknown_subjects, 2);
@@ -326,7 +326,7 @@
     for ahead in [0.0, 3_600_000.0] {
         let mut world = World::new();
         world.news(0, vec![hello(3)]);
-        let fresh = entry("s-4", Standing::Ready, START + ahead);
+        let fresh = entry("s-4", AdminState::Ready, START + ahead);
         world.tell(vec![lists(6, false, vec![fresh])]);
         world.pass(4000.0);
         // It is cold, so it is probed and its weight is below the listed one, but not zero.
@@ -342,7 +342,7 @@
     let mut world = World::new();
     world.news(0, vec![hello(3)]);
     // The relay is out of reach from here on, so the withdrawal of s-2 stays queued.
-    let gone = lists(6, false, vec![entry("s-2", Standing::Gone, 0.0)]);
+    let gone = lists(6, false, vec![entry("s-2", AdminState::Gone, 0.0)]);
     let mut call = world.step(vec![gone]).call;
     let mut index = 7;
     for second in 1..=60 {
@@ -353,7 +353,7 @@
             outcome: CallOutcome::NotSent,
         }));
         if second == 40 {
-            let fresh = entry("s-9", Standing::Ready, world.now);
+            let fresh = entry("s-9", AdminState::Ready, world.now);
             inputs.push(lists(index, false, vec![fresh]));
             index += 1;
         }
@@ -387,8 +387,8 @@
         let fresh = format!("s-{}", 10 + round);
         let old = names.remove(0);
         let entries = vec![
-            entry(&fresh, Standing::Ready, world.now),
-            entry(&old, Standing::Gone, 0.0),
+            entry(&fresh, AdminState::Ready, world.now),
+            entry(&old, AdminState::Gone, 0.0),
         ];
         names.push(fresh);
         world.tell(vec![lists(6 + round, false, entries)]);
@@ -411,7 +411,7 @@
 
 #[test]
 fn a_list_that_is_told_again_begins_no_ramp_anew() {
-    let up = |n, since| entry(n, Standing::Ready, since);
+    let up = |n, since| entry(n, AdminState::Ready, since);
     // Returns the weight of a new server after 9 s. Its entry is received once, or again each second:
     // in a full list of the same version, as each new watch gets it, or as an unchanged entry.
     let line = |since: f64, again: &str| {
@@ -451,19 +451,19 @@
     // s-1 drains at version 6, s-4 is added at 7, s-1 is removed at 8. One watch sends these changes.
     // Another starts at some version with the full list, then sends the changes after it. All
     // interleavings of the two are tested.
-    let up = |n| entry(n, Standing::Ready, 0.0);
+    let up = |n| entry(n, AdminState::Ready, 0.0);
     let changes = || {
         vec![
-            (6, vec![entry("s-1", Standing::Draining, 0.0)]),
+            (6, vec![entry("s-1", AdminState::Draining, 0.0)]),
             (7, vec![up("s-4")]),
-            (8, vec![entry("s-1", Standing::Gone, 0.0)]),
+            (8, vec![entry("s-1", AdminState::Gone, 0.0)]),
         ]
     };
     let whole = |at: u64| {
         let mut all = vec![up("s-2"), up("s-3")];
         match at {
             5 => all.push(up("s-1")),
-            6 | 7 => all.push(entry("s-1", Standing::Draining, 0.0)),
+            6 | 7 => all.push(entry("s-1", AdminState::Draining, 0.0)),
             _ => {}
         }
         all.extend((at >= 7).then(|| up("s-4")));
@@ -502,12 +502,12 @@
 
 #[test]
 fn a_drain_inside_a_whole_list_after_silence_is_withdrawn_at_once() {
-    for standing in [Standing::Draining, Standing::Gone] {
+    for standing in [AdminState::Draining, AdminState::Gone] {
         let mut world = World::new();
         world.news(0, vec![hello(3)]);
         world.pass(60_000.0);
-        let mut all = vec![entry("s-2", Standing::Ready, 0.0)];
-        all.extend((standing == Standing::Draining).then(|| entry("s-1", standing, 0.0)));
+        let mut all = vec![entry("s-2", AdminState::Ready, 0.0)];
+        all.extend((standing == AdminState::Draining).then(|| entry("s-1", standing, 0.0)));
         let list = list(40, true, all);
         world.tell(vec![Input::EndpointList { watch: 7, list }]);
         // The other two are missing from the list or drain.
@@ -520,13 +520,13 @@
 
 #[test]
 fn versions_that_begin_anew_are_believed_once_no_discovery_can_be_so_far_behind() {
-    let drains = |n| entry(n, Standing::Draining, 0.0);
+    let drains = |n| entry(n, AdminState::Draining, 0.0);
     let below = |watch| Input::EndpointList {
         watch,
         list: list(
             2,
             true,
-            vec![drains("s-1"), entry("s-2", Standing::Ready, 0.0)],
+            vec![drains("s-1"), entry("s-2", AdminState::Ready, 0.0)],
         ),
     };
     let change = |watch, index, name| Input::EndpointList {
--- a/crates/platform/tests/shapes.rs
+++ b/crates/platform/tests/shapes.rs
@@ -1,7 +1,7 @@
 //! Runs settings of different customers through `opening`, the core and the planner: nothing may depend
 //! on names or counts of zones, classes, servers or proxies.
 
-use dahliapoint_opening::{Deployment, deployment};
+use dahliapoint_opening::{Deployment, parse_deployment};
 use dahliapoint_platform::core::{Core, Effects, Input};
 use dahliapoint_platform::delivery::CallOutcome;
 use dahliapoint_platform::discovery::{self, EndpointList};
@@ -160,7 +160,7 @@
 
 impl World {
     fn new(shape: &Shape) -> World {
-        let told = deployment(&shape.settings()).unwrap();
+        let told = parse_deployment(&shape.settings()).unwrap();
         let known = shape.list(1, true, (0..shape.servers).map(|s| (s, "up")));
         World {
             core: Core::new(START, 7, told.clone(), &known),
@@ -256,7 +256,7 @@
 
     fn news(&mut self, lines: &[String]) {
         let news = |line: &String| {
-            let news = relay::parse_event(line.as_bytes(), &self.told.zones, self.told.proxies);
+            let news = relay::parse_event(line.as_bytes(), &self.told.zones, self.told.proxy_count);
             let news = news.unwrap_or_else(|| panic!("{line}"));
             Input::RelayEvent {
                 follower: 0,
