--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -11,8 +11,8 @@
 };
 use dahliapoint_fibers::{Bell, Queue, Received};
 use dahliapoint_hooks::value::{LineSeen, World};
-use dahliapoint_intake::mouth::{Line, Mouth, Read};
 use dahliapoint_intake::pace::Interval;
+use dahliapoint_intake::report_queue::{Line, MergedReport, ReportQueue};
 use dahliapoint_memory::facts::{Change, Differ, Facts};
 use dahliapoint_memory::keeper::{self, Keeper};
 use dahliapoint_peer::telling::Known;
@@ -102,7 +102,7 @@
 pub struct Engine {
     clock: Clock,
     queue: Queue<Item>,
-    mouth: Arc<Mutex<Mouth<Reporter, Place>>>,
+    mouth: Arc<Mutex<ReportQueue<Reporter, Place>>>,
     /// The reporting interval that proxies are told, as the bits of a number.
     every_ms: Arc<AtomicU64>,
     roster_fault: Arc<Mutex<Option<String>>>,
@@ -141,7 +141,7 @@
     every_ms: f64,
     next_round: f64,
     /// The round being read, what it began with, and its piece of work.
-    unread: VecDeque<Read<Reporter, Place>>,
+    unread: VecDeque<MergedReport<Reporter, Place>>,
     reading: Option<(Id, f64)>,
     lines_before: u64,
     asked: Vec<(Id, Arc<Asked>)>,
@@ -160,7 +160,7 @@
         Engine {
             clock,
             queue: Queue::bounded(MOST),
-            mouth: Arc::new(Mutex::new(Mouth::new(every_ms, MOST_SERVERS, seed))),
+            mouth: Arc::new(Mutex::new(ReportQueue::new(every_ms, MOST_SERVERS, seed))),
             every_ms: Arc::new(AtomicU64::new(every_ms.to_bits())),
             roster_fault: Arc::default(),
             figures: Arc::default(),
@@ -421,7 +421,7 @@
         let room = (per_ms * work.every_ms).max(1.0) as usize;
         let (read, tally) = {
             let mut mouth = lock(&self.mouth);
-            (mouth.read(now, room), mouth.tally)
+            (mouth.read(now, room), mouth.stats)
         };
         let came = (tally.lines - work.lines_before) as f64;
         work.lines_before = tally.lines;
@@ -514,14 +514,14 @@
         });
         let (tally, waiting) = {
             let mouth = lock(&self.mouth);
-            (mouth.tally, mouth.waiting())
+            (mouth.stats, mouth.pending_lines())
         };
         view["intake"] = serde_json::json!({
             "reports": tally.reports,
             "lines": tally.lines,
             "merged": tally.merged,
             "read": tally.read,
-            "left_unread": tally.left,
+            "left_unread": tally.sampled_out,
             "refused": tally.refused,
             "waiting": waiting,
             "every_ms": self.report_every_ms(),
@@ -554,7 +554,7 @@
 }
 
 /// What was read of a reporter, as an input.
-fn reported(now: f64, read: Read<Reporter, Place>) -> Input {
+fn reported(now: f64, read: MergedReport<Reporter, Place>) -> Input {
     let met = read
         .lines
         .into_iter()
@@ -565,13 +565,13 @@
             failed: l.failed,
             good_ms: l.good_ms,
             variance,
-            words: l.words,
+            words: l.self_reports,
             own_queue: l.own_queue,
             own_ms: l.own_ms,
             in_flight: l.in_flight,
         });
     let came = read
-        .came
+        .visits
         .into_iter()
         .map(|((class, _), n)| (class.to_string(), n));
     let report = Report {
@@ -592,8 +592,8 @@
         let reporter = (Arc::from(proxy), stream);
         let mut mouth = lock(&self.mouth);
         match begins {
-            true => mouth.begun(self.clock.now_ms(), reporter),
-            false => mouth.ended(&reporter),
+            true => mouth.stream_started(self.clock.now_ms(), reporter),
+            false => mouth.stream_ended(&reporter),
         }
     }
 
@@ -603,7 +603,7 @@
                 tries: m.tries,
                 failed: m.failed,
                 good_ms: m.good_ms,
-                words: m.words,
+                self_reports: m.words,
                 own_queue: m.own_queue,
                 own_ms: m.own_ms,
                 in_flight: m.in_flight,
@@ -617,7 +617,7 @@
         let reporter = (Arc::from(proxy), stream);
         let now = self.clock.now_ms();
         lock(&self.mouth)
-            .put(now, &reporter, report.window_ms, lines, came)
+            .push(now, &reporter, report.window_ms, lines, came)
             .map_err(|why| format!("a report that is not taken: {why:?}"))
     }
 
--- a/crates/intake/benches/structures.rs
+++ b/crates/intake/benches/structures.rs
@@ -4,7 +4,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use dahliapoint_intake::coverage::Coverage;
-use dahliapoint_intake::mouth::{Line, Mouth};
+use dahliapoint_intake::report_queue::{Line, ReportQueue};
 use dahliapoint_intake::ring::{Ring, Sum};
 use dahliapoint_intake::sketch::Sketch;
 use dahliapoint_intake::wheel::Wheel;
@@ -153,12 +153,12 @@
         };
         group.bench_function(BenchmarkId::new("mouth", n), |b| {
             b.iter(|| {
-                let mut mouth: Mouth<usize, usize> = Mouth::new(500.0, 1000, 1);
-                (0..50).for_each(|r| mouth.begun(0.0, r));
+                let mut mouth: ReportQueue<usize, usize> = ReportQueue::new(500.0, 1000, 1);
+                (0..50).for_each(|r| mouth.stream_started(0.0, r));
                 for i in 0..n {
                     let now = i as f64 * 500.0 / n as f64;
                     let lines = (0..10).map(|s| (s, line));
-                    let _ = mouth.put(now, &(i % 50), 10.0, lines, std::iter::empty());
+                    let _ = mouth.push(now, &(i % 50), 10.0, lines, std::iter::empty());
                 }
                 black_box(mouth.read(500.0, 10_000))
             });
--- a/crates/intake/examples/worth.rs
+++ b/crates/intake/examples/worth.rs
@@ -2,8 +2,8 @@
 //! and without. `cargo run --release -p dahliapoint-intake --example worth`; the same figures each time.
 
 use dahliapoint_intake::estimates::{Estimates, Noted};
-use dahliapoint_intake::mouth::{Line, Mouth};
 use dahliapoint_intake::pace::Interval;
+use dahliapoint_intake::report_queue::{Line, ReportQueue};
 use dahliapoint_intake::sampling::{Chance, fate, odds, quota, threshold};
 use dahliapoint_intake::timeline::Timeline;
 
@@ -144,12 +144,12 @@
     println!("twice as many lines come as can be read, for a minute; left unread:");
     for asks in [true, false] {
         let mut interval = Interval::new(0.0, 500.0, 4_000.0);
-        let mut mouth: Mouth<usize, usize> = Mouth::new(500.0, 1000, 1);
-        (0..REPORTERS).for_each(|r| mouth.begun(0.0, r));
+        let mut mouth: ReportQueue<usize, usize> = ReportQueue::new(500.0, 1000, 1);
+        (0..REPORTERS).for_each(|r| mouth.stream_started(0.0, r));
         let mut next = vec![0.0; REPORTERS];
         for round in 1..120 {
             let now = f64::from(round) * 500.0;
-            let before = mouth.tally.lines;
+            let before = mouth.stats.lines;
             for (r, due) in next.iter_mut().enumerate() {
                 let every = if asks { interval.ms() } else { 500.0 };
                 if now >= *due {
@@ -163,14 +163,14 @@
                             },
                         )
                     });
-                    let _ = mouth.put(now, &r, every, lines, std::iter::empty());
+                    let _ = mouth.push(now, &r, every, lines, std::iter::empty());
                 }
             }
-            interval.heard(now, (mouth.tally.lines - before) as f64, 500.0);
+            interval.heard(now, (mouth.stats.lines - before) as f64, 500.0);
             mouth.read(now, 2_000);
         }
-        let t = mouth.tally;
-        let share = t.left as f64 / (t.left + t.read) as f64 * 100.0;
+        let t = mouth.stats;
+        let share = t.sampled_out as f64 / (t.sampled_out + t.read) as f64 * 100.0;
         let name = if asks {
             "the interval is moved"
         } else {
@@ -185,8 +185,8 @@
 
 /// Reports come two hundred times as often as rounds are read.
 fn merging() {
-    let mut mouth: Mouth<usize, usize> = Mouth::new(500.0, 1000, 1);
-    (0..REPORTERS).for_each(|r| mouth.begun(0.0, r));
+    let mut mouth: ReportQueue<usize, usize> = ReportQueue::new(500.0, 1000, 1);
+    (0..REPORTERS).for_each(|r| mouth.stream_started(0.0, r));
     let (mut most, mut read) = (0, 0);
     for i in 0..2_000_u32 {
         let now = f64::from(i) * 2.5;
@@ -200,9 +200,9 @@
                     },
                 )
             });
-            let _ = mouth.put(now, &r, 2.5, lines, std::iter::empty());
+            let _ = mouth.push(now, &r, 2.5, lines, std::iter::empty());
         }
-        most = most.max(mouth.waiting());
+        most = most.max(mouth.pending_lines());
         if i % 200 == 199 {
             read += mouth
                 .read(now, 1_000_000)
@@ -213,12 +213,12 @@
     }
     println!(
         "{} lines told in 5 s, a round each half second:",
-        mouth.tally.lines
+        mouth.stats.lines
     );
     println!("  merged at the mouth                      {read} read, {most} waiting at the most");
     println!(
         "  queued                                   {} read, {} waiting at the most",
-        mouth.tally.lines,
+        mouth.stats.lines,
         200 * REPORTERS * 10
     );
 }
--- a/crates/intake/src/lib.rs
+++ b/crates/intake/src/lib.rs
@@ -1,7 +1,7 @@
 //! Load reports between the fronts and the decisions, free of I/O, clock and chance from outside.
 //!
 //! - [`timeline`] puts a report where it belongs in time, by the differences of its reporter's own clock;
-//! - [`mouth`] takes reports in: bounded by reporter and in all, merged by stretch, never waiting;
+//! - [`report_queue`] takes reports in: bounded by reporter and in all, merged by stretch, never waiting;
 //! - [`sampling`] chooses what is read when more came than can be, so that sums stay true on average;
 //! - [`estimates`] keeps what was met by server, with an age and an error bound;
 //! - [`belief`] sets a server's own word against what proxies met, and a proxy's against all others';
@@ -15,8 +15,8 @@
 pub mod belief;
 pub mod coverage;
 pub mod estimates;
-pub mod mouth;
 pub mod pace;
+pub mod report_queue;
 pub mod ring;
 pub mod sampling;
 pub mod sketch;
--- a/crates/intake/src/mouth.rs
+++ b/crates/intake/src/report_queue.rs
@@ -2,8 +2,8 @@
 //! by reporter and by the stretch of time that it covers, so that a reporter costs no more than its
 //! servers times the buckets of the ring, however fast it talks.
 //!
-//! How it is called: [`Mouth::begun`] and [`Mouth::ended`] for each stream, [`Mouth::put`] for each report,
-//! [`Mouth::read`] by the owner once a period, with the lines that it has room for.
+//! How it is called: [`ReportQueue::stream_started`] and [`ReportQueue::stream_ended`] for each stream, [`ReportQueue::push`] for each report,
+//! [`ReportQueue::read`] by the owner once a period, with the lines that it has room for.
 
 use crate::sampling::{Chance, fate, odds, quota, threshold};
 use crate::timeline::Timeline;
@@ -25,7 +25,7 @@
     /// Summed time of the tries that did not fail.
     pub good_ms: f64,
     /// The server's own words: how many answers carried one, and the sums.
-    pub words: f64,
+    pub self_reports: f64,
     pub own_queue: f64,
     pub own_ms: f64,
     /// Visits under way at the end of the stretch: the newest word counts, words do not add up.
@@ -37,7 +37,7 @@
         self.tries += other.tries;
         self.failed += other.failed;
         self.good_ms += other.good_ms;
-        self.words += other.words;
+        self.self_reports += other.self_reports;
         self.own_queue += other.own_queue;
         self.own_ms += other.own_ms;
         self.in_flight = other.in_flight;
@@ -48,7 +48,7 @@
             tries: self.tries * factor,
             failed: self.failed * factor,
             good_ms: self.good_ms * factor,
-            words: self.words * factor,
+            self_reports: self.self_reports * factor,
             own_queue: self.own_queue * factor,
             own_ms: self.own_ms * factor,
             in_flight: self.in_flight * factor,
@@ -58,7 +58,7 @@
 
 /// What is read of one reporter for one stretch.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Read<R, K> {
+pub struct MergedReport<R, K> {
     pub reporter: R,
     /// When the stretch began and ended, on our clock.
     pub begin: f64,
@@ -66,18 +66,18 @@
     /// Lines with the variance of their tries.
     pub lines: Vec<(K, Line, f64)>,
     /// Visits that came, by class.
-    pub came: Vec<(K, f64)>,
+    pub visits: Vec<(K, f64)>,
 }
 
 /// Why a report was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// Its stream is not known: ended, or of another life.
-    Unknown,
+    UnknownStream,
     /// It names more servers than one reporter may.
-    TooMany,
+    TooManyServers,
     /// It covers no time, or more than an hour.
-    NoStretch,
+    InvalidWindow,
 }
 
 #[derive(Clone, Debug)]
@@ -85,7 +85,7 @@
     begin: f64,
     end: f64,
     lines: BTreeMap<K, Line>,
-    came: BTreeMap<K, f64>,
+    visits: BTreeMap<K, f64>,
 }
 
 #[derive(Clone, Debug)]
@@ -98,41 +98,41 @@
 
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Tally {
+pub struct QueueStats {
     pub reports: u64,
     pub lines: u64,
     /// Lines that went into others before they were read.
     pub merged: u64,
     pub read: u64,
     /// Lines that were not read, others standing for them.
-    pub left: u64,
+    pub sampled_out: u64,
     pub refused: u64,
 }
 
 /// See the module's head.
 #[derive(Clone, Debug)]
-pub struct Mouth<R, K> {
+pub struct ReportQueue<R, K> {
     bucket_ms: f64,
     most_servers: usize,
     reporters: BTreeMap<R, Reporter<K>>,
     chance: Chance,
-    pub tally: Tally,
+    pub stats: QueueStats,
 }
 
-impl<R: Ord + Clone, K: Ord + Clone> Mouth<R, K> {
-    pub fn new(bucket_ms: f64, most_servers: usize, seed: u64) -> Mouth<R, K> {
-        Mouth {
+impl<R: Ord + Clone, K: Ord + Clone> ReportQueue<R, K> {
+    pub fn new(bucket_ms: f64, most_servers: usize, seed: u64) -> ReportQueue<R, K> {
+        ReportQueue {
             bucket_ms,
             most_servers,
             reporters: BTreeMap::new(),
             chance: Chance::from(seed),
-            tally: Tally::default(),
+            stats: QueueStats::default(),
         }
     }
 
     /// A stream of a reporter begins: its clock begins with it, and what an older one left unread of the
     /// same reporter stays.
-    pub fn begun(&mut self, now: f64, reporter: R) {
+    pub fn stream_started(&mut self, now: f64, reporter: R) {
         let timeline = Timeline::begun(now);
         let waiting = self.reporters.remove(&reporter).map(|r| r.waiting);
         let waiting = waiting.unwrap_or_default();
@@ -147,7 +147,7 @@
     }
 
     /// A stream has ended; what it told is still read.
-    pub fn ended(&mut self, reporter: &R) {
+    pub fn stream_ended(&mut self, reporter: &R) {
         if let Some(r) = self.reporters.get_mut(reporter) {
             r.over = true;
         }
@@ -157,36 +157,36 @@
     ///
     /// # Errors
     /// Why it is not taken.
-    pub fn put(
+    pub fn push(
         &mut self,
         now: f64,
         reporter: &R,
         window_ms: f64,
         lines: impl ExactSizeIterator<Item = (K, Line)>,
-        came: impl Iterator<Item = (K, f64)>,
+        visits: impl Iterator<Item = (K, f64)>,
     ) -> Result<(), Refusal> {
-        let refused = |tally: &mut Tally, why| {
+        let refused = |tally: &mut QueueStats, why| {
             tally.refused += 1;
             Err(why)
         };
         if !(window_ms > 0.0 && window_ms <= 3.6e6) {
-            return refused(&mut self.tally, Refusal::NoStretch);
+            return refused(&mut self.stats, Refusal::InvalidWindow);
         }
         if lines.len() > self.most_servers {
-            return refused(&mut self.tally, Refusal::TooMany);
+            return refused(&mut self.stats, Refusal::TooManyServers);
         }
         let Some(r) = self.reporters.get_mut(reporter).filter(|r| !r.over) else {
-            return refused(&mut self.tally, Refusal::Unknown);
+            return refused(&mut self.stats, Refusal::UnknownStream);
         };
         let stretch = r.timeline.place(now, window_ms);
-        self.tally.reports += 1;
-        self.tally.lines += lines.len() as u64;
+        self.stats.reports += 1;
+        self.stats.lines += lines.len() as u64;
         let bucket = (stretch.end.max(0.0) / self.bucket_ms) as u64;
         let waiting = r.waiting.entry(bucket).or_insert_with(|| Waiting {
             begin: stretch.begin,
             end: stretch.end,
             lines: BTreeMap::new(),
-            came: BTreeMap::new(),
+            visits: BTreeMap::new(),
         });
         waiting.begin = waiting.begin.min(stretch.begin);
         waiting.end = waiting.end.max(stretch.end);
@@ -195,22 +195,22 @@
             match waiting.lines.get_mut(&server) {
                 Some(there) => {
                     there.add(&line);
-                    self.tally.merged += 1;
+                    self.stats.merged += 1;
                 }
-                None if full => self.tally.refused += 1,
+                None if full => self.stats.refused += 1,
                 None => drop(waiting.lines.insert(server, line)),
             }
         }
-        for (class, visits) in came {
-            *waiting.came.entry(class).or_default() += visits;
+        for (class, count) in visits {
+            *waiting.visits.entry(class).or_default() += count;
         }
         if r.waiting.len() > BUCKETS {
-            Self::merge_oldest(r, &mut self.tally, self.most_servers);
+            Self::merge_oldest(r, &mut self.stats, self.most_servers);
         }
         Ok(())
     }
 
-    fn merge_oldest(r: &mut Reporter<K>, tally: &mut Tally, most: usize) {
+    fn merge_oldest(r: &mut Reporter<K>, tally: &mut QueueStats, most: usize) {
         let Some((_, old)) = r.waiting.pop_first() else {
             return;
         };
@@ -234,25 +234,25 @@
                 None => drop(next.lines.insert(server, line)),
             }
         }
-        for (class, visits) in old.came {
-            *next.came.entry(class).or_default() += visits;
+        for (class, visits) in old.visits {
+            *next.visits.entry(class).or_default() += visits;
         }
     }
 
     /// Lines that wait.
-    pub fn waiting(&self) -> usize {
+    pub fn pending_lines(&self) -> usize {
         self.reporters.values().map(Reporter::lines).sum()
     }
 
     /// Reads what waits, about so many lines at the most. First the rules of waiting, then of sampling: what
     /// has waited longest is read first and whole; what does not fit waits, merging with what comes, while
     /// it is news; only when more than fits has waited that long is it sampled.
-    pub fn read(&mut self, now: f64, room: usize) -> Vec<Read<R, K>> {
-        if self.waiting() > room {
+    pub fn read(&mut self, now: f64, room: usize) -> Vec<MergedReport<R, K>> {
+        if self.pending_lines() > room {
             // What is told of one time and the next is told once: lines are saved before any is left.
             let news = ((now - NEWS * self.bucket_ms).max(0.0) / self.bucket_ms) as u64;
             for r in self.reporters.values_mut() {
-                r.collapse(news, &mut self.tally);
+                r.collapse(news, &mut self.stats);
             }
         }
         let mut order: Vec<(f64, R, usize)> = self
@@ -282,19 +282,19 @@
         out
     }
 
-    fn read_whole(&mut self, name: &R, out: &mut Vec<Read<R, K>>) {
+    fn read_whole(&mut self, name: &R, out: &mut Vec<MergedReport<R, K>>) {
         let Some(r) = self.reporters.get_mut(name) else {
             return;
         };
         for (_, waiting) in std::mem::take(&mut r.waiting) {
-            self.tally.read += waiting.lines.len() as u64;
+            self.stats.read += waiting.lines.len() as u64;
             let lines = waiting.lines.into_iter().map(|(s, l)| (s, l, 0.0));
-            out.push(Read {
+            out.push(MergedReport {
                 reporter: name.clone(),
                 begin: waiting.begin,
                 end: waiting.end,
                 lines: lines.collect(),
-                came: waiting.came.into_iter().collect(),
+                visits: waiting.visits.into_iter().collect(),
             });
         }
     }
@@ -304,7 +304,7 @@
         order: &[(f64, R, usize)],
         wanted: &[usize],
         room: usize,
-        out: &mut Vec<Read<R, K>>,
+        out: &mut Vec<MergedReport<R, K>>,
     ) {
         let each = quota(wanted, room / 2);
         let sizes = |r: &Reporter<K>| -> Vec<f64> {
@@ -338,18 +338,18 @@
                     let odds = odds(line.tries, own).max(odds(line.tries, level));
                     match fate(line.tries, odds, &mut self.chance) {
                         Some((factor, variance)) => {
-                            self.tally.read += 1;
+                            self.stats.read += 1;
                             lines.push((server, line.times(factor), variance));
                         }
-                        None => self.tally.left += 1,
+                        None => self.stats.sampled_out += 1,
                     }
                 }
-                out.push(Read {
+                out.push(MergedReport {
                     reporter: name.clone(),
                     begin: waiting.begin,
                     end: waiting.end,
                     lines,
-                    came: waiting.came.into_iter().collect(),
+                    visits: waiting.visits.into_iter().collect(),
                 });
             }
         }
@@ -358,7 +358,7 @@
 
 impl<K> Reporter<K> {
     /// Merges all stretches from a bucket on into the newest, and all before into the newest of those.
-    fn collapse(&mut self, news: u64, tally: &mut Tally)
+    fn collapse(&mut self, news: u64, tally: &mut QueueStats)
     where
         K: Ord,
     {
@@ -384,8 +384,8 @@
                         None => drop(sum.lines.insert(server, line)),
                     }
                 }
-                for (class, visits) in w.came {
-                    *sum.came.entry(class).or_default() += visits;
+                for (class, visits) in w.visits {
+                    *sum.visits.entry(class).or_default() += visits;
                 }
             }
             self.waiting.insert(bucket, sum);
--- a/crates/intake/tests/intake.rs
+++ b/crates/intake/tests/intake.rs
@@ -3,8 +3,8 @@
 
 use dahliapoint_intake::belief::{Belief, Change, Views, Word};
 use dahliapoint_intake::estimates::{Estimates, Noted};
-use dahliapoint_intake::mouth::{Line, Mouth, Refusal};
 use dahliapoint_intake::pace::Interval;
+use dahliapoint_intake::report_queue::{Line, Refusal, ReportQueue};
 use dahliapoint_intake::sampling::{Chance, fate, odds, quota, threshold};
 use dahliapoint_intake::sketch::{ERROR, Sketch};
 use proptest::prelude::*;
@@ -69,17 +69,17 @@
 
 #[test]
 fn a_mouth_is_bounded_however_loud_a_reporter_is() {
-    let mut mouth: Mouth<u64, usize> = Mouth::new(500.0, 50, 1);
-    mouth.begun(0.0, 1);
-    mouth.begun(0.0, 2);
+    let mut mouth: ReportQueue<u64, usize> = ReportQueue::new(500.0, 50, 1);
+    mouth.stream_started(0.0, 1);
+    mouth.stream_started(0.0, 2);
     for i in 0..100_000 {
         let now = f64::from(i) / 10.0;
         let lines = (0..10).map(|s| (s, line(1.0, 0.0, 5.0)));
-        mouth.put(now, &1, 0.1, lines, std::iter::empty()).unwrap();
+        mouth.push(now, &1, 0.1, lines, std::iter::empty()).unwrap();
     }
     let quiet = [(3, line(7.0, 7.0, 0.0))];
     mouth
-        .put(
+        .push(
             10_000.0,
             &2,
             500.0,
@@ -87,21 +87,25 @@
             [(0, 7.0)].into_iter(),
         )
         .unwrap();
-    assert!(mouth.waiting() <= 8 * 10 + 1, "{}", mouth.waiting());
+    assert!(
+        mouth.pending_lines() <= 8 * 10 + 1,
+        "{}",
+        mouth.pending_lines()
+    );
     let read = mouth.read(10_000.0, 1_000);
     let tries: f64 = read.iter().flat_map(|r| &r.lines).map(|l| l.1.tries).sum();
     assert_eq!(tries, 1_000_007.0, "merged, not lost");
     let quiet = read.iter().find(|r| r.reporter == 2).unwrap();
     assert_eq!(quiet.lines, [(3, line(7.0, 7.0, 0.0), 0.0)]);
-    assert_eq!(mouth.waiting(), 0);
+    assert_eq!(mouth.pending_lines(), 0);
     // Refused, and nothing else is disturbed.
     let many = (0..51).map(|s| (s, Line::default()));
-    let many = mouth.put(0.0, &1, 1.0, many, std::iter::empty());
-    assert_eq!(many, Err(Refusal::TooMany));
+    let many = mouth.push(0.0, &1, 1.0, many, std::iter::empty());
+    assert_eq!(many, Err(Refusal::TooManyServers));
     let none = || std::iter::empty::<(usize, Line)>();
     let empty = none().collect::<Vec<_>>();
-    let put = |m: &mut Mouth<u64, usize>, who: u64, window: f64| {
-        m.put(
+    let put = |m: &mut ReportQueue<u64, usize>, who: u64, window: f64| {
+        m.push(
             0.0,
             &who,
             window,
@@ -109,19 +113,19 @@
             std::iter::empty(),
         )
     };
-    assert_eq!(put(&mut mouth, 9, 1.0), Err(Refusal::Unknown));
+    assert_eq!(put(&mut mouth, 9, 1.0), Err(Refusal::UnknownStream));
     for window in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e9] {
-        assert_eq!(put(&mut mouth, 1, window), Err(Refusal::NoStretch));
+        assert_eq!(put(&mut mouth, 1, window), Err(Refusal::InvalidWindow));
     }
-    mouth.ended(&1);
-    assert_eq!(put(&mut mouth, 1, 1.0), Err(Refusal::Unknown));
+    mouth.stream_ended(&1);
+    assert_eq!(put(&mut mouth, 1, 1.0), Err(Refusal::UnknownStream));
 }
 
 #[test]
 fn what_does_not_fit_waits_and_merges_before_it_is_sampled() {
     // A hundred reporters, ten lines each, and room for a third of that in a round.
-    let mut mouth: Mouth<u64, usize> = Mouth::new(500.0, 50, 1);
-    (0..100).for_each(|r| mouth.begun(0.0, r));
+    let mut mouth: ReportQueue<u64, usize> = ReportQueue::new(500.0, 50, 1);
+    (0..100).for_each(|r| mouth.stream_started(0.0, r));
     let mut told = 0.0;
     let mut heard = 0.0;
     for round in 1..41 {
@@ -129,7 +133,7 @@
         for r in 0..100 {
             let lines = (0..10).map(|s| (s, line(2.0, 0.0, 9.0)));
             mouth
-                .put(now, &r, 500.0, lines, std::iter::empty())
+                .push(now, &r, 500.0, lines, std::iter::empty())
                 .unwrap();
             told += 20.0;
         }
@@ -145,13 +149,13 @@
 
 #[test]
 fn a_burst_after_a_stall_is_no_load_of_this_moment() {
-    let mut mouth: Mouth<u64, usize> = Mouth::new(500.0, 50, 1);
-    mouth.begun(0.0, 1);
+    let mut mouth: ReportQueue<u64, usize> = ReportQueue::new(500.0, 50, 1);
+    mouth.stream_started(0.0, 1);
     let mut estimates = Estimates::new(500.0, 1);
     // Ten tries each half second; then thirty seconds of silence, and all of it at once.
     for i in 0..60 {
         let tries = line(10.0, 0.0, 100.0);
-        let put = mouth.put(
+        let put = mouth.push(
             30_000.0,
             &1,
             500.0,
@@ -390,17 +394,17 @@
         script in prop::collection::vec((0_u64..4, 0_usize..5, 0.0..20_000.0_f64, 0.0..1e6_f64, 0.0..1.0_f64, 0.0..3000.0_f64), 1..120),
         room in 1_usize..60,
     ) {
-        let mut mouth: Mouth<u64, usize> = Mouth::new(500.0, 16, 3);
+        let mut mouth: ReportQueue<u64, usize> = ReportQueue::new(500.0, 16, 3);
         let mut estimates = Estimates::new(500.0, 2);
         let mut now = 0.0;
-        (0..4).for_each(|r| mouth.begun(0.0, r));
+        (0..4).for_each(|r| mouth.stream_started(0.0, r));
         for (reporter, server, window, tries, part, wait) in script {
             now += wait;
             if wait < 30.0 {
-                mouth.begun(now, reporter);
+                mouth.stream_started(now, reporter);
             }
             let l = line(tries, tries * part, tries * (1.0 - part) * 12.0);
-            let _ = mouth.put(now, &reporter, window, [(server, l)].into_iter(), [(0, tries)].into_iter());
+            let _ = mouth.push(now, &reporter, window, [(server, l)].into_iter(), [(0, tries)].into_iter());
             for r in mouth.read(now, room) {
                 prop_assert!(r.begin <= r.end && r.end <= now + 1e-6);
                 for (server, l, variance) in r.lines {
@@ -424,8 +428,8 @@
         for later in 1..50 {
             mouth.read(now + 2_000.0 * f64::from(later), room);
         }
-        prop_assert_eq!(mouth.waiting(), 0);
-        let t = mouth.tally;
-        prop_assert!(t.read + t.left + t.merged <= t.lines);
+        prop_assert_eq!(mouth.pending_lines(), 0);
+        let t = mouth.stats;
+        prop_assert!(t.read + t.sampled_out + t.merged <= t.lines);
     }
 }
