--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -10,8 +10,8 @@
 use crate::{Scope, Session, Terms, Way};
 use dahliapoint::rules::Planner;
 use dahliapoint::{Admission, Class, Extent, Listed, Opening, Orders, Standing, Tries};
-use dahliapoint_intake::belief::Change;
 use dahliapoint_intake::coverage::Heard;
+use dahliapoint_intake::trust::TrustChange;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -572,7 +572,7 @@
         }
         for change in round.changes {
             let note = match change {
-                Change::StaleServer(s, stale) => {
+                TrustChange::StaleServer(s, stale) => {
                     let name = &self.servers.slots[s].name;
                     let word = if stale {
                         "does not explain"
@@ -581,7 +581,7 @@
                     };
                     format!("server {name}: its own word of its load {word} what proxies meet")
                 }
-                Change::ContraryProxy(p, contrary) => {
+                TrustChange::ContraryProxy(p, contrary) => {
                     let name = self.proxies.get(&p).map(|p| p.name.to_string());
                     let word = if contrary {
                         "contradicts"
--- a/crates/control/src/reports.rs
+++ b/crates/control/src/reports.rs
@@ -4,9 +4,9 @@
 
 use crate::{MetLine, Report};
 use dahliapoint::Met;
-use dahliapoint_intake::belief::{Belief, Change, Views, Word};
 use dahliapoint_intake::coverage::{Coverage, Heard};
 use dahliapoint_intake::estimates::{self, Estimates, Noted};
+use dahliapoint_intake::trust::{ProxyViews, ServerSample, TrustChange, TrustTracker};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -104,7 +104,7 @@
     pub came: Vec<Came>,
     /// Sums that were too uncertain to be told.
     pub vague: u64,
-    pub changes: Vec<Change>,
+    pub changes: Vec<TrustChange>,
     pub heard: Vec<Heard>,
 }
 
@@ -114,7 +114,7 @@
     classes: usize,
     /// By server and class.
     estimates: Estimates,
-    belief: Belief,
+    belief: TrustTracker,
     coverage: Coverage,
     /// Proxies that reported in this round, and those that are heard again.
     reported: BTreeSet<usize>,
@@ -122,7 +122,7 @@
     met: BTreeMap<(usize, usize), Sum>,
     came: BTreeMap<(usize, usize), (f64, f64)>,
     words: BTreeMap<usize, (MetLine, f64)>,
-    views: Views,
+    views: ProxyViews,
     /// By proxy: visits under way at each server, as last told.
     in_flight: BTreeMap<usize, BTreeMap<usize, f64>>,
 }
@@ -136,11 +136,11 @@
             heard: Vec::new(),
             every_ms,
             estimates: Estimates::new(every_ms, zones),
-            belief: Belief::default(),
+            belief: TrustTracker::default(),
             met: BTreeMap::new(),
             came: BTreeMap::new(),
             words: BTreeMap::new(),
-            views: Views::new(),
+            views: ProxyViews::new(),
             in_flight: BTreeMap::new(),
         }
     }
@@ -267,20 +267,20 @@
             window_ms,
         });
         let words = std::mem::take(&mut self.words).into_iter();
-        let words: BTreeMap<usize, Word> = words
+        let words: BTreeMap<usize, ServerSample> = words
             .map(|(server, (m, _))| {
                 let said = m.words > 0.0;
                 let good = m.tries - m.failed;
-                let word = Word {
+                let word = ServerSample {
                     own_ms: said.then(|| m.own_ms / m.words),
                     own_queue: said.then(|| m.own_queue / m.words),
-                    met_ms: if good > 0.0 { m.good_ms / good } else { 0.0 },
+                    measured_ms: if good > 0.0 { m.good_ms / good } else { 0.0 },
                     tries: if good > 0.0 { m.tries } else { 0.0 },
                 };
                 (server, word)
             })
             .collect();
-        let mut changes = self.belief.hear_servers(&words);
+        let mut changes = self.belief.observe_servers(&words);
         let views = std::mem::take(&mut self.views);
         let reported = std::mem::take(&mut self.reported);
         for (proxy, servers) in &views {
@@ -294,7 +294,7 @@
         }
         let mut heard = std::mem::take(&mut self.heard);
         heard.extend(self.coverage.look(now));
-        changes.extend(self.belief.hear_proxies(&views));
+        changes.extend(self.belief.observe_proxies(&views));
         Round {
             met,
             came: came.collect(),
--- a/crates/intake/src/lib.rs
+++ b/crates/intake/src/lib.rs
@@ -4,7 +4,7 @@
 //! - [`report_queue`] takes reports in: bounded by reporter and in all, merged by stretch, never waiting;
 //! - [`sampling`] chooses what is read when more came than can be, so that sums stay true on average;
 //! - [`estimates`] keeps what was met by server, with an age and an error bound;
-//! - [`belief`] sets a server's own word against what proxies met, and a proxy's against all others';
+//! - [`trust`] sets a server's own word against what proxies met, and a proxy's against all others';
 //! - [`coverage`] knows who tells of which server, and who has fallen silent;
 //! - [`pace`] moves the reporting interval before anything has to be left unread;
 //! - [`sketch`], [`ring`] and [`wheel`] are the structures under them.
@@ -12,7 +12,6 @@
 //! Times are milliseconds on one clock that never goes back; servers and reporters are small indices
 //! that the caller hands out, but for the mouth, whose keys are the caller's.
 
-pub mod belief;
 pub mod coverage;
 pub mod estimates;
 pub mod pace;
@@ -21,4 +20,5 @@
 pub mod sampling;
 pub mod sketch;
 pub mod timeline;
+pub mod trust;
 pub mod wheel;
--- a/crates/intake/src/belief.rs
+++ b/crates/intake/src/trust.rs
@@ -56,39 +56,39 @@
 
 /// A period of one server: what it said of itself, and what proxies met there.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Word {
+pub struct ServerSample {
     /// Means over the answers that carried one; none if none did.
     pub own_ms: Option<f64>,
     pub own_queue: Option<f64>,
-    pub met_ms: f64,
+    pub measured_ms: f64,
     pub tries: f64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Told {
     suspicion: Suspicion,
-    last: Option<Word>,
+    last: Option<ServerSample>,
     /// What was met when the word was last another one.
     met_then: f64,
 }
 
 /// What changed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Change {
+pub enum TrustChange {
     StaleServer(usize, bool),
     ContraryProxy(usize, bool),
 }
 
 /// What the proxies of a period met, by reporter and server: tries and failures.
-pub type Views = BTreeMap<usize, BTreeMap<usize, (f64, f64)>>;
+pub type ProxyViews = BTreeMap<usize, BTreeMap<usize, (f64, f64)>>;
 
 #[derive(Clone, Debug, Default)]
-pub struct Belief {
+pub struct TrustTracker {
     servers: BTreeMap<usize, Told>,
     proxies: BTreeMap<usize, Suspicion>,
 }
 
-impl Belief {
+impl TrustTracker {
     pub fn is_stale(&self, server: usize) -> bool {
         self.servers
             .get(&server)
@@ -118,7 +118,7 @@
     }
 
     /// A period of what servers said and proxies met there.
-    pub fn hear_servers(&mut self, words: &BTreeMap<usize, Word>) -> Vec<Change> {
+    pub fn observe_servers(&mut self, words: &BTreeMap<usize, ServerSample>) -> Vec<TrustChange> {
         let mut changes = Vec::new();
         let evidence: Vec<f64> = words
             .iter()
@@ -133,14 +133,14 @@
             let evidence = if many { 0.0 } else { evidence };
             let told = self.servers.entry(*server).or_default();
             if told.suspicion.weigh(evidence) {
-                changes.push(Change::StaleServer(*server, told.suspicion.flagged));
+                changes.push(TrustChange::StaleServer(*server, told.suspicion.flagged));
             }
             let same = told
                 .last
                 .is_some_and(|l| (l.own_ms, l.own_queue) == (word.own_ms, word.own_queue));
             // Where much has moved at once, what is met from now on is the new ground to judge from.
             if !same || many {
-                told.met_then = word.met_ms;
+                told.met_then = word.measured_ms;
             }
             told.last = Some(*word);
         }
@@ -148,7 +148,7 @@
     }
 
     /// A period of what each proxy met, set against what all others met at the same servers.
-    pub fn hear_proxies(&mut self, views: &Views) -> Vec<Change> {
+    pub fn observe_proxies(&mut self, views: &ProxyViews) -> Vec<TrustChange> {
         let mut all: BTreeMap<usize, (f64, f64)> = BTreeMap::new();
         for (server, met) in views.values().flatten() {
             let sum = all.entry(*server).or_default();
@@ -159,7 +159,7 @@
             let evidence = against_the_proxy(met, &all);
             let suspicion = self.proxies.entry(*proxy).or_default();
             if suspicion.weigh(evidence) {
-                changes.push(Change::ContraryProxy(*proxy, suspicion.flagged));
+                changes.push(TrustChange::ContraryProxy(*proxy, suspicion.flagged));
             }
         }
         changes
@@ -170,18 +170,19 @@
 /// meet there, or its word is the same to the digit while what they meet has moved. A server that is idle
 /// tells low times and is met at low times: no evidence. May harm where the way to a server is slow and
 /// not the server: the flag says only that its word does not explain what is met.
-fn against_the_server(told: &Told, word: &Word) -> f64 {
+fn against_the_server(told: &Told, word: &ServerSample) -> f64 {
     if word.tries < ENOUGH || word.own_ms.is_none() && word.own_queue.is_none() {
         return 0.0;
     }
     // Its time is that of the work alone; with visits waiting, those explain the rest.
     let waits = word.own_queue.unwrap_or(0.0).max(0.0);
     let own = word.own_ms.map(|ms| ms * (1.0 + waits));
-    let apart = own.is_some_and(|own| own > 0.0 && word.met_ms > APART * own);
+    let apart = own.is_some_and(|own| own > 0.0 && word.measured_ms > APART * own);
     let same = told
         .last
         .is_some_and(|l| (l.own_ms, l.own_queue) == (word.own_ms, word.own_queue));
-    let moved = (word.met_ms - told.met_then).abs() > MOVED * told.met_then.max(word.met_ms);
+    let moved =
+        (word.measured_ms - told.met_then).abs() > MOVED * told.met_then.max(word.measured_ms);
     match (apart, same && moved && told.met_then > 0.0) {
         (true, true) => 1.0,
         (true, false) | (false, true) => 0.75,
--- a/crates/intake/tests/intake.rs
+++ b/crates/intake/tests/intake.rs
@@ -1,12 +1,12 @@
 //! The intake's parts against cases and against days drawn by chance: what is read stays true on average,
 //! what is merged does not depend on order, and no suspicion rises in calm.
 
-use dahliapoint_intake::belief::{Belief, Change, Views, Word};
 use dahliapoint_intake::estimates::{Estimates, Noted};
 use dahliapoint_intake::pace::Interval;
 use dahliapoint_intake::report_queue::{Line, Refusal, ReportQueue};
 use dahliapoint_intake::sampling::{Chance, fate, odds, quota, threshold};
 use dahliapoint_intake::sketch::{ERROR, Sketch};
+use dahliapoint_intake::trust::{ProxyViews, ServerSample, TrustChange, TrustTracker};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
@@ -212,11 +212,11 @@
     assert_eq!(interval.ms(), 500.0);
 }
 
-fn words(own_ms: f64, queue: f64, met_ms: f64) -> BTreeMap<usize, Word> {
-    let word = Word {
+fn words(own_ms: f64, queue: f64, measured_ms: f64) -> BTreeMap<usize, ServerSample> {
+    let word = ServerSample {
         own_ms: Some(own_ms),
         own_queue: Some(queue),
-        met_ms,
+        measured_ms,
         tries: 50.0,
     };
     [(0, word)].into()
@@ -251,24 +251,24 @@
         ),
     ];
     for (name, at, wanted) in cases {
-        let mut belief = Belief::default();
+        let mut belief = TrustTracker::default();
         // Calm first, and then the case.
         for i in 0..20 {
-            belief.hear_servers(&words(20.0 + f64::from(i % 2), 0.0, 22.0));
+            belief.observe_servers(&words(20.0 + f64::from(i % 2), 0.0, 22.0));
         }
         assert!(!belief.is_stale(0), "{name}: in calm");
         let raised = (0..10).position(|i| {
             let (own, queue, met) = at(i);
-            belief.hear_servers(&words(own, queue, met));
+            belief.observe_servers(&words(own, queue, met));
             belief.is_stale(0)
         });
         assert_eq!(raised.is_some(), wanted, "{name}: {raised:?}");
         // Unflagged by sustained evidence of the contrary, not by one period.
         if wanted {
-            belief.hear_servers(&words(21.0, 0.0, 22.0));
+            belief.observe_servers(&words(21.0, 0.0, 22.0));
             assert!(belief.is_stale(0), "{name}: one period is not enough");
             for i in 0..14 {
-                belief.hear_servers(&words(20.0 + f64::from(i % 2), 0.0, 22.0));
+                belief.observe_servers(&words(20.0 + f64::from(i % 2), 0.0, 22.0));
             }
             assert!(!belief.is_stale(0), "{name}: comes down");
         }
@@ -278,41 +278,41 @@
 #[test]
 fn a_slow_way_to_all_servers_flags_none_and_one_stale_server_among_them_is_flagged() {
     let round = |slow: &dyn Fn(usize) -> bool| {
-        let word = |server| Word {
+        let word = |server| ServerSample {
             own_ms: Some(20.0),
             own_queue: Some(0.0),
-            met_ms: if slow(server) { 300.0 } else { 22.0 },
+            measured_ms: if slow(server) { 300.0 } else { 22.0 },
             tries: 50.0,
         };
         (0..10)
             .map(|server| (server, word(server)))
             .collect::<BTreeMap<_, _>>()
     };
-    let mut belief = Belief::default();
-    assert!((0..40).all(|_| belief.hear_servers(&round(&|_| true)).is_empty()));
-    assert!((0..40).all(|_| belief.hear_servers(&round(&|s| s < 4)).is_empty()));
+    let mut belief = TrustTracker::default();
+    assert!((0..40).all(|_| belief.observe_servers(&round(&|_| true)).is_empty()));
+    assert!((0..40).all(|_| belief.observe_servers(&round(&|s| s < 4)).is_empty()));
     let changes: Vec<_> = (0..6)
-        .flat_map(|_| belief.hear_servers(&round(&|s| s == 3)))
+        .flat_map(|_| belief.observe_servers(&round(&|s| s == 3)))
         .collect();
-    assert_eq!(changes, [Change::StaleServer(3, true)]);
+    assert_eq!(changes, [TrustChange::StaleServer(3, true)]);
 }
 
 #[test]
 fn no_flag_rises_in_an_hour_of_calm() {
     let mut chance = Chance::from(5);
-    let mut belief = Belief::default();
+    let mut belief = TrustTracker::default();
     for _ in 0..7_200 {
         let mut said = BTreeMap::new();
-        let mut views = Views::new();
+        let mut views = ProxyViews::new();
         for server in 0..20 {
             let busy = chance.draw() * 0.8;
             let own = 20.0 * (0.9 + 0.2 * chance.draw());
             said.insert(
                 server,
-                Word {
+                ServerSample {
                     own_ms: Some(own),
                     own_queue: Some((busy * 3.0).floor()),
-                    met_ms: own * (1.0 + busy * 2.0 * chance.draw()),
+                    measured_ms: own * (1.0 + busy * 2.0 * chance.draw()),
                     tries: 5.0 + 40.0 * chance.draw(),
                 },
             );
@@ -324,7 +324,10 @@
                     .insert(server, (10.0, failed));
             }
         }
-        let changes = (belief.hear_servers(&said), belief.hear_proxies(&views));
+        let changes = (
+            belief.observe_servers(&said),
+            belief.observe_proxies(&views),
+        );
         assert_eq!(changes, (vec![], vec![]));
     }
 }
@@ -332,7 +335,7 @@
 #[test]
 fn a_proxy_that_contradicts_all_others_is_flagged_and_a_server_that_fails_for_all_flags_nobody() {
     let views = |fails: &dyn Fn(usize, usize) -> bool| {
-        let mut views = Views::new();
+        let mut views = ProxyViews::new();
         for proxy in 0..5 {
             for server in 0..6 {
                 let failed = if fails(proxy, server) { 9.0 } else { 0.0 };
@@ -344,17 +347,17 @@
         }
         views
     };
-    let mut belief = Belief::default();
+    let mut belief = TrustTracker::default();
     let one = views(&|proxy, _| proxy == 3);
-    let changes: Vec<_> = (0..4).flat_map(|_| belief.hear_proxies(&one)).collect();
-    assert_eq!(changes, [Change::ContraryProxy(3, true)]);
-    let mut belief = Belief::default();
+    let changes: Vec<_> = (0..4).flat_map(|_| belief.observe_proxies(&one)).collect();
+    assert_eq!(changes, [TrustChange::ContraryProxy(3, true)]);
+    let mut belief = TrustTracker::default();
     let server = views(&|_, server| server == 2);
-    assert!((0..20).all(|_| belief.hear_proxies(&server).is_empty()));
+    assert!((0..20).all(|_| belief.observe_proxies(&server).is_empty()));
     // Says all is well where all others fail.
-    let mut belief = Belief::default();
+    let mut belief = TrustTracker::default();
     let blind = views(&|proxy, _| proxy != 1);
-    (0..4).for_each(|_| drop(belief.hear_proxies(&blind)));
+    (0..4).for_each(|_| drop(belief.observe_proxies(&blind)));
     assert!(belief.is_contrary(1) && (0..5).filter(|p| belief.is_contrary(*p)).count() == 1);
 }
 
