--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -10,7 +10,7 @@
 use crate::{Scope, Session, Terms, Way};
 use dahliapoint::rules::Planner;
 use dahliapoint::{Admission, Class, Extent, Listed, Opening, Orders, Standing, Tries};
-use dahliapoint_intake::coverage::Heard;
+use dahliapoint_intake::coverage::ReporterChange;
 use dahliapoint_intake::trust::TrustChange;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -563,8 +563,8 @@
         }
         for heard in round.heard {
             let (p, word) = match heard {
-                Heard::Silent(p) => (p, "reports no more"),
-                Heard::Again(p) => (p, "reports again"),
+                ReporterChange::Silent(p) => (p, "reports no more"),
+                ReporterChange::Resumed(p) => (p, "reports again"),
             };
             if let Some(proxy) = self.proxies.get(&p) {
                 out.push(Output::Note(format!("proxy {}: {word}", proxy.name)));
--- a/crates/control/src/reports.rs
+++ b/crates/control/src/reports.rs
@@ -4,7 +4,7 @@
 
 use crate::{MetLine, Report};
 use dahliapoint::Met;
-use dahliapoint_intake::coverage::{Coverage, Heard};
+use dahliapoint_intake::coverage::{Coverage, ReporterChange};
 use dahliapoint_intake::estimates::{self, Estimates, Noted};
 use dahliapoint_intake::trust::{ProxyViews, ServerSample, TrustChange, TrustTracker};
 use serde::Serialize;
@@ -105,7 +105,7 @@
     /// Sums that were too uncertain to be told.
     pub vague: u64,
     pub changes: Vec<TrustChange>,
-    pub heard: Vec<Heard>,
+    pub heard: Vec<ReporterChange>,
 }
 
 /// The round that is filling, and what is known from those before.
@@ -118,7 +118,7 @@
     coverage: Coverage,
     /// Proxies that reported in this round, and those that are heard again.
     reported: BTreeSet<usize>,
-    heard: Vec<Heard>,
+    heard: Vec<ReporterChange>,
     met: BTreeMap<(usize, usize), Sum>,
     came: BTreeMap<(usize, usize), (f64, f64)>,
     words: BTreeMap<usize, (MetLine, f64)>,
@@ -147,7 +147,7 @@
 
     /// A proxy reported, with a stretch of so long.
     pub fn heard(&mut self, now: f64, proxy: usize, window_ms: f64) {
-        let again = self.coverage.heard(now, proxy, window_ms);
+        let again = self.coverage.report_received(now, proxy, window_ms);
         self.heard.extend(again);
         self.reported.insert(proxy);
         self.in_flight.remove(&proxy);
@@ -285,15 +285,15 @@
         let reported = std::mem::take(&mut self.reported);
         for (proxy, servers) in &views {
             for (server, (tries, _)) in servers {
-                self.coverage.told(*proxy, *server, *tries);
+                self.coverage.record_tries(*proxy, *server, *tries);
             }
         }
-        for server in 0..self.coverage.servers() {
+        for server in 0..self.coverage.server_count() {
             let told = |proxy: usize| views.get(&proxy).is_some_and(|v| v.contains_key(&server));
-            self.coverage.fade(server, |p| reported.contains(&p), told);
+            self.coverage.decay(server, |p| reported.contains(&p), told);
         }
         let mut heard = std::mem::take(&mut self.heard);
-        heard.extend(self.coverage.look(now));
+        heard.extend(self.coverage.expire_silent(now));
         changes.extend(self.belief.observe_proxies(&views));
         Round {
             met,
@@ -344,7 +344,7 @@
             error_per_s: e.error * per_s,
             age_ms: e.age_ms,
             stale: self.belief.is_stale(server),
-            heard_share: self.coverage.share(server),
+            heard_share: self.coverage.reporting_share(server),
             in_flight: self.in_flight.values().filter_map(|t| t.get(&server)).sum(),
         })
     }
--- a/crates/intake/benches/structures.rs
+++ b/crates/intake/benches/structures.rs
@@ -191,13 +191,13 @@
         for server in 0..n {
             for i in 0..12 {
                 let proxy = (server * 7 + i * 13) % 400;
-                coverage.heard(0.0, proxy, 500.0);
-                coverage.told(proxy, server, 5.0);
+                coverage.report_received(0.0, proxy, 500.0);
+                coverage.record_tries(proxy, server, 5.0);
                 plain.insert((proxy, server), 5.0);
             }
         }
         group.bench_function(BenchmarkId::new("index by server", n), |b| {
-            b.iter(|| black_box((0..n).map(|s| coverage.share(s)).sum::<f64>()));
+            b.iter(|| black_box((0..n).map(|s| coverage.reporting_share(s)).sum::<f64>()));
         });
         group.bench_function(BenchmarkId::new("map by proxy", n), |b| {
             b.iter(|| {
--- a/crates/intake/src/coverage.rs
+++ b/crates/intake/src/coverage.rs
@@ -22,9 +22,9 @@
 
 /// What changed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Heard {
+pub enum ReporterChange {
     Silent(usize),
-    Again(usize),
+    Resumed(usize),
 }
 
 impl Coverage {
@@ -38,14 +38,21 @@
     }
 
     /// A proxy reported, at an interval that it was told to keep.
-    pub fn heard(&mut self, now: f64, proxy: usize, interval_ms: f64) -> Option<Heard> {
+    pub fn report_received(
+        &mut self,
+        now: f64,
+        proxy: usize,
+        interval_ms: f64,
+    ) -> Option<ReporterChange> {
         let after = SILENT * interval_ms.max(self.every_ms);
         self.wheel.set(proxy, now + after);
-        self.silent.remove(&proxy).map(|_| Heard::Again(proxy))
+        self.silent
+            .remove(&proxy)
+            .map(|_| ReporterChange::Resumed(proxy))
     }
 
     /// What it told of a server, in tries a period.
-    pub fn told(&mut self, proxy: usize, server: usize, tries: f64) {
+    pub fn record_tries(&mut self, proxy: usize, server: usize, tries: f64) {
         while self.servers.len() <= server {
             self.servers.push(Vec::new());
         }
@@ -57,14 +64,14 @@
     }
 
     /// Looks who has fallen silent; once a period.
-    pub fn look(&mut self, now: f64) -> Vec<Heard> {
+    pub fn expire_silent(&mut self, now: f64) -> Vec<ReporterChange> {
         let expired = self.wheel.expired(now);
         self.silent.extend(expired.iter().map(|p| (*p, now)));
-        expired.into_iter().map(Heard::Silent).collect()
+        expired.into_iter().map(ReporterChange::Silent).collect()
     }
 
     /// A round has ended: proxies that reported in it, but not of this server, tell less of it.
-    pub fn fade(
+    pub fn decay(
         &mut self,
         server: usize,
         reported: impl Fn(usize) -> bool,
@@ -81,7 +88,7 @@
     }
 
     /// Which share of a server's reporters, by what they lately told, is still heard; 1 without any.
-    pub fn share(&self, server: usize) -> f64 {
+    pub fn reporting_share(&self, server: usize) -> f64 {
         let there = self
             .servers
             .get(server)
@@ -98,7 +105,7 @@
     }
 
     /// Servers known, for looking through.
-    pub fn servers(&self) -> usize {
+    pub fn server_count(&self) -> usize {
         self.servers.len()
     }
 
@@ -132,21 +139,25 @@
             for proxy in 0..10_usize {
                 // Half stop after ten seconds and come back after twenty.
                 if proxy.is_multiple_of(2) || !(10_000.0..20_000.0).contains(&now) {
-                    changes.extend(c.heard(now, proxy, 500.0).map(|h| (now, h)));
-                    c.told(proxy, 0, 10.0);
+                    changes.extend(c.report_received(now, proxy, 500.0).map(|h| (now, h)));
+                    c.record_tries(proxy, 0, 10.0);
                 }
             }
             let reports = |p: usize| p.is_multiple_of(2) || !(10_000.0..20_000.0).contains(&now);
-            c.fade(0, reports, reports);
-            changes.extend(c.look(now).into_iter().map(|h| (now, h)));
+            c.decay(0, reports, reports);
+            changes.extend(c.expire_silent(now).into_iter().map(|h| (now, h)));
             if (14_500.0..19_000.0).contains(&now) {
-                assert!((c.share(0) - 0.5).abs() < 0.1, "{} at {now}", c.share(0));
+                assert!(
+                    (c.reporting_share(0) - 0.5).abs() < 0.1,
+                    "{} at {now}",
+                    c.reporting_share(0)
+                );
             }
         }
-        assert_eq!(c.share(0), 1.0);
+        assert_eq!(c.reporting_share(0), 1.0);
         let silent = changes
             .iter()
-            .filter(|(_, h)| matches!(h, Heard::Silent(_)));
+            .filter(|(_, h)| matches!(h, ReporterChange::Silent(_)));
         let times: Vec<f64> = silent.map(|(at, _)| *at).collect();
         assert_eq!(times.len(), 5);
         assert!(
@@ -155,7 +166,7 @@
         );
         let again = changes
             .iter()
-            .filter(|(_, h)| matches!(h, Heard::Again(_)))
+            .filter(|(_, h)| matches!(h, ReporterChange::Resumed(_)))
             .count();
         assert_eq!(again, 5);
     }
