--- a/crates/control/src/reports.rs
+++ b/crates/control/src/reports.rs
@@ -5,7 +5,7 @@
 use crate::{MetLine, Report};
 use dahliapoint::Met;
 use dahliapoint_intake::coverage::{Coverage, ReporterChange};
-use dahliapoint_intake::estimates::{self, Estimates, Noted};
+use dahliapoint_intake::estimates::{self, Estimates, Observation};
 use dahliapoint_intake::trust::{ProxyViews, ServerSample, TrustChange, TrustTracker};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -171,9 +171,9 @@
             let there = self.in_flight.entry(proxy).or_default();
             *there.entry(server).or_default() += m.in_flight;
         }
-        self.estimates.note(
+        self.estimates.record(
             now,
-            &Noted {
+            &Observation {
                 server: server * self.classes + m.class,
                 zone,
                 begin,
@@ -184,7 +184,7 @@
                 variance: m.variance,
             },
         );
-        if !estimates::is_news(report.ended_ago_ms, self.every_ms) {
+        if !estimates::is_recent(report.ended_ago_ms, self.every_ms) {
             return false;
         }
         let sum = self.met.entry((server, zone)).or_default();
@@ -246,7 +246,7 @@
             if sum.tries <= 0.0 {
                 continue;
             }
-            if estimates::is_vague(sum.tries, sum.variance) {
+            if estimates::is_imprecise(sum.tries, sum.variance) {
                 vague += 1;
                 continue;
             }
@@ -321,7 +321,7 @@
         let span = SHOWN * self.every_ms;
         let places = self.places(server).enumerate();
         let views = places.filter_map(|(class, place)| {
-            let e = self.estimates.of(now, place, span)?;
+            let e = self.estimates.estimate(now, place, span)?;
             Some(ClassView {
                 class,
                 tries_per_s: e.tries * 1e3 / span,
@@ -334,7 +334,9 @@
 
     pub fn view(&self, now: f64, server: usize) -> Option<EstimateView> {
         let span = SHOWN * self.every_ms;
-        let e = self.estimates.of_all(now, self.places(server), span)?;
+        let e = self
+            .estimates
+            .estimate_range(now, self.places(server), span)?;
         let per_s = 1e3 / span;
         Some(EstimateView {
             tries_per_s: e.tries * per_s,
--- a/crates/intake/examples/worth.rs
+++ b/crates/intake/examples/worth.rs
@@ -1,7 +1,7 @@
 //! What each part of the intake is worth, by itself, on scripted reports: the error of estimates with it
 //! and without. `cargo run --release -p dahliapoint-intake --example worth`; the same figures each time.
 
-use dahliapoint_intake::estimates::{Estimates, Noted};
+use dahliapoint_intake::estimates::{Estimates, Observation};
 use dahliapoint_intake::pace::Interval;
 use dahliapoint_intake::report_queue::{Line, ReportQueue};
 use dahliapoint_intake::sampling::{Chance, fate, odds, quota, threshold};
@@ -103,7 +103,7 @@
             }
             for _ in 0..std::mem::take(&mut held[r]) {
                 let stretch = clocks[r].place(now, 500.0);
-                let noted = |begin, end| Noted {
+                let noted = |begin, end| Observation {
                     server: 0,
                     zone: 0,
                     begin,
@@ -113,15 +113,15 @@
                     good_ms: 40.0,
                     variance: 0.0,
                 };
-                placed.note(now, &noted(stretch.begin, stretch.end));
-                arrived.note(now, &noted(now - 500.0, now));
+                placed.record(now, &noted(stretch.begin, stretch.end));
+                arrived.record(now, &noted(now - 500.0, now));
             }
         }
         // The two seconds before, when nobody stalls now: what was really tried is known.
         if (round / 20) % 2 == 0 && round > 6 {
             let truth = 2.0 * REPORTERS as f64 * 4.0;
             let error = |e: &Estimates| {
-                (e.of(now, 0, 2_000.0).map_or(0.0, |e| e.tries) / truth - 1.0).abs()
+                (e.estimate(now, 0, 2_000.0).map_or(0.0, |e| e.tries) / truth - 1.0).abs()
             };
             ours.push(error(&placed));
             plain.push(error(&arrived));
--- a/crates/intake/src/estimates.rs
+++ b/crates/intake/src/estimates.rs
@@ -18,7 +18,7 @@
 
 /// What was met in a bucket.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Met {
+pub struct BucketTotals {
     pub tries: f64,
     pub failed: f64,
     pub good_ms: f64,
@@ -27,8 +27,8 @@
     pub times: Sketch,
 }
 
-impl Sum for Met {
-    fn add(&mut self, other: &Met) {
+impl Sum for BucketTotals {
+    fn add(&mut self, other: &BucketTotals) {
         self.tries += other.tries;
         self.failed += other.failed;
         self.good_ms += other.good_ms;
@@ -53,20 +53,20 @@
 
 /// Too uncertain to be told: what it says could be chance alone. Guards against verdicts on lines that
 /// stand for many unread ones. May harm by silence: then the next round, with less unread, tells.
-pub fn is_vague(tries: f64, variance: f64) -> bool {
+pub fn is_imprecise(tries: f64, variance: f64) -> bool {
     tries > FEW && BOUND * variance.max(0.0).sqrt() > VAGUE * tries
 }
 
 /// Whether what ended so long ago is still news. Guards against a burst after a stall, which would tell of
 /// a moment long gone as if it were this one. May harm where all reports come late: verdicts then wait.
-pub fn is_news(ended_ago_ms: f64, every_ms: f64) -> bool {
+pub fn is_recent(ended_ago_ms: f64, every_ms: f64) -> bool {
     ended_ago_ms <= NEWS * every_ms
 }
 
 /// One server, as the proxies of each zone met it.
 #[derive(Clone, Debug)]
 pub struct Server {
-    zones: Vec<Ring<Met>>,
+    zones: Vec<Ring<BucketTotals>>,
 }
 
 /// All servers.
@@ -76,12 +76,12 @@
     zones: usize,
     servers: Vec<Server>,
     /// Lines whose stretch lies further back than the rings.
-    pub past: u64,
+    pub expired_lines: u64,
 }
 
 /// A stretch of what was read about a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Noted {
+pub struct Observation {
     pub server: usize,
     pub zone: usize,
     pub begin: f64,
@@ -98,7 +98,7 @@
             bucket_ms,
             zones,
             servers: Vec::new(),
-            past: 0,
+            expired_lines: 0,
         }
     }
 
@@ -112,7 +112,7 @@
 
     /// Notes what was met over a stretch, evenly over its buckets. What lies before the rings is counted
     /// and forgotten: it is neither news nor load of this moment.
-    pub fn note(&mut self, now: f64, n: &Noted) {
+    pub fn record(&mut self, now: f64, n: &Observation) {
         if n.zone >= self.zones || n.tries <= 0.0 {
             return;
         }
@@ -125,7 +125,7 @@
         if good > 0.0 {
             times.add(n.good_ms / good, good * part);
         }
-        let met = Met {
+        let met = BucketTotals {
             tries: n.tries * part,
             failed: n.failed * part,
             good_ms: n.good_ms * part,
@@ -141,7 +141,7 @@
                 past = 1;
             }
         }
-        self.past += past;
+        self.expired_lines += past;
     }
 
     /// The index stands for another server from now on.
@@ -154,16 +154,16 @@
 
     /// What was met at a server over a span of whole buckets, by all zones; none if nothing was. The span
     /// ends where reports are complete.
-    pub fn of(&self, now: f64, server: usize, span_ms: f64) -> Option<Estimate> {
-        self.of_all(now, server..server + 1, span_ms)
+    pub fn estimate(&self, now: f64, server: usize, span_ms: f64) -> Option<Estimate> {
+        self.estimate_range(now, server..server + 1, span_ms)
     }
 
     /// The same over several places together, as the classes of one server.
-    pub fn of_all(&self, now: f64, places: Range<usize>, span_ms: f64) -> Option<Estimate> {
+    pub fn estimate_range(&self, now: f64, places: Range<usize>, span_ms: f64) -> Option<Estimate> {
         let end = places.end.min(self.servers.len());
         let there = self.servers.get(places.start..end)?;
         let rings = || there.iter().flat_map(|s| &s.zones);
-        let mut sum = Met::default();
+        let mut sum = BucketTotals::default();
         rings().for_each(|r| sum.add(&r.sum(now, span_ms, ON_THE_WAY)));
         let newest = rings().filter_map(|r| r.newest(now)).reduce(f64::max)?;
         let good = (sum.tries - sum.failed).max(0.0);
--- a/crates/intake/tests/intake.rs
+++ b/crates/intake/tests/intake.rs
@@ -1,7 +1,7 @@
 //! The intake's parts against cases and against days drawn by chance: what is read stays true on average,
 //! what is merged does not depend on order, and no suspicion rises in calm.
 
-use dahliapoint_intake::estimates::{Estimates, Noted};
+use dahliapoint_intake::estimates::{Estimates, Observation};
 use dahliapoint_intake::pace::Interval;
 use dahliapoint_intake::report_queue::{Line, Refusal, ReportQueue};
 use dahliapoint_intake::sampling::{Chance, fate, odds, quota, threshold};
@@ -166,9 +166,9 @@
     }
     for r in mouth.read(30_000.0, 1000) {
         for (server, l, variance) in r.lines {
-            estimates.note(
+            estimates.record(
                 30_000.0,
-                &Noted {
+                &Observation {
                     server,
                     zone: 0,
                     begin: r.begin,
@@ -181,14 +181,14 @@
             );
         }
     }
-    let now = estimates.of(30_000.0, 0, 1_000.0).unwrap();
+    let now = estimates.estimate(30_000.0, 0, 1_000.0).unwrap();
     assert!(
         (10.0..=40.0).contains(&now.tries),
         "two or three halves: {}",
         now.tries
     );
     assert!(now.age_ms <= 500.0);
-    let later = estimates.of(31_500.0, 0, 10_000.0).unwrap();
+    let later = estimates.estimate(31_500.0, 0, 10_000.0).unwrap();
     assert!((150.0..=200.0).contains(&later.tries), "{later:?}");
     assert!(later.age_ms >= 1_000.0, "{later:?}");
 }
@@ -412,14 +412,14 @@
                 prop_assert!(r.begin <= r.end && r.end <= now + 1e-6);
                 for (server, l, variance) in r.lines {
                     let zone = reporter as usize % 2;
-                    estimates.note(now, &Noted {
+                    estimates.record(now, &Observation {
                         server, zone, begin: r.begin, end: r.end,
                         tries: l.tries, failed: l.failed, good_ms: l.good_ms, variance,
                     });
                 }
             }
             for server in 0..5 {
-                if let Some(e) = estimates.of(now, server, 5_000.0) {
+                if let Some(e) = estimates.estimate(now, server, 5_000.0) {
                     let all = [e.tries, e.failed, e.mean_ms, e.tail_ms, e.error, e.age_ms];
                     prop_assert!(all.iter().all(|x| x.is_finite() && *x >= 0.0), "{:?}", e);
                     prop_assert!(e.failed <= e.tries * (1.0 + 1e-9));
