--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -11,7 +11,7 @@
 };
 use dahliapoint_fibers::{Bell, Queue, Received};
 use dahliapoint_hooks::value::{LineSeen, World};
-use dahliapoint_intake::pace::Interval;
+use dahliapoint_intake::interval::ReportInterval;
 use dahliapoint_intake::report_queue::{Line, MergedReport, ReportQueue};
 use dahliapoint_memory::facts::{Change, Differ, Facts};
 use dahliapoint_memory::keeper::{self, Keeper};
@@ -137,7 +137,7 @@
     record: Option<Recorder<BufWriter<File>>>,
     hand: Hand,
     scheduler: Scheduler,
-    interval: Interval,
+    interval: ReportInterval,
     every_ms: f64,
     next_round: f64,
     /// The round being read, what it began with, and its piece of work.
@@ -220,7 +220,7 @@
         let budgets = [budget(READING_SHARE), budget(TELLING_SHARE)];
         let every_ms = terms.report_every_ms;
         let work = Work {
-            interval: Interval::new(now, every_ms, terms.reports_per_s),
+            interval: ReportInterval::new(now, every_ms, terms.reports_per_s),
             controller: Controller::begun(now, seed, terms),
             record: recorder,
             hand,
@@ -426,7 +426,7 @@
         let came = (tally.lines - work.lines_before) as f64;
         work.lines_before = tally.lines;
         let over = now - (work.next_round - work.every_ms);
-        if let Some(every) = work.interval.heard(now, came, over) {
+        if let Some(every) = work.interval.observe(now, came, over) {
             warn!(
                 every_ms = every,
                 lines = came,
--- a/crates/intake/examples/worth.rs
+++ b/crates/intake/examples/worth.rs
@@ -2,7 +2,7 @@
 //! and without. `cargo run --release -p dahliapoint-intake --example worth`; the same figures each time.
 
 use dahliapoint_intake::estimates::{Estimates, Observation};
-use dahliapoint_intake::pace::Interval;
+use dahliapoint_intake::interval::ReportInterval;
 use dahliapoint_intake::report_queue::{Line, ReportQueue};
 use dahliapoint_intake::sampling::{Chance, fate, odds, quota, threshold};
 use dahliapoint_intake::timeline::Timeline;
@@ -143,7 +143,7 @@
 fn back_pressure() {
     println!("twice as many lines come as can be read, for a minute; left unread:");
     for asks in [true, false] {
-        let mut interval = Interval::new(0.0, 500.0, 4_000.0);
+        let mut interval = ReportInterval::new(0.0, 500.0, 4_000.0);
         let mut mouth: ReportQueue<usize, usize> = ReportQueue::new(500.0, 1000, 1);
         (0..REPORTERS).for_each(|r| mouth.stream_started(0.0, r));
         let mut next = vec![0.0; REPORTERS];
@@ -166,7 +166,7 @@
                     let _ = mouth.push(now, &r, every, lines, std::iter::empty());
                 }
             }
-            interval.heard(now, (mouth.stats.lines - before) as f64, 500.0);
+            interval.observe(now, (mouth.stats.lines - before) as f64, 500.0);
             mouth.read(now, 2_000);
         }
         let t = mouth.stats;
--- a/crates/intake/src/pace.rs
+++ b/crates/intake/src/interval.rs
@@ -12,7 +12,7 @@
 const LONGEST: f64 = 4.0;
 
 #[derive(Clone, Copy, Debug)]
-pub struct Interval {
+pub struct ReportInterval {
     usual_ms: f64,
     now_ms: f64,
     /// Lines a millisecond that can be read.
@@ -20,9 +20,9 @@
     moved: f64,
 }
 
-impl Interval {
-    pub fn new(now: f64, usual_ms: f64, lines_per_s: f64) -> Interval {
-        Interval {
+impl ReportInterval {
+    pub fn new(now: f64, usual_ms: f64, lines_per_s: f64) -> ReportInterval {
+        ReportInterval {
             usual_ms,
             now_ms: usual_ms,
             room: lines_per_s / 1e3,
@@ -35,7 +35,7 @@
     }
 
     /// So many lines came in the last stretch of time. Tells the new interval if it moves.
-    pub fn heard(&mut self, now: f64, lines: f64, over_ms: f64) -> Option<f64> {
+    pub fn observe(&mut self, now: f64, lines: f64, over_ms: f64) -> Option<f64> {
         if now - self.moved < SETTLE * self.now_ms || over_ms <= 0.0 {
             return None;
         }
--- a/crates/intake/src/lib.rs
+++ b/crates/intake/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`estimates`] keeps what was met by server, with an age and an error bound;
 //! - [`trust`] sets a server's own word against what proxies met, and a proxy's against all others';
 //! - [`coverage`] knows who tells of which server, and who has fallen silent;
-//! - [`pace`] moves the reporting interval before anything has to be left unread;
+//! - [`interval`] moves the reporting interval before anything has to be left unread;
 //! - [`sketch`], [`ring`] and [`wheel`] are the structures under them.
 //!
 //! Times are milliseconds on one clock that never goes back; servers and reporters are small indices
@@ -14,7 +14,7 @@
 
 pub mod coverage;
 pub mod estimates;
-pub mod pace;
+pub mod interval;
 pub mod report_queue;
 pub mod ring;
 pub mod sampling;
--- a/crates/intake/tests/intake.rs
+++ b/crates/intake/tests/intake.rs
@@ -2,7 +2,7 @@
 //! what is merged does not depend on order, and no suspicion rises in calm.
 
 use dahliapoint_intake::estimates::{Estimates, Observation};
-use dahliapoint_intake::pace::Interval;
+use dahliapoint_intake::interval::ReportInterval;
 use dahliapoint_intake::report_queue::{Line, Refusal, ReportQueue};
 use dahliapoint_intake::sampling::{Chance, fate, odds, quota, threshold};
 use dahliapoint_intake::sketch::{ERROR, Sketch};
@@ -195,19 +195,19 @@
 
 #[test]
 fn the_interval_moves_before_anything_is_left_and_does_not_dance() {
-    let mut interval = Interval::new(0.0, 500.0, 1_000.0);
+    let mut interval = ReportInterval::new(0.0, 500.0, 1_000.0);
     let mut moves = Vec::new();
     // Reporters bring 1,500 lines a second at the usual interval, less at longer ones.
     for i in 1..400 {
         let now = f64::from(i) * 500.0;
         let lines = 1_500.0 * 500.0 / interval.ms() / 2.0;
-        moves.extend(interval.heard(now, lines, 500.0));
+        moves.extend(interval.observe(now, lines, 500.0));
     }
     assert!(moves.len() <= 3, "settles: {moves:?}");
     assert!(interval.ms() > 500.0);
     // Calm again: back to the usual, and no further.
     for i in 400..800 {
-        interval.heard(f64::from(i) * 500.0, 10.0, 500.0);
+        interval.observe(f64::from(i) * 500.0, 10.0, 500.0);
     }
     assert_eq!(interval.ms(), 500.0);
 }
