--- a/crates/intake/benches/structures.rs
+++ b/crates/intake/benches/structures.rs
@@ -5,7 +5,7 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use dahliapoint_intake::coverage::Coverage;
 use dahliapoint_intake::report_queue::{Line, ReportQueue};
-use dahliapoint_intake::ring::{Ring, Sum};
+use dahliapoint_intake::ring::{Accumulate, Ring};
 use dahliapoint_intake::sketch::Sketch;
 use dahliapoint_intake::wheel::Wheel;
 use std::collections::{BTreeMap, VecDeque};
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, Default)]
 struct Count(f64);
 
-impl Sum for Count {
+impl Accumulate for Count {
     fn add(&mut self, other: &Count) {
         self.0 += other.0;
     }
--- a/crates/intake/src/estimates.rs
+++ b/crates/intake/src/estimates.rs
@@ -1,7 +1,7 @@
 //! What was met at each server, from what was read: sums by bucket of time and zone of the proxies, the
 //! spread of times, and how far the sums can be trusted.
 
-use crate::ring::{Ring, Sum};
+use crate::ring::{Accumulate, Ring};
 use crate::sketch::Sketch;
 use std::ops::Range;
 
@@ -27,7 +27,7 @@
     pub times: Sketch,
 }
 
-impl Sum for BucketTotals {
+impl Accumulate for BucketTotals {
     fn add(&mut self, other: &BucketTotals) {
         self.tries += other.tries;
         self.failed += other.failed;
--- a/crates/intake/src/ring.rs
+++ b/crates/intake/src/ring.rs
@@ -4,7 +4,7 @@
 pub const BUCKETS: usize = 32;
 
 /// Something that can be added up.
-pub trait Sum: Clone + Default {
+pub trait Accumulate: Clone + Default {
     fn add(&mut self, other: &Self);
 }
 
@@ -15,7 +15,7 @@
     slots: Vec<(u64, T)>,
 }
 
-impl<T: Sum> Ring<T> {
+impl<T: Accumulate> Ring<T> {
     pub fn new(bucket_ms: f64) -> Ring<T> {
         Ring {
             bucket_ms,
@@ -29,14 +29,14 @@
     }
 
     /// What lies longer ago than the ring reaches.
-    pub fn is_past(&self, now: f64, at: f64) -> bool {
+    pub fn is_expired(&self, now: f64, at: f64) -> bool {
         self.bucket(at) + BUCKETS as u64 <= self.bucket(now)
     }
 
     /// Adds to the bucket of a time; false if that is past, or ahead of now.
     pub fn add(&mut self, now: f64, at: f64, what: &T) -> bool {
         let bucket = self.bucket(at);
-        if self.is_past(now, at) || bucket > self.bucket(now) {
+        if self.is_expired(now, at) || bucket > self.bucket(now) {
             return false;
         }
         let slot = &mut self.slots[bucket as usize % BUCKETS];
