--- a/crates/intake/examples/worth.rs
+++ b/crates/intake/examples/worth.rs
@@ -4,7 +4,7 @@
 use dahliapoint_intake::estimates::{Estimates, Observation};
 use dahliapoint_intake::interval::ReportInterval;
 use dahliapoint_intake::report_queue::{Line, ReportQueue};
-use dahliapoint_intake::sampling::{Chance, fate, odds, quota, threshold};
+use dahliapoint_intake::sampling::{Rng, keep_probability, quota, sample, threshold};
 use dahliapoint_intake::timeline::Timeline;
 
 const SERVERS: usize = 100;
@@ -25,19 +25,19 @@
 
 /// Tries that each reporter met at each server: a few servers much used, reporters of unequal size, and one
 /// that is fifty times as loud as the rest.
-fn sizes(chance: &mut Chance) -> Vec<Vec<f64>> {
+fn sizes(chance: &mut Rng) -> Vec<Vec<f64>> {
     let loud = |r: usize| if r == 0 { 50.0 } else { 1.0 + (r % 7) as f64 };
     let much = |s: usize| 20.0 / (1.0 + s as f64).sqrt();
-    let one = |r: usize, chance: &mut Chance| {
+    let one = |r: usize, chance: &mut Rng| {
         (0..SERVERS)
-            .map(|s| (loud(r) * much(s) * chance.draw()).round())
+            .map(|s| (loud(r) * much(s) * chance.next_f64()).round())
             .collect()
     };
     (0..REPORTERS).map(|r| one(r, chance)).collect()
 }
 
 fn sampling() {
-    let mut chance = Chance::from(3);
+    let mut chance = Rng::from_seed(3);
     let room = SERVERS * REPORTERS / 10;
     let (mut ours, mut plain, mut first) = (Vec::new(), Vec::new(), Vec::new());
     for _ in 0..40 {
@@ -56,11 +56,12 @@
         for r in &sizes {
             let level = threshold(r, each);
             for (s, size) in r.iter().enumerate() {
-                let odds = odds(*size, level).max(odds(*size, by_server[s]));
-                if let Some((factor, _)) = fate(*size, odds, &mut chance) {
+                let odds =
+                    keep_probability(*size, level).max(keep_probability(*size, by_server[s]));
+                if let Some((factor, _)) = sample(*size, odds, &mut chance) {
                     sums[0][s] += size * factor;
                 }
-                if chance.draw() < 0.1 {
+                if chance.next_f64() < 0.1 {
                     sums[1][s] += size * 10.0;
                 }
                 // Read as they come until the room is full, the rest dropped.
--- a/crates/intake/src/report_queue.rs
+++ b/crates/intake/src/report_queue.rs
@@ -5,7 +5,7 @@
 //! How it is called: [`ReportQueue::stream_started`] and [`ReportQueue::stream_ended`] for each stream, [`ReportQueue::push`] for each report,
 //! [`ReportQueue::read`] by the owner once a period, with the lines that it has room for.
 
-use crate::sampling::{Chance, fate, odds, quota, threshold};
+use crate::sampling::{Rng, keep_probability, quota, sample, threshold};
 use crate::timeline::Timeline;
 use std::collections::BTreeMap;
 
@@ -115,7 +115,7 @@
     bucket_ms: f64,
     most_servers: usize,
     reporters: BTreeMap<R, Reporter<K>>,
-    chance: Chance,
+    chance: Rng,
     pub stats: QueueStats,
 }
 
@@ -125,7 +125,7 @@
             bucket_ms,
             most_servers,
             reporters: BTreeMap::new(),
-            chance: Chance::from(seed),
+            chance: Rng::from_seed(seed),
             stats: QueueStats::default(),
         }
     }
@@ -335,8 +335,9 @@
                 let mut lines = Vec::with_capacity(waiting.lines.len());
                 for (server, line) in waiting.lines {
                     let level = by_server.get(&server).copied().unwrap_or(0.0);
-                    let odds = odds(line.tries, own).max(odds(line.tries, level));
-                    match fate(line.tries, odds, &mut self.chance) {
+                    let odds =
+                        keep_probability(line.tries, own).max(keep_probability(line.tries, level));
+                    match sample(line.tries, odds, &mut self.chance) {
                         Some((factor, variance)) => {
                             self.stats.read += 1;
                             lines.push((server, line.times(factor), variance));
--- a/crates/intake/src/sampling.rs
+++ b/crates/intake/src/sampling.rs
@@ -10,14 +10,14 @@
 
 /// Multiply with carry: numbers from 0 to 1, from a seed.
 #[derive(Clone, Debug)]
-pub struct Chance(u32, u32);
+pub struct Rng(u32, u32);
 
-impl Chance {
-    pub fn from(seed: u64) -> Chance {
-        Chance(seed as u32 | 1, (seed >> 32) as u32 | 1)
+impl Rng {
+    pub fn from_seed(seed: u64) -> Rng {
+        Rng(seed as u32 | 1, (seed >> 32) as u32 | 1)
     }
 
-    pub fn draw(&mut self) -> f64 {
+    pub fn next_f64(&mut self) -> f64 {
         let next = u64::from(self.0) * 4_294_957_665 + u64::from(self.1);
         (self.0, self.1) = (next as u32, (next >> 32) as u32);
         f64::from(self.0) / (f64::from(u32::MAX) + 1.0)
@@ -64,7 +64,7 @@
 }
 
 /// The chance with which a line of that size is kept, by a threshold.
-pub fn odds(size: f64, threshold: f64) -> f64 {
+pub fn keep_probability(size: f64, threshold: f64) -> f64 {
     match size >= threshold {
         true => 1.0,
         false if threshold.is_finite() => (size / threshold).max(0.0),
@@ -74,11 +74,11 @@
 
 /// A line's fate with a chance: the factor that its counts are taken with, and the variance that this
 /// brings to its size; none if it is not read.
-pub fn fate(size: f64, odds: f64, chance: &mut Chance) -> Option<(f64, f64)> {
+pub fn sample(size: f64, odds: f64, chance: &mut Rng) -> Option<(f64, f64)> {
     if odds >= 1.0 {
         return Some((1.0, 0.0));
     }
     // Unbiased for the variance of the sum: what was kept stands for what was not there too.
-    let kept = size > 0.0 && chance.draw() < odds;
+    let kept = size > 0.0 && chance.next_f64() < odds;
     kept.then(|| (1.0 / odds, size * size * (1.0 - odds) / (odds * odds)))
 }
--- a/crates/intake/tests/intake.rs
+++ b/crates/intake/tests/intake.rs
@@ -4,7 +4,7 @@
 use dahliapoint_intake::estimates::{Estimates, Observation};
 use dahliapoint_intake::interval::ReportInterval;
 use dahliapoint_intake::report_queue::{Line, Refusal, ReportQueue};
-use dahliapoint_intake::sampling::{Chance, fate, odds, quota, threshold};
+use dahliapoint_intake::sampling::{Rng, keep_probability, quota, sample, threshold};
 use dahliapoint_intake::sketch::{ERROR, Sketch};
 use dahliapoint_intake::trust::{ProxyViews, ServerSample, TrustChange, TrustTracker};
 use proptest::prelude::*;
@@ -40,12 +40,12 @@
     let sizes: Vec<f64> = (0..400).map(|i| f64::from(i % 40) + 1.0).collect();
     let truth: f64 = sizes.iter().sum();
     let level = threshold(&sizes, 100);
-    let mut chance = Chance::from(11);
+    let mut chance = Rng::from_seed(11);
     let (mut sums, mut kept, mut within) = (0.0, 0, 0);
     for _ in 0..500 {
         let (mut sum, mut variance) = (0.0, 0.0);
         for size in &sizes {
-            if let Some((factor, v)) = fate(*size, odds(*size, level), &mut chance) {
+            if let Some((factor, v)) = sample(*size, keep_probability(*size, level), &mut chance) {
                 sum += size * factor;
                 variance += v;
                 kept += 1;
@@ -299,25 +299,25 @@
 
 #[test]
 fn no_flag_rises_in_an_hour_of_calm() {
-    let mut chance = Chance::from(5);
+    let mut chance = Rng::from_seed(5);
     let mut belief = TrustTracker::default();
     for _ in 0..7_200 {
         let mut said = BTreeMap::new();
         let mut views = ProxyViews::new();
         for server in 0..20 {
-            let busy = chance.draw() * 0.8;
-            let own = 20.0 * (0.9 + 0.2 * chance.draw());
+            let busy = chance.next_f64() * 0.8;
+            let own = 20.0 * (0.9 + 0.2 * chance.next_f64());
             said.insert(
                 server,
                 ServerSample {
                     own_ms: Some(own),
                     own_queue: Some((busy * 3.0).floor()),
-                    measured_ms: own * (1.0 + busy * 2.0 * chance.draw()),
-                    tries: 5.0 + 40.0 * chance.draw(),
+                    measured_ms: own * (1.0 + busy * 2.0 * chance.next_f64()),
+                    tries: 5.0 + 40.0 * chance.next_f64(),
                 },
             );
             for proxy in 0..8 {
-                let failed = if chance.draw() < 0.02 { 2.0 } else { 0.0 };
+                let failed = if chance.next_f64() < 0.02 { 2.0 } else { 0.0 };
                 views
                     .entry(proxy)
                     .or_default()
