--- a/crates/intake/benches/structures.rs
+++ b/crates/intake/benches/structures.rs
@@ -6,7 +6,7 @@
 use dahliapoint_intake::coverage::Coverage;
 use dahliapoint_intake::report_queue::{Line, ReportQueue};
 use dahliapoint_intake::ring::{Accumulate, Ring};
-use dahliapoint_intake::sketch::Sketch;
+use dahliapoint_intake::sketch::QuantileSketch;
 use dahliapoint_intake::wheel::Wheel;
 use std::collections::{BTreeMap, VecDeque};
 use std::hint::black_box;
@@ -116,17 +116,17 @@
     for n in SIZES {
         let values: Vec<f64> = draws(n).iter().map(|x| 5.0 + 200.0 * x * x).collect();
         let parts: Vec<&[f64]> = values.chunks(n.div_ceil(10)).collect();
-        let sketches: Vec<Sketch> = parts
+        let sketches: Vec<QuantileSketch> = parts
             .iter()
             .map(|part| {
-                let mut s = Sketch::default();
+                let mut s = QuantileSketch::default();
                 part.iter().for_each(|v| s.add(*v, 1.0));
                 s
             })
             .collect();
         group.bench_function(BenchmarkId::new("sketch", n), |b| {
             b.iter(|| {
-                let mut all = Sketch::default();
+                let mut all = QuantileSketch::default();
                 sketches.iter().for_each(|s| all.merge(s));
                 black_box(all.quantile(0.95))
             });
--- a/crates/intake/src/estimates.rs
+++ b/crates/intake/src/estimates.rs
@@ -2,7 +2,7 @@
 //! spread of times, and how far the sums can be trusted.
 
 use crate::ring::{Accumulate, Ring};
-use crate::sketch::Sketch;
+use crate::sketch::QuantileSketch;
 use std::ops::Range;
 
 /// An error bound is so many standard deviations: it holds in 19 of 20 cases.
@@ -24,7 +24,7 @@
     pub good_ms: f64,
     /// Variance of the tries, from what was left unread.
     pub variance: f64,
-    pub times: Sketch,
+    pub times: QuantileSketch,
 }
 
 impl Accumulate for BucketTotals {
@@ -121,7 +121,7 @@
         let many = ((span / bucket_ms).round() as usize).clamp(1, crate::ring::BUCKETS);
         let part = 1.0 / many as f64;
         let good = (n.tries - n.failed).max(0.0);
-        let mut times = Sketch::default();
+        let mut times = QuantileSketch::default();
         if good > 0.0 {
             times.add(n.good_ms / good, good * part);
         }
--- a/crates/intake/src/sketch.rs
+++ b/crates/intake/src/sketch.rs
@@ -1,21 +1,21 @@
 //! Quantiles that can be merged: buckets whose bounds grow by a fixed factor, so that any quantile is off
-//! by at most [`ERROR`] of itself, whatever the order of what came and of what was merged.
+//! by at most [`RELATIVE_ERROR`] of itself, whatever the order of what came and of what was merged.
 
 /// A quantile lies within this share of the true one.
-pub const ERROR: f64 = 0.02;
+pub const RELATIVE_ERROR: f64 = 0.02;
 /// Times below this are one bucket.
 const LEAST: f64 = 0.01;
 /// Buckets that one sketch may have: from 10 microseconds to over three hours.
 const MOST: i32 = 520;
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Sketch {
+pub struct QuantileSketch {
     /// Bucket and weight, in the order of buckets.
     counts: Vec<(i32, f64)>,
 }
 
 fn growth() -> f64 {
-    (1.0 + ERROR) / (1.0 - ERROR)
+    (1.0 + RELATIVE_ERROR) / (1.0 - RELATIVE_ERROR)
 }
 
 fn bucket(value: f64) -> i32 {
@@ -23,7 +23,7 @@
     (at.ceil() as i32).clamp(0, MOST)
 }
 
-impl Sketch {
+impl QuantileSketch {
     /// Adds a value that stands for so many.
     pub fn add(&mut self, value: f64, weight: f64) {
         if !(value.is_finite() && weight.is_finite() && weight > 0.0) {
@@ -36,7 +36,7 @@
         }
     }
 
-    pub fn merge(&mut self, other: &Sketch) {
+    pub fn merge(&mut self, other: &QuantileSketch) {
         let mut merged = Vec::with_capacity(self.counts.len().max(other.counts.len()));
         let (mut a, mut b) = (
             self.counts.iter().peekable(),
@@ -70,11 +70,11 @@
             seen += weight;
             if seen >= wanted {
                 let upper = LEAST * growth().powi(*bucket);
-                return Some(upper * (1.0 - ERROR));
+                return Some(upper * (1.0 - RELATIVE_ERROR));
             }
         }
         let last = self.counts.last()?;
-        Some(LEAST * growth().powi(last.0) * (1.0 - ERROR))
+        Some(LEAST * growth().powi(last.0) * (1.0 - RELATIVE_ERROR))
     }
 
     /// Buckets in use.
--- a/crates/intake/tests/intake.rs
+++ b/crates/intake/tests/intake.rs
@@ -5,7 +5,7 @@
 use dahliapoint_intake::interval::ReportInterval;
 use dahliapoint_intake::report_queue::{Line, Refusal, ReportQueue};
 use dahliapoint_intake::sampling::{Rng, keep_probability, quota, sample, threshold};
-use dahliapoint_intake::sketch::{ERROR, Sketch};
+use dahliapoint_intake::sketch::{QuantileSketch, RELATIVE_ERROR};
 use dahliapoint_intake::trust::{ProxyViews, ServerSample, TrustChange, TrustTracker};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -368,7 +368,7 @@
     #[test]
     fn sketches_merge_in_any_order(values in prop::collection::vec(0.02..50_000.0_f64, 1..300), at in 0.0..1.0_f64) {
         let of = |values: &[f64]| {
-            let mut s = Sketch::default();
+            let mut s = QuantileSketch::default();
             values.iter().for_each(|v| s.add(*v, 1.0));
             s
         };
@@ -386,7 +386,7 @@
             let rank = (sorted.len() as f64 * share).ceil().max(1.0) as usize;
             let truth = sorted[rank - 1];
             let said = whole.quantile(share).unwrap();
-            prop_assert!((said / truth - 1.0).abs() <= 2.1 * ERROR, "{} for {}", said, truth);
+            prop_assert!((said / truth - 1.0).abs() <= 2.1 * RELATIVE_ERROR, "{} for {}", said, truth);
         }
     }
 
