--- a/crates/intake/examples/worth.rs
+++ b/crates/intake/examples/worth.rs
@@ -91,7 +91,7 @@
 /// One reporter in four stalls for ten seconds and then tells all at once.
 fn ageing() {
     let (mut placed, mut arrived) = (Estimates::new(500.0, 1), Estimates::new(500.0, 1));
-    let mut clocks = vec![Timeline::begun(0.0); REPORTERS];
+    let mut clocks = vec![Timeline::new(0.0); REPORTERS];
     let mut held: Vec<u32> = vec![0; REPORTERS];
     let (mut ours, mut plain) = (Vec::new(), Vec::new());
     for round in 1..120_u32 {
--- a/crates/intake/src/report_queue.rs
+++ b/crates/intake/src/report_queue.rs
@@ -133,7 +133,7 @@
     /// A stream of a reporter begins: its clock begins with it, and what an older one left unread of the
     /// same reporter stays.
     pub fn stream_started(&mut self, now: f64, reporter: R) {
-        let timeline = Timeline::begun(now);
+        let timeline = Timeline::new(now);
         let waiting = self.reporters.remove(&reporter).map(|r| r.waiting);
         let waiting = waiting.unwrap_or_default();
         self.reporters.insert(
--- a/crates/intake/src/timeline.rs
+++ b/crates/intake/src/timeline.rs
@@ -18,7 +18,7 @@
 
 /// A stretch of time on our clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Stretch {
+pub struct Window {
     pub begin: f64,
     pub end: f64,
 }
@@ -37,7 +37,7 @@
 
 impl Timeline {
     /// A stream that begins now: nothing that it tells can have ended before.
-    pub fn begun(now: f64) -> Timeline {
+    pub fn new(now: f64) -> Timeline {
         Timeline {
             clock: 0.0,
             offset: now,
@@ -49,7 +49,7 @@
 
     /// The stretch that a report covers which came now. Between reports of one stream no time is lost and
     /// none is told twice. One that ended long ago is told so by its end.
-    pub fn place(&mut self, now: f64, window_ms: f64) -> Stretch {
+    pub fn place(&mut self, now: f64, window_ms: f64) -> Window {
         // The offset may grow by the drift of clocks, so that a slow one is not late for ever.
         let since = (now - self.reckoned).max(0.0);
         self.offset += since * DRIFT;
@@ -70,7 +70,7 @@
             (self.steady, self.least_late) = (0, f64::INFINITY);
         }
         let end = self.clock + self.offset;
-        Stretch {
+        Window {
             begin: end - window_ms,
             end,
         }
@@ -87,7 +87,7 @@
 
     #[test]
     fn reports_in_time_end_when_they_come() {
-        let mut t = Timeline::begun(0.0);
+        let mut t = Timeline::new(0.0);
         for i in 1..100 {
             let now = f64::from(i) * 500.0;
             let s = t.place(now, 500.0);
@@ -98,7 +98,7 @@
 
     #[test]
     fn a_burst_after_a_stall_is_laid_over_the_stall() {
-        let mut t = Timeline::begun(0.0);
+        let mut t = Timeline::new(0.0);
         t.place(500.0, 500.0);
         // Sixty reports wait for thirty seconds and come at once.
         let ends: Vec<f64> = (0..60).map(|_| t.place(30_500.0, 500.0).end).collect();
@@ -109,7 +109,7 @@
 
     #[test]
     fn lateness_that_varies_is_taken_off_once_a_report_was_quick() {
-        let mut t = Timeline::begun(0.0);
+        let mut t = Timeline::new(0.0);
         let late = [400.0, 300.0, 20.0, 900.0, 700.0, 50.0];
         let mut last = 0.0;
         for (i, late) in late.iter().enumerate() {
@@ -121,7 +121,7 @@
 
     #[test]
     fn a_reporter_that_tells_less_time_than_passes_does_not_fall_behind() {
-        let mut t = Timeline::begun(0.0);
+        let mut t = Timeline::new(0.0);
         let mut behind: f64 = 0.0;
         for i in 1..2_000 {
             let now = f64::from(i) * 520.0;
@@ -133,7 +133,7 @@
     #[test]
     fn a_clock_that_runs_slow_stays_near() {
         // It says 499.8 ms for each 500 ms of ours.
-        let mut t = Timeline::begun(0.0);
+        let mut t = Timeline::new(0.0);
         let mut behind: f64 = 0.0;
         for i in 1..20_000 {
             let now = f64::from(i) * 500.0;
