--- a/crates/intake/benches/structures.rs
+++ b/crates/intake/benches/structures.rs
@@ -7,7 +7,7 @@
 use dahliapoint_intake::report_queue::{Line, ReportQueue};
 use dahliapoint_intake::ring::{Accumulate, Ring};
 use dahliapoint_intake::sketch::QuantileSketch;
-use dahliapoint_intake::wheel::Wheel;
+use dahliapoint_intake::timer_wheel::TimerWheel;
 use std::collections::{BTreeMap, VecDeque};
 use std::hint::black_box;
 use std::time::Duration;
@@ -41,11 +41,11 @@
     for n in SIZES {
         group.bench_function(BenchmarkId::new("wheel", n), |b| {
             b.iter(|| {
-                let mut wheel = Wheel::new(0.0, 500.0);
+                let mut wheel = TimerWheel::new(0.0, 500.0);
                 for round in 0..10 {
                     let now = f64::from(round) * 500.0;
-                    (0..n).for_each(|r| wheel.set(r, now + 3_000.0));
-                    black_box(wheel.expired(now));
+                    (0..n).for_each(|r| wheel.schedule(r, now + 3_000.0));
+                    black_box(wheel.pop_expired(now));
                 }
             });
         });
--- a/crates/intake/src/coverage.rs
+++ b/crates/intake/src/coverage.rs
@@ -1,7 +1,7 @@
 //! Who tells of which server, and who has fallen silent: an index from servers to the proxies that report
 //! on them, with what each last told, so that a sum can say which part of its reporters it lacks.
 
-use crate::wheel::Wheel;
+use crate::timer_wheel::TimerWheel;
 use std::collections::BTreeMap;
 
 /// A proxy that reported is silent after so many reporting periods without a report.
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub struct Coverage {
     every_ms: f64,
-    wheel: Wheel<usize>,
+    wheel: TimerWheel<usize>,
     /// By server: proxies in their order, and the tries in a period that each lately told.
     servers: Vec<Vec<(usize, f64)>>,
     silent: BTreeMap<usize, f64>,
@@ -31,7 +31,7 @@
     pub fn new(now: f64, every_ms: f64) -> Coverage {
         Coverage {
             every_ms,
-            wheel: Wheel::new(now, every_ms),
+            wheel: TimerWheel::new(now, every_ms),
             servers: Vec::new(),
             silent: BTreeMap::new(),
         }
@@ -45,7 +45,7 @@
         interval_ms: f64,
     ) -> Option<ReporterChange> {
         let after = SILENT * interval_ms.max(self.every_ms);
-        self.wheel.set(proxy, now + after);
+        self.wheel.schedule(proxy, now + after);
         self.silent
             .remove(&proxy)
             .map(|_| ReporterChange::Resumed(proxy))
@@ -65,7 +65,7 @@
 
     /// Looks who has fallen silent; once a period.
     pub fn expire_silent(&mut self, now: f64) -> Vec<ReporterChange> {
-        let expired = self.wheel.expired(now);
+        let expired = self.wheel.pop_expired(now);
         self.silent.extend(expired.iter().map(|p| (*p, now)));
         expired.into_iter().map(ReporterChange::Silent).collect()
     }
@@ -110,7 +110,7 @@
     }
 
     pub fn forget_proxy(&mut self, proxy: usize) {
-        self.wheel.take(&proxy);
+        self.wheel.cancel(&proxy);
         self.silent.remove(&proxy);
         for there in &mut self.servers {
             if let Ok(at) = there.binary_search_by_key(&proxy, |(p, _)| *p) {
@@ -173,7 +173,7 @@
 
     #[test]
     fn a_wheel_expires_what_a_plain_map_would() {
-        let mut wheel = Wheel::new(0.0, 10.0);
+        let mut wheel = TimerWheel::new(0.0, 10.0);
         let mut plain: BTreeMap<u32, f64> = BTreeMap::new();
         let mut state = 7_u64;
         let mut draw = move |n: u64| {
@@ -188,17 +188,17 @@
             let what = draw(50) as u32;
             match draw(5) {
                 0 => {
-                    assert_eq!(wheel.take(&what), plain.remove(&what).is_some());
+                    assert_eq!(wheel.cancel(&what), plain.remove(&what).is_some());
                 }
                 // Near, and further than the wheel goes round.
                 1..=3 => {
                     let at = now + draw(9_000) as f64;
-                    wheel.set(what, at);
+                    wheel.schedule(what, at);
                     plain.insert(what, at);
                 }
                 _ => {
                     // What is due in the slot that is still open expires with it.
-                    let mut gone = wheel.expired(now);
+                    let mut gone = wheel.pop_expired(now);
                     let slot = (now / 10.0).floor() * 10.0;
                     let due = |(w, at): (&u32, &f64)| (*at <= slot).then_some(*w);
                     let surely: Vec<u32> = plain.iter().filter_map(due).collect();
--- a/crates/intake/src/lib.rs
+++ b/crates/intake/src/lib.rs
@@ -7,7 +7,7 @@
 //! - [`trust`] sets a server's own word against what proxies met, and a proxy's against all others';
 //! - [`coverage`] knows who tells of which server, and who has fallen silent;
 //! - [`interval`] moves the reporting interval before anything has to be left unread;
-//! - [`sketch`], [`ring`] and [`wheel`] are the structures under them.
+//! - [`sketch`], [`ring`] and [`timer_wheel`] are the structures under them.
 //!
 //! Times are milliseconds on one clock that never goes back; servers and reporters are small indices
 //! that the caller hands out, but for the mouth, whose keys are the caller's.
@@ -20,5 +20,5 @@
 pub mod sampling;
 pub mod sketch;
 pub mod timeline;
+pub mod timer_wheel;
 pub mod trust;
-pub mod wheel;
--- a/crates/intake/src/wheel.rs
+++ b/crates/intake/src/timer_wheel.rs
@@ -9,7 +9,7 @@
 const SLOTS: usize = 256;
 
 #[derive(Clone, Debug)]
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     slot_ms: f64,
     slots: Vec<Vec<T>>,
     /// When each thing expires, and the slot that it lies in; those not in here were taken out.
@@ -18,9 +18,9 @@
     done: u64,
 }
 
-impl<T: Copy + Eq + Hash + Ord> Wheel<T> {
-    pub fn new(now: f64, slot_ms: f64) -> Wheel<T> {
-        Wheel {
+impl<T: Copy + Eq + Hash + Ord> TimerWheel<T> {
+    pub fn new(now: f64, slot_ms: f64) -> TimerWheel<T> {
+        TimerWheel {
             slot_ms,
             slots: vec![Vec::new(); SLOTS],
             due: HashMap::new(),
@@ -33,7 +33,7 @@
     }
 
     /// Sets when a thing expires, anew if it was set before.
-    pub fn set(&mut self, what: T, at: f64) {
+    pub fn schedule(&mut self, what: T, at: f64) {
         let slot = self.slot(at);
         match self.due.get_mut(&what) {
             // Later than before: it is moved when its old slot comes round.
@@ -46,12 +46,12 @@
     }
 
     /// Takes a thing out: it does not expire.
-    pub fn take(&mut self, what: &T) -> bool {
+    pub fn cancel(&mut self, what: &T) -> bool {
         self.due.remove(what).is_some()
     }
 
     /// What has expired by now, in its order; it is not in the wheel any more.
-    pub fn expired(&mut self, now: f64) -> Vec<T> {
+    pub fn pop_expired(&mut self, now: f64) -> Vec<T> {
         let newest = (now / self.slot_ms) as u64;
         let mut out = Vec::new();
         let rounds = (newest.saturating_sub(self.done)).min(SLOTS as u64);
