--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -16,7 +16,7 @@
 use dahliapoint_memory::facts::{Change, Differ, Facts};
 use dahliapoint_memory::keeper::{self, Keeper};
 use dahliapoint_peer::telling::Known;
-use dahliapoint_scheduler::{Budget, Id, Piece, Scheduler, Told};
+use dahliapoint_scheduler::{Budget, Id, Scheduler, Task, Told};
 use dahliapoint_xds::Owner;
 
 use std::collections::VecDeque;
@@ -437,7 +437,7 @@
         work.next_round = (work.next_round + work.every_ms).max(now);
         self.remember(work);
         work.unread = read.into();
-        let piece = Piece {
+        let piece = Task {
             class: READING,
             owner: 0,
             deadline: None,
@@ -466,7 +466,7 @@
     }
 
     fn submit_answer(&self, work: &mut Work, asked: Arc<Asked>) {
-        let piece = Piece {
+        let piece = Task {
             class: TELLING,
             owner: 0,
             deadline: None,
--- a/crates/daemon/src/hooking.rs
+++ b/crates/daemon/src/hooking.rs
@@ -16,7 +16,7 @@
 use dahliapoint_hooks::value::{LineSeen, ProxySeen, ServerSeen, State, Value, World};
 use dahliapoint_memory::facts::Change;
 use dahliapoint_memory::keeper::Keeper;
-use dahliapoint_scheduler::{Budget, Piece, Scheduler};
+use dahliapoint_scheduler::{Budget, Scheduler, Task};
 use hdrhistogram::Histogram;
 use serde_json::json;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -648,7 +648,7 @@
     fn submit(&self, work: &mut Work, event: Event) {
         let now = self.now_ms();
         for id in work.host.due(now, &event) {
-            let piece = Piece {
+            let piece = Task {
                 class: event.point() as usize,
                 owner: id.file as u64,
                 deadline: Some(now + TOO_OLD_MS),
--- a/crates/files/src/front.rs
+++ b/crates/files/src/front.rs
@@ -10,7 +10,7 @@
 use crate::seat::{Seat, Wants};
 use crate::spool::{Said, Spool};
 use dahliapoint_control::{Input, Message, Output, Owner, Session, Terms};
-use dahliapoint_scheduler::{Budget, Id, Piece, Scheduler, Told};
+use dahliapoint_scheduler::{Budget, Id, Scheduler, Task, Told};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io;
@@ -306,7 +306,7 @@
                 .bytes()
                 .fold(7, |a, b| (a ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)),
         };
-        let piece = Piece {
+        let piece = Task {
             class,
             owner,
             deadline: None,
--- a/crates/memory/src/keeper.rs
+++ b/crates/memory/src/keeper.rs
@@ -5,7 +5,7 @@
 use crate::facts::{Change, Facts, Stamp};
 use crate::layer::Layer;
 use crate::store::{Found, Store};
-use dahliapoint_scheduler::{Budget, Piece, Scheduler};
+use dahliapoint_scheduler::{Budget, Scheduler, Task};
 use serde_json::{Value, json};
 use std::collections::VecDeque;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
@@ -281,7 +281,7 @@
         let size = RECORD * self.facts.servers.len() as u64;
         let due = self.store.journal_bytes > (COMPACT * size).max(SMALLEST);
         if due && !self.snapshot_waits && self.mend_at.is_none() {
-            let piece = Piece {
+            let piece = Task {
                 class: SNAPSHOT,
                 owner: 0,
                 deadline: None,
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -32,7 +32,7 @@
 
 /// A piece of work.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Piece {
+pub struct Task {
     pub class: Class,
     /// Owners of a class share it evenly.
     pub owner: Owner,
@@ -53,7 +53,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
-    piece: Piece,
+    piece: Task,
     since: f64,
 }
 
@@ -85,7 +85,7 @@
     lanes: Vec<Lane>,
     waiting: BTreeMap<Id, Waiting>,
     /// Pieces at work: taken and not yet told of.
-    at_work: BTreeMap<Id, Piece>,
+    at_work: BTreeMap<Id, Task>,
     next_id: Id,
     told: Vec<Told>,
 }
@@ -149,7 +149,7 @@
         self.by_owner.get(owner)?.front().copied()
     }
 
-    fn put(&mut self, id: Id, piece: Piece) {
+    fn put(&mut self, id: Id, piece: Task) {
         let queue = self.by_owner.entry(piece.owner).or_default();
         if queue.is_empty() {
             // From now on, not from when it last had something.
@@ -168,7 +168,7 @@
         self.count += 1;
     }
 
-    fn remove(&mut self, id: Id, piece: Piece) {
+    fn remove(&mut self, id: Id, piece: Task) {
         if let Some(queue) = self.by_owner.get_mut(&piece.owner) {
             queue.retain(|q| *q != id);
             if queue.is_empty() {
@@ -231,7 +231,7 @@
 
     /// Takes a piece of work in. Where its class is full, the newest piece of the lowest class that has
     /// any is pushed out, or this one if none is lower. None for a class that does not exist.
-    pub fn submit(&mut self, now: f64, piece: Piece) -> Option<Id> {
+    pub fn submit(&mut self, now: f64, piece: Task) -> Option<Id> {
         let most = self.lanes.get(piece.class)?.budget.most;
         self.next_id += 1;
         let id = self.next_id;
@@ -288,7 +288,7 @@
 
     /// Takes back all work of an owner.
     pub fn cancel_owner(&mut self, owner: Owner) -> usize {
-        let of = |piece: &Piece| piece.owner == owner;
+        let of = |piece: &Task| piece.owner == owner;
         let waiting = self.waiting.iter().filter(|(_, w)| of(&w.piece));
         let at_work = self.at_work.iter().filter(|(_, p)| of(p));
         let ids: Vec<Id> = waiting
@@ -326,7 +326,7 @@
     }
 
     /// The piece to work on now; none if nothing waits, or if what waits has to wait for its period.
-    pub fn next(&mut self, now: f64) -> Option<(Id, Piece)> {
+    pub fn next(&mut self, now: f64) -> Option<(Id, Task)> {
         self.begin_period(now);
         self.end_the_late(now);
         let found = RULES.iter().find_map(|rule| rule(self, now));
--- a/crates/scheduler/tests/scheduler.rs
+++ b/crates/scheduler/tests/scheduler.rs
@@ -1,6 +1,6 @@
 //! The order of work under a scripted clock: tables of cases, and days drawn by chance.
 
-use dahliapoint_scheduler::{Budget, Class, Id, Owner, Piece, Scheduler, Told};
+use dahliapoint_scheduler::{Budget, Class, Id, Owner, Scheduler, Task, Told};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,8 +14,8 @@
     Budget { ms, most }
 }
 
-fn piece(class: Class, owner: Owner) -> Piece {
-    Piece {
+fn piece(class: Class, owner: Owner) -> Task {
+    Task {
         class,
         owner,
         deadline: None,
@@ -23,7 +23,7 @@
 }
 
 /// Works for so long, each piece for one millisecond; the pieces done, by time.
-fn work(s: &mut Scheduler, from: f64, until: f64, more: bool) -> Vec<(Id, Piece)> {
+fn work(s: &mut Scheduler, from: f64, until: f64, more: bool) -> Vec<(Id, Task)> {
     let (mut now, mut done) = (from, Vec::new());
     while now < until {
         match s.next(now) {
@@ -38,13 +38,13 @@
     done
 }
 
-fn many(s: &mut Scheduler, now: f64, count: usize, piece: Piece) {
+fn many(s: &mut Scheduler, now: f64, count: usize, piece: Task) {
     for _ in 0..count {
         s.submit(now, piece);
     }
 }
 
-fn share(done: &[(Id, Piece)], is: impl Fn(&Piece) -> bool) -> f64 {
+fn share(done: &[(Id, Task)], is: impl Fn(&Task) -> bool) -> f64 {
     done.iter().filter(|(_, p)| is(p)).count() as f64 / done.len().max(1) as f64
 }
 
@@ -106,7 +106,7 @@
 fn near_deadlines_go_first_and_missed_ones_are_told() {
     let mut s = Scheduler::new(0.0, 10.0, &[budget(10.0, 100)]);
     let first = s.submit(0.0, piece(0, 1));
-    let by = |at| Piece {
+    let by = |at| Task {
         deadline: Some(at),
         ..piece(0, 2)
     };
@@ -189,7 +189,7 @@
                 match what {
                     0..=2 => {
                         let deadline = (*what == 2).then_some(now + number);
-                        let piece = Piece { class: *class, owner: *owner, deadline };
+                        let piece = Task { class: *class, owner: *owner, deadline };
                         all.extend(s.submit(now, piece));
                     }
                     3 => {
