--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -16,7 +16,7 @@
 use dahliapoint_memory::facts::{Change, Differ, Facts};
 use dahliapoint_memory::keeper::{self, Keeper};
 use dahliapoint_peer::telling::Known;
-use dahliapoint_scheduler::{Budget, Id, Scheduler, Task, Told};
+use dahliapoint_scheduler::{Budget, Scheduler, Task, TaskId, Told};
 use dahliapoint_xds::Owner;
 
 use std::collections::VecDeque;
@@ -142,9 +142,9 @@
     next_round: f64,
     /// The round being read, what it began with, and its piece of work.
     unread: VecDeque<MergedReport<Reporter, Place>>,
-    reading: Option<(Id, f64)>,
+    reading: Option<(TaskId, f64)>,
     lines_before: u64,
-    asked: Vec<(Id, Arc<Asked>)>,
+    asked: Vec<(TaskId, Arc<Asked>)>,
     memory: Option<(Arc<Keeper>, Differ)>,
     /// What peers are told, brought up to date once a round.
     known: Option<(Known, Differ)>,
@@ -495,7 +495,7 @@
     }
 
     /// Answers a question; there is never more of it.
-    fn answer(&self, work: &mut Work, id: Id) -> bool {
+    fn answer(&self, work: &mut Work, id: TaskId) -> bool {
         let Some(at) = work.asked.iter().position(|(i, _)| *i == id) else {
             return false;
         };
--- a/crates/files/src/front.rs
+++ b/crates/files/src/front.rs
@@ -10,7 +10,7 @@
 use crate::seat::{Seat, Wants};
 use crate::spool::{Said, Spool};
 use dahliapoint_control::{Input, Message, Output, Owner, Session, Terms};
-use dahliapoint_scheduler::{Budget, Id, Scheduler, Task, Told};
+use dahliapoint_scheduler::{Budget, Scheduler, Task, TaskId, Told};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io;
@@ -98,7 +98,7 @@
     begun: Instant,
     spool: Spool,
     scheduler: Scheduler,
-    work: BTreeMap<Id, Work>,
+    work: BTreeMap<TaskId, Work>,
     seats: BTreeMap<Session, Seat>,
     by_proxy: HashMap<String, Session>,
     publishers: HashMap<String, Publisher>,
@@ -332,7 +332,7 @@
         self.submit(now, class, Work::Write(session));
     }
 
-    fn forget_work(&mut self, id: Id) {
+    fn forget_work(&mut self, id: TaskId) {
         if let Some(Work::Listen(proxy)) = self.work.remove(&id) {
             self.listening.remove(&proxy);
         }
@@ -368,7 +368,7 @@
         }
     }
 
-    fn do_one(&mut self, id: Id) {
+    fn do_one(&mut self, id: TaskId) {
         match self.work.remove(&id) {
             Some(Work::Write(session)) => self.publish(session),
             Some(Work::Listen(proxy)) => {
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -18,8 +18,8 @@
 
 /// A class of work; the lower its number, the sooner it goes.
 pub type Class = usize;
-pub type Owner = u64;
-pub type Id = u64;
+pub type OwnerId = u64;
+pub type TaskId = u64;
 
 /// What a class may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -35,7 +35,7 @@
 pub struct Task {
     pub class: Class,
     /// Owners of a class share it evenly.
-    pub owner: Owner,
+    pub owner: OwnerId,
     /// Not worth doing after this time.
     pub deadline: Option<f64>,
 }
@@ -44,9 +44,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Told {
     /// Its deadline passed while it waited.
-    TooLate(Id),
+    TooLate(TaskId),
     /// There was no room: it was the newest of the lowest class.
-    PushedOut(Id),
+    PushedOut(TaskId),
     /// A class has used its budget and waits for the next period; told once a period.
     PutOff(Class),
 }
@@ -64,10 +64,10 @@
     /// When a piece of this class last had a turn, or began to wait.
     served: f64,
     /// Waiting pieces by owner, oldest first, and owners by the time that they have had.
-    by_owner: BTreeMap<Owner, VecDeque<Id>>,
-    had: BTreeMap<Owner, f64>,
-    turns: BTreeSet<(Bits, Owner)>,
-    deadlines: BTreeSet<(Bits, Id)>,
+    by_owner: BTreeMap<OwnerId, VecDeque<TaskId>>,
+    had: BTreeMap<OwnerId, f64>,
+    turns: BTreeSet<(Bits, OwnerId)>,
+    deadlines: BTreeSet<(Bits, TaskId)>,
     count: usize,
 }
 
@@ -83,14 +83,14 @@
     period_ms: f64,
     period_ends: f64,
     lanes: Vec<Lane>,
-    waiting: BTreeMap<Id, Waiting>,
+    waiting: BTreeMap<TaskId, Waiting>,
     /// Pieces at work: taken and not yet told of.
-    at_work: BTreeMap<Id, Task>,
-    next_id: Id,
+    at_work: BTreeMap<TaskId, Task>,
+    next_id: TaskId,
     told: Vec<Told>,
 }
 
-type Rule = fn(&Scheduler, f64) -> Option<Id>;
+type Rule = fn(&Scheduler, f64) -> Option<TaskId>;
 
 const RULES: [Rule; 4] = [
     what_has_no_bounds,
@@ -101,7 +101,7 @@
 
 /// Work without a budget goes at once, the highest class first. Guards decisions and withdrawals against
 /// waiting behind anything. May harm when such work itself is too much: nothing else goes then.
-fn what_has_no_bounds(s: &Scheduler, now: f64) -> Option<Id> {
+fn what_has_no_bounds(s: &Scheduler, now: f64) -> Option<TaskId> {
     let free = |l: &&Lane| l.budget.ms.is_infinite() && l.count > 0;
     s.lanes
         .iter()
@@ -111,14 +111,14 @@
 
 /// Guards against a class that never gets a turn since those above it always have work: once it has
 /// waited for some periods, one piece of it goes. May harm by one piece's time in that many periods.
-fn what_starves(s: &Scheduler, now: f64) -> Option<Id> {
+fn what_starves(s: &Scheduler, now: f64) -> Option<TaskId> {
     let starved = |l: &&Lane| l.count > 0 && now - l.served >= STARVED * s.period_ms;
     let mut lanes = s.lanes.iter().filter(|l| l.budget.ms.is_finite());
     lanes.find(starved).and_then(|l| l.first(now, s.period_ms))
 }
 
 /// The highest class that has not used its budget of this period.
-fn what_is_within_its_budget(s: &Scheduler, now: f64) -> Option<Id> {
+fn what_is_within_its_budget(s: &Scheduler, now: f64) -> Option<TaskId> {
     let within = |l: &&Lane| l.count > 0 && l.used < l.budget.ms;
     s.lanes
         .iter()
@@ -128,7 +128,7 @@
 
 /// Nothing is within its budget: time is left over, and the highest class that waits may have it, as
 /// long as the budgets of all together leave room in the period.
-fn what_else_there_is(s: &Scheduler, now: f64) -> Option<Id> {
+fn what_else_there_is(s: &Scheduler, now: f64) -> Option<TaskId> {
     let used: f64 = s.lanes.iter().map(|l| l.used).sum();
     let waits = |l: &&Lane| l.count > 0;
     let free = used < s.period_ms;
@@ -139,7 +139,7 @@
 impl Lane {
     /// The piece of this class that goes first: the nearest deadline if it is near, else the oldest of
     /// the owner that has had least.
-    fn first(&self, now: f64, period_ms: f64) -> Option<Id> {
+    fn first(&self, now: f64, period_ms: f64) -> Option<TaskId> {
         let near = bits(now + NEAR * period_ms);
         let urgent = self.deadlines.first().filter(|(at, _)| *at <= near);
         if let Some((_, id)) = urgent {
@@ -149,7 +149,7 @@
         self.by_owner.get(owner)?.front().copied()
     }
 
-    fn put(&mut self, id: Id, piece: Task) {
+    fn put(&mut self, id: TaskId, piece: Task) {
         let queue = self.by_owner.entry(piece.owner).or_default();
         if queue.is_empty() {
             // From now on, not from when it last had something.
@@ -168,7 +168,7 @@
         self.count += 1;
     }
 
-    fn remove(&mut self, id: Id, piece: Task) {
+    fn remove(&mut self, id: TaskId, piece: Task) {
         if let Some(queue) = self.by_owner.get_mut(&piece.owner) {
             queue.retain(|q| *q != id);
             if queue.is_empty() {
@@ -184,7 +184,7 @@
     }
 
     /// Books time to an owner.
-    fn book(&mut self, owner: Owner, ms: f64) {
+    fn book(&mut self, owner: OwnerId, ms: f64) {
         let before = self.had.get(&owner).copied().unwrap_or(0.0);
         let after = before + ms.max(0.0);
         self.had.insert(owner, after);
@@ -231,7 +231,7 @@
 
     /// Takes a piece of work in. Where its class is full, the newest piece of the lowest class that has
     /// any is pushed out, or this one if none is lower. None for a class that does not exist.
-    pub fn submit(&mut self, now: f64, piece: Task) -> Option<Id> {
+    pub fn submit(&mut self, now: f64, piece: Task) -> Option<TaskId> {
         let most = self.lanes.get(piece.class)?.budget.most;
         self.next_id += 1;
         let id = self.next_id;
@@ -265,7 +265,7 @@
         Some(id)
     }
 
-    fn newest(&self, class: Class) -> Option<Id> {
+    fn newest(&self, class: Class) -> Option<TaskId> {
         let lane = &self.lanes[class];
         lane.by_owner
             .values()
@@ -274,7 +274,7 @@
             .copied()
     }
 
-    fn take_out(&mut self, id: Id) -> Option<Waiting> {
+    fn take_out(&mut self, id: TaskId) -> Option<Waiting> {
         let waiting = self.waiting.remove(&id)?;
         self.lanes[waiting.piece.class].remove(id, waiting.piece);
         Some(waiting)
@@ -282,16 +282,16 @@
 
     /// Takes work back; also one that is at work, whose rest then does not come again. Tells whether
     /// there was any.
-    pub fn cancel(&mut self, id: Id) -> bool {
+    pub fn cancel(&mut self, id: TaskId) -> bool {
         self.take_out(id).is_some() || self.at_work.remove(&id).is_some()
     }
 
     /// Takes back all work of an owner.
-    pub fn cancel_owner(&mut self, owner: Owner) -> usize {
+    pub fn cancel_owner(&mut self, owner: OwnerId) -> usize {
         let of = |piece: &Task| piece.owner == owner;
         let waiting = self.waiting.iter().filter(|(_, w)| of(&w.piece));
         let at_work = self.at_work.iter().filter(|(_, p)| of(p));
-        let ids: Vec<Id> = waiting
+        let ids: Vec<TaskId> = waiting
             .map(|(i, _)| *i)
             .chain(at_work.map(|(i, _)| *i))
             .collect();
@@ -326,7 +326,7 @@
     }
 
     /// The piece to work on now; none if nothing waits, or if what waits has to wait for its period.
-    pub fn next(&mut self, now: f64) -> Option<(Id, Task)> {
+    pub fn next(&mut self, now: f64) -> Option<(TaskId, Task)> {
         self.begin_period(now);
         self.end_the_late(now);
         let found = RULES.iter().find_map(|rule| rule(self, now));
@@ -345,7 +345,7 @@
     }
 
     /// A piece was worked on for so long; if more of it is left it waits again, behind its owner's.
-    pub fn worked(&mut self, now: f64, id: Id, ms: f64, more: bool) {
+    pub fn worked(&mut self, now: f64, id: TaskId, ms: f64, more: bool) {
         let Some(piece) = self.at_work.remove(&id) else {
             return;
         };
--- a/crates/scheduler/tests/scheduler.rs
+++ b/crates/scheduler/tests/scheduler.rs
@@ -1,6 +1,6 @@
 //! The order of work under a scripted clock: tables of cases, and days drawn by chance.
 
-use dahliapoint_scheduler::{Budget, Class, Id, Owner, Scheduler, Task, Told};
+use dahliapoint_scheduler::{Budget, Class, OwnerId, Scheduler, Task, TaskId, Told};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,7 +14,7 @@
     Budget { ms, most }
 }
 
-fn piece(class: Class, owner: Owner) -> Task {
+fn piece(class: Class, owner: OwnerId) -> Task {
     Task {
         class,
         owner,
@@ -23,7 +23,7 @@
 }
 
 /// Works for so long, each piece for one millisecond; the pieces done, by time.
-fn work(s: &mut Scheduler, from: f64, until: f64, more: bool) -> Vec<(Id, Task)> {
+fn work(s: &mut Scheduler, from: f64, until: f64, more: bool) -> Vec<(TaskId, Task)> {
     let (mut now, mut done) = (from, Vec::new());
     while now < until {
         match s.next(now) {
@@ -44,7 +44,7 @@
     }
 }
 
-fn share(done: &[(Id, Task)], is: impl Fn(&Task) -> bool) -> f64 {
+fn share(done: &[(TaskId, Task)], is: impl Fn(&Task) -> bool) -> f64 {
     done.iter().filter(|(_, p)| is(p)).count() as f64 / done.len().max(1) as f64
 }
 
@@ -181,9 +181,9 @@
             let budgets = [FREE, budget(4.0, 8), budget(2.0, 5)];
             let mut s = Scheduler::new(0.0, 10.0, &budgets);
             let (mut now, mut order) = (0.0, Vec::new());
-            let mut all: BTreeSet<Id> = BTreeSet::new();
-            let mut ended: BTreeMap<Id, &str> = BTreeMap::new();
-            let mut end = |id: Id, how| assert_eq!(ended.insert(id, how), None, "{id} ended twice");
+            let mut all: BTreeSet<TaskId> = BTreeSet::new();
+            let mut ended: BTreeMap<TaskId, &str> = BTreeMap::new();
+            let mut end = |id: TaskId, how| assert_eq!(ended.insert(id, how), None, "{id} ended twice");
             for (what, class, owner, number) in &script {
                 now += number / 10.0;
                 match what {
@@ -193,7 +193,7 @@
                         all.extend(s.submit(now, piece));
                     }
                     3 => {
-                        let id = *number as Id + 1;
+                        let id = *number as TaskId + 1;
                         if s.cancel(id) {
                             end(id, "cancelled");
                         }
