--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -16,7 +16,7 @@
 use dahliapoint_memory::facts::{Change, Differ, Facts};
 use dahliapoint_memory::keeper::{self, Keeper};
 use dahliapoint_peer::telling::Known;
-use dahliapoint_scheduler::{Budget, Scheduler, Task, TaskId, Told};
+use dahliapoint_scheduler::{Budget, Event, Scheduler, Task, TaskId};
 use dahliapoint_xds::Owner;
 
 use std::collections::VecDeque;
@@ -477,13 +477,13 @@
     }
 
     fn say_what_waits(&self, work: &mut Work) {
-        for told in work.scheduler.told() {
+        for told in work.scheduler.take_events() {
             match told {
-                Told::PutOff(class) => {
+                Event::Deferred(class) => {
                     lock(&self.figures).put_off += 1;
                     debug!(class, "background work waits for its next period");
                 }
-                Told::PushedOut(id) | Told::TooLate(id) => {
+                Event::Evicted(id) | Event::Expired(id) => {
                     let gone = work.asked.iter().position(|(i, _)| *i == id);
                     if let Some(at) = gone {
                         work.asked.swap_remove(at).1.bell.ring();
--- a/crates/daemon/src/hooking.rs
+++ b/crates/daemon/src/hooking.rs
@@ -530,7 +530,7 @@
             if let Some((id, _)) = work.scheduler.next(now) {
                 changed |= self.piece(&mut work, id);
             }
-            work.scheduler.told();
+            work.scheduler.take_events();
             if changed {
                 self.put(&mut work);
             }
@@ -659,9 +659,9 @@
             }
         }
         // What was pushed out or too late is no longer waited for.
-        for told in work.scheduler.told() {
-            if let dahliapoint_scheduler::Told::PushedOut(id)
-            | dahliapoint_scheduler::Told::TooLate(id) = told
+        for told in work.scheduler.take_events() {
+            if let dahliapoint_scheduler::Event::Evicted(id)
+            | dahliapoint_scheduler::Event::Expired(id) = told
             {
                 work.waiting.remove(&id);
             }
--- a/crates/files/src/front.rs
+++ b/crates/files/src/front.rs
@@ -10,7 +10,7 @@
 use crate::seat::{Seat, Wants};
 use crate::spool::{Said, Spool};
 use dahliapoint_control::{Input, Message, Output, Owner, Session, Terms};
-use dahliapoint_scheduler::{Budget, Scheduler, Task, TaskId, Told};
+use dahliapoint_scheduler::{Budget, Event, Scheduler, Task, TaskId};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io;
@@ -252,8 +252,8 @@
                 hand.longest_ms = hand.longest_ms.max(now - begun);
                 hand.scheduler.worked(now, id, now - begun, false);
             }
-            for told in hand.scheduler.told() {
-                if let Told::PushedOut(id) | Told::TooLate(id) = told {
+            for told in hand.scheduler.take_events() {
+                if let Event::Evicted(id) | Event::Expired(id) = told {
                     warn!("files: work was given up: there is too much");
                     hand.forget_work(id);
                 }
--- a/crates/memory/src/keeper.rs
+++ b/crates/memory/src/keeper.rs
@@ -182,7 +182,7 @@
                 let now = hand.now_ms();
                 hand.scheduler.worked(now, id, now - begun, more);
             }
-            hand.scheduler.told();
+            hand.scheduler.take_events();
         }
     }
 
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -4,7 +4,7 @@
 //! How it is called: [`Scheduler::submit`] for each piece of work, [`Scheduler::next`] for the one to do
 //! now, [`Scheduler::worked`] with the time that it took and whether more of it is left. `next` goes
 //! through [`RULES`] from the top; the first that names a piece of work decides. What was put off or
-//! given up is told by [`Scheduler::told`]. It reads no clock: times are milliseconds that the caller
+//! given up is told by [`Scheduler::take_events`]. It reads no clock: times are milliseconds that the caller
 //! measures, so a scripted clock gives the same order each time.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -42,13 +42,13 @@
 
 /// What became of work that was not done.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Told {
+pub enum Event {
     /// Its deadline passed while it waited.
-    TooLate(TaskId),
+    Expired(TaskId),
     /// There was no room: it was the newest of the lowest class.
-    PushedOut(TaskId),
+    Evicted(TaskId),
     /// A class has used its budget and waits for the next period; told once a period.
-    PutOff(Class),
+    Deferred(Class),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -87,7 +87,7 @@
     /// Pieces at work: taken and not yet told of.
     at_work: BTreeMap<TaskId, Task>,
     next_id: TaskId,
-    told: Vec<Told>,
+    told: Vec<Event>,
 }
 
 type Rule = fn(&Scheduler, f64) -> Option<TaskId>;
@@ -247,11 +247,11 @@
                     let newest = self.newest(class);
                     newest.into_iter().for_each(|id| {
                         self.take_out(id);
-                        self.told.push(Told::PushedOut(id));
+                        self.told.push(Event::Evicted(id));
                     });
                 }
                 None => {
-                    self.told.push(Told::PushedOut(id));
+                    self.told.push(Event::Evicted(id));
                     return Some(id);
                 }
             }
@@ -320,7 +320,7 @@
                 && f64::from_bits(at) < now
             {
                 self.take_out(id);
-                self.told.push(Told::TooLate(id));
+                self.told.push(Event::Expired(id));
             }
         }
     }
@@ -334,7 +334,7 @@
             let spent = lane.count > 0 && lane.used >= lane.budget.ms;
             if spent && !lane.put_off {
                 lane.put_off = true;
-                self.told.push(Told::PutOff(class));
+                self.told.push(Event::Deferred(class));
             }
         }
         let id = found?;
@@ -364,7 +364,7 @@
     }
 
     /// What was put off, pushed out or too late since the last call.
-    pub fn told(&mut self) -> Vec<Told> {
+    pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.told)
     }
 
--- a/crates/scheduler/tests/scheduler.rs
+++ b/crates/scheduler/tests/scheduler.rs
@@ -1,6 +1,6 @@
 //! The order of work under a scripted clock: tables of cases, and days drawn by chance.
 
-use dahliapoint_scheduler::{Budget, Class, OwnerId, Scheduler, Task, TaskId, Told};
+use dahliapoint_scheduler::{Budget, Class, Event, OwnerId, Scheduler, Task, TaskId};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
@@ -74,8 +74,11 @@
     let done = work(&mut s, 0.0, 100.0, true);
     let count = |class| done.iter().filter(|(_, p)| p.class == class).count();
     assert_eq!((count(0), count(1), count(2)), (70, 20, 10));
-    let told = s.told();
-    assert!((0..3).all(|c| told.contains(&Told::PutOff(c))), "{told:?}");
+    let told = s.take_events();
+    assert!(
+        (0..3).all(|c| told.contains(&Event::Deferred(c))),
+        "{told:?}"
+    );
 }
 
 #[test]
@@ -118,7 +121,7 @@
         .map(|(id, _)| Some(*id))
         .collect();
     assert_eq!(done, [near, first, far]);
-    assert_eq!(s.told().first().copied(), missed.map(Told::TooLate));
+    assert_eq!(s.take_events().first().copied(), missed.map(Event::Expired));
 }
 
 #[test]
@@ -137,11 +140,11 @@
     let mut s = Scheduler::new(0.0, 10.0, &[budget(5.0, 2), budget(5.0, 2)]);
     let low: Vec<_> = (0..2).filter_map(|_| s.submit(0.0, piece(1, 1))).collect();
     let high: Vec<_> = (0..5).filter_map(|_| s.submit(0.0, piece(0, 1))).collect();
-    let told = s.told();
+    let told = s.take_events();
     let wanted = [
-        Told::PushedOut(low[1]),
-        Told::PushedOut(low[0]),
-        Told::PushedOut(high[4]),
+        Event::Evicted(low[1]),
+        Event::Evicted(low[0]),
+        Event::Evicted(high[4]),
     ];
     assert_eq!(told, wanted);
     assert_eq!((s.waiting(0).0, s.waiting(1).0), (4, 0));
@@ -209,11 +212,11 @@
                         }
                     }
                 }
-                for told in s.told() {
+                for told in s.take_events() {
                     match told {
-                        Told::TooLate(id) => end(id, "late"),
-                        Told::PushedOut(id) => end(id, "pushed out"),
-                        Told::PutOff(_) => {}
+                        Event::Expired(id) => end(id, "late"),
+                        Event::Evicted(id) => end(id, "pushed out"),
+                        Event::Deferred(_) => {}
                     }
                 }
             }
