--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -214,8 +214,8 @@
             )?);
         }
         let budget = |share| Budget {
-            ms: PERIOD_MS * share,
-            most: WAITING,
+            cpu_ms: PERIOD_MS * share,
+            max_queued: WAITING,
         };
         let budgets = [budget(READING_SHARE), budget(TELLING_SHARE)];
         let every_ms = terms.report_every_ms;
@@ -289,7 +289,7 @@
                     _ => self.answer(&mut work, id),
                 };
                 let now = self.clock.now_ms();
-                work.scheduler.worked(now, id, now - begun, more);
+                work.scheduler.task_ran(now, id, now - begun, more);
             }
         }
         work.asked
--- a/crates/daemon/src/hooking.rs
+++ b/crates/daemon/src/hooking.rs
@@ -426,12 +426,12 @@
         let budgets: Vec<Budget> = Point::ALL
             .iter()
             .map(|point| Budget {
-                ms: match point {
+                cpu_ms: match point {
                     // The roster waits for nobody.
                     Point::BeforePublication | Point::RosterChanged => f64::INFINITY,
                     _ => PERIOD_MS * SHARE,
                 },
-                most: EVENTS,
+                max_queued: EVENTS,
             })
             .collect();
         let mut work = Work {
@@ -686,7 +686,7 @@
                 .is_some_and(|wishes| wishes > 0);
         }
         let now = self.now_ms();
-        work.scheduler.worked(now, number, now - begun, false);
+        work.scheduler.task_ran(now, number, now - begun, false);
         wished
     }
 
--- a/crates/files/src/front.rs
+++ b/crates/files/src/front.rs
@@ -134,8 +134,8 @@
         let wall = SystemTime::now().duration_since(UNIX_EPOCH);
         let wall = wall.map_or(0, |d| d.as_millis() as u64);
         let budgets = SHARES.map(|share| Budget {
-            ms: share * place.every_ms,
-            most: WAITING,
+            cpu_ms: share * place.every_ms,
+            max_queued: WAITING,
         });
         let hand = Hand {
             scheduler: Scheduler::new(0.0, place.every_ms, &budgets),
@@ -250,7 +250,7 @@
                 hand.do_one(id);
                 let now = hand.now_ms();
                 hand.longest_ms = hand.longest_ms.max(now - begun);
-                hand.scheduler.worked(now, id, now - begun, false);
+                hand.scheduler.task_ran(now, id, now - begun, false);
             }
             for told in hand.scheduler.take_events() {
                 if let Event::Evicted(id) | Event::Expired(id) = told {
--- a/crates/memory/src/keeper.rs
+++ b/crates/memory/src/keeper.rs
@@ -100,7 +100,10 @@
             tally: Mutex::default(),
             found,
         });
-        let budget = |ms| Budget { ms, most: 8 };
+        let budget = |ms| Budget {
+            cpu_ms: ms,
+            max_queued: 8,
+        };
         let budgets = [budget(PERIOD_MS * SNAPSHOT_SHARE)];
         let hand = Hand {
             store,
@@ -180,7 +183,7 @@
                 let more = piece.class == SNAPSHOT && self.slice(&mut hand);
                 hand.snapshot_waits = more;
                 let now = hand.now_ms();
-                hand.scheduler.worked(now, id, now - begun, more);
+                hand.scheduler.task_ran(now, id, now - begun, more);
             }
             hand.scheduler.take_events();
         }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -2,7 +2,7 @@
 //! fair between owners, and with the lowest put off first when there is too much.
 //!
 //! How it is called: [`Scheduler::submit`] for each piece of work, [`Scheduler::next`] for the one to do
-//! now, [`Scheduler::worked`] with the time that it took and whether more of it is left. `next` goes
+//! now, [`Scheduler::task_ran`] with the time that it took and whether more of it is left. `next` goes
 //! through [`RULES`] from the top; the first that names a piece of work decides. What was put off or
 //! given up is told by [`Scheduler::take_events`]. It reads no clock: times are milliseconds that the caller
 //! measures, so a scripted clock gives the same order each time.
@@ -25,9 +25,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     /// CPU time in a period, in milliseconds; infinite: it always goes.
-    pub ms: f64,
+    pub cpu_ms: f64,
     /// Pieces that may wait; one more pushes the last one of the lowest class out.
-    pub most: usize,
+    pub max_queued: usize,
 }
 
 /// A piece of work.
@@ -102,7 +102,7 @@
 /// Work without a budget goes at once, the highest class first. Guards decisions and withdrawals against
 /// waiting behind anything. May harm when such work itself is too much: nothing else goes then.
 fn what_has_no_bounds(s: &Scheduler, now: f64) -> Option<TaskId> {
-    let free = |l: &&Lane| l.budget.ms.is_infinite() && l.count > 0;
+    let free = |l: &&Lane| l.budget.cpu_ms.is_infinite() && l.count > 0;
     s.lanes
         .iter()
         .find(free)
@@ -113,13 +113,13 @@
 /// waited for some periods, one piece of it goes. May harm by one piece's time in that many periods.
 fn what_starves(s: &Scheduler, now: f64) -> Option<TaskId> {
     let starved = |l: &&Lane| l.count > 0 && now - l.served >= STARVED * s.period_ms;
-    let mut lanes = s.lanes.iter().filter(|l| l.budget.ms.is_finite());
+    let mut lanes = s.lanes.iter().filter(|l| l.budget.cpu_ms.is_finite());
     lanes.find(starved).and_then(|l| l.first(now, s.period_ms))
 }
 
 /// The highest class that has not used its budget of this period.
 fn what_is_within_its_budget(s: &Scheduler, now: f64) -> Option<TaskId> {
-    let within = |l: &&Lane| l.count > 0 && l.used < l.budget.ms;
+    let within = |l: &&Lane| l.count > 0 && l.used < l.budget.cpu_ms;
     s.lanes
         .iter()
         .find(within)
@@ -232,10 +232,10 @@
     /// Takes a piece of work in. Where its class is full, the newest piece of the lowest class that has
     /// any is pushed out, or this one if none is lower. None for a class that does not exist.
     pub fn submit(&mut self, now: f64, piece: Task) -> Option<TaskId> {
-        let most = self.lanes.get(piece.class)?.budget.most;
+        let most = self.lanes.get(piece.class)?.budget.max_queued;
         self.next_id += 1;
         let id = self.next_id;
-        let room: usize = self.lanes.iter().map(|l| l.budget.most).sum();
+        let room: usize = self.lanes.iter().map(|l| l.budget.max_queued).sum();
         if self.lanes[piece.class].count >= most || self.waiting.len() >= room {
             let lowest = (piece.class..self.lanes.len()).rev();
             let mut lowest = lowest.filter(|c| *c > piece.class && self.lanes[*c].count > 0);
@@ -306,8 +306,8 @@
         self.period_ends += gone * self.period_ms;
         for lane in &mut self.lanes {
             // What went beyond the budget is owed to the periods after.
-            lane.used = (lane.used - lane.budget.ms * gone).max(0.0);
-            if lane.budget.ms.is_infinite() {
+            lane.used = (lane.used - lane.budget.cpu_ms * gone).max(0.0);
+            if lane.budget.cpu_ms.is_infinite() {
                 lane.used = 0.0;
             }
             lane.put_off = false;
@@ -331,7 +331,7 @@
         self.end_the_late(now);
         let found = RULES.iter().find_map(|rule| rule(self, now));
         for (class, lane) in self.lanes.iter_mut().enumerate() {
-            let spent = lane.count > 0 && lane.used >= lane.budget.ms;
+            let spent = lane.count > 0 && lane.used >= lane.budget.cpu_ms;
             if spent && !lane.put_off {
                 lane.put_off = true;
                 self.told.push(Event::Deferred(class));
@@ -345,7 +345,7 @@
     }
 
     /// A piece was worked on for so long; if more of it is left it waits again, behind its owner's.
-    pub fn worked(&mut self, now: f64, id: TaskId, ms: f64, more: bool) {
+    pub fn task_ran(&mut self, now: f64, id: TaskId, ms: f64, more: bool) {
         let Some(piece) = self.at_work.remove(&id) else {
             return;
         };
--- a/crates/scheduler/tests/scheduler.rs
+++ b/crates/scheduler/tests/scheduler.rs
@@ -6,12 +6,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const FREE: Budget = Budget {
-    ms: f64::INFINITY,
-    most: 1000,
+    cpu_ms: f64::INFINITY,
+    max_queued: 1000,
 };
 
 fn budget(ms: f64, most: usize) -> Budget {
-    Budget { ms, most }
+    Budget {
+        cpu_ms: ms,
+        max_queued: most,
+    }
 }
 
 fn piece(class: Class, owner: OwnerId) -> Task {
@@ -29,7 +32,7 @@
         match s.next(now) {
             Some((id, piece)) => {
                 now += 1.0;
-                s.worked(now, id, 1.0, more);
+                s.task_ran(now, id, 1.0, more);
                 done.push((id, piece));
             }
             None => now += 1.0,
@@ -161,13 +164,13 @@
     assert!(!s.cancel(ids[0]));
     let (at_work, _) = s.next(0.0).unwrap();
     assert_eq!(s.cancel_owner(1), 2);
-    s.worked(1.0, at_work, 1.0, true);
+    s.task_ran(1.0, at_work, 1.0, true);
     let rest: Vec<_> = work(&mut s, 1.0, 9.0, false)
         .iter()
         .map(|(id, _)| *id)
         .collect();
     assert_eq!(rest, [ids[2]]);
-    s.worked(9.0, 9999, 1.0, true);
+    s.task_ran(9.0, 9999, 1.0, true);
     assert_eq!(s.next(9.0), None);
 }
 
@@ -204,7 +207,7 @@
                     _ => {
                         if let Some((id, _)) = s.next(now) {
                             let more = *what == 5;
-                            s.worked(now + 0.5, id, number / 10.0, more);
+                            s.task_ran(now + 0.5, id, number / 10.0, more);
                             order.push(id);
                             if !more {
                                 end(id, "done");
