--- a/crates/daemon/src/life.rs
+++ b/crates/daemon/src/life.rs
@@ -11,9 +11,9 @@
 use dahliapoint_files::front::{self as files, Place};
 use dahliapoint_files::reach::Promise;
 use dahliapoint_grpc::{Call, Handler, Limits, Server};
-use dahliapoint_memory::ageing::{self, Recall};
 use dahliapoint_memory::facts::{Change, Differ, Facts};
 use dahliapoint_memory::keeper::{self, Keeper};
+use dahliapoint_memory::restore::{self, Restored};
 use dahliapoint_peer::telling::{Known, Teller};
 use dahliapoint_peer::weighing::weigh;
 use dahliapoint_peer::{asking, words};
@@ -189,8 +189,8 @@
         if !facts.servers.is_empty() {
             // What is remembered goes before what is: it enters as any day's events do.
             let now = keeper::now();
-            let (told, how) = ageing::recall(&now, &facts, &entries, terms.warm_after_ms);
-            let doubted = how.iter().filter(|r| **r != Recall::AsListed).count();
+            let (told, how) = restore::restore_roster(&now, &facts, &entries, terms.warm_after_ms);
+            let doubted = how.iter().filter(|r| **r != Restored::AsListed).count();
             info!(
                 servers,
                 doubted, "what was known is told to the planner first"
--- a/crates/memory/src/lib.rs
+++ b/crates/memory/src/lib.rs
@@ -1,13 +1,13 @@
 //! What a controller knows, kept over restarts.
 //!
-//! Free of I/O, clock and chance: [`facts`] (what is kept), [`ageing`] (what it is worth when it is read
+//! Free of I/O, clock and chance: [`facts`] (what is kept), [`restore`] (what it is worth when it is read
 //! back). Around them: [`layer`] (the calls to a disk, each of which may fail or be lost), [`frames`] (how
 //! bytes are checked), [`store`] (journal and snapshots in a directory), [`keeper`] (the thread that writes
 //! them, so that no decision waits for a disk).
 
-pub mod ageing;
 pub mod facts;
 pub mod frames;
 pub mod keeper;
 pub mod layer;
+pub mod restore;
 pub mod store;
--- a/crates/memory/src/ageing.rs
+++ b/crates/memory/src/restore.rs
@@ -31,18 +31,18 @@
 
 /// How a server is told to the planner.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Recall {
+pub enum Restored {
     /// As the roster has it.
     AsListed,
     /// As draining: it returns now.
-    Returns,
+    Returning,
     /// Not at all: it is new, and enters as one that was started.
     New,
     /// As if so much of its warming were over.
     Share(f64),
 }
 
-type Rule = fn(&Case) -> Option<Recall>;
+type Rule = fn(&Case) -> Option<Restored>;
 
 const RULES: [Rule; 6] = [
     the_roster_knows_who_is_not_ready,
@@ -54,80 +54,80 @@
 ];
 
 /// Stored facts never bring a server back: gone and draining are the roster's to say.
-fn the_roster_knows_who_is_not_ready(c: &Case) -> Option<Recall> {
-    (c.entry.state != AdminState::Ready).then_some(Recall::AsListed)
+fn the_roster_knows_who_is_not_ready(c: &Case) -> Option<Restored> {
+    (c.entry.state != AdminState::Ready).then_some(Restored::AsListed)
 }
 
 /// A start time does not age: who started lately is cold, whatever is remembered of its life before.
-fn a_start_that_is_told_holds(c: &Case) -> Option<Recall> {
+fn a_start_that_is_told_holds(c: &Case) -> Option<Restored> {
     let fresh = c.entry.started.is_some_and(|(ago, _)| ago < c.warm_ms);
-    fresh.then_some(Recall::AsListed)
+    fresh.then_some(Restored::AsListed)
 }
 
 /// Guards against a machine that took over a name while we were down being sent a warm one's visits.
-fn a_name_at_another_address_is_another_server(c: &Case) -> Option<Recall> {
+fn a_name_at_another_address_is_another_server(c: &Case) -> Option<Restored> {
     let other = c.fact.is_some_and(|f| f.address != c.entry.address);
     other.then(|| unknown(c))
 }
 
-fn who_was_not_known_is_new(c: &Case) -> Option<Recall> {
+fn who_was_not_known_is_new(c: &Case) -> Option<Restored> {
     c.fact.is_none().then(|| unknown(c))
 }
 
 /// Nobody has seen it. Within a warming time it cannot be warm; after a longer gap it is taken as a
 /// controller's start takes it: at full weight. May harm when the gap cannot be told: then it is full too,
 /// as without any memory.
-fn unknown(c: &Case) -> Recall {
+fn unknown(c: &Case) -> Restored {
     match c.gap_ms {
-        Some(gap) if gap < c.warm_ms => Recall::New,
-        _ => Recall::AsListed,
+        Some(gap) if gap < c.warm_ms => Restored::New,
+        _ => Restored::AsListed,
     }
 }
 
 /// Guards against a server that came back under the same name while we were down: it has just started, or
 /// it has been warm for long. Until a warming time has passed it returns as it would have before our eyes;
 /// from then on the doubt fades. May harm by a ramp that was not needed.
-fn a_drain_stays_one_until_the_roster_says_otherwise(c: &Case) -> Option<Recall> {
+fn a_drain_stays_one_until_the_roster_says_otherwise(c: &Case) -> Option<Restored> {
     let fact = c.fact.filter(|f| f.state != AdminState::Ready || f.shut)?;
     Some(match c.gap_ms {
         Some(gap) if gap >= c.warm_ms => faded(RETURNED, Some(gap - c.warm_ms), c.warm_ms),
-        Some(_) => Recall::Returns,
+        Some(_) => Restored::Returning,
         None => faded(RETURNED, c.now.since(&fact.since), c.warm_ms),
     })
 }
 
 /// What was slow or failing may be so still: it begins with what its line had come to, the less so the
 /// longer that was not renewed. A moment that lies ahead of now is no fresh one: nobody knows its age.
-fn a_verdict_fades(c: &Case) -> Option<Recall> {
+fn a_verdict_fades(c: &Case) -> Option<Restored> {
     let fact = c.fact.filter(|f| f.share < NO_VERDICT)?;
     Some(faded(fact.share, c.now.since(&fact.judged), c.warm_ms))
 }
 
-fn faded(share: f64, age: Option<f64>, warm_ms: f64) -> Recall {
+fn faded(share: f64, age: Option<f64>, warm_ms: f64) -> Restored {
     let worth = age.map_or(0.0, |age| 0.5_f64.powf(age / (HALF * warm_ms)));
     let left = 1.0 - (1.0 - share.clamp(0.0, 1.0)) * worth;
     match left < NO_VERDICT {
-        true => Recall::Share(left),
-        false => Recall::AsListed,
+        true => Restored::Share(left),
+        false => Restored::AsListed,
     }
 }
 
 /// How doubtful a recall is: the higher, the sooner it is let go when there is too much of it.
-fn doubt(recall: Recall) -> f64 {
+fn doubt(recall: Restored) -> f64 {
     match recall {
-        Recall::AsListed | Recall::Returns => 0.0,
-        Recall::Share(share) => 1.0 + share,
-        Recall::New => 3.0,
+        Restored::AsListed | Restored::Returning => 0.0,
+        Restored::Share(share) => 1.0 + share,
+        Restored::New => 3.0,
     }
 }
 
 /// The roster as the planner is to be told first, and how each server of it was recalled.
-pub fn recall(
+pub fn restore_roster(
     now: &Stamp,
     facts: &Facts,
     roster: &[Entry],
     warm_ms: f64,
-) -> (Vec<Entry>, Vec<Recall>) {
+) -> (Vec<Entry>, Vec<Restored>) {
     let gap_ms = now.since(&facts.alive);
     let case = |entry| Case {
         entry,
@@ -139,17 +139,17 @@
     let decide = |entry| {
         let case = case(entry);
         let said = RULES.iter().find_map(|rule| rule(&case));
-        said.unwrap_or(Recall::AsListed)
+        said.unwrap_or(Restored::AsListed)
     };
-    let mut recalled: Vec<Recall> = roster.iter().map(decide).collect();
+    let mut recalled: Vec<Restored> = roster.iter().map(decide).collect();
     not_too_much_at_once(roster, &mut recalled);
     let told = roster.iter().zip(&recalled).filter_map(|(entry, recall)| {
         let mut entry = entry.clone();
         match recall {
-            Recall::AsListed => {}
-            Recall::Returns => entry.state = AdminState::Draining,
-            Recall::New => return None,
-            Recall::Share(share) => {
+            Restored::AsListed => {}
+            Restored::Returning => entry.state = AdminState::Draining,
+            Restored::New => return None,
+            Restored::Share(share) => {
                 // A stamp of its own: the roster's next word replaces it.
                 entry.started = Some((warm_ms * share, u64::MAX));
             }
@@ -163,13 +163,13 @@
 /// site that was all slow): a fleet that begins on a tenth of its weight is worse than one that begins as
 /// listed. The most doubtful are let go first. May harm when a third of the fleet really is cold: then the
 /// planner's own rule for cold servers is what is left.
-fn not_too_much_at_once(roster: &[Entry], recalled: &mut [Recall]) {
+fn not_too_much_at_once(roster: &[Entry], recalled: &mut [Restored]) {
     let ready = |e: &Entry| e.state == AdminState::Ready;
     let all: f64 = roster.iter().filter(|e| ready(e)).map(|e| e.weight).sum();
-    let lost = |recall: &Recall, weight: f64| match recall {
-        Recall::AsListed => 0.0,
-        Recall::Share(share) => weight * (1.0 - share),
-        Recall::Returns | Recall::New => weight,
+    let lost = |recall: &Restored, weight: f64| match recall {
+        Restored::AsListed => 0.0,
+        Restored::Share(share) => weight * (1.0 - share),
+        Restored::Returning | Restored::New => weight,
     };
     let mut sum: f64 = roster
         .iter()
@@ -186,7 +186,7 @@
             return;
         }
         sum -= lost(&recalled[i], roster[i].weight);
-        recalled[i] = Recall::AsListed;
+        recalled[i] = Restored::AsListed;
     }
 }
 
@@ -231,7 +231,7 @@
     }
 
     /// One server among twenty that are well; down from 0 until then.
-    fn one(fact: Option<ServerFact>, entry: Entry, now: Stamp) -> Recall {
+    fn one(fact: Option<ServerFact>, entry: Entry, now: Stamp) -> Restored {
         let mut facts = Facts {
             alive: at(0.0),
             ..Facts::default()
@@ -247,14 +247,14 @@
         if let Some(fact) = fact {
             facts.servers.insert(fact.name.clone(), fact);
         }
-        let (_, recalled) = recall(&now, &facts, &roster, WARM);
-        assert!(recalled[1..].iter().all(|r| *r == Recall::AsListed));
+        let (_, recalled) = restore_roster(&now, &facts, &roster, WARM);
+        assert!(recalled[1..].iter().all(|r| *r == Restored::AsListed));
         recalled[0]
     }
 
     #[test]
     fn each_fact_ages_by_its_own_rule() {
-        use Recall::{AsListed, New, Returns, Share};
+        use Restored::{AsListed, New, Returning, Share};
         let s = |state| entry("s", state, None);
         let moved = ServerFact {
             address: "2:2".into(),
@@ -296,14 +296,14 @@
                 Some(fact("s", Draining, 1.0)),
                 s(Ready),
                 at(1e3),
-                Returns,
+                Returning,
             ),
             (
                 "gone, and back",
                 Some(fact("s", Gone, 1.0)),
                 s(Ready),
                 at(9_999.0),
-                Returns,
+                Returning,
             ),
             (
                 "back perhaps for long",
@@ -393,11 +393,11 @@
             }
             roster.push(entry(&name, Ready, None));
         }
-        let (told, recalled) = recall(&at(1.0), &facts, &roster, WARM);
-        let new = recalled.iter().filter(|r| **r == Recall::New).count();
+        let (told, recalled) = restore_roster(&at(1.0), &facts, &roster, WARM);
+        let new = recalled.iter().filter(|r| **r == Restored::New).count();
         let slow = recalled
             .iter()
-            .filter(|r| matches!(r, Recall::Share(_)))
+            .filter(|r| matches!(r, Restored::Share(_)))
             .count();
         assert_eq!((new, slow), (2, 10), "the unknown are let go first");
         assert_eq!(told.len(), 28);
