--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -13,7 +13,7 @@
 use dahliapoint_hooks::value::{LineSeen, World};
 use dahliapoint_intake::interval::ReportInterval;
 use dahliapoint_intake::report_queue::{Line, MergedReport, ReportQueue};
-use dahliapoint_memory::facts::{Change, Differ, Facts};
+use dahliapoint_memory::facts::{Change, ChangeTracker, Facts};
 use dahliapoint_memory::keeper::{self, Keeper};
 use dahliapoint_peer::telling::Known;
 use dahliapoint_scheduler::{Budget, Event, Scheduler, Task, TaskId};
@@ -109,7 +109,7 @@
     figures: Arc<Mutex<Figures>>,
     views: Arc<Mutex<Vec<(&'static str, View)>>>,
     hooking: Arc<Mutex<Option<Arc<Hooking>>>>,
-    known: Arc<Mutex<Option<(Known, Differ)>>>,
+    known: Arc<Mutex<Option<(Known, ChangeTracker)>>>,
     /// A hand that spoils orders, for tests of the guard.
     spoiled: Arc<Mutex<Option<Between>>>,
 }
@@ -145,9 +145,9 @@
     reading: Option<(TaskId, f64)>,
     lines_before: u64,
     asked: Vec<(TaskId, Arc<Asked>)>,
-    memory: Option<(Arc<Keeper>, Differ)>,
+    memory: Option<(Arc<Keeper>, ChangeTracker)>,
     /// What peers are told, brought up to date once a round.
-    known: Option<(Known, Differ)>,
+    known: Option<(Known, ChangeTracker)>,
     hooking: Option<Arc<Hooking>>,
     /// The world as hooks last saw it, and when that was.
     world: Arc<World>,
@@ -174,7 +174,7 @@
     /// Keeps what peers are told, beginning with what was known at the start.
     pub fn tells(&self, known: Known, first: &Facts) {
         *known.hold() = first.clone();
-        *lock(&self.known) = Some((known, Differ::since(first)));
+        *lock(&self.known) = Some((known, ChangeTracker::from_facts(first)));
     }
 
     /// Hooks see what happens, from when the engine runs.
@@ -198,7 +198,7 @@
         record: Option<&Path>,
         first: Vec<Input>,
         hand: Hand,
-        memory: Option<(Arc<Keeper>, Differ)>,
+        memory: Option<(Arc<Keeper>, ChangeTracker)>,
     ) -> io::Result<JoinHandle<()>> {
         let now = self.clock.now_ms();
         let mut recorder = None;
@@ -411,7 +411,7 @@
         changes.push(Change::Alive(now));
         if !keeper.offer(changes) {
             // What was not taken is found again, all of it.
-            *differ = Differ::default();
+            *differ = ChangeTracker::default();
         }
     }
 
--- a/crates/daemon/src/life.rs
+++ b/crates/daemon/src/life.rs
@@ -11,7 +11,7 @@
 use dahliapoint_files::front::{self as files, Place};
 use dahliapoint_files::reach::Promise;
 use dahliapoint_grpc::{Call, Handler, Limits, Server};
-use dahliapoint_memory::facts::{Change, Differ, Facts};
+use dahliapoint_memory::facts::{Change, ChangeTracker, Facts};
 use dahliapoint_memory::keeper::{self, Keeper};
 use dahliapoint_memory::restore::{self, Restored};
 use dahliapoint_peer::telling::{Known, Teller};
@@ -199,7 +199,7 @@
         }
         first.push(Input::Roster(entries));
         let kept = memory.as_ref();
-        let kept = kept.map(|(keeper, _)| (keeper.clone(), Differ::since(&facts)));
+        let kept = kept.map(|(keeper, _)| (keeper.clone(), ChangeTracker::from_facts(&facts)));
         if let Some((keeper, _)) = kept.clone() {
             engine.shows("memory", Box::new(move || keeper.view()));
         }
--- a/crates/memory/src/facts.rs
+++ b/crates/memory/src/facts.rs
@@ -14,17 +14,17 @@
 
 /// A moment, told so that another process can say how long ago it was.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct Timestamp {
     pub wall_ms: f64,
     /// The machine's boot, and the time since then; empty where it cannot be told.
     pub boot: String,
     pub up_ms: f64,
 }
 
-impl Stamp {
+impl Timestamp {
     /// How long before this one another was. Within a boot by the uptime, whatever the wall clock did;
     /// else by the wall clock. Nothing if that went back: then nobody knows.
-    pub fn since(&self, before: &Stamp) -> Option<f64> {
+    pub fn since(&self, before: &Timestamp) -> Option<f64> {
         let same = !self.boot.is_empty() && self.boot == before.boot;
         let gap = match same {
             true => self.up_ms - before.up_ms,
@@ -34,10 +34,10 @@
     }
 }
 
-impl Stamp {
+impl Timestamp {
     /// The moment so long before this one.
-    pub fn before(&self, ms: f64) -> Stamp {
-        Stamp {
+    pub fn before(&self, ms: f64) -> Timestamp {
+        Timestamp {
             wall_ms: self.wall_ms - ms,
             boot: self.boot.clone(),
             up_ms: self.up_ms - ms,
@@ -53,12 +53,12 @@
     pub zone: String,
     pub state: AdminState,
     /// Since when the roster says so.
-    pub since: Stamp,
+    pub since: Timestamp,
     pub weight: f64,
     /// What its line has come to, as a share of the listed weight: below 1 it is trimmed, held or warming.
     pub share: f64,
     /// When that was last so.
-    pub judged: Stamp,
+    pub judged: Timestamp,
     pub shut: bool,
 }
 
@@ -68,9 +68,9 @@
     Server(ServerFact),
     Forgotten(String),
     /// What is let in of a class.
-    Level(String, f64, Stamp),
+    Level(String, f64, Timestamp),
     /// The controller lives at this moment.
-    Alive(Stamp),
+    Alive(Timestamp),
     /// What a hook keeps: its file and name, and the value as text. Since schema 2.
     Kept(String, String, String),
 }
@@ -79,9 +79,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Facts {
     pub servers: BTreeMap<String, ServerFact>,
-    pub levels: BTreeMap<String, (f64, Stamp)>,
+    pub levels: BTreeMap<String, (f64, Timestamp)>,
     /// When the controller was last known to live.
-    pub alive: Stamp,
+    pub alive: Timestamp,
     /// By file and name.
     pub kept: BTreeMap<(String, String), String>,
 }
@@ -138,15 +138,15 @@
 
 /// Finds what has changed since it was last asked.
 #[derive(Clone, Debug, Default)]
-pub struct Differ {
+pub struct ChangeTracker {
     told: BTreeMap<String, ServerFact>,
     levels: BTreeMap<String, f64>,
 }
 
-impl Differ {
+impl ChangeTracker {
     /// Begins with what was kept: until lines are ordered that is still what is known of them.
-    pub fn since(facts: &Facts) -> Differ {
-        Differ {
+    pub fn from_facts(facts: &Facts) -> ChangeTracker {
+        ChangeTracker {
             told: facts.servers.clone(),
             levels: BTreeMap::new(),
         }
@@ -155,7 +155,7 @@
     /// The changes from what was told before to what a controller knows now.
     pub fn changes(
         &mut self,
-        now: &Stamp,
+        now: &Timestamp,
         servers: &[ServerView],
         levels: &[(String, f64)],
     ) -> Vec<Change> {
@@ -201,7 +201,7 @@
                     && now.since(&b.judged).is_none_or(|gap| gap >= RENEW_MS);
                 let like = |f: &ServerFact| ServerFact {
                     share: 0.0,
-                    judged: Stamp::default(),
+                    judged: Timestamp::default(),
                     ..f.clone()
                 };
                 !moved && !old && like(b) == like(&fact)
--- a/crates/memory/src/keeper.rs
+++ b/crates/memory/src/keeper.rs
@@ -2,7 +2,7 @@
 //! queue, and one that is full says so. Commits go before snapshots, which are written in slices within a
 //! budget. Whatever fails, the facts are in memory: a new generation from them mends the directory.
 
-use crate::facts::{Change, Facts, Stamp};
+use crate::facts::{Change, Facts, Timestamp};
 use crate::layer::Layer;
 use crate::store::{Found, Store};
 use dahliapoint_scheduler::{Budget, Scheduler, Task};
@@ -60,13 +60,13 @@
 }
 
 /// The moment it is now, by the wall clock and the machine's uptime.
-pub fn now() -> Stamp {
+pub fn now() -> Timestamp {
     let wall = SystemTime::now().duration_since(UNIX_EPOCH);
     let read = |name: &str| std::fs::read_to_string(name).unwrap_or_default();
     let boot = read("/proc/sys/kernel/random/boot_id").trim().to_string();
     let up = read("/proc/uptime");
     let up = up.split(' ').next().and_then(|s| s.parse::<f64>().ok());
-    Stamp {
+    Timestamp {
         wall_ms: wall.map_or(0.0, |d| d.as_secs_f64() * 1e3),
         boot: up.map_or(String::new(), |_| boot),
         up_ms: up.unwrap_or(0.0) * 1e3,
--- a/crates/memory/src/restore.rs
+++ b/crates/memory/src/restore.rs
@@ -7,7 +7,7 @@
 //! remembered as draining that is ready now returns through the ramp; one that the planner had trimmed
 //! begins as if it had warmed up to that share. All times are ratios to the time until a server is warm.
 
-use crate::facts::{Facts, ServerFact, Stamp};
+use crate::facts::{Facts, ServerFact, Timestamp};
 use dahliapoint_control::{AdminState, Entry};
 
 /// A verdict loses half of its worth in so many times the warming time without being renewed.
@@ -25,7 +25,7 @@
     fact: Option<&'a ServerFact>,
     /// For how long nobody looked; nothing: it cannot be told.
     gap_ms: Option<f64>,
-    now: &'a Stamp,
+    now: &'a Timestamp,
     warm_ms: f64,
 }
 
@@ -123,7 +123,7 @@
 
 /// The roster as the planner is to be told first, and how each server of it was recalled.
 pub fn restore_roster(
-    now: &Stamp,
+    now: &Timestamp,
     facts: &Facts,
     roster: &[Entry],
     warm_ms: f64,
@@ -197,8 +197,8 @@
 
     const WARM: f64 = 10_000.0;
 
-    fn at(ms: f64) -> Stamp {
-        Stamp {
+    fn at(ms: f64) -> Timestamp {
+        Timestamp {
             wall_ms: 1e12 + ms,
             boot: "b".into(),
             up_ms: 1e6 + ms,
@@ -231,7 +231,7 @@
     }
 
     /// One server among twenty that are well; down from 0 until then.
-    fn one(fact: Option<ServerFact>, entry: Entry, now: Stamp) -> Restored {
+    fn one(fact: Option<ServerFact>, entry: Entry, now: Timestamp) -> Restored {
         let mut facts = Facts {
             alive: at(0.0),
             ..Facts::default()
@@ -260,11 +260,11 @@
             address: "2:2".into(),
             ..fact("s", Ready, 1.0)
         };
-        let elsewhere = Stamp {
+        let elsewhere = Timestamp {
             boot: "other".into(),
             ..at(-5_000.0)
         };
-        let leapt = Stamp {
+        let leapt = Timestamp {
             wall_ms: 0.0,
             ..at(1_000.0)
         };
--- a/crates/memory/tests/store.rs
+++ b/crates/memory/tests/store.rs
@@ -2,7 +2,7 @@
 //! nothing that was committed is lost.
 
 use dahliapoint_control::AdminState;
-use dahliapoint_memory::facts::{Change, Facts, ServerFact, Stamp};
+use dahliapoint_memory::facts::{Change, Facts, ServerFact, Timestamp};
 use dahliapoint_memory::frames::Key;
 use dahliapoint_memory::keeper::Keeper;
 use dahliapoint_memory::layer::{Layer, Plain};
@@ -199,9 +199,9 @@
 }
 
 fn change(n: u64) -> Change {
-    let at = Stamp {
+    let at = Timestamp {
         wall_ms: n as f64,
-        ..Stamp::default()
+        ..Timestamp::default()
     };
     Change::Server(ServerFact {
         name: format!("s{}", n % 7),
--- a/crates/peer/src/asking.rs
+++ b/crates/peer/src/asking.rs
@@ -4,7 +4,7 @@
 use crate::weighing::Learned;
 use crate::words::{Ask, Said, TELL, Word};
 use dahliapoint_grpc::{Code, Limits, Link, Status};
-use dahliapoint_memory::facts::Stamp;
+use dahliapoint_memory::facts::Timestamp;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
@@ -16,7 +16,7 @@
 pub fn ask(
     peer: SocketAddr,
     service: &str,
-    clock: fn() -> Stamp,
+    clock: fn() -> Timestamp,
     until: Instant,
 ) -> (Learned, Option<Status>) {
     let begun = Instant::now();
@@ -29,7 +29,7 @@
 fn listen(
     peer: SocketAddr,
     service: &str,
-    clock: fn() -> Stamp,
+    clock: fn() -> Timestamp,
     until: Instant,
     learned: &mut Learned,
 ) -> Result<(), Status> {
@@ -78,7 +78,7 @@
 pub fn ask_all(
     peers: &[SocketAddr],
     service: &str,
-    clock: fn() -> Stamp,
+    clock: fn() -> Timestamp,
     within: Duration,
 ) -> Option<Learned> {
     let until = Instant::now() + within;
--- a/crates/peer/src/telling.rs
+++ b/crates/peer/src/telling.rs
@@ -4,7 +4,7 @@
 use crate::words::{Ask, End, Head, Said, ServerWord, Servers, TELL, Word};
 use dahliapoint_control::AdminState;
 use dahliapoint_grpc::{Call, Code, Handler, Status};
-use dahliapoint_memory::facts::{Facts, ServerFact, Stamp};
+use dahliapoint_memory::facts::{Facts, ServerFact, Timestamp};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant;
@@ -41,7 +41,7 @@
 }
 
 /// All that is to be told, the most useful first; the same each time.
-pub fn in_order(facts: &Facts, now: &Stamp) -> Vec<ServerWord> {
+pub fn in_order(facts: &Facts, now: &Timestamp) -> Vec<ServerWord> {
     let mut all: Vec<&ServerFact> = facts.servers.values().collect();
     all.sort_by(|a, b| rank(a).cmp(&rank(b)).then_with(|| a.name.cmp(&b.name)));
     all.into_iter().map(|f| ServerWord::of(now, f)).collect()
@@ -52,12 +52,12 @@
     service: String,
     known: Known,
     begun: Instant,
-    clock: fn() -> Stamp,
+    clock: fn() -> Timestamp,
     at_work: AtomicUsize,
 }
 
 impl Teller {
-    pub fn new(service: &str, known: Known, clock: fn() -> Stamp) -> Arc<Teller> {
+    pub fn new(service: &str, known: Known, clock: fn() -> Timestamp) -> Arc<Teller> {
         Arc::new(Teller {
             service: service.into(),
             known,
--- a/crates/peer/src/weighing.rs
+++ b/crates/peer/src/weighing.rs
@@ -4,7 +4,7 @@
 //! had been kept, and is aged by the same rules. The rules are gone through for each server; each decides one thing.
 
 use crate::words::ago;
-use dahliapoint_memory::facts::{Facts, ServerFact, Stamp};
+use dahliapoint_memory::facts::{Facts, ServerFact, Timestamp};
 
 /// A teller that has run for less than so many times the warming time cannot say who is new: to it all are.
 const LIVED: f64 = 1.0;
@@ -32,11 +32,11 @@
 
 /// Two words about one server, each with its observer's own moment.
 struct Case<'a> {
-    now: &'a Stamp,
+    now: &'a Timestamp,
     own: &'a ServerFact,
     peers: &'a ServerFact,
     /// When our own memory was last written, and how old the peer's word is.
-    own_alive: &'a Stamp,
+    own_alive: &'a Timestamp,
     took_ms: f64,
 }
 
@@ -85,7 +85,7 @@
 }
 
 /// One body of facts from two. Words of the peer are made older by the time that asking took.
-pub fn weigh(now: &Stamp, own: &Facts, learned: &Learned, warm_ms: f64) -> (Facts, Counted) {
+pub fn weigh(now: &Timestamp, own: &Facts, learned: &Learned, warm_ms: f64) -> (Facts, Counted) {
     let mut out = own.clone();
     let mut counted = Counted::default();
     for told in &learned.facts {
@@ -127,8 +127,8 @@
 }
 
 /// A word as old as it may be. One of unknown age stays so.
-fn aged(now: &Stamp, told: &ServerFact, took_ms: f64) -> ServerFact {
-    let older = |at: &Stamp| match now.since(at) {
+fn aged(now: &Timestamp, told: &ServerFact, took_ms: f64) -> ServerFact {
+    let older = |at: &Timestamp| match now.since(at) {
         Some(age) => ago(now, age + took_ms.max(0.0)),
         None => at.clone(),
     };
@@ -147,8 +147,8 @@
 
     const HOUR: f64 = 3.6e6;
 
-    fn now() -> Stamp {
-        Stamp {
+    fn now() -> Timestamp {
+        Timestamp {
             wall_ms: 1e12,
             boot: "b".into(),
             up_ms: 1e9,
--- a/crates/peer/src/words.rs
+++ b/crates/peer/src/words.rs
@@ -2,7 +2,7 @@
 //! by itself; the end says how many there were.
 
 use dahliapoint_control::AdminState;
-use dahliapoint_memory::facts::{ServerFact, Stamp};
+use dahliapoint_memory::facts::{ServerFact, Timestamp};
 
 /// The method's path, and the service's.
 pub const TELL: &str = "/dahliapoint.peer.v1.Peer/Tell";
@@ -81,8 +81,8 @@
 const LONGEST: usize = 4_096;
 
 impl ServerWord {
-    pub fn of(now: &Stamp, fact: &ServerFact) -> ServerWord {
-        let age = |at: &Stamp| now.since(at).unwrap_or(-1.0);
+    pub fn of(now: &Timestamp, fact: &ServerFact) -> ServerWord {
+        let age = |at: &Timestamp| now.since(at).unwrap_or(-1.0);
         ServerWord {
             name: fact.name.clone(),
             address: fact.address.clone(),
@@ -101,7 +101,7 @@
     }
 
     /// As a fact of ours; what cannot be meant is none. Ages that nobody knows stay so: a moment ahead of now.
-    pub fn fact(&self, now: &Stamp) -> Option<ServerFact> {
+    pub fn fact(&self, now: &Timestamp) -> Option<ServerFact> {
         let texts = [&self.name, &self.address, &self.zone];
         let sound = |n: f64| n.is_finite() && n.abs() <= 1e15;
         let fits = texts.iter().all(|t| t.len() <= LONGEST)
@@ -132,6 +132,6 @@
 }
 
 /// A moment so long ago; a negative time is one of which nobody knows the age.
-pub fn ago(now: &Stamp, ms: f64) -> Stamp {
+pub fn ago(now: &Timestamp, ms: f64) -> Timestamp {
     now.before(if ms < 0.0 { -1.0 } else { ms })
 }
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -17,7 +17,7 @@
 use dahliapoint_files::forms::{FORM, Form, Table, TableLine};
 use dahliapoint_files::publish::Publisher;
 use dahliapoint_files::seal::Keys;
-use dahliapoint_memory::facts::{Change, ServerFact, Stamp};
+use dahliapoint_memory::facts::{Change, ServerFact, Timestamp};
 use dahliapoint_memory::frames::Key;
 use dahliapoint_memory::layer::Plain as Layer;
 use dahliapoint_memory::store::Store;
@@ -299,9 +299,9 @@
     let (mut store, mut facts, _) = Store::open(Layer::open(dir)?, Key::default())?;
     let mut out = std::io::stdout().lock();
     for n in facts.alive.wall_ms as u64 + 1.. {
-        let at = Stamp {
+        let at = Timestamp {
             wall_ms: n as f64,
-            ..Stamp::default()
+            ..Timestamp::default()
         };
         let server = ServerFact {
             name: format!("s{}", n % 7),
