--- a/crates/daemon/src/memory.rs
+++ b/crates/daemon/src/memory.rs
@@ -51,7 +51,7 @@
     };
     let mut out = format!("alive {}\n", age(&facts.alive));
     for f in facts.servers.values() {
-        let shut = if f.shut { ", withdrawn" } else { "" };
+        let shut = if f.withdrawn { ", withdrawn" } else { "" };
         let _ = writeln!(
             out,
             "{:<24} {:<22} {:<9} since {:<16} weight {:<6} line {:.2}, {}{shut}",
--- a/crates/daemon/tests/peer.rs
+++ b/crates/daemon/tests/peer.rs
@@ -215,7 +215,7 @@
         weight: 1.0,
         share,
         judged_ms,
-        shut: false,
+        withdrawn: false,
     }
 }
 
--- a/crates/memory/examples/cost.rs
+++ b/crates/memory/examples/cost.rs
@@ -23,7 +23,7 @@
         weight: 1.0,
         share,
         judged: now(),
-        shut: false,
+        withdrawn: false,
     })
 }
 
--- a/crates/memory/src/facts.rs
+++ b/crates/memory/src/facts.rs
@@ -59,7 +59,7 @@
     pub share: f64,
     /// When that was last so.
     pub judged: Timestamp,
-    pub shut: bool,
+    pub withdrawn: bool,
 }
 
 /// A change of what is known.
@@ -189,7 +189,7 @@
                     1.0
                 },
                 judged,
-                shut: s.shut,
+                withdrawn: s.shut,
             };
             if let Some(before) = before.filter(|b| b.state == fact.state) {
                 fact.since = before.since.clone();
--- a/crates/memory/src/restore.rs
+++ b/crates/memory/src/restore.rs
@@ -88,7 +88,9 @@
 /// it has been warm for long. Until a warming time has passed it returns as it would have before our eyes;
 /// from then on the doubt fades. May harm by a ramp that was not needed.
 fn a_drain_stays_one_until_the_roster_says_otherwise(c: &Case) -> Option<Restored> {
-    let fact = c.fact.filter(|f| f.state != AdminState::Ready || f.shut)?;
+    let fact = c
+        .fact
+        .filter(|f| f.state != AdminState::Ready || f.withdrawn)?;
     Some(match c.gap_ms {
         Some(gap) if gap >= c.warm_ms => faded(RETURNED, Some(gap - c.warm_ms), c.warm_ms),
         Some(_) => Restored::Returning,
@@ -226,7 +228,7 @@
             weight: 1.0,
             share,
             judged: at(0.0),
-            shut: false,
+            withdrawn: false,
         }
     }
 
--- a/crates/memory/tests/store.rs
+++ b/crates/memory/tests/store.rs
@@ -212,7 +212,7 @@
         weight: 1.0,
         share: 1.0 / (1.0 + n as f64),
         judged: at,
-        shut: false,
+        withdrawn: false,
     })
 }
 
--- a/crates/peer/src/telling.rs
+++ b/crates/peer/src/telling.rs
@@ -30,7 +30,7 @@
 
 /// How useful a word is: what is withdrawn or draining, then verdicts, the worse first, then the rest.
 fn rank(f: &ServerFact) -> (u8, u64) {
-    let away = f.shut || f.state != AdminState::Ready;
+    let away = f.withdrawn || f.state != AdminState::Ready;
     let class = match (away, f.share < VERDICT) {
         (true, _) => 0,
         (false, true) => 1,
--- a/crates/peer/src/weighing.rs
+++ b/crates/peer/src/weighing.rs
@@ -165,7 +165,7 @@
             weight: 1.0,
             share,
             judged: ago(&now(), judged_ms),
-            shut: false,
+            withdrawn: false,
         }
     }
 
--- a/crates/peer/src/words.rs
+++ b/crates/peer/src/words.rs
@@ -96,7 +96,7 @@
             weight: fact.weight,
             share: fact.share,
             judged_ms: age(&fact.judged),
-            shut: fact.shut,
+            shut: fact.withdrawn,
         }
     }
 
@@ -126,7 +126,7 @@
             weight: self.weight,
             share: self.share,
             judged: ago(now, self.judged_ms),
-            shut: self.shut,
+            withdrawn: self.shut,
         })
     }
 }
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -312,7 +312,7 @@
             weight: n as f64,
             share: 1.0,
             judged: at.clone(),
-            shut: false,
+            withdrawn: false,
         };
         let group = [Change::Server(server), Change::Alive(at)];
         for change in group.clone() {
