--- a/crates/daemon/examples/newcomer.rs
+++ b/crates/daemon/examples/newcomer.rs
@@ -4,7 +4,7 @@
 use dahliapoint_control::{AdminState, Entry, Input, MetLine, Owner, Report};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
-use dahliapoint_memory::keeper;
+use dahliapoint_memory::clock;
 use dahliapoint_peer::asking;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -105,7 +105,7 @@
         let (learned, _) = asking::ask(
             old.address(),
             "portal",
-            keeper::now,
+            clock::now,
             Instant::now() + Duration::from_secs(5),
         );
         let (newcomer, started, decided) = decides(servers, &[old.address()]);
--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -13,8 +13,9 @@
 use dahliapoint_hooks::value::{LineSeen, World};
 use dahliapoint_intake::interval::ReportInterval;
 use dahliapoint_intake::report_queue::{Line, MergedReport, ReportQueue};
+use dahliapoint_memory::clock;
 use dahliapoint_memory::facts::{Change, ChangeTracker, Facts};
-use dahliapoint_memory::keeper::{self, Keeper};
+use dahliapoint_memory::writer::JournalWriter;
 use dahliapoint_peer::telling::Known;
 use dahliapoint_scheduler::{Budget, Event, Scheduler, Task, TaskId};
 use dahliapoint_xds::Owner;
@@ -145,7 +146,7 @@
     reading: Option<(TaskId, f64)>,
     lines_before: u64,
     asked: Vec<(TaskId, Arc<Asked>)>,
-    memory: Option<(Arc<Keeper>, ChangeTracker)>,
+    memory: Option<(Arc<JournalWriter>, ChangeTracker)>,
     /// What peers are told, brought up to date once a round.
     known: Option<(Known, ChangeTracker)>,
     hooking: Option<Arc<Hooking>>,
@@ -198,7 +199,7 @@
         record: Option<&Path>,
         first: Vec<Input>,
         hand: Hand,
-        memory: Option<(Arc<Keeper>, ChangeTracker)>,
+        memory: Option<(Arc<JournalWriter>, ChangeTracker)>,
     ) -> io::Result<JoinHandle<()>> {
         let now = self.clock.now_ms();
         let mut recorder = None;
@@ -393,7 +394,7 @@
     /// Offers what has changed to memory and to peers, without waiting.
     fn remember(&self, work: &mut Work) {
         if let Some((known, differ)) = &mut work.known {
-            let now = keeper::now();
+            let now = clock::now();
             let (servers, levels) = (work.controller.servers(), work.controller.levels());
             let changes = differ.changes(&now, &servers, &levels);
             let mut facts = known.hold();
@@ -405,7 +406,7 @@
         let Some((keeper, differ)) = &mut work.memory else {
             return;
         };
-        let now = keeper::now();
+        let now = clock::now();
         let (servers, levels) = (work.controller.servers(), work.controller.levels());
         let mut changes = differ.changes(&now, &servers, &levels);
         changes.push(Change::Alive(now));
--- a/crates/daemon/src/hooking.rs
+++ b/crates/daemon/src/hooking.rs
@@ -15,7 +15,7 @@
 use dahliapoint_hooks::points::{Point, WishKind};
 use dahliapoint_hooks::value::{LineSeen, ProxySeen, ServerSeen, State, Value, World};
 use dahliapoint_memory::facts::Change;
-use dahliapoint_memory::keeper::Keeper;
+use dahliapoint_memory::writer::JournalWriter;
 use dahliapoint_scheduler::{Budget, Scheduler, Task};
 use hdrhistogram::Histogram;
 use serde_json::json;
@@ -273,7 +273,7 @@
     stamp: Option<Vec<(PathBuf, u64, Option<SystemTime>)>>,
     fault: Option<String>,
     look_at: f64,
-    memory: Option<Arc<Keeper>>,
+    memory: Option<Arc<JournalWriter>>,
     kept: BTreeMap<(String, String), String>,
 }
 
@@ -419,7 +419,7 @@
         self: &Arc<Self>,
         engine: Engine,
         first: Vec<Entry>,
-        memory: Option<Arc<Keeper>>,
+        memory: Option<Arc<JournalWriter>>,
         kept: BTreeMap<(String, String), String>,
     ) -> Result<JoinHandle<()>, String> {
         let set = load(&self.place.dir)?;
--- a/crates/daemon/src/life.rs
+++ b/crates/daemon/src/life.rs
@@ -11,9 +11,10 @@
 use dahliapoint_files::front::{self as files, Place};
 use dahliapoint_files::reach::Promise;
 use dahliapoint_grpc::{Call, Handler, Limits, Server};
+use dahliapoint_memory::clock;
 use dahliapoint_memory::facts::{Change, ChangeTracker, Facts};
-use dahliapoint_memory::keeper::{self, Keeper};
 use dahliapoint_memory::restore::{self, Restored};
+use dahliapoint_memory::writer::JournalWriter;
 use dahliapoint_peer::telling::{Known, Teller};
 use dahliapoint_peer::weighing::weigh;
 use dahliapoint_peer::{asking, words};
@@ -50,7 +51,7 @@
     watcher: Option<JoinHandle<()>>,
     resolver: Option<JoinHandle<()>>,
     files: Option<(Arc<files::Front>, JoinHandle<()>)>,
-    memory: Option<(Arc<Keeper>, JoinHandle<()>)>,
+    memory: Option<(Arc<JournalWriter>, JoinHandle<()>)>,
     hooks: Option<(Arc<Hooking>, JoinHandle<()>)>,
 }
 
@@ -74,7 +75,7 @@
                     warn!("memory: {passed}");
                 }
                 let kept = facts.clone();
-                let started = Keeper::start(store, kept, found);
+                let started = JournalWriter::start(store, kept, found);
                 let started = started.map_err(|e| format!("{}: {e}", dir.display()))?;
                 (Some(started), facts)
             }
@@ -143,7 +144,7 @@
             front: front.clone(),
             teller: deployment.tells.then(|| {
                 engine.tells(known.clone(), &facts);
-                Teller::new(&terms.service, known, keeper::now)
+                Teller::new(&terms.service, known, clock::now)
             }),
         });
         let server = Server::start(deployment.listen, limits, ways)
@@ -188,7 +189,7 @@
         let mut first = Vec::new();
         if !facts.servers.is_empty() {
             // What is remembered goes before what is: it enters as any day's events do.
-            let now = keeper::now();
+            let now = clock::now();
             let (told, how) = restore::restore_roster(&now, &facts, &entries, terms.warm_after_ms);
             let doubted = how.iter().filter(|r| **r != Restored::AsListed).count();
             info!(
@@ -201,7 +202,7 @@
         let kept = memory.as_ref();
         let kept = kept.map(|(keeper, _)| (keeper.clone(), ChangeTracker::from_facts(&facts)));
         if let Some((keeper, _)) = kept.clone() {
-            engine.shows("memory", Box::new(move || keeper.view()));
+            engine.shows("memory", Box::new(move || keeper.status()));
         }
         if let Some(resolving) = resolving.clone() {
             engine.shows("dns", Box::new(move || resolving.view()));
@@ -282,7 +283,7 @@
             let _ = thread.join();
         }
         if let Some((keeper, thread)) = self.memory {
-            keeper.end();
+            keeper.stop();
             let _ = thread.join();
         }
         for thread in [self.watcher, self.resolver].into_iter().flatten() {
@@ -315,12 +316,12 @@
     }
     let within = Duration::from_secs_f64(deployment.peers_within_ms / 1e3);
     let service = &deployment.terms.service;
-    let Some(learned) = asking::ask_all(&deployment.peers, service, keeper::now, within) else {
+    let Some(learned) = asking::ask_all(&deployment.peers, service, clock::now, within) else {
         warn!("no peer told anything: this starts on what it has itself");
         return kept;
     };
     let (facts, counted) = weigh(
-        &keeper::now(),
+        &clock::now(),
         &kept,
         &learned,
         deployment.terms.warm_after_ms,
--- a/crates/daemon/src/memory.rs
+++ b/crates/daemon/src/memory.rs
@@ -1,9 +1,9 @@
 //! Memory as the daemon and its command line open it.
 
 use dahliapoint_files::seal::Keys;
+use dahliapoint_memory::clock;
 use dahliapoint_memory::facts::Facts;
 use dahliapoint_memory::frames::Key;
-use dahliapoint_memory::keeper;
 use dahliapoint_memory::layer::Plain;
 use dahliapoint_memory::store::{Found, Store, recover};
 use std::fmt::Write;
@@ -44,7 +44,7 @@
 
 /// What is known, for a person.
 pub fn as_table(facts: &Facts) -> String {
-    let now = keeper::now();
+    let now = clock::now();
     let age = |at| match now.since(at) {
         Some(ms) => format!("{:.0} s ago", ms / 1e3),
         None => "nobody knows when".to_string(),
--- a/crates/daemon/src/resolving.rs
+++ b/crates/daemon/src/resolving.rs
@@ -6,7 +6,7 @@
 use dahliapoint_dns::refresh::{Refresh, Worth};
 use dahliapoint_dns::{Answer, Target};
 use dahliapoint_memory::facts::Change;
-use dahliapoint_memory::keeper::Keeper;
+use dahliapoint_memory::writer::JournalWriter;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -43,7 +43,7 @@
     place: DnsPlace,
     begun: Instant,
     both: Mutex<Both>,
-    memory: Option<Arc<Keeper>>,
+    memory: Option<Arc<JournalWriter>>,
 }
 
 fn listed(state: AdminState) -> Listed {
@@ -98,7 +98,7 @@
     /// `kept`: what memory kept of hooks and others; `before`: hosts that it knew, with their addresses.
     pub fn new(
         place: DnsPlace,
-        memory: Option<Arc<Keeper>>,
+        memory: Option<Arc<JournalWriter>>,
         kept: &BTreeMap<(String, String), String>,
         before: impl Iterator<Item = (String, String)>,
     ) -> Arc<Resolving> {
--- a/crates/daemon/tests/memory.rs
+++ b/crates/daemon/tests/memory.rs
@@ -4,8 +4,8 @@
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_daemon::memory;
+use dahliapoint_memory::clock;
 use dahliapoint_memory::facts::{Change, Facts};
-use dahliapoint_memory::keeper;
 use serde_json::Value;
 use std::path::PathBuf;
 use std::process::Command;
@@ -119,7 +119,7 @@
     // The verdict of a busy day, put there as the controller writes it.
     let (mut store, facts, _) = memory::open(&folder.0.join("memory"), None).unwrap();
     let mut fact = facts.servers["s2"].clone();
-    (fact.share, fact.judged) = (0.1, keeper::now());
+    (fact.share, fact.judged) = (0.1, clock::now());
     store.commit(&[Change::Server(fact)]).unwrap();
     drop(store);
     let daemon = folder.start(ON).unwrap();
--- a/crates/daemon/tests/peer.rs
+++ b/crates/daemon/tests/peer.rs
@@ -5,7 +5,7 @@
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_grpc::{Call, Code, Handler, Limits, Server, Status};
-use dahliapoint_memory::keeper;
+use dahliapoint_memory::clock;
 use dahliapoint_peer::asking;
 use dahliapoint_peer::words::{Ask, End, Head, Said, ServerWord, Servers, Word};
 use serde_json::Value;
@@ -109,7 +109,7 @@
         let (learned, _) = asking::ask(
             old.address(),
             "portal",
-            keeper::now,
+            clock::now,
             Instant::now() + Duration::from_secs(5),
         );
         learned.whole
@@ -134,14 +134,14 @@
         asking::ask(
             d.address(),
             "portal",
-            keeper::now,
+            clock::now,
             Instant::now() + Duration::from_secs(5),
         )
         .0
     };
     let age = |l: &dahliapoint_peer::weighing::Learned| {
         let f = l.facts.iter().find(|f| f.name == "s1").unwrap();
-        keeper::now().since(&f.judged).unwrap()
+        clock::now().since(&f.judged).unwrap()
     };
     // Uptimes are told in hundredths of a second.
     let (first, second) = (hear(&old), hear(&newcomer));
@@ -215,7 +215,7 @@
         weight: 1.0,
         share,
         judged_ms,
-        withdrawn: false,
+        shut: false,
     }
 }
 
@@ -322,7 +322,7 @@
     let (learned, status) = asking::ask(
         silent.address(),
         "portal",
-        keeper::now,
+        clock::now,
         Instant::now() + Duration::from_secs(5),
     );
     assert!(learned.facts.is_empty() && status.is_some_and(|s| s.code == Code::Unimplemented));
--- a/crates/memory/examples/cost.rs
+++ b/crates/memory/examples/cost.rs
@@ -2,9 +2,9 @@
 //! `cargo run --release -p dahliapoint-memory --example cost [DIR]`
 
 use dahliapoint_control::AdminState;
+use dahliapoint_memory::clock::now;
 use dahliapoint_memory::facts::{Change, Facts, ServerFact};
 use dahliapoint_memory::frames::Key;
-use dahliapoint_memory::keeper::now;
 use dahliapoint_memory::layer::Plain;
 use dahliapoint_memory::store::{Store, recover};
 use std::path::PathBuf;
--- a/crates/memory/src/keeper.rs
+++ b/crates/memory/src/writer.rs
@@ -2,7 +2,7 @@
 //! queue, and one that is full says so. Commits go before snapshots, which are written in slices within a
 //! budget. Whatever fails, the facts are in memory: a new generation from them mends the directory.
 
-use crate::facts::{Change, Facts, Timestamp};
+use crate::facts::{Change, Facts};
 use crate::layer::Layer;
 use crate::store::{Found, Store};
 use dahliapoint_scheduler::{Budget, Scheduler, Task};
@@ -10,7 +10,7 @@
 use std::collections::VecDeque;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::thread::JoinHandle;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
 /// Groups of changes that may wait.
@@ -48,7 +48,7 @@
 }
 
 /// See the module's head.
-pub struct Keeper {
+pub struct JournalWriter {
     waiting: Mutex<Waiting>,
     bell: Condvar,
     tally: Mutex<Tally>,
@@ -59,20 +59,6 @@
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-/// The moment it is now, by the wall clock and the machine's uptime.
-pub fn now() -> Timestamp {
-    let wall = SystemTime::now().duration_since(UNIX_EPOCH);
-    let read = |name: &str| std::fs::read_to_string(name).unwrap_or_default();
-    let boot = read("/proc/sys/kernel/random/boot_id").trim().to_string();
-    let up = read("/proc/uptime");
-    let up = up.split(' ').next().and_then(|s| s.parse::<f64>().ok());
-    Timestamp {
-        wall_ms: wall.map_or(0.0, |d| d.as_secs_f64() * 1e3),
-        boot: up.map_or(String::new(), |_| boot),
-        up_ms: up.unwrap_or(0.0) * 1e3,
-    }
-}
-
 struct Hand<L: Layer> {
     store: Store<L>,
     facts: Facts,
@@ -84,7 +70,7 @@
     begun: Instant,
 }
 
-impl Keeper {
+impl JournalWriter {
     /// Starts to write; `facts` are what the store was opened with.
     ///
     /// # Errors
@@ -93,8 +79,8 @@
         store: Store<L>,
         facts: Facts,
         found: Found,
-    ) -> std::io::Result<(Arc<Keeper>, JoinHandle<()>)> {
-        let keeper = Arc::new(Keeper {
+    ) -> std::io::Result<(Arc<JournalWriter>, JoinHandle<()>)> {
+        let keeper = Arc::new(JournalWriter {
             waiting: Mutex::default(),
             bell: Condvar::new(),
             tally: Mutex::default(),
@@ -137,13 +123,13 @@
     }
 
     /// Ends it once what waits was written.
-    pub fn end(&self) {
+    pub fn stop(&self) {
         lock(&self.waiting).over = true;
         self.bell.notify_all();
     }
 
     /// For people.
-    pub fn view(&self) -> Value {
+    pub fn status(&self) -> Value {
         let waiting = lock(&self.waiting).groups.len();
         let tally = lock(&self.tally).clone();
         json!({
--- a/crates/memory/tests/store.rs
+++ b/crates/memory/tests/store.rs
@@ -4,9 +4,9 @@
 use dahliapoint_control::AdminState;
 use dahliapoint_memory::facts::{Change, Facts, ServerFact, Timestamp};
 use dahliapoint_memory::frames::Key;
-use dahliapoint_memory::keeper::Keeper;
 use dahliapoint_memory::layer::{Layer, Plain};
 use dahliapoint_memory::store::{Store, recover};
+use dahliapoint_memory::writer::JournalWriter;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
@@ -389,7 +389,7 @@
 fn a_full_disk_is_mended_and_costs_no_decision() {
     let layer = Torn::default();
     let (store, facts, found) = Store::open(layer.clone(), Key::default()).unwrap();
-    let (keeper, thread) = Keeper::start(store, facts, found).unwrap();
+    let (keeper, thread) = JournalWriter::start(store, facts, found).unwrap();
     layer.0.lock().unwrap().full = Some(0);
     for n in 1..=50 {
         assert!(keeper.offer(vec![change(n)]));
@@ -397,15 +397,17 @@
     let end = Instant::now() + Duration::from_secs(20);
     let until = |what: &str, met: &dyn Fn() -> bool| {
         while !met() {
-            assert!(Instant::now() < end, "{what}: {}", keeper.view());
+            assert!(Instant::now() < end, "{what}: {}", keeper.status());
             std::thread::sleep(Duration::from_millis(5));
         }
     };
-    until("the fault is told", &|| keeper.view()["fault"].is_string());
+    until("the fault is told", &|| {
+        keeper.status()["fault"].is_string()
+    });
     layer.0.lock().unwrap().full = None;
-    until("it is mended", &|| keeper.view()["fault"].is_null());
+    until("it is mended", &|| keeper.status()["fault"].is_null());
     assert!(keeper.offer(vec![change(51)]));
-    keeper.end();
+    keeper.stop();
     thread.join().unwrap();
     let (facts, _) = recover(&mut layer.back(3), &Key::default()).unwrap();
     assert_eq!(facts.servers, states(51).pop().unwrap().servers);
