--- a/crates/daemon/src/memory.rs
+++ b/crates/daemon/src/memory.rs
@@ -2,9 +2,9 @@
 
 use dahliapoint_files::seal::Keys;
 use dahliapoint_memory::clock;
+use dahliapoint_memory::directory::FsDirectory;
 use dahliapoint_memory::facts::Facts;
 use dahliapoint_memory::frames::Key;
-use dahliapoint_memory::layer::Plain;
 use dahliapoint_memory::store::{Found, Store, recover};
 use std::fmt::Write;
 use std::path::Path;
@@ -23,9 +23,9 @@
 ///
 /// # Errors
 /// What is wrong, in words for an operator.
-pub fn open(dir: &Path, keys: Option<&Path>) -> Result<(Store<Plain>, Facts, Found), String> {
+pub fn open(dir: &Path, keys: Option<&Path>) -> Result<(Store<FsDirectory>, Facts, Found), String> {
     let wrong = |e: std::io::Error| format!("{}: {e}", dir.display());
-    let layer = Plain::open(dir).map_err(wrong)?;
+    let layer = FsDirectory::open(dir).map_err(wrong)?;
     Store::open(layer, key(keys)?).map_err(wrong)
 }
 
@@ -38,7 +38,7 @@
     if !dir.is_dir() {
         return Err(format!("{}: no directory", dir.display()));
     }
-    let mut layer = Plain::look(dir).map_err(wrong)?;
+    let mut layer = FsDirectory::open_read_only(dir).map_err(wrong)?;
     recover(&mut layer, &key(keys)?).map_err(wrong)
 }
 
--- a/crates/memory/examples/cost.rs
+++ b/crates/memory/examples/cost.rs
@@ -3,9 +3,9 @@
 
 use dahliapoint_control::AdminState;
 use dahliapoint_memory::clock::now;
+use dahliapoint_memory::directory::FsDirectory;
 use dahliapoint_memory::facts::{Change, Facts, ServerFact};
 use dahliapoint_memory::frames::Key;
-use dahliapoint_memory::layer::Plain;
 use dahliapoint_memory::store::{Store, recover};
 use std::path::PathBuf;
 use std::time::Instant;
@@ -34,7 +34,7 @@
     for key in [Key::default(), Key(Some(vec![7; 32]))] {
         let keyed = if key.0.is_some() { "keyed" } else { "plain" };
         for servers in [115, 384] {
-            let (mut store, ..) = Store::open(Plain::open(&dir)?, key.clone())?;
+            let (mut store, ..) = Store::open(FsDirectory::open(&dir)?, key.clone())?;
             let mut times = Vec::new();
             let mut bytes = 0;
             for round in 0..50 {
@@ -53,7 +53,7 @@
             drop(store);
             std::fs::remove_dir_all(&dir)?;
         }
-        let (mut store, ..) = Store::open(Plain::open(&dir)?, key.clone())?;
+        let (mut store, ..) = Store::open(FsDirectory::open(&dir)?, key.clone())?;
         let mut facts = Facts::default();
         for n in 0..RECORDS / GROUP {
             let group: Vec<_> = (0..GROUP)
@@ -66,14 +66,14 @@
         }
         drop(store);
         let begun = Instant::now();
-        let (_, found) = recover(&mut Plain::look(&dir)?, &key)?;
+        let (_, found) = recover(&mut FsDirectory::open_read_only(&dir)?, &key)?;
         println!(
             "{keyed}, {} records read back in {:?}",
             found.records,
             begun.elapsed()
         );
         let begun = Instant::now();
-        let (mut store, facts, _) = Store::open(Plain::open(&dir)?, key.clone())?;
+        let (mut store, facts, _) = Store::open(FsDirectory::open(&dir)?, key.clone())?;
         println!("{keyed}, opened and compacted in {:?}", begun.elapsed());
         let begun = Instant::now();
         store.begin(&facts)?;
--- a/crates/memory/src/layer.rs
+++ b/crates/memory/src/directory.rs
@@ -6,61 +6,61 @@
 use std::path::{Path, PathBuf};
 
 /// A directory of files, as far as memory needs one.
-pub trait Layer: Send {
+pub trait Directory: Send {
     /// The names there.
     ///
     /// # Errors
     /// Those of the system; so for all calls here.
     fn list(&mut self) -> io::Result<Vec<String>>;
     /// # Errors
-    /// See [`Layer::list`]; also when the file is larger than `most`.
+    /// See [`Directory::list`]; also when the file is larger than `most`.
     fn read(&mut self, name: &str, most: u64) -> io::Result<Vec<u8>>;
     /// A new file, empty, in place of one that is there.
     ///
     /// # Errors
-    /// See [`Layer::list`].
+    /// See [`Directory::list`].
     fn create(&mut self, name: &str) -> io::Result<()>;
     /// # Errors
-    /// See [`Layer::list`].
+    /// See [`Directory::list`].
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
     /// What was appended outlasts a power cut from here on.
     ///
     /// # Errors
-    /// See [`Layer::list`].
+    /// See [`Directory::list`].
     fn sync(&mut self, name: &str) -> io::Result<()>;
     /// # Errors
-    /// See [`Layer::list`].
+    /// See [`Directory::list`].
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// # Errors
-    /// See [`Layer::list`].
+    /// See [`Directory::list`].
     fn remove(&mut self, name: &str) -> io::Result<()>;
     /// Names made, renamed and removed outlast a power cut from here on.
     ///
     /// # Errors
-    /// See [`Layer::list`].
+    /// See [`Directory::list`].
     fn sync_names(&mut self) -> io::Result<()>;
 }
 
 /// A directory of the system, held by this process alone.
-pub struct Plain {
+pub struct FsDirectory {
     dir: PathBuf,
     files: HashMap<String, File>,
     _held: Option<File>,
 }
 
-impl Plain {
+impl FsDirectory {
     /// Opens a directory; makes it if it is not there.
     ///
     /// # Errors
     /// Those of the system; also when another process holds it.
-    pub fn open(dir: &Path) -> io::Result<Plain> {
+    pub fn open(dir: &Path) -> io::Result<FsDirectory> {
         fs::create_dir_all(dir)?;
         let held = File::create(dir.join("lock"))?;
         held.try_lock().map_err(|_| {
             let why = format!("{} is held by another process", dir.display());
             io::Error::new(io::ErrorKind::AlreadyExists, why)
         })?;
-        Ok(Plain {
+        Ok(FsDirectory {
             dir: dir.to_path_buf(),
             files: HashMap::new(),
             _held: Some(held),
@@ -71,9 +71,9 @@
     ///
     /// # Errors
     /// Those of the system.
-    pub fn look(dir: &Path) -> io::Result<Plain> {
+    pub fn open_read_only(dir: &Path) -> io::Result<FsDirectory> {
         fs::read_dir(dir)?;
-        Ok(Plain {
+        Ok(FsDirectory {
             dir: dir.to_path_buf(),
             files: HashMap::new(),
             _held: None,
@@ -106,7 +106,7 @@
     Ok(bytes)
 }
 
-impl Layer for Plain {
+impl Directory for FsDirectory {
     fn list(&mut self) -> io::Result<Vec<String>> {
         let names = fs::read_dir(&self.dir)?;
         let names = names
--- a/crates/memory/src/store.rs
+++ b/crates/memory/src/store.rs
@@ -5,9 +5,9 @@
 //! read back are older files removed. What is read at a start: the newest snapshot that is whole, and all
 //! journals from its generation on, each up to its first frame that is not whole.
 
+use crate::directory::Directory;
 use crate::facts::{Change, Facts};
 use crate::frames::{Chain, Key, Kind, Refused, read};
-use crate::layer::Layer;
 use serde::{Deserialize, Serialize};
 use std::io;
 
@@ -61,7 +61,7 @@
 /// # Errors
 /// Those of the layer; also when a newer program, or one with another key, has written there: nothing of
 /// theirs is thrown away.
-pub fn recover(layer: &mut dyn Layer, key: &Key) -> io::Result<(Facts, Found)> {
+pub fn recover(layer: &mut dyn Directory, key: &Key) -> io::Result<(Facts, Found)> {
     let mut found = Found::default();
     let mut files: Vec<(Kind, u64)> = layer
         .list()?
@@ -136,7 +136,7 @@
 
 type Snapshot = Result<(Facts, u64), String>;
 
-fn snapshot(layer: &mut dyn Layer, generation: u64, key: &Key) -> io::Result<Snapshot> {
+fn snapshot(layer: &mut dyn Directory, generation: u64, key: &Key) -> io::Result<Snapshot> {
     let name = name_of(Kind::Snapshot, generation);
     let bytes = match layer.read(&name, LARGEST) {
         Ok(bytes) => bytes,
@@ -175,7 +175,7 @@
 }
 
 /// A directory that is written to.
-pub struct Store<L: Layer> {
+pub struct Store<L: Directory> {
     layer: L,
     key: Key,
     generation: u64,
@@ -186,7 +186,7 @@
     pub snapshots: u64,
 }
 
-impl<L: Layer> Store<L> {
+impl<L: Directory> Store<L> {
     /// Reads a directory and begins a generation there.
     ///
     /// # Errors
--- a/crates/memory/src/writer.rs
+++ b/crates/memory/src/writer.rs
@@ -2,8 +2,8 @@
 //! queue, and one that is full says so. Commits go before snapshots, which are written in slices within a
 //! budget. Whatever fails, the facts are in memory: a new generation from them mends the directory.
 
+use crate::directory::Directory;
 use crate::facts::{Change, Facts};
-use crate::layer::Layer;
 use crate::store::{Found, Store};
 use dahliapoint_scheduler::{Budget, Scheduler, Task};
 use serde_json::{Value, json};
@@ -59,7 +59,7 @@
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-struct Hand<L: Layer> {
+struct Hand<L: Directory> {
     store: Store<L>,
     facts: Facts,
     scheduler: Scheduler,
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     /// When the thread cannot be started.
-    pub fn start<L: Layer + 'static>(
+    pub fn start<L: Directory + 'static>(
         store: Store<L>,
         facts: Facts,
         found: Found,
@@ -140,7 +140,7 @@
         })
     }
 
-    fn live<L: Layer>(&self, mut hand: Hand<L>) {
+    fn live<L: Directory>(&self, mut hand: Hand<L>) {
         loop {
             let now = hand.now_ms();
             let mend = hand.mend_at.is_some_and(|at| now >= at);
@@ -190,7 +190,7 @@
     }
 
     /// One group for all that waits: one sync.
-    fn commit<L: Layer>(&self, hand: &mut Hand<L>, changes: Vec<Change>) {
+    fn commit<L: Directory>(&self, hand: &mut Hand<L>, changes: Vec<Change>) {
         for change in &changes {
             if let Err(why) = hand.facts.apply(change.clone()) {
                 warn!("memory: a change is passed over: {why}");
@@ -214,7 +214,7 @@
         }
     }
 
-    fn failed<L: Layer>(&self, hand: &mut Hand<L>, e: &std::io::Error) {
+    fn failed<L: Directory>(&self, hand: &mut Hand<L>, e: &std::io::Error) {
         let doubled = f64::from(1_u32 << hand.failures.min(DOUBLINGS));
         hand.mend_at = Some(hand.now_ms() + AGAIN_MS * doubled);
         if hand.failures == 0 {
@@ -225,7 +225,7 @@
     }
 
     /// Begins anew from the facts: whatever was half written is behind us.
-    fn mend<L: Layer>(&self, hand: &mut Hand<L>) {
+    fn mend<L: Directory>(&self, hand: &mut Hand<L>) {
         match hand.store.begin(&hand.facts) {
             Ok(()) => match hand.store.step(usize::MAX) {
                 Ok(_) => {
@@ -240,7 +240,7 @@
     }
 
     /// A slice of a snapshot; tells whether more is to do.
-    fn slice<L: Layer>(&self, hand: &mut Hand<L>) -> bool {
+    fn slice<L: Directory>(&self, hand: &mut Hand<L>) -> bool {
         if hand.mend_at.is_some() {
             return false;
         }
@@ -261,7 +261,7 @@
     }
 }
 
-impl<L: Layer> Hand<L> {
+impl<L: Directory> Hand<L> {
     fn now_ms(&self) -> f64 {
         self.begun.elapsed().as_secs_f64() * 1e3
     }
--- a/crates/memory/tests/store.rs
+++ b/crates/memory/tests/store.rs
@@ -2,9 +2,9 @@
 //! nothing that was committed is lost.
 
 use dahliapoint_control::AdminState;
+use dahliapoint_memory::directory::{Directory, FsDirectory};
 use dahliapoint_memory::facts::{Change, Facts, ServerFact, Timestamp};
 use dahliapoint_memory::frames::Key;
-use dahliapoint_memory::layer::{Layer, Plain};
 use dahliapoint_memory::store::{Store, recover};
 use dahliapoint_memory::writer::JournalWriter;
 use proptest::prelude::*;
@@ -111,7 +111,7 @@
     io::ErrorKind::NotFound.into()
 }
 
-impl Layer for Torn {
+impl Directory for Torn {
     fn list(&mut self) -> io::Result<Vec<String>> {
         self.call(|d| Ok(d.now.keys().cloned().collect()))
     }
@@ -373,13 +373,13 @@
 #[test]
 fn two_processes_do_not_share_a_directory() {
     let dir = std::env::temp_dir().join(format!("dahliapoint-memory-{}", std::process::id()));
-    let held = Plain::open(&dir).unwrap();
-    let why = Plain::open(&dir).err().unwrap().to_string();
+    let held = FsDirectory::open(&dir).unwrap();
+    let why = FsDirectory::open(&dir).err().unwrap().to_string();
     assert!(why.contains("held by another process"), "{why}");
     let (mut store, ..) = Store::open(held, Key::default()).unwrap();
     store.commit(&[change(1)]).unwrap();
     drop(store);
-    let (_, facts, found) = Store::open(Plain::open(&dir).unwrap(), Key::default()).unwrap();
+    let (_, facts, found) = Store::open(FsDirectory::open(&dir).unwrap(), Key::default()).unwrap();
     assert_eq!((facts.servers.len(), found.torn_bytes), (1, 0));
     std::fs::remove_dir_all(&dir).unwrap();
 }
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -17,9 +17,9 @@
 use dahliapoint_files::forms::{FORM, Form, Table, TableLine};
 use dahliapoint_files::publish::Publisher;
 use dahliapoint_files::seal::Keys;
+use dahliapoint_memory::directory::FsDirectory;
 use dahliapoint_memory::facts::{Change, ServerFact, Timestamp};
 use dahliapoint_memory::frames::Key;
-use dahliapoint_memory::layer::Plain as Layer;
 use dahliapoint_memory::store::Store;
 use std::ffi::OsString;
 use std::io::Write;
@@ -296,7 +296,7 @@
 
 /// Each number is told on standard output once it is committed.
 fn remember(dir: &std::path::Path) -> std::io::Result<()> {
-    let (mut store, mut facts, _) = Store::open(Layer::open(dir)?, Key::default())?;
+    let (mut store, mut facts, _) = Store::open(FsDirectory::open(dir)?, Key::default())?;
     let mut out = std::io::stdout().lock();
     for n in facts.alive.wall_ms as u64 + 1.. {
         let at = Timestamp {
--- a/crates/standins/tests/memory.rs
+++ b/crates/standins/tests/memory.rs
@@ -1,7 +1,7 @@
 //! A process that remembers is killed outright, at any moment of its writing.
 
+use dahliapoint_memory::directory::FsDirectory;
 use dahliapoint_memory::frames::Key;
-use dahliapoint_memory::layer::Plain;
 use dahliapoint_memory::store::recover;
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Stdio};
@@ -39,7 +39,7 @@
         for line in lines.map_while(Result::ok) {
             committed = line.parse().unwrap_or(committed);
         }
-        let mut layer = Plain::look(&dir).unwrap();
+        let mut layer = FsDirectory::open_read_only(&dir).unwrap();
         let (facts, found) = recover(&mut layer, &Key::default()).unwrap();
         let last = facts.alive.wall_ms as u64;
         assert!(
