--- a/crates/memory/src/frames.rs
+++ b/crates/memory/src/frames.rs
@@ -36,16 +36,16 @@
 
 /// Where frames are written or read.
 #[derive(Clone)]
-pub struct Chain {
+pub struct FrameChain {
     generation: u64,
     number: u64,
     key: Key,
     mac: [u8; 32],
 }
 
-impl Chain {
-    pub fn new(generation: u64, key: &Key) -> Chain {
-        Chain {
+impl FrameChain {
+    pub fn new(generation: u64, key: &Key) -> FrameChain {
+        FrameChain {
             generation,
             number: 0,
             key: key.clone(),
@@ -117,7 +117,7 @@
 
 /// Why a file is not read at all.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum FileError {
     /// Written by a newer program: nothing is done to it.
     Newer(u8),
     /// Keyed, and we have no key; or not keyed, and we have one.
@@ -126,7 +126,7 @@
 }
 
 /// What was read.
-pub struct Read<'a> {
+pub struct FileFrames<'a> {
     pub generation: u64,
     pub frames: Vec<&'a [u8]>,
     /// Bytes behind the last good frame.
@@ -137,20 +137,20 @@
 ///
 /// # Errors
 /// Why nothing of it is read.
-pub fn read<'a>(bytes: &'a [u8], kind: Kind, key: &Key) -> Result<Read<'a>, Refused> {
-    let head = bytes.get(..HEAD).ok_or(Refused::NotOurs)?;
+pub fn read<'a>(bytes: &'a [u8], kind: Kind, key: &Key) -> Result<FileFrames<'a>, FileError> {
+    let head = bytes.get(..HEAD).ok_or(FileError::NotOurs)?;
     if head[..8] != MAGIC[..] || head[9] != kind.letter() {
-        return Err(Refused::NotOurs);
+        return Err(FileError::NotOurs);
     }
     if head[8] > SCHEMA {
-        return Err(Refused::Newer(head[8]));
+        return Err(FileError::Newer(head[8]));
     }
     if (head[10] != 0) != key.0.is_some() {
-        return Err(Refused::Key);
+        return Err(FileError::Key);
     }
-    let number = head[16..24].try_into().map_err(|_| Refused::NotOurs)?;
+    let number = head[16..24].try_into().map_err(|_| FileError::NotOurs)?;
     let generation = u64::from_le_bytes(number);
-    let mut chain = Chain::new(generation, key);
+    let mut chain = FrameChain::new(generation, key);
     let (mut at, mut frames) = (HEAD, Vec::new());
     while let Some((frame, length)) = chain.take(&bytes[at..]) {
         frames.push(frame);
@@ -158,9 +158,9 @@
     }
     // A first frame that is whole but for its seal was written with another key: a torn one is not whole.
     if frames.is_empty() && key.0.is_some() && is_whole(&bytes[at..], generation) {
-        return Err(Refused::Key);
+        return Err(FileError::Key);
     }
-    Ok(Read {
+    Ok(FileFrames {
         generation,
         frames,
         left: bytes.len() - at,
@@ -175,6 +175,6 @@
     let bytes = 40_usize
         .checked_add(length)
         .and_then(|end| from.get(40..end));
-    let chain = Chain::new(generation, &Key::default());
+    let chain = FrameChain::new(generation, &Key::default());
     bytes.is_some_and(|bytes| sum.map(u32::from_le_bytes) == Some(chain.crc(bytes)))
 }
--- a/crates/memory/src/store.rs
+++ b/crates/memory/src/store.rs
@@ -7,7 +7,7 @@
 
 use crate::directory::Directory;
 use crate::facts::{Change, Facts};
-use crate::frames::{Chain, Key, Kind, Refused, read};
+use crate::frames::{FileError, FrameChain, Key, Kind, read};
 use serde::{Deserialize, Serialize};
 use std::io;
 
@@ -98,7 +98,7 @@
         let bytes = layer.read(&name, LARGEST)?;
         let journal = match read(&bytes, Kind::Journal, key) {
             Ok(journal) if journal.generation == *generation => journal,
-            Ok(_) | Err(Refused::NotOurs) => {
+            Ok(_) | Err(FileError::NotOurs) => {
                 // Its head was not synced when the power went.
                 found.torn_bytes += bytes.len() as u64;
                 found.passed_over.push(format!("{name}: no head of ours"));
@@ -123,13 +123,13 @@
     Ok((facts, found))
 }
 
-fn refusal(name: &str, refused: &Refused) -> io::Error {
+fn refusal(name: &str, refused: &FileError) -> io::Error {
     let why = match refused {
-        Refused::Newer(version) => {
+        FileError::Newer(version) => {
             format!("{name}: schema {version} is of a newer program; nothing is touched")
         }
-        Refused::Key => format!("{name}: it is sealed with another key, or with none"),
-        Refused::NotOurs => format!("{name}: it is none of ours"),
+        FileError::Key => format!("{name}: it is sealed with another key, or with none"),
+        FileError::NotOurs => format!("{name}: it is none of ours"),
     };
     io::Error::new(io::ErrorKind::InvalidData, why)
 }
@@ -144,7 +144,7 @@
     };
     let file = match read(&bytes, Kind::Snapshot, key) {
         Ok(file) => file,
-        Err(Refused::NotOurs) => return Ok(Err("no head of ours".into())),
+        Err(FileError::NotOurs) => return Ok(Err("no head of ours".into())),
         Err(refused) => return Err(refusal(&name, &refused)),
     };
     Ok(whole(&file.frames, file.generation == generation))
@@ -171,7 +171,7 @@
 struct Writing {
     changes: Vec<Change>,
     at: usize,
-    chain: Chain,
+    chain: FrameChain,
 }
 
 /// A directory that is written to.
@@ -180,7 +180,7 @@
     key: Key,
     generation: u64,
     /// The journal's frames so far, and its bytes.
-    chain: Chain,
+    chain: FrameChain,
     pub journal_bytes: u64,
     writing: Option<Writing>,
     pub snapshots: u64,
@@ -195,7 +195,7 @@
         let (facts, found) = recover(&mut layer, &key)?;
         let mut store = Store {
             layer,
-            chain: Chain::new(0, &key),
+            chain: FrameChain::new(0, &key),
             key,
             generation: found.newest,
             journal_bytes: 0,
@@ -214,7 +214,7 @@
     pub fn begin(&mut self, facts: &Facts) -> io::Result<()> {
         self.writing = None;
         let generation = self.generation + 1;
-        let chain = Chain::new(generation, &self.key);
+        let chain = FrameChain::new(generation, &self.key);
         let name = name_of(Kind::Journal, generation);
         self.layer.create(&name)?;
         // Used up whatever comes of it.
@@ -230,7 +230,7 @@
         let kept = facts.kept.iter();
         let kept = kept.map(|((f, n), v)| Change::Kept(f.clone(), n.clone(), v.clone()));
         let alive = std::iter::once(Change::Alive(facts.alive.clone())).chain(kept);
-        let chain = Chain::new(generation, &self.key);
+        let chain = FrameChain::new(generation, &self.key);
         self.layer.create(ASIDE)?;
         self.layer.append(ASIDE, &chain.head(Kind::Snapshot))?;
         self.writing = Some(Writing {
