--- a/crates/memory/examples/cost.rs
+++ b/crates/memory/examples/cost.rs
@@ -76,11 +76,11 @@
         let (mut store, facts, _) = Store::open(FsDirectory::open(&dir)?, key.clone())?;
         println!("{keyed}, opened and compacted in {:?}", begun.elapsed());
         let begun = Instant::now();
-        store.begin(&facts)?;
+        store.begin_generation(&facts)?;
         let mut longest = std::time::Duration::ZERO;
         loop {
             let slice = Instant::now();
-            let more = store.step(256)?;
+            let more = store.write_snapshot_records(256)?;
             longest = longest.max(slice.elapsed());
             if !more {
                 break;
--- a/crates/memory/src/store.rs
+++ b/crates/memory/src/store.rs
@@ -202,16 +202,16 @@
             writing: None,
             snapshots: 0,
         };
-        store.begin(&facts)?;
-        while store.step(usize::MAX)? {}
+        store.begin_generation(&facts)?;
+        while store.write_snapshot_records(usize::MAX)? {}
         Ok((store, facts, found))
     }
 
-    /// Begins a generation: its journal now, its snapshot by [`Store::step`].
+    /// Begins a generation: its journal now, its snapshot by [`Store::write_snapshot_records`].
     ///
     /// # Errors
     /// Those of the layer; the older generation stands.
-    pub fn begin(&mut self, facts: &Facts) -> io::Result<()> {
+    pub fn begin_generation(&mut self, facts: &Facts) -> io::Result<()> {
         self.writing = None;
         let generation = self.generation + 1;
         let chain = FrameChain::new(generation, &self.key);
@@ -241,7 +241,7 @@
         Ok(())
     }
 
-    pub fn is_writing(&self) -> bool {
+    pub fn is_writing_snapshot(&self) -> bool {
         self.writing.is_some()
     }
 
@@ -249,7 +249,7 @@
     ///
     /// # Errors
     /// Those of the layer; the older generation stands, and the journal goes on.
-    pub fn step(&mut self, many: usize) -> io::Result<bool> {
+    pub fn write_snapshot_records(&mut self, many: usize) -> io::Result<bool> {
         let Some(mut writing) = self.writing.take() else {
             return Ok(false);
         };
--- a/crates/memory/src/writer.rs
+++ b/crates/memory/src/writer.rs
@@ -226,8 +226,8 @@
 
     /// Begins anew from the facts: whatever was half written is behind us.
     fn mend<L: Directory>(&self, hand: &mut Hand<L>) {
-        match hand.store.begin(&hand.facts) {
-            Ok(()) => match hand.store.step(usize::MAX) {
+        match hand.store.begin_generation(&hand.facts) {
+            Ok(()) => match hand.store.write_snapshot_records(usize::MAX) {
                 Ok(_) => {
                     (hand.mend_at, hand.failures) = (None, 0);
                     lock(&self.tally).fault = None;
@@ -244,11 +244,11 @@
         if hand.mend_at.is_some() {
             return false;
         }
-        let begun = match hand.store.is_writing() {
+        let begun = match hand.store.is_writing_snapshot() {
             true => Ok(()),
-            false => hand.store.begin(&hand.facts),
+            false => hand.store.begin_generation(&hand.facts),
         };
-        match begun.and_then(|()| hand.store.step(SLICE)) {
+        match begun.and_then(|()| hand.store.write_snapshot_records(SLICE)) {
             Ok(more) => {
                 lock(&self.tally).snapshots = hand.store.snapshots;
                 more
--- a/crates/memory/tests/store.rs
+++ b/crates/memory/tests/store.rs
@@ -244,11 +244,11 @@
             return (safe, tried);
         }
         safe = n;
-        if n % 9 == 4 && store.begin(&facts).is_err() {
+        if n % 9 == 4 && store.begin_generation(&facts).is_err() {
             return (safe, tried);
         }
         // Slices in between, so that commits go on during a compaction.
-        if store.step(3).is_err() {
+        if store.write_snapshot_records(3).is_err() {
             return (safe, tried);
         }
     }
@@ -363,8 +363,8 @@
     let name = ("night.hook".to_string(), "seen".to_string());
     assert_eq!(facts_again.kept.get(&name).map(String::as_str), Some("2"));
     facts_again.apply(kept("")).unwrap();
-    store.begin(&facts_again).unwrap();
-    while store.step(1).unwrap() {}
+    store.begin_generation(&facts_again).unwrap();
+    while store.write_snapshot_records(1).unwrap() {}
     drop(store);
     let (facts, _) = recover(&mut layer.clone(), &Key::default()).unwrap();
     assert!(facts.kept.is_empty(), "an empty value is none");
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -322,9 +322,9 @@
         writeln!(out, "{n}")?;
         out.flush()?;
         if n % 11 == 0 {
-            store.begin(&facts)?;
+            store.begin_generation(&facts)?;
         }
-        store.step(3)?;
+        store.write_snapshot_records(3)?;
     }
     Ok(())
 }
