--- a/crates/daemon/examples/newcomer.rs
+++ b/crates/daemon/examples/newcomer.rs
@@ -5,7 +5,7 @@
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_memory::clock;
-use dahliapoint_peer::asking;
+use dahliapoint_peer::client;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -102,7 +102,7 @@
             report(&old, servers);
             std::thread::sleep(Duration::from_millis(500));
         }
-        let (learned, _) = asking::ask(
+        let (learned, _) = client::query(
             old.address(),
             "portal",
             clock::now,
--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -16,7 +16,7 @@
 use dahliapoint_memory::clock;
 use dahliapoint_memory::facts::{Change, ChangeTracker, Facts};
 use dahliapoint_memory::writer::JournalWriter;
-use dahliapoint_peer::telling::Known;
+use dahliapoint_peer::service::SharedFacts;
 use dahliapoint_scheduler::{Budget, Event, Scheduler, Task, TaskId};
 use dahliapoint_xds::Owner;
 
@@ -110,7 +110,7 @@
     figures: Arc<Mutex<Figures>>,
     views: Arc<Mutex<Vec<(&'static str, View)>>>,
     hooking: Arc<Mutex<Option<Arc<Hooking>>>>,
-    known: Arc<Mutex<Option<(Known, ChangeTracker)>>>,
+    known: Arc<Mutex<Option<(SharedFacts, ChangeTracker)>>>,
     /// A hand that spoils orders, for tests of the guard.
     spoiled: Arc<Mutex<Option<Between>>>,
 }
@@ -148,7 +148,7 @@
     asked: Vec<(TaskId, Arc<Asked>)>,
     memory: Option<(Arc<JournalWriter>, ChangeTracker)>,
     /// What peers are told, brought up to date once a round.
-    known: Option<(Known, ChangeTracker)>,
+    known: Option<(SharedFacts, ChangeTracker)>,
     hooking: Option<Arc<Hooking>>,
     /// The world as hooks last saw it, and when that was.
     world: Arc<World>,
@@ -173,8 +173,8 @@
     }
 
     /// Keeps what peers are told, beginning with what was known at the start.
-    pub fn tells(&self, known: Known, first: &Facts) {
-        *known.hold() = first.clone();
+    pub fn tells(&self, known: SharedFacts, first: &Facts) {
+        *known.lock() = first.clone();
         *lock(&self.known) = Some((known, ChangeTracker::from_facts(first)));
     }
 
@@ -397,7 +397,7 @@
             let now = clock::now();
             let (servers, levels) = (work.controller.servers(), work.controller.levels());
             let changes = differ.changes(&now, &servers, &levels);
-            let mut facts = known.hold();
+            let mut facts = known.lock();
             for change in changes.into_iter().chain([Change::Alive(now)]) {
                 // Made by our own differ: always sound.
                 let _ = facts.apply(change);
--- a/crates/daemon/src/life.rs
+++ b/crates/daemon/src/life.rs
@@ -15,9 +15,9 @@
 use dahliapoint_memory::facts::{Change, ChangeTracker, Facts};
 use dahliapoint_memory::restore::{self, Restored};
 use dahliapoint_memory::writer::JournalWriter;
-use dahliapoint_peer::telling::{Known, Teller};
-use dahliapoint_peer::weighing::weigh;
-use dahliapoint_peer::{asking, words};
+use dahliapoint_peer::merge::merge_facts;
+use dahliapoint_peer::service::{PeerService, SharedFacts};
+use dahliapoint_peer::{client, messages};
 use dahliapoint_xds::{Front, Shape};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -139,12 +139,12 @@
             keepalive: patience / 2,
             ..Limits::default()
         };
-        let known = Known::default();
+        let known = SharedFacts::default();
         let ways = Arc::new(Ways {
             front: front.clone(),
             teller: deployment.tells.then(|| {
                 engine.tells(known.clone(), &facts);
-                Teller::new(&terms.service, known, clock::now)
+                PeerService::new(&terms.service, known, clock::now)
             }),
         });
         let server = Server::start(deployment.listen, limits, ways)
@@ -297,13 +297,13 @@
 /// Calls of proxies and people, and of newcomers.
 struct Ways {
     front: Arc<Front>,
-    teller: Option<Arc<Teller>>,
+    teller: Option<Arc<PeerService>>,
 }
 
 impl Handler for Ways {
     fn call(&self, call: Call) {
         match &self.teller {
-            Some(teller) if call.path.starts_with(words::SERVICE) => teller.call(call),
+            Some(teller) if call.path.starts_with(messages::SERVICE_PREFIX) => teller.call(call),
             _ => self.front.call(call),
         }
     }
@@ -316,11 +316,11 @@
     }
     let within = Duration::from_secs_f64(deployment.peers_within_ms / 1e3);
     let service = &deployment.terms.service;
-    let Some(learned) = asking::ask_all(&deployment.peers, service, clock::now, within) else {
+    let Some(learned) = client::query_all(&deployment.peers, service, clock::now, within) else {
         warn!("no peer told anything: this starts on what it has itself");
         return kept;
     };
-    let (facts, counted) = weigh(
+    let (facts, counted) = merge_facts(
         &clock::now(),
         &kept,
         &learned,
@@ -328,7 +328,7 @@
     );
     info!(
         ?counted,
-        whole = learned.whole,
+        whole = learned.complete,
         "what peers know is weighed against what was kept"
     );
     facts
--- a/crates/daemon/tests/peer.rs
+++ b/crates/daemon/tests/peer.rs
@@ -6,8 +6,8 @@
 use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_grpc::{Call, Code, Handler, Limits, Server, Status};
 use dahliapoint_memory::clock;
-use dahliapoint_peer::asking;
-use dahliapoint_peer::words::{Ask, End, Head, Said, ServerWord, Servers, Word};
+use dahliapoint_peer::client;
+use dahliapoint_peer::messages::{Ask, End, Head, Said, ServerWord, Servers, Word};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -106,13 +106,13 @@
     until(&old, "the slow one is trimmed", true, slow);
     // Its next round tells it.
     until(&old, "and known", true, |_| {
-        let (learned, _) = asking::ask(
+        let (learned, _) = client::query(
             old.address(),
             "portal",
             clock::now,
             Instant::now() + Duration::from_secs(5),
         );
-        learned.whole
+        learned.complete
             && learned
                 .facts
                 .iter()
@@ -131,7 +131,7 @@
     // Nobody has visited the newcomer: handed on, the verdict is as old as it was told, and does not grow young.
     std::thread::sleep(Duration::from_millis(300));
     let hear = |d: &Daemon| {
-        asking::ask(
+        client::query(
             d.address(),
             "portal",
             clock::now,
@@ -139,7 +139,7 @@
         )
         .0
     };
-    let age = |l: &dahliapoint_peer::weighing::Learned| {
+    let age = |l: &dahliapoint_peer::merge::PeerFacts| {
         let f = l.facts.iter().find(|f| f.name == "s1").unwrap();
         clock::now().since(&f.judged).unwrap()
     };
@@ -319,7 +319,7 @@
     until(&alone, "a table all the same", false, has_table);
     // Who does not tell says so.
     let silent = start(&[], ", tell: false");
-    let (learned, status) = asking::ask(
+    let (learned, status) = client::query(
         silent.address(),
         "portal",
         clock::now,
--- a/crates/peer/src/asking.rs
+++ b/crates/peer/src/client.rs
@@ -1,8 +1,8 @@
 //! The question at a start: peers in turn, within a time for all of them. The first that tells all is enough; of those
 //! that do not, the fullest word counts.
 
-use crate::weighing::Learned;
-use crate::words::{Ask, Said, TELL, Word};
+use crate::merge::PeerFacts;
+use crate::messages::{Ask, Said, TELL_METHOD, Word};
 use dahliapoint_grpc::{Code, Limits, Link, Status};
 use dahliapoint_memory::facts::Timestamp;
 use std::net::SocketAddr;
@@ -13,14 +13,14 @@
 const MOST: usize = 100_000;
 
 /// Asks one peer; what came before it ended counts, whatever the end.
-pub fn ask(
+pub fn query(
     peer: SocketAddr,
     service: &str,
     clock: fn() -> Timestamp,
     until: Instant,
-) -> (Learned, Option<Status>) {
+) -> (PeerFacts, Option<Status>) {
     let begun = Instant::now();
-    let mut learned = Learned::default();
+    let mut learned = PeerFacts::default();
     let ended = listen(peer, service, clock, until, &mut learned).err();
     learned.took_ms = begun.elapsed().as_secs_f64() * 1e3;
     (learned, ended)
@@ -31,7 +31,7 @@
     service: &str,
     clock: fn() -> Timestamp,
     until: Instant,
-    learned: &mut Learned,
+    learned: &mut PeerFacts,
 ) -> Result<(), Status> {
     let left = || until.saturating_duration_since(Instant::now());
     let limits = Limits {
@@ -39,7 +39,7 @@
         ..Limits::default()
     };
     let link = Link::dial(peer, limits)?;
-    let mut dialed = link.open(TELL, Some(left()))?;
+    let mut dialed = link.open(TELL_METHOD, Some(left()))?;
     let question = Ask {
         service: service.into(),
     };
@@ -61,7 +61,7 @@
                 let sound = all.servers.iter().filter_map(|w| w.fact(&now));
                 learned.facts.extend(sound.take(room));
             }
-            Some(Said::End(end)) => learned.whole = end.servers == learned.facts.len() as u64,
+            Some(Said::End(end)) => learned.complete = end.servers == learned.facts.len() as u64,
             Some(Said::Head(head)) => {
                 learned.facts.clear();
                 let why = format!("it controls {:?}", head.service);
@@ -75,14 +75,14 @@
 }
 
 /// Asks peers in turn until one tells all, or the time is over.
-pub fn ask_all(
+pub fn query_all(
     peers: &[SocketAddr],
     service: &str,
     clock: fn() -> Timestamp,
     within: Duration,
-) -> Option<Learned> {
+) -> Option<PeerFacts> {
     let until = Instant::now() + within;
-    let mut best: Option<Learned> = None;
+    let mut best: Option<PeerFacts> = None;
     for (i, peer) in peers.iter().enumerate() {
         let left = until.saturating_duration_since(Instant::now());
         if left.is_zero() {
@@ -90,9 +90,9 @@
         }
         // One that hangs leaves the others their part of the time.
         let own = Instant::now() + left / (peers.len() - i) as u32;
-        let (learned, ended) = ask(*peer, service, clock, own);
+        let (learned, ended) = query(*peer, service, clock, own);
         match &ended {
-            None if learned.whole => {
+            None if learned.complete => {
                 info!(%peer, servers = learned.facts.len(), took_ms = learned.took_ms, "learned from a peer")
             }
             None => warn!(%peer, servers = learned.facts.len(), "a peer's word does not add up"),
@@ -100,7 +100,7 @@
                 warn!(%peer, servers = learned.facts.len(), %status, "a peer did not tell all")
             }
         }
-        let whole = learned.whole;
+        let whole = learned.complete;
         if whole
             || best
                 .as_ref()
--- a/crates/peer/src/weighing.rs
+++ b/crates/peer/src/merge.rs
@@ -1,9 +1,9 @@
 //! Which word about a server counts: a controller's own memory, or a peer's, by age. Free of I/O, clock and chance.
 //!
-//! How it is called: [`weigh`] once, at a start, with what was kept and what a peer told. What comes out is as if it
+//! How it is called: [`merge_facts`] once, at a start, with what was kept and what a peer told. What comes out is as if it
 //! had been kept, and is aged by the same rules. The rules are gone through for each server; each decides one thing.
 
-use crate::words::ago;
+use crate::messages::timestamp_ago;
 use dahliapoint_memory::facts::{Facts, ServerFact, Timestamp};
 
 /// A teller that has run for less than so many times the warming time cannot say who is new: to it all are.
@@ -11,10 +11,10 @@
 
 /// What a peer told.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Learned {
+pub struct PeerFacts {
     pub facts: Vec<ServerFact>,
     /// All that it had to tell, to the end.
-    pub whole: bool,
+    pub complete: bool,
     /// How long it had run.
     pub runs_ms: f64,
     /// How long the asking took: what was told is that much older than it said, at the most.
@@ -85,7 +85,12 @@
 }
 
 /// One body of facts from two. Words of the peer are made older by the time that asking took.
-pub fn weigh(now: &Timestamp, own: &Facts, learned: &Learned, warm_ms: f64) -> (Facts, Counted) {
+pub fn merge_facts(
+    now: &Timestamp,
+    own: &Facts,
+    learned: &PeerFacts,
+    warm_ms: f64,
+) -> (Facts, Counted) {
     let mut out = own.clone();
     let mut counted = Counted::default();
     for told in &learned.facts {
@@ -120,8 +125,8 @@
     }
     // Who is missing is new only to an eye that was there, and whose word came whole. Else our own memory says since
     // when nobody looked, and without one nobody knows.
-    if learned.whole && learned.runs_ms >= LIVED * warm_ms && !learned.facts.is_empty() {
-        out.alive = ago(now, learned.took_ms);
+    if learned.complete && learned.runs_ms >= LIVED * warm_ms && !learned.facts.is_empty() {
+        out.alive = timestamp_ago(now, learned.took_ms);
     }
     (out, counted)
 }
@@ -129,7 +134,7 @@
 /// A word as old as it may be. One of unknown age stays so.
 fn aged(now: &Timestamp, told: &ServerFact, took_ms: f64) -> ServerFact {
     let older = |at: &Timestamp| match now.since(at) {
-        Some(age) => ago(now, age + took_ms.max(0.0)),
+        Some(age) => timestamp_ago(now, age + took_ms.max(0.0)),
         None => at.clone(),
     };
     ServerFact {
@@ -161,10 +166,10 @@
             address: address.into(),
             zone: "z".into(),
             state,
-            since: ago(&now(), 1e5),
+            since: timestamp_ago(&now(), 1e5),
             weight: 1.0,
             share,
-            judged: ago(&now(), judged_ms),
+            judged: timestamp_ago(&now(), judged_ms),
             withdrawn: false,
         }
     }
@@ -172,15 +177,15 @@
     fn kept(alive_ms: f64, fact: Option<ServerFact>) -> Facts {
         Facts {
             servers: fact.into_iter().map(|f| (f.name.clone(), f)).collect(),
-            alive: ago(&now(), alive_ms),
+            alive: timestamp_ago(&now(), alive_ms),
             ..Facts::default()
         }
     }
 
-    fn told(fact: ServerFact) -> Learned {
-        Learned {
+    fn told(fact: ServerFact) -> PeerFacts {
+        PeerFacts {
             facts: vec![fact],
-            whole: true,
+            complete: true,
             runs_ms: HOUR,
             took_ms: 10.0,
         }
@@ -250,7 +255,8 @@
         ];
         for (name, alive, own, peers, wanted) in cases {
             let one = |s: Said| fact(s.0, s.1, s.2, s.3);
-            let (out, _) = weigh(&now(), &kept(alive, Some(one(own))), &told(one(peers)), 1e4);
+            let (out, _) =
+                merge_facts(&now(), &kept(alive, Some(one(own))), &told(one(peers)), 1e4);
             let f = &out.servers["s"];
             assert_eq!((f.state, f.share, f.address.as_str()), wanted, "{name}");
         }
@@ -258,36 +264,36 @@
 
     #[test]
     fn who_is_missing_is_new_only_to_who_was_there() {
-        let whole = told(fact(Ready, 1.0, 0.0, "a"));
+        let complete = told(fact(Ready, 1.0, 0.0, "a"));
         let cases = [
-            ("whole, of one who has lived", whole.clone(), Some(10.0)),
+            ("whole, of one who has lived", complete.clone(), Some(10.0)),
             (
                 "cut off",
-                Learned {
-                    whole: false,
-                    ..whole.clone()
+                PeerFacts {
+                    complete: false,
+                    ..complete.clone()
                 },
                 Some(HOUR),
             ),
             (
                 "of a newcomer",
-                Learned {
+                PeerFacts {
                     runs_ms: 5e3,
-                    ..whole.clone()
+                    ..complete.clone()
                 },
                 Some(HOUR),
             ),
             (
                 "of one who knows nobody",
-                Learned {
+                PeerFacts {
                     facts: vec![],
-                    ..whole
+                    ..complete
                 },
                 Some(HOUR),
             ),
         ];
         for (name, learned, alive) in cases {
-            let (out, _) = weigh(&now(), &kept(HOUR, None), &learned, 1e4);
+            let (out, _) = merge_facts(&now(), &kept(HOUR, None), &learned, 1e4);
             let age = now().since(&out.alive).map(f64::round);
             assert_eq!(age, alive, "{name}");
         }
@@ -298,8 +304,8 @@
         /// whoever saw it said.
         #[test]
         fn stale_never_counts_more_than_fresh(own in 0.0..1e8, peers in 0.0..1e8, took in 0.0..1e4, alive in 0.0..1e8) {
-            let learned = Learned { took_ms: took, ..told(fact(Ready, 0.2, peers, "a")) };
-            let (out, _) = weigh(&now(), &kept(alive, Some(fact(Ready, 0.9, own, "a"))), &learned, 1e4);
+            let learned = PeerFacts { took_ms: took, ..told(fact(Ready, 0.2, peers, "a")) };
+            let (out, _) = merge_facts(&now(), &kept(alive, Some(fact(Ready, 0.9, own, "a"))), &learned, 1e4);
             let f = &out.servers["s"];
             let age = now().since(&f.judged).unwrap();
             let least = own.min(peers + took);
--- a/crates/peer/src/words.rs
+++ b/crates/peer/src/messages.rs
@@ -5,8 +5,8 @@
 use dahliapoint_memory::facts::{ServerFact, Timestamp};
 
 /// The method's path, and the service's.
-pub const TELL: &str = "/dahliapoint.peer.v1.Peer/Tell";
-pub const SERVICE: &str = "/dahliapoint.peer.v1.Peer/";
+pub const TELL_METHOD: &str = "/dahliapoint.peer.v1.Peer/Tell";
+pub const SERVICE_PREFIX: &str = "/dahliapoint.peer.v1.Peer/";
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Ask {
@@ -122,16 +122,16 @@
             address: self.address.clone(),
             zone: self.zone.clone(),
             state,
-            since: ago(now, self.since_ms),
+            since: timestamp_ago(now, self.since_ms),
             weight: self.weight,
             share: self.share,
-            judged: ago(now, self.judged_ms),
+            judged: timestamp_ago(now, self.judged_ms),
             withdrawn: self.shut,
         })
     }
 }
 
 /// A moment so long ago; a negative time is one of which nobody knows the age.
-pub fn ago(now: &Timestamp, ms: f64) -> Timestamp {
+pub fn timestamp_ago(now: &Timestamp, ms: f64) -> Timestamp {
     now.before(if ms < 0.0 { -1.0 } else { ms })
 }
--- a/crates/peer/src/telling.rs
+++ b/crates/peer/src/service.rs
@@ -1,7 +1,7 @@
 //! What a running controller tells one that asks. What would change what the asker does goes first: if the teller
 //! dies halfway, that is what has come.
 
-use crate::words::{Ask, End, Head, Said, ServerWord, Servers, TELL, Word};
+use crate::messages::{Ask, End, Head, Said, ServerWord, Servers, TELL_METHOD, Word};
 use dahliapoint_control::AdminState;
 use dahliapoint_grpc::{Call, Code, Handler, Status};
 use dahliapoint_memory::facts::{Facts, ServerFact, Timestamp};
@@ -19,11 +19,11 @@
 
 /// What is known now; the owner writes it once a round, tellers read it.
 #[derive(Clone, Default)]
-pub struct Known(Arc<Mutex<Facts>>);
+pub struct SharedFacts(Arc<Mutex<Facts>>);
 
-impl Known {
+impl SharedFacts {
     /// The facts, for a moment.
-    pub fn hold(&self) -> MutexGuard<'_, Facts> {
+    pub fn lock(&self) -> MutexGuard<'_, Facts> {
         self.0.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
@@ -41,24 +41,24 @@
 }
 
 /// All that is to be told, the most useful first; the same each time.
-pub fn in_order(facts: &Facts, now: &Timestamp) -> Vec<ServerWord> {
+pub fn prioritized(facts: &Facts, now: &Timestamp) -> Vec<ServerWord> {
     let mut all: Vec<&ServerFact> = facts.servers.values().collect();
     all.sort_by(|a, b| rank(a).cmp(&rank(b)).then_with(|| a.name.cmp(&b.name)));
     all.into_iter().map(|f| ServerWord::of(now, f)).collect()
 }
 
 /// Answers askers.
-pub struct Teller {
+pub struct PeerService {
     service: String,
-    known: Known,
+    known: SharedFacts,
     begun: Instant,
     clock: fn() -> Timestamp,
     at_work: AtomicUsize,
 }
 
-impl Teller {
-    pub fn new(service: &str, known: Known, clock: fn() -> Timestamp) -> Arc<Teller> {
-        Arc::new(Teller {
+impl PeerService {
+    pub fn new(service: &str, known: SharedFacts, clock: fn() -> Timestamp) -> Arc<PeerService> {
+        Arc::new(PeerService {
             service: service.into(),
             known,
             begun: Instant::now(),
@@ -78,7 +78,7 @@
         }
         // A copy: nobody waits for an asker that reads slowly.
         let now = (self.clock)();
-        let words = in_order(&self.known.hold(), &now);
+        let words = prioritized(&self.known.lock(), &now);
         let head = Head {
             service: self.service.clone(),
             runs_ms: self.begun.elapsed().as_secs_f64() * 1e3,
@@ -98,9 +98,9 @@
     }
 }
 
-impl Handler for Teller {
+impl Handler for PeerService {
     fn call(&self, mut call: Call) {
-        if call.path != TELL {
+        if call.path != TELL_METHOD {
             let status = Status::new(Code::Unimplemented, format!("no method {}", call.path));
             return call.outbound.finish(&status);
         }
