--- a/crates/intake/src/lib.rs
+++ b/crates/intake/src/lib.rs
@@ -1,16 +1,19 @@
-//! Load reports between the fronts and the decisions, free of I/O, clock and chance from outside.
+//! Collects load reports from proxies and turns them into estimates for the controller. The crate
+//! does no I/O, reads no clock and takes its random seed from the caller.
 //!
-//! - [`timeline`] puts a report where it belongs in time, by the differences of its reporter's own clock;
-//! - [`report_queue`] takes reports in: bounded by reporter and in all, merged by stretch, never waiting;
-//! - [`sampling`] chooses what is read when more came than can be, so that sums stay true on average;
-//! - [`estimates`] keeps what was met by server, with an age and an error bound;
-//! - [`trust`] sets a server's own word against what proxies met, and a proxy's against all others';
-//! - [`coverage`] knows who tells of which server, and who has fallen silent;
-//! - [`interval`] moves the reporting interval before anything has to be left unread;
-//! - [`sketch`], [`ring`] and [`timer_wheel`] are the structures under them.
+//! - [`timeline`]: places a report in time, using only differences of the reporter's own clock;
+//! - [`report_queue`]: a bounded queue that never blocks and merges pending reports by reporter and
+//!   window;
+//! - [`sampling`]: samples lines when more are pending than can be read, keeping sums unbiased;
+//! - [`estimates`]: load estimates by server, with an age and an error bound;
+//! - [`trust`]: checks a server's self-reported load against the proxies' measurements, and each
+//!   proxy's reports against those of all others;
+//! - [`coverage`]: tracks which proxies report on which server, and which have gone silent;
+//! - [`interval`]: lengthens the report interval before lines have to be sampled out;
+//! - [`sketch`], [`ring`] and [`timer_wheel`]: the underlying data structures.
 //!
-//! Times are milliseconds on one clock that never goes back; servers and reporters are small indices
-//! that the caller hands out, but for the mouth, whose keys are the caller's.
+//! Times are milliseconds on one monotonic clock. Servers and reporters are small indices assigned
+//! by the caller, except in the report queue, whose key types the caller chooses.
 
 pub mod coverage;
 pub mod estimates;
--- a/crates/intake/src/report_queue.rs
+++ b/crates/intake/src/report_queue.rs
@@ -1,38 +1,45 @@
-//! Where reports come in. Nobody waits here: what has not been read yet is merged with what comes after,
-//! by reporter and by the stretch of time that it covers, so that a reporter costs no more than its
-//! servers times the buckets of the ring, however fast it talks.
+//! A bounded queue of incoming load reports. Adding a report never blocks: pending reports are
+//! merged by reporter and time bucket, so a reporter's memory is bounded by its servers times its
+//! buckets, however often it reports.
 //!
-//! How it is called: [`ReportQueue::stream_started`] and [`ReportQueue::stream_ended`] for each stream, [`ReportQueue::push`] for each report,
-//! [`ReportQueue::read`] by the owner once a period, with the lines that it has room for.
+//! Call [`ReportQueue::stream_started`] and [`ReportQueue::stream_ended`] for each stream and
+//! [`ReportQueue::push`] for each report. The owner calls [`ReportQueue::read`] once a period with
+//! the number of lines it can process.
 
 use crate::sampling::{Rng, keep_probability, quota, sample, threshold};
 use crate::timeline::Timeline;
 use std::collections::BTreeMap;
 
-/// What waits is read, in whole or sampled, before its beginning is older than so many buckets: its end is
-/// news until then.
+/// Pending lines are read, in whole or sampled, before their window's begin is older than this many
+/// buckets. Until then the window's end is still recent.
 const PATIENCE: f64 = 3.0;
-/// Under pressure, stretches that ended within so many buckets are merged into one, older ones into another.
+/// Under pressure, windows that ended within this many buckets are merged into one, older ones into
+/// another.
 const NEWS: f64 = 4.0;
-/// Buckets of stretches that may wait for one reporter; the oldest are merged into one.
+/// Maximum number of pending buckets per reporter; beyond it the oldest two are merged.
 const BUCKETS: usize = 8;
 
-/// One line of a report.
+/// One line of a report: what a proxy saw of one server in one window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Line {
+    /// Number of tries.
     pub tries: f64,
+    /// Tries that failed.
     pub failed: f64,
-    /// Summed time of the tries that did not fail.
+    /// Total time of the tries that did not fail.
     pub good_ms: f64,
-    /// The server's own words: how many answers carried one, and the sums.
+    /// Number of answers that carried the server's self-reported load; `own_queue` and `own_ms` are
+    /// sums over them.
     pub self_reports: f64,
     pub own_queue: f64,
     pub own_ms: f64,
-    /// Visits under way at the end of the stretch: the newest word counts, words do not add up.
+    /// Visits in flight at the end of the window. When lines are merged, the newest value replaces
+    /// the others, since it is not a sum.
     pub in_flight: f64,
 }
 
 impl Line {
+    /// Adds a newer line of the same server.
     fn add(&mut self, other: &Line) {
         self.tries += other.tries;
         self.failed += other.failed;
@@ -43,6 +50,7 @@
         self.in_flight = other.in_flight;
     }
 
+    /// Scales all counts by `factor`.
     fn times(&self, factor: f64) -> Line {
         Line {
             tries: self.tries * factor,
@@ -56,30 +64,32 @@
     }
 }
 
-/// What is read of one reporter for one stretch.
+/// What was read of one reporter for one window.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MergedReport<R, K> {
+    /// The reporter's key.
     pub reporter: R,
-    /// When the stretch began and ended, on our clock.
+    /// Begin and end of the window, on our clock.
     pub begin: f64,
     pub end: f64,
-    /// Lines with the variance of their tries.
+    /// Lines by server, each with the sampling variance of its tries.
     pub lines: Vec<(K, Line, f64)>,
-    /// Visits that came, by class.
+    /// Number of visits received, by class.
     pub visits: Vec<(K, f64)>,
 }
 
-/// Why a report was not taken.
+/// Why a report was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// Its stream is not known: ended, or of another life.
+    /// The stream is unknown: it has ended, or belongs to an earlier run.
     UnknownStream,
-    /// It names more servers than one reporter may.
+    /// The report names more servers than one reporter may.
     TooManyServers,
-    /// It covers no time, or more than an hour.
+    /// The window is not positive, or longer than an hour.
     InvalidWindow,
 }
 
+/// Merged reports of one reporter, pending in one bucket.
 #[derive(Clone, Debug)]
 struct Waiting<K> {
     begin: f64,
@@ -88,38 +98,46 @@
     visits: BTreeMap<K, f64>,
 }
 
+/// A reporter's clock and pending reports, by bucket.
 #[derive(Clone, Debug)]
 struct Reporter<K> {
     timeline: Timeline,
     waiting: BTreeMap<u64, Waiting<K>>,
-    /// Its stream has ended: what it told is read once more, then it is forgotten.
+    /// The stream has ended; its pending lines are read once more, then the reporter is dropped.
     over: bool,
 }
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QueueStats {
+    /// Reports accepted.
     pub reports: u64,
+    /// Lines of all accepted reports.
     pub lines: u64,
-    /// Lines that went into others before they were read.
+    /// Lines merged into others before they were read.
     pub merged: u64,
+    /// Lines read.
     pub read: u64,
-    /// Lines that were not read, others standing for them.
+    /// Lines left out by sampling; sampled lines were scaled up to represent them.
     pub sampled_out: u64,
+    /// Reports rejected, and lines dropped because the window already had too many servers.
     pub refused: u64,
 }
 
-/// See the module's head.
+/// Bounded queue of load reports by reporter `R` and line key `K`; see the module documentation.
 #[derive(Clone, Debug)]
 pub struct ReportQueue<R, K> {
     bucket_ms: f64,
     most_servers: usize,
     reporters: BTreeMap<R, Reporter<K>>,
     chance: Rng,
+    /// Counters since the start.
     pub stats: QueueStats,
 }
 
 impl<R: Ord + Clone, K: Ord + Clone> ReportQueue<R, K> {
+    /// Creates a queue that merges windows into buckets of `bucket_ms`, accepts `most_servers`
+    /// servers per reporter and window, and samples with a generator seeded by `seed`.
     pub fn new(bucket_ms: f64, most_servers: usize, seed: u64) -> ReportQueue<R, K> {
         ReportQueue {
             bucket_ms,
@@ -130,8 +148,8 @@
         }
     }
 
-    /// A stream of a reporter begins: its clock begins with it, and what an older one left unread of the
-    /// same reporter stays.
+    /// Starts a reporter's stream, and its clock. Lines still pending from an older stream of the
+    /// same reporter are kept.
     pub fn stream_started(&mut self, now: f64, reporter: R) {
         let timeline = Timeline::new(now);
         let waiting = self.reporters.remove(&reporter).map(|r| r.waiting);
@@ -146,17 +164,17 @@
         );
     }
 
-    /// A stream has ended; what it told is still read.
+    /// Marks a stream as ended; its pending lines are still read.
     pub fn stream_ended(&mut self, reporter: &R) {
         if let Some(r) = self.reporters.get_mut(reporter) {
             r.over = true;
         }
     }
 
-    /// Takes a report in, at once and whatever else waits.
+    /// Adds a report, without blocking, however much is pending.
     ///
     /// # Errors
-    /// Why it is not taken.
+    /// Returns why the report was rejected.
     pub fn push(
         &mut self,
         now: f64,
@@ -210,6 +228,7 @@
         Ok(())
     }
 
+    /// Merges the oldest bucket into the next, keeping the next one's in-flight counts.
     fn merge_oldest(r: &mut Reporter<K>, tally: &mut QueueStats, most: usize) {
         let Some((_, old)) = r.waiting.pop_first() else {
             return;
@@ -239,17 +258,17 @@
         }
     }
 
-    /// Lines that wait.
+    /// Number of pending lines.
     pub fn pending_lines(&self) -> usize {
         self.reporters.values().map(Reporter::lines).sum()
     }
 
-    /// Reads what waits, about so many lines at the most. First the rules of waiting, then of sampling: what
-    /// has waited longest is read first and whole; what does not fit waits, merging with what comes, while
-    /// it is news; only when more than fits has waited that long is it sampled.
+    /// Reads about `room` pending lines at most. The reporters that have waited longest are read
+    /// first, and whole. What does not fit stays pending and merges with later reports while it is
+    /// recent. Lines are sampled only if more than `room` of them have waited too long.
     pub fn read(&mut self, now: f64, room: usize) -> Vec<MergedReport<R, K>> {
         if self.pending_lines() > room {
-            // What is told of one time and the next is told once: lines are saved before any is left.
+            // Merge neighbouring windows of the same reporter before sampling any line out.
             let news = ((now - NEWS * self.bucket_ms).max(0.0) / self.bucket_ms) as u64;
             for r in self.reporters.values_mut() {
                 r.collapse(news, &mut self.stats);
@@ -269,7 +288,7 @@
         } else {
             let mut left = room;
             for (_, name, lines) in order {
-                // One that is larger than the room by itself is read when it is alone.
+                // A reporter with more lines than `room` is read when it is the only one.
                 if lines > left && left < room {
                     break;
                 }
@@ -282,6 +301,7 @@
         out
     }
 
+    /// Moves all pending lines of a reporter to `out`.
     fn read_whole(&mut self, name: &R, out: &mut Vec<MergedReport<R, K>>) {
         let Some(r) = self.reporters.get_mut(name) else {
             return;
@@ -299,6 +319,8 @@
         }
     }
 
+    /// Samples the pending lines of the reporters in `order` down to about `room` lines: half of
+    /// `room` is shared between reporters, the other half between servers.
     fn sample(
         &mut self,
         order: &[(f64, R, usize)],
@@ -358,7 +380,8 @@
 }
 
 impl<K> Reporter<K> {
-    /// Merges all stretches from a bucket on into the newest, and all before into the newest of those.
+    /// Merges all windows from bucket `news` on into the newest of them, and all earlier ones into
+    /// the newest of those.
     fn collapse(&mut self, news: u64, tally: &mut QueueStats)
     where
         K: Ord,
@@ -375,7 +398,7 @@
                 sum.end = sum.end.max(w.end);
                 for (server, line) in w.lines {
                     match sum.lines.get_mut(&server) {
-                        // What was summed so far is newer.
+                        // `sum` holds the newer lines: keep its in-flight count.
                         Some(newer) => {
                             let in_flight = newer.in_flight;
                             newer.add(&line);
@@ -393,7 +416,7 @@
         }
     }
 
-    /// When the oldest stretch that waits began.
+    /// Begin of the oldest pending window.
     fn oldest(&self) -> Option<f64> {
         self.waiting.values().next().map(|w| w.begin)
     }
