--- a/crates/intake/src/coverage.rs
+++ b/crates/intake/src/coverage.rs
@@ -1,33 +1,37 @@
-//! Who tells of which server, and who has fallen silent: an index from servers to the proxies that report
-//! on them, with what each last told, so that a sum can say which part of its reporters it lacks.
+//! Tracks which proxies report on which server, and which proxies have gone silent. Per server it
+//! keeps the load each proxy last reported, to tell which share of a sum is missing.
 
 use crate::timer_wheel::TimerWheel;
 use std::collections::BTreeMap;
 
-/// A proxy that reported is silent after so many reporting periods without a report.
+/// A proxy is silent after this many report intervals without a report.
 const SILENT: f64 = 6.0;
-/// What a proxy tells moves its share this far towards the new figure.
+/// Smoothing factor of a proxy's reported tries, per round.
 const MOVES: f64 = 0.5;
-/// A share below this is forgotten: the proxy has another table now.
+/// Average tries below which a proxy is dropped from a server: its table has changed.
 const LEAST: f64 = 0.01;
 
+/// Reporters by server, and the proxies that are silent.
 #[derive(Clone, Debug)]
 pub struct Coverage {
     every_ms: f64,
     wheel: TimerWheel<usize>,
-    /// By server: proxies in their order, and the tries in a period that each lately told.
+    /// By server: its proxies in index order, with the smoothed tries per round of each.
     servers: Vec<Vec<(usize, f64)>>,
     silent: BTreeMap<usize, f64>,
 }
 
-/// What changed.
+/// A proxy stopped reporting or started again, by index.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReporterChange {
+    /// The proxy has stopped reporting.
     Silent(usize),
+    /// A silent proxy reports again.
     Resumed(usize),
 }
 
 impl Coverage {
+    /// Creates an empty index for rounds of `every_ms`.
     pub fn new(now: f64, every_ms: f64) -> Coverage {
         Coverage {
             every_ms,
@@ -37,7 +41,7 @@
         }
     }
 
-    /// A proxy reported, at an interval that it was told to keep.
+    /// Records that a proxy reported, with the report interval it was told to use.
     pub fn report_received(
         &mut self,
         now: f64,
@@ -51,7 +55,7 @@
             .map(|_| ReporterChange::Resumed(proxy))
     }
 
-    /// What it told of a server, in tries a period.
+    /// Records the tries that a proxy reported for a server in this round.
     pub fn record_tries(&mut self, proxy: usize, server: usize, tries: f64) {
         while self.servers.len() <= server {
             self.servers.push(Vec::new());
@@ -63,14 +67,15 @@
         }
     }
 
-    /// Looks who has fallen silent; once a period.
+    /// Returns the proxies that have gone silent since the last call; called once a round.
     pub fn expire_silent(&mut self, now: f64) -> Vec<ReporterChange> {
         let expired = self.wheel.pop_expired(now);
         self.silent.extend(expired.iter().map(|p| (*p, now)));
         expired.into_iter().map(ReporterChange::Silent).collect()
     }
 
-    /// A round has ended: proxies that reported in it, but not of this server, tell less of it.
+    /// Ends a round for a server: lowers the average of proxies that reported in the round, but not
+    /// on this server.
     pub fn decay(
         &mut self,
         server: usize,
@@ -87,7 +92,8 @@
         }
     }
 
-    /// Which share of a server's reporters, by what they lately told, is still heard; 1 without any.
+    /// The share of a server's recent load whose reporters are still reporting; 1 if it has no
+    /// reporters.
     pub fn reporting_share(&self, server: usize) -> f64 {
         let there = self
             .servers
@@ -100,15 +106,17 @@
         if all > 0.0 { 1.0 - missing / all } else { 1.0 }
     }
 
+    /// Whether a proxy is silent.
     pub fn is_silent(&self, proxy: usize) -> bool {
         self.silent.contains_key(&proxy)
     }
 
-    /// Servers known, for looking through.
+    /// Number of server indices in use.
     pub fn server_count(&self) -> usize {
         self.servers.len()
     }
 
+    /// Drops a proxy; its index may then be reused.
     pub fn forget_proxy(&mut self, proxy: usize) {
         self.wheel.cancel(&proxy);
         self.silent.remove(&proxy);
@@ -119,6 +127,7 @@
         }
     }
 
+    /// Drops a server's reporters; its index may then be reused.
     pub fn forget_server(&mut self, server: usize) {
         if let Some(there) = self.servers.get_mut(server) {
             there.clear();
@@ -137,7 +146,7 @@
         for round in 1..60 {
             let now = f64::from(round) * 500.0;
             for proxy in 0..10_usize {
-                // Half stop after ten seconds and come back after twenty.
+                // Half stop after ten seconds and resume after twenty.
                 if proxy.is_multiple_of(2) || !(10_000.0..20_000.0).contains(&now) {
                     changes.extend(c.report_received(now, proxy, 500.0).map(|h| (now, h)));
                     c.record_tries(proxy, 0, 10.0);
@@ -190,14 +199,14 @@
                 0 => {
                     assert_eq!(wheel.cancel(&what), plain.remove(&what).is_some());
                 }
-                // Near, and further than the wheel goes round.
+                // Both within and beyond one turn of the wheel.
                 1..=3 => {
                     let at = now + draw(9_000) as f64;
                     wheel.schedule(what, at);
                     plain.insert(what, at);
                 }
                 _ => {
-                    // What is due in the slot that is still open expires with it.
+                    // Entries due in the slot that is still open expire with that slot.
                     let mut gone = wheel.pop_expired(now);
                     let slot = (now / 10.0).floor() * 10.0;
                     let due = |(w, at): (&u32, &f64)| (*at <= slot).then_some(*w);
--- a/crates/intake/src/estimates.rs
+++ b/crates/intake/src/estimates.rs
@@ -1,29 +1,33 @@
-//! What was met at each server, from what was read: sums by bucket of time and zone of the proxies, the
-//! spread of times, and how far the sums can be trusted.
+//! Load estimates by server: totals by time bucket and proxy zone, the distribution of times, and
+//! an error bound.
 
 use crate::ring::{Accumulate, Ring};
 use crate::sketch::QuantileSketch;
 use std::ops::Range;
 
-/// An error bound is so many standard deviations: it holds in 19 of 20 cases.
+/// Standard deviations of an error bound: it holds in 19 of 20 cases.
 const BOUND: f64 = 2.0;
-/// An estimate whose bound is wider than this share of itself is not told to decisions ...
+/// An estimate is imprecise if its error bound exceeds this share of it ...
 const VAGUE: f64 = 0.5;
-/// ... unless so few tries were met that nothing will be decided on them anyway.
+/// ... unless it has at most this many tries, too few for any decision to depend on.
 const FEW: f64 = 8.0;
-/// What ended longer ago than so many reporting periods is no news.
+/// Report periods after whose end a window is no longer recent.
 const NEWS: f64 = 4.0;
-/// Buckets before the one that is filling whose reports are still on their way.
+/// Buckets before the current one whose reports may still be on their way.
 const ON_THE_WAY: u64 = 1;
 
-/// What was met in a bucket.
+/// Totals of one time bucket.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BucketTotals {
+    /// Number of tries.
     pub tries: f64,
+    /// Tries that failed.
     pub failed: f64,
+    /// Total time of the tries that did not fail.
     pub good_ms: f64,
-    /// Variance of the tries, from what was left unread.
+    /// Sampling variance of the tries.
     pub variance: f64,
+    /// Distribution of the times of tries that did not fail.
     pub times: QuantileSketch,
 }
 
@@ -40,59 +44,70 @@
 /// An estimate over a span that ends where reports are complete.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
+    /// Number of tries.
     pub tries: f64,
+    /// Tries that failed.
     pub failed: f64,
-    /// Mean time of the tries that did not fail, and the time that 95 in 100 stay under.
+    /// Mean time of the tries that did not fail, and their 95th percentile.
     pub mean_ms: f64,
     pub tail_ms: f64,
-    /// The true number of tries lies within this of the estimate, 19 times in 20.
+    /// Error bound: the true number of tries lies within it of the estimate in 19 of 20 cases.
     pub error: f64,
-    /// How long ago the newest of it ended.
+    /// Time since the newest data ended.
     pub age_ms: f64,
 }
 
-/// Too uncertain to be told: what it says could be chance alone. Guards against verdicts on lines that
-/// stand for many unread ones. May harm by silence: then the next round, with less unread, tells.
+/// Whether sampling left an estimate too uncertain to use. Prevents decisions based on a few lines
+/// that represent many unread ones. The cost is a missing estimate until the next round, which
+/// samples less.
 pub fn is_imprecise(tries: f64, variance: f64) -> bool {
     tries > FEW && BOUND * variance.max(0.0).sqrt() > VAGUE * tries
 }
 
-/// Whether what ended so long ago is still news. Guards against a burst after a stall, which would tell of
-/// a moment long gone as if it were this one. May harm where all reports come late: verdicts then wait.
+/// Whether a window that ended `ended_ago_ms` ago is still recent. Prevents a burst of reports
+/// after a stall from being taken for current load. If all reports are late, decisions wait.
 pub fn is_recent(ended_ago_ms: f64, every_ms: f64) -> bool {
     ended_ago_ms <= NEWS * every_ms
 }
 
-/// One server, as the proxies of each zone met it.
+/// One server's totals, by zone of the proxies.
 #[derive(Clone, Debug)]
 pub struct Server {
     zones: Vec<Ring<BucketTotals>>,
 }
 
-/// All servers.
+/// Estimates of all servers.
 #[derive(Clone, Debug)]
 pub struct Estimates {
     bucket_ms: f64,
     zones: usize,
     servers: Vec<Server>,
-    /// Lines whose stretch lies further back than the rings.
+    /// Observations with a window older than the rings.
     pub expired_lines: u64,
 }
 
-/// A stretch of what was read about a server.
+/// Totals of one server over one window, as read from a report.
 #[derive(Clone, Copy, Debug)]
 pub struct Observation {
+    /// Index of the server.
     pub server: usize,
+    /// Index of the proxy's zone.
     pub zone: usize,
+    /// Begin and end of the window.
     pub begin: f64,
     pub end: f64,
+    /// Number of tries.
     pub tries: f64,
+    /// Tries that failed.
     pub failed: f64,
+    /// Total time of the tries that did not fail.
     pub good_ms: f64,
+    /// Sampling variance of the tries.
     pub variance: f64,
 }
 
 impl Estimates {
+    /// Creates empty estimates with buckets of `bucket_ms` and `zones` proxy zones.
     pub fn new(bucket_ms: f64, zones: usize) -> Estimates {
         Estimates {
             bucket_ms,
@@ -102,6 +117,7 @@
         }
     }
 
+    /// A server's rings, created when first used.
     fn server(&mut self, server: usize) -> &mut Server {
         while self.servers.len() <= server {
             let zones = vec![Ring::new(self.bucket_ms); self.zones];
@@ -110,8 +126,8 @@
         &mut self.servers[server]
     }
 
-    /// Notes what was met over a stretch, evenly over its buckets. What lies before the rings is counted
-    /// and forgotten: it is neither news nor load of this moment.
+    /// Records an observation, spread evenly over the buckets of its window. Parts older than the
+    /// rings are dropped, and the observation is counted in `expired_lines`.
     pub fn record(&mut self, now: f64, n: &Observation) {
         if n.zone >= self.zones || n.tries <= 0.0 {
             return;
@@ -135,7 +151,8 @@
         let mut past = 0;
         let ring = &mut self.server(n.server).zones[n.zone];
         for i in 0..many {
-            // The middle of each part of the stretch, so that an end on a bound is not the next bucket's.
+            // The middle of each part, so that a window ending on a bucket boundary does not count
+            // for the next bucket.
             let at = n.end - (i as f64 + 0.5) * span * part;
             if !ring.add(now, at.min(now), &met) {
                 past = 1;
@@ -144,7 +161,7 @@
         self.expired_lines += past;
     }
 
-    /// The index stands for another server from now on.
+    /// Drops a server's data; its index may then be reused.
     pub fn forget(&mut self, server: usize) {
         let (bucket_ms, zones) = (self.bucket_ms, self.zones);
         if let Some(s) = self.servers.get_mut(server) {
@@ -152,13 +169,14 @@
         }
     }
 
-    /// What was met at a server over a span of whole buckets, by all zones; none if nothing was. The span
-    /// ends where reports are complete.
+    /// Estimates a server's load over all zones and a span of whole buckets that ends where reports
+    /// are complete; `None` if there were no tries.
     pub fn estimate(&self, now: f64, server: usize, span_ms: f64) -> Option<Estimate> {
         self.estimate_range(now, server..server + 1, span_ms)
     }
 
-    /// The same over several places together, as the classes of one server.
+    /// Like [`Estimates::estimate`], over several indices together, such as all classes of one
+    /// server.
     pub fn estimate_range(&self, now: f64, places: Range<usize>, span_ms: f64) -> Option<Estimate> {
         let end = places.end.min(self.servers.len());
         let there = self.servers.get(places.start..end)?;
--- a/crates/intake/src/interval.rs
+++ b/crates/intake/src/interval.rs
@@ -1,26 +1,31 @@
-//! How often proxies are asked to report: raised before anything has to be left unread, lowered once there
-//! is room again. Rules in order; the first whose condition holds decides, at most once in a settling time.
+//! Adapts the interval at which proxies report: lengthens it before lines have to be sampled out,
+//! and shortens it once there is capacity again. The first rule that applies decides, at most once
+//! per settling time.
 
-/// The share of what can be read beyond which the interval grows, and below which it shrinks again. They
-/// lie further apart than one step moves the load, so that the two rules never dance.
+/// Load, as a share of the reading capacity, above which the interval grows and below which it
+/// shrinks. They are further apart than one step changes the load, so that the interval does not
+/// oscillate.
 const HIGH: f64 = 0.8;
 const LOW: f64 = 0.4;
+/// Factor by which one step changes the interval.
 const STEP: f64 = 1.5;
-/// Intervals that must pass before the effect of a step can be seen.
+/// Intervals to wait before a step's effect shows.
 const SETTLE: f64 = 4.0;
-/// The longest interval, as a multiple of the usual one: beyond it, verdicts would come too late.
+/// Longest interval as a multiple of the usual one; beyond it, decisions would come too late.
 const LONGEST: f64 = 4.0;
 
+/// The current report interval and when it last changed.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportInterval {
     usual_ms: f64,
     now_ms: f64,
-    /// Lines a millisecond that can be read.
+    /// Capacity, in lines per millisecond.
     room: f64,
     moved: f64,
 }
 
 impl ReportInterval {
+    /// Starts with the usual interval, for a reader that can process `lines_per_s` lines.
     pub fn new(now: f64, usual_ms: f64, lines_per_s: f64) -> ReportInterval {
         ReportInterval {
             usual_ms,
@@ -30,20 +35,22 @@
         }
     }
 
+    /// The current interval in milliseconds.
     pub fn ms(&self) -> f64 {
         self.now_ms
     }
 
-    /// So many lines came in the last stretch of time. Tells the new interval if it moves.
+    /// Takes the number of lines received in the last `over_ms`. Returns the new interval if it
+    /// changes.
     pub fn observe(&mut self, now: f64, lines: f64, over_ms: f64) -> Option<f64> {
         if now - self.moved < SETTLE * self.now_ms || over_ms <= 0.0 {
             return None;
         }
         let load = lines / over_ms / self.room.max(f64::MIN_POSITIVE);
         let wanted = match load {
-            // Guards against reports that outrun their reader.
+            // Reports arrive faster than they can be read.
             l if l > HIGH => (self.now_ms * STEP).min(self.usual_ms * LONGEST),
-            // Guards against news that comes later than it must.
+            // Shorten the interval, so that load changes are seen sooner.
             l if l < LOW => (self.now_ms / STEP).max(self.usual_ms),
             _ => self.now_ms,
         };
--- a/crates/intake/src/ring.rs
+++ b/crates/intake/src/ring.rs
@@ -1,21 +1,24 @@
-//! Fixed buckets of time in a ring: what was met in each, used again when the time has come round.
+//! A ring of fixed-width time buckets; a slot is reused once its bucket has expired.
 
-/// Buckets of a ring.
+/// Number of buckets in a ring.
 pub const BUCKETS: usize = 32;
 
-/// Something that can be added up.
+/// A value that can be summed.
 pub trait Accumulate: Clone + Default {
+    /// Adds `other` to this value.
     fn add(&mut self, other: &Self);
 }
 
+/// Values by time bucket.
 #[derive(Clone, Debug)]
 pub struct Ring<T> {
     bucket_ms: f64,
-    /// The number of the bucket that each slot holds, and what is in it.
+    /// The bucket number held by each slot, and its value.
     slots: Vec<(u64, T)>,
 }
 
 impl<T: Accumulate> Ring<T> {
+    /// Creates an empty ring with buckets of `bucket_ms`.
     pub fn new(bucket_ms: f64) -> Ring<T> {
         Ring {
             bucket_ms,
@@ -23,17 +26,18 @@
         }
     }
 
-    /// The bucket that a time falls into.
+    /// The number of the bucket that a time falls into.
     pub fn bucket(&self, at: f64) -> u64 {
         (at.max(0.0) / self.bucket_ms) as u64
     }
 
-    /// What lies longer ago than the ring reaches.
+    /// Whether a time is further back than the ring reaches.
     pub fn is_expired(&self, now: f64, at: f64) -> bool {
         self.bucket(at) + BUCKETS as u64 <= self.bucket(now)
     }
 
-    /// Adds to the bucket of a time; false if that is past, or ahead of now.
+    /// Adds a value to the bucket of a time. Returns `false` if that time has expired or is after
+    /// `now`.
     pub fn add(&mut self, now: f64, at: f64, what: &T) -> bool {
         let bucket = self.bucket(at);
         if self.is_expired(now, at) || bucket > self.bucket(now) {
@@ -47,7 +51,7 @@
         true
     }
 
-    /// The sum over a span of whole buckets that ends so many buckets before the one that is filling.
+    /// Sums the whole buckets of a span that ends `back` buckets before the current one.
     pub fn sum(&self, now: f64, span_ms: f64, back: u64) -> T {
         let many = (span_ms / self.bucket_ms).round().max(1.0) as u64;
         let end = self.bucket(now).saturating_sub(back);
@@ -58,7 +62,7 @@
         sum
     }
 
-    /// The end of the newest bucket that holds anything.
+    /// The end of the newest bucket that holds a value.
     pub fn newest(&self, now: f64) -> Option<f64> {
         let newest = self.bucket(now);
         let numbers = self.slots.iter().map(|(n, _)| *n);
--- a/crates/intake/src/sampling.rs
+++ b/crates/intake/src/sampling.rs
@@ -1,22 +1,24 @@
-//! What is read when more came than can be. A line is kept with a chance that grows with what it says,
-//! and what is kept stands for what is not: sums over lines stay true on average, and their variance is
-//! carried along.
+//! Samples report lines when more are pending than can be read. A line is kept with a probability
+//! that grows with its size, and is scaled up to represent the lines left out: sums stay unbiased,
+//! and their variance is carried along.
 //!
-//! The rule, read aloud: half of the room is shared by reporters alike, the other half by servers alike;
-//! what one does not use goes to the others. In each share a line of at least the threshold is kept, a
-//! smaller one with the chance of its size over the threshold; the better of its two chances counts, and it
-//! then stands for so many. So no server and no reporter goes unheard, and a loud one takes nothing from
-//! the quiet.
+//! Half of the capacity is divided evenly between reporters, the other half between servers; what
+//! one does not use goes to the others. In each half, a line of at least the threshold is always
+//! kept, a smaller one with probability size / threshold. The larger of a line's two probabilities
+//! counts. Thus every server and every reporter is represented, and a busy one takes no capacity
+//! from the others.
 
-/// Multiply with carry: numbers from 0 to 1, from a seed.
+/// Seeded multiply-with-carry generator.
 #[derive(Clone, Debug)]
 pub struct Rng(u32, u32);
 
 impl Rng {
+    /// Creates a generator from a seed.
     pub fn from_seed(seed: u64) -> Rng {
         Rng(seed as u32 | 1, (seed >> 32) as u32 | 1)
     }
 
+    /// The next number, at least 0 and below 1.
     pub fn next_f64(&mut self) -> f64 {
         let next = u64::from(self.0) * 4_294_957_665 + u64::from(self.1);
         (self.0, self.1) = (next as u32, (next >> 32) as u32);
@@ -24,8 +26,8 @@
     }
 }
 
-/// The quota of lines that all who want more get, so that no more than `room` are read: the level that
-/// fills the room, by what each wants.
+/// The maximum number of lines per claimant so that at most `room` lines are read in total, given
+/// how many each wants (max-min fairness). `usize::MAX` if all fit.
 pub fn quota(wanted: &[usize], room: usize) -> usize {
     let mut sorted: Vec<usize> = wanted.to_vec();
     sorted.sort_unstable();
@@ -40,7 +42,7 @@
     usize::MAX
 }
 
-/// The threshold that leaves, on average, so many lines of these sizes; 0: all are kept.
+/// The threshold that keeps `keep` lines of these sizes on average; 0 if all are kept.
 pub fn threshold(sizes: &[f64], keep: usize) -> f64 {
     if sizes.len() <= keep {
         return 0.0;
@@ -48,7 +50,8 @@
     let mut sorted: Vec<f64> = sizes.iter().map(|s| s.max(0.0)).collect();
     sorted.sort_unstable_by(|a, b| b.total_cmp(a));
     let mut rest: f64 = sorted.iter().sum();
-    // The largest are kept surely; the threshold makes the chances of the rest add up to what is left.
+    // The largest lines are always kept; the threshold makes the probabilities of the rest add up
+    // to the remaining number.
     for (sure, size) in sorted.iter().enumerate() {
         let left = keep.saturating_sub(sure);
         if left == 0 {
@@ -63,7 +66,7 @@
     0.0
 }
 
-/// The chance with which a line of that size is kept, by a threshold.
+/// The probability with which a line of a size is kept.
 pub fn keep_probability(size: f64, threshold: f64) -> f64 {
     match size >= threshold {
         true => 1.0,
@@ -72,13 +75,13 @@
     }
 }
 
-/// A line's fate with a chance: the factor that its counts are taken with, and the variance that this
-/// brings to its size; none if it is not read.
+/// Keeps or drops a line at random: returns the factor to scale its counts with and the variance
+/// that adds to its size, or `None` if it is dropped.
 pub fn sample(size: f64, odds: f64, chance: &mut Rng) -> Option<(f64, f64)> {
     if odds >= 1.0 {
         return Some((1.0, 0.0));
     }
-    // Unbiased for the variance of the sum: what was kept stands for what was not there too.
+    // This variance estimate is unbiased: kept lines also represent the variance of dropped ones.
     let kept = size > 0.0 && chance.next_f64() < odds;
     kept.then(|| (1.0 / odds, size * size * (1.0 - odds) / (odds * odds)))
 }
--- a/crates/intake/src/sketch.rs
+++ b/crates/intake/src/sketch.rs
@@ -1,30 +1,35 @@
-//! Quantiles that can be merged: buckets whose bounds grow by a fixed factor, so that any quantile is off
-//! by at most [`RELATIVE_ERROR`] of itself, whatever the order of what came and of what was merged.
+//! A mergeable quantile sketch with geometrically growing buckets. Any quantile is within
+//! [`RELATIVE_ERROR`] of the true one, whatever the order in which values are added and sketches
+//! merged.
 
-/// A quantile lies within this share of the true one.
+/// Maximum relative error of a quantile.
 pub const RELATIVE_ERROR: f64 = 0.02;
-/// Times below this are one bucket.
+/// Upper bound of the first bucket; smaller values go there too.
 const LEAST: f64 = 0.01;
-/// Buckets that one sketch may have: from 10 microseconds to over three hours.
+/// Highest bucket number; the buckets cover 10 microseconds to over three hours.
 const MOST: i32 = 520;
 
+/// Weights by bucket of values.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QuantileSketch {
-    /// Bucket and weight, in the order of buckets.
+    /// Bucket number and weight, sorted by bucket.
     counts: Vec<(i32, f64)>,
 }
 
+/// Ratio of neighbouring bucket bounds.
 fn growth() -> f64 {
     (1.0 + RELATIVE_ERROR) / (1.0 - RELATIVE_ERROR)
 }
 
+/// The number of the bucket that holds a value.
 fn bucket(value: f64) -> i32 {
     let at = (value.max(LEAST) / LEAST).ln() / growth().ln();
     (at.ceil() as i32).clamp(0, MOST)
 }
 
 impl QuantileSketch {
-    /// Adds a value that stands for so many.
+    /// Adds a value with a weight. Values and weights that are not finite, and weights that are not
+    /// positive, are ignored.
     pub fn add(&mut self, value: f64, weight: f64) {
         if !(value.is_finite() && weight.is_finite() && weight > 0.0) {
             return;
@@ -36,6 +41,7 @@
         }
     }
 
+    /// Adds all values of another sketch.
     pub fn merge(&mut self, other: &QuantileSketch) {
         let mut merged = Vec::with_capacity(self.counts.len().max(other.counts.len()));
         let (mut a, mut b) = (
@@ -58,11 +64,12 @@
         self.counts = merged;
     }
 
+    /// Total weight.
     pub fn weight(&self) -> f64 {
         self.counts.iter().map(|(_, w)| w).sum()
     }
 
-    /// The value that this share of the weight lies at or below; none if it is empty.
+    /// The value at or below which this share of the weight lies; `None` if the sketch is empty.
     pub fn quantile(&self, share: f64) -> Option<f64> {
         let wanted = self.weight() * share.clamp(0.0, 1.0);
         let mut seen = 0.0;
@@ -77,11 +84,12 @@
         Some(LEAST * growth().powi(last.0) * (1.0 - RELATIVE_ERROR))
     }
 
-    /// Buckets in use.
+    /// Number of buckets in use.
     pub fn len(&self) -> usize {
         self.counts.len()
     }
 
+    /// Whether no value was added.
     pub fn is_empty(&self) -> bool {
         self.counts.is_empty()
     }
--- a/crates/intake/src/timeline.rs
+++ b/crates/intake/src/timeline.rs
@@ -1,22 +1,24 @@
-//! Where a report belongs in time. A report says how long a stretch it covers, not when that ended, and
-//! clocks of reporters are trusted for their own differences only.
+//! Places reports in time. A report says how long its window is, not when it ended, and reporters'
+//! clocks are trusted only for differences.
 //!
-//! The stretches of one stream follow each other, so their sum is the reporter's own clock. What that
-//! clock lies behind ours at the least is its offset: a report can come late, never early. A burst after a
-//! stall is then laid out backwards over the stall, since its sum runs ahead of what arrival times say.
+//! The windows of one stream are contiguous, so their sum is the reporter's own clock. The smallest
+//! lag of that clock behind ours is its offset, since a report can be late but never early. A burst
+//! of reports after a stall is thus spread backwards over the stall, because the sum of its windows
+//! is ahead of their arrival times.
 //!
-//! A reporter that tells less time than has passed (it skipped a report, or rounds) would fall behind for
-//! ever. What waited comes at once; what comes at its own pace did not wait: reports that come one by one
-//! and all of them late are taken for having ended when the quickest of them came.
+//! A reporter whose windows add up to less time than has passed (it skipped a report or rounds
+//! values) would fall behind forever. Delayed reports arrive at once, while reports that arrive at
+//! their own pace were not delayed. So when reports arrive one by one and all of them late, the
+//! offset is raised by the smallest of their delays.
 
-/// A clock of a reporter may run slow or fast by this share before it is taken for late.
+/// Clock drift, as a share, that is not taken for lateness.
 const DRIFT: f64 = 0.001;
-/// Reports come one by one if they are at least this share of their stretch apart; so many in a row show
-/// that nothing waits.
+/// Reports arrive one by one if they are at least this share of their window apart; `STEADY` of
+/// them in a row show that none is delayed.
 const APART: f64 = 0.5;
 const STEADY: u32 = 4;
 
-/// A stretch of time on our clock.
+/// A window of time on our clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Window {
     pub begin: f64,
@@ -26,17 +28,18 @@
 /// The clock of one reporter's stream.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeline {
-    /// Sum of the stretches so far; our clock less that, at the least; when that was last reckoned.
+    /// Sum of the windows so far; the smallest lag of that behind our clock; when that was last
+    /// updated.
     clock: f64,
     offset: f64,
     reckoned: f64,
-    /// Reports in a row that came one by one, and how late the quickest of them was.
+    /// Number of reports in a row that arrived one by one, and the smallest delay among them.
     steady: u32,
     least_late: f64,
 }
 
 impl Timeline {
-    /// A stream that begins now: nothing that it tells can have ended before.
+    /// Starts a stream now: its first window cannot have ended earlier.
     pub fn new(now: f64) -> Timeline {
         Timeline {
             clock: 0.0,
@@ -47,15 +50,15 @@
         }
     }
 
-    /// The stretch that a report covers which came now. Between reports of one stream no time is lost and
-    /// none is told twice. One that ended long ago is told so by its end.
+    /// Places the window of a report that arrived now. Windows of one stream neither overlap nor
+    /// leave gaps. A late report is recognized by the end of its window.
     pub fn place(&mut self, now: f64, window_ms: f64) -> Window {
-        // The offset may grow by the drift of clocks, so that a slow one is not late for ever.
+        // Let the offset grow by the clock drift, so that a slow clock does not stay late forever.
         let since = (now - self.reckoned).max(0.0);
         self.offset += since * DRIFT;
         self.reckoned = now;
         self.clock += window_ms;
-        // Not early: then the offset was too great.
+        // A report is never early, so a negative delay means that the offset was too large.
         self.offset = self.offset.min(now - self.clock);
         let late = now - self.clock - self.offset;
         match since >= window_ms * APART {
@@ -100,7 +103,7 @@
     fn a_burst_after_a_stall_is_laid_over_the_stall() {
         let mut t = Timeline::new(0.0);
         t.place(500.0, 500.0);
-        // Sixty reports wait for thirty seconds and come at once.
+        // Sixty reports are delayed for thirty seconds and arrive at once.
         let ends: Vec<f64> = (0..60).map(|_| t.place(30_500.0, 500.0).end).collect();
         assert!(close(ends[0], 1_000.0 + 30.0), "{}", ends[0]);
         assert!(close(ends[59], 30_500.0), "{}", ends[59]);
@@ -132,7 +135,7 @@
 
     #[test]
     fn a_clock_that_runs_slow_stays_near() {
-        // It says 499.8 ms for each 500 ms of ours.
+        // The reporter counts 499.8 ms for each 500 ms of ours.
         let mut t = Timeline::new(0.0);
         let mut behind: f64 = 0.0;
         for i in 1..20_000 {
--- a/crates/intake/src/timer_wheel.rs
+++ b/crates/intake/src/timer_wheel.rs
@@ -1,24 +1,27 @@
-//! A timing wheel: things that expire at some time, in slots of a fixed width. Setting and expiring cost
-//! the same however many there are; one that is set anew stays in its old slot until that comes round, and
-//! is then moved (so that a reporter heard a thousand times costs one move, not a thousand).
+//! A timer wheel: keys that expire at some time, in slots of a fixed width. Scheduling and expiring
+//! take constant time per key. A key that is rescheduled for later stays in its old slot until that
+//! comes up and is moved then, so a reporter that reports a thousand times costs one move.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Slots: what expires further ahead goes round.
+/// Number of slots; later expiry times wrap around.
 const SLOTS: usize = 256;
 
+/// Scheduled keys by expiry time.
 #[derive(Clone, Debug)]
 pub struct TimerWheel<T> {
     slot_ms: f64,
     slots: Vec<Vec<T>>,
-    /// When each thing expires, and the slot that it lies in; those not in here were taken out.
+    /// Expiry time of each scheduled key, and its slot number. Keys left in a slot but not in this
+    /// map were cancelled.
     due: HashMap<T, (f64, u64)>,
-    /// The slot up to which all was looked at.
+    /// The last slot that has been processed.
     done: u64,
 }
 
 impl<T: Copy + Eq + Hash + Ord> TimerWheel<T> {
+    /// Creates an empty wheel with slots of `slot_ms`.
     pub fn new(now: f64, slot_ms: f64) -> TimerWheel<T> {
         TimerWheel {
             slot_ms,
@@ -28,15 +31,16 @@
         }
     }
 
+    /// The slot number of an expiry time, at least the next one to be processed.
     fn slot(&self, at: f64) -> u64 {
         ((at / self.slot_ms).ceil() as u64).max(self.done + 1)
     }
 
-    /// Sets when a thing expires, anew if it was set before.
+    /// Schedules a key, replacing an earlier expiry time.
     pub fn schedule(&mut self, what: T, at: f64) {
         let slot = self.slot(at);
         match self.due.get_mut(&what) {
-            // Later than before: it is moved when its old slot comes round.
+            // Later than before: moved when its old slot comes up.
             Some((due, lies)) if *lies <= slot => *due = at,
             _ => {
                 self.due.insert(what, (at, slot));
@@ -45,12 +49,12 @@
         }
     }
 
-    /// Takes a thing out: it does not expire.
+    /// Cancels a key's expiry. Returns whether it was scheduled.
     pub fn cancel(&mut self, what: &T) -> bool {
         self.due.remove(what).is_some()
     }
 
-    /// What has expired by now, in its order; it is not in the wheel any more.
+    /// Removes and returns the keys that have expired by now, sorted.
     pub fn pop_expired(&mut self, now: f64) -> Vec<T> {
         let newest = (now / self.slot_ms) as u64;
         let mut out = Vec::new();
@@ -61,7 +65,7 @@
             let slot = std::mem::take(&mut self.slots[n as usize % SLOTS]);
             for what in slot {
                 match self.due.get(&what).copied() {
-                    // Left over from before it was taken out or set to an earlier time.
+                    // Left over from before the key was cancelled or scheduled for an earlier time.
                     None => {}
                     Some((_, lies)) if lies as usize % SLOTS != n as usize % SLOTS => {}
                     Some((at, _)) if at <= now => {
@@ -81,10 +85,12 @@
         out
     }
 
+    /// Number of scheduled keys.
     pub fn len(&self) -> usize {
         self.due.len()
     }
 
+    /// Whether no key is scheduled.
     pub fn is_empty(&self) -> bool {
         self.due.is_empty()
     }
--- a/crates/intake/src/trust.rs
+++ b/crates/intake/src/trust.rs
@@ -1,43 +1,50 @@
-//! Whom to believe. A server's own word about its load is set against what proxies met at it, and a
-//! proxy's reports against those of all others about the same servers. Suspicion grows with evidence and
-//! shrinks without it; a flag is raised at one bound and taken down at a lower one, so that it does not
-//! flicker. Flags are for people and for weighing reports; they withdraw nobody.
+//! Detects reports that cannot be trusted. A server's self-reported load is checked against the
+//! times proxies measure there, and a proxy's reports against those of all other proxies about the
+//! same servers.
+//!
+//! Suspicion grows with evidence and shrinks without it. A flag is raised at one level and cleared
+//! at a lower one, so that it does not flap. Flags are shown to operators and lower the weight of a
+//! proxy's reports; they never withdraw a server.
 
 use std::collections::BTreeMap;
 
-/// Evidence that raises a flag, in periods' worth, and the rest of it at which the flag comes down.
+/// Suspicion, in periods of full evidence, at which a flag is raised, and the lower level at which
+/// it is cleared.
 const RAISED: f64 = 3.0;
 const LOWERED: f64 = 0.5;
-/// What the reports of a proxy count that contradicts all others.
+/// Weight of the reports of a proxy that contradicts all others.
 const DOUBTED: f64 = 0.25;
-/// What a period without evidence takes off.
+/// Suspicion removed by a period without evidence.
 const FORGIVEN: f64 = 0.5;
-/// More evidence than this is not kept: a flag comes down in bounded time.
+/// Maximum suspicion, so that a flag clears in bounded time.
 const MOST: f64 = 6.0;
-/// Tries met in a period that a comparison needs.
+/// Tries per period that a comparison needs.
 const ENOUGH: f64 = 5.0;
-/// Proxies meet a server at so many times the time that it tells: its word is not of now.
+/// A server is suspect if proxies measure more than this many times the time it reports.
 const APART: f64 = 3.0;
-/// A word that is repeated to the digit while what is met moves by this share is not of now either.
+/// A server is suspect if it repeats exactly the same load while the measured time changes by this
+/// share.
 const MOVED: f64 = 0.5;
-/// More than this share of the servers cannot all be telling stale words: then it is the way to them, or
-/// the proxies, that is slow.
+/// If more than this share of the servers is suspect, the network or the proxies are slow, and no
+/// server is blamed.
 const MANY: f64 = 0.3;
-/// A proxy's failing share is this far from what all others met at the same servers ...
+/// A proxy contradicts the others at a server if its failure rate differs by this much from theirs.
 const CONTRARY: f64 = 0.4;
-/// ... at this share of the servers that it shares with others, of at least so many.
+/// A proxy is suspect if it contradicts the others at this share of the servers it shares with
+/// them, given at least `SHARED` such servers.
 const MOSTLY: f64 = 0.7;
 const SHARED: usize = 3;
 
-/// Suspicion, and whether it has become a flag.
+/// Suspicion level, and whether it has raised a flag.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Suspicion {
     level: f64,
+    /// Whether a flag is raised.
     pub flagged: bool,
 }
 
 impl Suspicion {
-    /// A period's evidence, from 0 to 1. Tells whether the flag has changed.
+    /// Adds a period's evidence, from 0 to 1. Returns whether the flag has changed.
     fn weigh(&mut self, evidence: f64) -> bool {
         self.level = match evidence > 0.0 {
             true => (self.level + evidence).min(MOST),
@@ -54,34 +61,40 @@
     }
 }
 
-/// A period of one server: what it said of itself, and what proxies met there.
+/// One server in one period: its self-reported load and what proxies measured.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerSample {
-    /// Means over the answers that carried one; none if none did.
+    /// Means over the answers that carried a self-report; `None` if none did.
     pub own_ms: Option<f64>,
     pub own_queue: Option<f64>,
+    /// Mean time that proxies measured.
     pub measured_ms: f64,
+    /// Number of tries.
     pub tries: f64,
 }
 
+/// What is remembered of a server between periods.
 #[derive(Clone, Copy, Debug, Default)]
 struct Told {
     suspicion: Suspicion,
     last: Option<ServerSample>,
-    /// What was met when the word was last another one.
+    /// Measured time when the self-report last changed.
     met_then: f64,
 }
 
-/// What changed.
+/// A flag that was raised (`true`) or cleared (`false`), by server or proxy index.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TrustChange {
+    /// A server's self-reported load is stale.
     StaleServer(usize, bool),
+    /// A proxy's reports contradict those of all others.
     ContraryProxy(usize, bool),
 }
 
-/// What the proxies of a period met, by reporter and server: tries and failures.
+/// A period's tries and failures, by proxy and server.
 pub type ProxyViews = BTreeMap<usize, BTreeMap<usize, (f64, f64)>>;
 
+/// Suspicion of servers and proxies, by index.
 #[derive(Clone, Debug, Default)]
 pub struct TrustTracker {
     servers: BTreeMap<usize, Told>,
@@ -89,18 +102,20 @@
 }
 
 impl TrustTracker {
+    /// Whether a server's self-reported load is flagged as stale.
     pub fn is_stale(&self, server: usize) -> bool {
         self.servers
             .get(&server)
             .is_some_and(|t| t.suspicion.flagged)
     }
 
+    /// Whether a proxy is flagged as contradicting all others.
     pub fn is_contrary(&self, proxy: usize) -> bool {
         self.proxies.get(&proxy).is_some_and(|s| s.flagged)
     }
 
-    /// What a proxy's reports count: less while they contradict all others, never nothing, since it may
-    /// be the one that is right.
+    /// Weight of a proxy's reports: reduced while they contradict all others, but never zero, since
+    /// this proxy may be the one that is right.
     pub fn trust(&self, proxy: usize) -> f64 {
         if self.is_contrary(proxy) {
             DOUBTED
@@ -109,15 +124,17 @@
         }
     }
 
+    /// Drops a server; its index may then be reused.
     pub fn forget_server(&mut self, server: usize) {
         self.servers.remove(&server);
     }
 
+    /// Drops a proxy; its index may then be reused.
     pub fn forget_proxy(&mut self, proxy: usize) {
         self.proxies.remove(&proxy);
     }
 
-    /// A period of what servers said and proxies met there.
+    /// Takes a period's samples by server, and returns the flags that changed.
     pub fn observe_servers(&mut self, words: &BTreeMap<usize, ServerSample>) -> Vec<TrustChange> {
         let mut changes = Vec::new();
         let evidence: Vec<f64> = words
@@ -126,7 +143,7 @@
                 against_the_server(self.servers.entry(*server).or_default(), word)
             })
             .collect();
-        // One server among few is judged all the same: there are no others to tell it from.
+        // A single suspect is judged however few servers there are.
         let suspected = evidence.iter().filter(|e| **e > 0.0).count();
         let many = suspected > 1 && suspected as f64 > MANY * words.len() as f64;
         for ((server, word), evidence) in words.iter().zip(evidence) {
@@ -138,7 +155,7 @@
             let same = told
                 .last
                 .is_some_and(|l| (l.own_ms, l.own_queue) == (word.own_ms, word.own_queue));
-            // Where much has moved at once, what is met from now on is the new ground to judge from.
+            // When many servers changed at once, measure further changes from the new times.
             if !same || many {
                 told.met_then = word.measured_ms;
             }
@@ -147,7 +164,8 @@
         changes
     }
 
-    /// A period of what each proxy met, set against what all others met at the same servers.
+    /// Takes a period's tries and failures by proxy, compares each proxy with all others at the
+    /// same servers, and returns the flags that changed.
     pub fn observe_proxies(&mut self, views: &ProxyViews) -> Vec<TrustChange> {
         let mut all: BTreeMap<usize, (f64, f64)> = BTreeMap::new();
         for (server, met) in views.values().flatten() {
@@ -166,15 +184,16 @@
     }
 }
 
-/// Guards against a server that tells a low load while it slows: its own time lies far below what proxies
-/// meet there, or its word is the same to the digit while what they meet has moved. A server that is idle
-/// tells low times and is met at low times: no evidence. May harm where the way to a server is slow and
-/// not the server: the flag says only that its word does not explain what is met.
+/// Detects a server that reports a low load while it slows down: its own time is far below what
+/// proxies measure, or its report stays exactly the same while the measured time changes. An idle
+/// server reports and shows low times, which is no evidence. A slow network path to the server
+/// causes a false positive: the flag only says that the server's report does not explain the
+/// measurements.
 fn against_the_server(told: &Told, word: &ServerSample) -> f64 {
     if word.tries < ENOUGH || word.own_ms.is_none() && word.own_queue.is_none() {
         return 0.0;
     }
-    // Its time is that of the work alone; with visits waiting, those explain the rest.
+    // A server reports the time of the work alone; visits in its queue explain the rest.
     let waits = word.own_queue.unwrap_or(0.0).max(0.0);
     let own = word.own_ms.map(|ms| ms * (1.0 + waits));
     let apart = own.is_some_and(|own| own > 0.0 && word.measured_ms > APART * own);
@@ -190,9 +209,9 @@
     }
 }
 
-/// Guards against a proxy whose own fault looks like the servers': it fails where all others do not, or
-/// says that all is well where all others fail. Should also catch a link of its own. May harm when few
-/// share its servers: then it is not judged.
+/// Detects a proxy whose own fault, or whose own network link, looks like a fault of the servers:
+/// it fails where all others succeed, or succeeds where all others fail. A proxy that shares too
+/// few servers with others is not judged.
 fn against_the_proxy(met: &BTreeMap<usize, (f64, f64)>, all: &BTreeMap<usize, (f64, f64)>) -> f64 {
     let (mut shared, mut contrary) = (0, 0);
     for (server, (tries, failed)) in met {
