--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,69 +1,75 @@
-//! Which background work comes next: by priority, within budgets of CPU time a period, with deadlines,
-//! fair between owners, and with the lowest put off first when there is too much.
+//! Schedules background work by priority class, within CPU budgets per period, with deadlines and
+//! fairness between owners; the lowest classes are shed first under overload.
 //!
-//! How it is called: [`Scheduler::submit`] for each piece of work, [`Scheduler::next`] for the one to do
-//! now, [`Scheduler::task_ran`] with the time that it took and whether more of it is left. `next` goes
-//! through [`RULES`] from the top; the first that names a piece of work decides. What was put off or
-//! given up is told by [`Scheduler::take_events`]. It reads no clock: times are milliseconds that the caller
-//! measures, so a scripted clock gives the same order each time.
+//! Call [`Scheduler::submit`] for each task, [`Scheduler::next`] for the task to run now, and
+//! [`Scheduler::task_ran`] with the time it took and whether more of it is left. `next` applies
+//! [`RULES`] in order; the first that selects a task decides. [`Scheduler::take_events`] returns
+//! the tasks that were dropped and the classes that were deferred. The crate reads no clock: times
+//! are milliseconds measured by the caller, so a scripted clock always gives the same order.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A piece of work whose class has waited for so many periods gets a turn beyond its budget.
+/// Periods after which a waiting class gets one task run beyond its budget.
 const STARVED: f64 = 4.0;
-/// A deadline nearer than this share of a period goes before fairness.
+/// A deadline nearer than this many periods goes before fairness between owners.
 const NEAR: f64 = 1.0;
-/// An owner that comes back after a pause does not get the turns that it did not ask for.
+/// Milliseconds of credit an owner gets when it returns after a pause; it does not get back the
+/// turns it did not use.
 const CATCH_UP: f64 = 1.0;
 
-/// A class of work; the lower its number, the sooner it goes.
+/// A class of tasks; a lower number means a higher priority.
 pub type Class = usize;
+/// Identifies the owner of tasks.
 pub type OwnerId = u64;
+/// Identifies a task; never reused.
 pub type TaskId = u64;
 
-/// What a class may use.
+/// Limits of a class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// CPU time in a period, in milliseconds; infinite: it always goes.
+    /// CPU time per period in milliseconds. An infinite budget always runs.
     pub cpu_ms: f64,
-    /// Pieces that may wait; one more pushes the last one of the lowest class out.
+    /// Maximum number of queued tasks. Another one evicts the newest task of the lowest class.
     pub max_queued: usize,
 }
 
-/// A piece of work.
+/// A task: one piece of background work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Task {
+    /// The task's class.
     pub class: Class,
-    /// Owners of a class share it evenly.
+    /// Owners share the budget of their class evenly.
     pub owner: OwnerId,
-    /// Not worth doing after this time.
+    /// Time after which the task is not worth running.
     pub deadline: Option<f64>,
 }
 
-/// What became of work that was not done.
+/// What happened to tasks that did not run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    /// Its deadline passed while it waited.
+    /// The task's deadline passed while it was queued.
     Expired(TaskId),
-    /// There was no room: it was the newest of the lowest class.
+    /// The queue was full and this was the newest task of the lowest class.
     Evicted(TaskId),
-    /// A class has used its budget and waits for the next period; told once a period.
+    /// The class has used its budget and waits for the next period; reported once per period.
     Deferred(Class),
 }
 
+/// A queued task and when it was queued.
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
     piece: Task,
     since: f64,
 }
 
+/// A class: its budget, what it has used of it in this period, and its queued tasks.
 struct Lane {
     budget: Budget,
     used: f64,
     put_off: bool,
-    /// When a piece of this class last had a turn, or began to wait.
+    /// When a task of this class last ran, or when the class began to wait.
     served: f64,
-    /// Waiting pieces by owner, oldest first, and owners by the time that they have had.
+    /// Queued tasks by owner, oldest first; and the time each owner has had, as a map and in order.
     by_owner: BTreeMap<OwnerId, VecDeque<TaskId>>,
     had: BTreeMap<OwnerId, f64>,
     turns: BTreeSet<(Bits, OwnerId)>,
@@ -71,27 +77,29 @@
     count: usize,
 }
 
-/// A time that is not negative, ordered as its bits are.
+/// A non-negative time as its bit pattern, which sorts like the time itself.
 type Bits = u64;
 
 fn bits(time: f64) -> Bits {
     time.max(0.0).to_bits()
 }
 
-/// See the crate's head.
+/// The queued and running tasks; see the crate documentation.
 pub struct Scheduler {
     period_ms: f64,
     period_ends: f64,
     lanes: Vec<Lane>,
     waiting: BTreeMap<TaskId, Waiting>,
-    /// Pieces at work: taken and not yet told of.
+    /// Tasks returned by `next` and not yet reported by `task_ran`.
     at_work: BTreeMap<TaskId, Task>,
     next_id: TaskId,
     told: Vec<Event>,
 }
 
+/// Selects the task to run now, or none.
 type Rule = fn(&Scheduler, f64) -> Option<TaskId>;
 
+/// The rules that select the next task, in order; the first that selects one decides.
 const RULES: [Rule; 4] = [
     what_has_no_bounds,
     what_starves,
@@ -99,8 +107,8 @@
     what_else_there_is,
 ];
 
-/// Work without a budget goes at once, the highest class first. Guards decisions and withdrawals against
-/// waiting behind anything. May harm when such work itself is too much: nothing else goes then.
+/// Classes without a budget limit run at once, highest class first, so that decisions and
+/// withdrawals of servers never wait. If such tasks take all the time, nothing else runs.
 fn what_has_no_bounds(s: &Scheduler, now: f64) -> Option<TaskId> {
     let free = |l: &&Lane| l.budget.cpu_ms.is_infinite() && l.count > 0;
     s.lanes
@@ -109,15 +117,15 @@
         .and_then(|l| l.first(now, s.period_ms))
 }
 
-/// Guards against a class that never gets a turn since those above it always have work: once it has
-/// waited for some periods, one piece of it goes. May harm by one piece's time in that many periods.
+/// Prevents starvation of a class below others that always have work: after [`STARVED`] periods one
+/// task of it runs. Costs the other classes one task's time in that many periods.
 fn what_starves(s: &Scheduler, now: f64) -> Option<TaskId> {
     let starved = |l: &&Lane| l.count > 0 && now - l.served >= STARVED * s.period_ms;
     let mut lanes = s.lanes.iter().filter(|l| l.budget.cpu_ms.is_finite());
     lanes.find(starved).and_then(|l| l.first(now, s.period_ms))
 }
 
-/// The highest class that has not used its budget of this period.
+/// Selects the highest class that has not used its budget of this period.
 fn what_is_within_its_budget(s: &Scheduler, now: f64) -> Option<TaskId> {
     let within = |l: &&Lane| l.count > 0 && l.used < l.budget.cpu_ms;
     s.lanes
@@ -126,8 +134,8 @@
         .and_then(|l| l.first(now, s.period_ms))
 }
 
-/// Nothing is within its budget: time is left over, and the highest class that waits may have it, as
-/// long as the budgets of all together leave room in the period.
+/// Gives left-over time to the highest waiting class, as long as the time used by all classes is
+/// below the period.
 fn what_else_there_is(s: &Scheduler, now: f64) -> Option<TaskId> {
     let used: f64 = s.lanes.iter().map(|l| l.used).sum();
     let waits = |l: &&Lane| l.count > 0;
@@ -137,8 +145,8 @@
 }
 
 impl Lane {
-    /// The piece of this class that goes first: the nearest deadline if it is near, else the oldest of
-    /// the owner that has had least.
+    /// The next task of this class: the one with the nearest deadline if that is near, else the
+    /// oldest task of the owner that has had the least time.
     fn first(&self, now: f64, period_ms: f64) -> Option<TaskId> {
         let near = bits(now + NEAR * period_ms);
         let urgent = self.deadlines.first().filter(|(at, _)| *at <= near);
@@ -149,10 +157,12 @@
         self.by_owner.get(owner)?.front().copied()
     }
 
+    /// Queues a task.
     fn put(&mut self, id: TaskId, piece: Task) {
         let queue = self.by_owner.entry(piece.owner).or_default();
         if queue.is_empty() {
-            // From now on, not from when it last had something.
+            // A returning owner starts at the current minimum, not at the time it had when it last
+            // had tasks.
             let least = self
                 .turns
                 .first()
@@ -168,6 +178,7 @@
         self.count += 1;
     }
 
+    /// Removes a queued task.
     fn remove(&mut self, id: TaskId, piece: Task) {
         if let Some(queue) = self.by_owner.get_mut(&piece.owner) {
             queue.retain(|q| *q != id);
@@ -183,7 +194,7 @@
         self.count -= 1;
     }
 
-    /// Books time to an owner.
+    /// Charges run time to an owner.
     fn book(&mut self, owner: OwnerId, ms: f64) {
         let before = self.had.get(&owner).copied().unwrap_or(0.0);
         let after = before + ms.max(0.0);
@@ -191,7 +202,7 @@
         if self.turns.remove(&(bits(before), owner)) {
             self.turns.insert((bits(after), owner));
         }
-        // Owners without work are forgotten once all others have had as much.
+        // Forget owners without tasks once all others have had as much time.
         if self.had.len() > 2 * self.by_owner.len() + 16 {
             let least = self
                 .turns
@@ -205,7 +216,7 @@
 }
 
 impl Scheduler {
-    /// Budgets by class, the highest first, for each period.
+    /// Creates a scheduler with budgets per period by class, the highest class first.
     pub fn new(now: f64, period_ms: f64, budgets: &[Budget]) -> Scheduler {
         let lane = |budget: &Budget| Lane {
             budget: *budget,
@@ -229,8 +240,9 @@
         }
     }
 
-    /// Takes a piece of work in. Where its class is full, the newest piece of the lowest class that has
-    /// any is pushed out, or this one if none is lower. None for a class that does not exist.
+    /// Queues a task. If its class is full, the newest task of the lowest class below it is
+    /// evicted, or the new task itself if there is none. Returns `None` if the class does not
+    /// exist.
     pub fn submit(&mut self, now: f64, piece: Task) -> Option<TaskId> {
         let most = self.lanes.get(piece.class)?.budget.max_queued;
         self.next_id += 1;
@@ -265,6 +277,7 @@
         Some(id)
     }
 
+    /// The newest queued task of a class.
     fn newest(&self, class: Class) -> Option<TaskId> {
         let lane = &self.lanes[class];
         lane.by_owner
@@ -274,19 +287,20 @@
             .copied()
     }
 
+    /// Removes a queued task and returns it.
     fn take_out(&mut self, id: TaskId) -> Option<Waiting> {
         let waiting = self.waiting.remove(&id)?;
         self.lanes[waiting.piece.class].remove(id, waiting.piece);
         Some(waiting)
     }
 
-    /// Takes work back; also one that is at work, whose rest then does not come again. Tells whether
-    /// there was any.
+    /// Cancels a task; a running one is not queued again when it returns. Returns whether the task
+    /// existed.
     pub fn cancel(&mut self, id: TaskId) -> bool {
         self.take_out(id).is_some() || self.at_work.remove(&id).is_some()
     }
 
-    /// Takes back all work of an owner.
+    /// Cancels all tasks of an owner, and returns their number.
     pub fn cancel_owner(&mut self, owner: OwnerId) -> usize {
         let of = |piece: &Task| piece.owner == owner;
         let waiting = self.waiting.iter().filter(|(_, w)| of(&w.piece));
@@ -298,6 +312,7 @@
         ids.iter().filter(|id| self.cancel(**id)).count()
     }
 
+    /// Starts the current period, if the last one has ended, and renews the budgets.
     fn begin_period(&mut self, now: f64) {
         if now < self.period_ends {
             return;
@@ -305,7 +320,7 @@
         let gone = ((now - self.period_ends) / self.period_ms).floor() + 1.0;
         self.period_ends += gone * self.period_ms;
         for lane in &mut self.lanes {
-            // What went beyond the budget is owed to the periods after.
+            // Time used beyond the budget is charged to the following periods.
             lane.used = (lane.used - lane.budget.cpu_ms * gone).max(0.0);
             if lane.budget.cpu_ms.is_infinite() {
                 lane.used = 0.0;
@@ -314,6 +329,7 @@
         }
     }
 
+    /// Drops queued tasks whose deadline has passed.
     fn end_the_late(&mut self, now: f64) {
         for class in 0..self.lanes.len() {
             while let Some((at, id)) = self.lanes[class].deadlines.first().copied()
@@ -325,7 +341,8 @@
         }
     }
 
-    /// The piece to work on now; none if nothing waits, or if what waits has to wait for its period.
+    /// The task to run now; `None` if no task is queued, or if all have to wait for the next
+    /// period.
     pub fn next(&mut self, now: f64) -> Option<(TaskId, Task)> {
         self.begin_period(now);
         self.end_the_late(now);
@@ -344,7 +361,8 @@
         Some((id, waiting.piece))
     }
 
-    /// A piece was worked on for so long; if more of it is left it waits again, behind its owner's.
+    /// Records how long a task ran. If more of it is left, it is queued again behind its owner's
+    /// other tasks.
     pub fn task_ran(&mut self, now: f64, id: TaskId, ms: f64, more: bool) {
         let Some(piece) = self.at_work.remove(&id) else {
             return;
@@ -358,17 +376,18 @@
         }
     }
 
-    /// When `next` is worth calling again, if nothing is submitted before: the next period if work waits.
+    /// When to call `next` again if nothing is submitted before: the start of the next period if
+    /// tasks are queued.
     pub fn wake_at(&self) -> Option<f64> {
         (!self.waiting.is_empty()).then_some(self.period_ends)
     }
 
-    /// What was put off, pushed out or too late since the last call.
+    /// Events since the last call.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.told)
     }
 
-    /// Pieces that wait in a class, and since when the oldest does.
+    /// The number of queued tasks of a class, and the time since when the oldest has waited.
     pub fn waiting(&self, class: Class) -> (usize, Option<f64>) {
         let count = self.lanes.get(class).map_or(0, |l| l.count);
         let of = self.waiting.values().filter(|w| w.piece.class == class);
