--- a/crates/memory/src/clock.rs
+++ b/crates/memory/src/clock.rs
@@ -3,7 +3,7 @@
 use crate::facts::Timestamp;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The moment it is now, by the wall clock and the machine's uptime.
+/// The current time by the wall clock and the machine's uptime.
 pub fn now() -> Timestamp {
     let wall = SystemTime::now().duration_since(UNIX_EPOCH);
     let read = |name: &str| std::fs::read_to_string(name).unwrap_or_default();
--- a/crates/memory/src/directory.rs
+++ b/crates/memory/src/directory.rs
@@ -1,47 +1,56 @@
-//! The calls to a directory, one by one, so that tests can fail, lose, tear and reorder them.
+//! File operations in a directory, as a trait so that tests can make them fail, lose, tear and
+//! reorder writes.
 
 use std::collections::HashMap;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// A directory of files, as far as memory needs one.
+/// A directory of files.
 pub trait Directory: Send {
-    /// The names there.
+    /// Lists the file names.
     ///
     /// # Errors
-    /// Those of the system; so for all calls here.
+    /// Returns the error of the file system; so do all methods here.
     fn list(&mut self) -> io::Result<Vec<String>>;
+    /// Reads a whole file.
+    ///
     /// # Errors
-    /// See [`Directory::list`]; also when the file is larger than `most`.
+    /// See [`Directory::list`]; also if the file is larger than `most`.
     fn read(&mut self, name: &str, most: u64) -> io::Result<Vec<u8>>;
-    /// A new file, empty, in place of one that is there.
+    /// Creates an empty file, replacing an existing one.
     ///
     /// # Errors
     /// See [`Directory::list`].
     fn create(&mut self, name: &str) -> io::Result<()>;
+    /// Appends bytes to a file.
+    ///
     /// # Errors
     /// See [`Directory::list`].
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// What was appended outlasts a power cut from here on.
+    /// Makes a file's contents durable.
     ///
     /// # Errors
     /// See [`Directory::list`].
     fn sync(&mut self, name: &str) -> io::Result<()>;
+    /// Renames a file, replacing an existing one.
+    ///
     /// # Errors
     /// See [`Directory::list`].
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
+    /// Removes a file.
+    ///
     /// # Errors
     /// See [`Directory::list`].
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Names made, renamed and removed outlast a power cut from here on.
+    /// Makes created, renamed and removed names durable.
     ///
     /// # Errors
     /// See [`Directory::list`].
     fn sync_names(&mut self) -> io::Result<()>;
 }
 
-/// A directory of the system, held by this process alone.
+/// A directory of the file system, locked by this process unless opened read-only.
 pub struct FsDirectory {
     dir: PathBuf,
     files: HashMap<String, File>,
@@ -49,10 +58,10 @@
 }
 
 impl FsDirectory {
-    /// Opens a directory; makes it if it is not there.
+    /// Opens and locks a directory, creating it if needed.
     ///
     /// # Errors
-    /// Those of the system; also when another process holds it.
+    /// Returns the error of the file system; also if another process holds the lock.
     pub fn open(dir: &Path) -> io::Result<FsDirectory> {
         fs::create_dir_all(dir)?;
         let held = File::create(dir.join("lock"))?;
@@ -67,10 +76,10 @@
         })
     }
 
-    /// To look into a directory that another process may hold; nothing is to be written through it.
+    /// Opens a directory for reading, without locking it; nothing may be written through it.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the error of the file system.
     pub fn open_read_only(dir: &Path) -> io::Result<FsDirectory> {
         fs::read_dir(dir)?;
         Ok(FsDirectory {
@@ -80,6 +89,7 @@
         })
     }
 
+    /// The open file of a name, opened for appending when first used.
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
         if !self.files.contains_key(name) {
             let file = OpenOptions::new().append(true).open(self.dir.join(name))?;
@@ -91,10 +101,10 @@
     }
 }
 
-/// All of a file, if it is not larger than that.
+/// Reads a whole regular file of at most `most` bytes.
 ///
 /// # Errors
-/// Those of the system.
+/// Returns the error of the file system; also if the file is larger or not a regular one.
 pub fn read_bounded(path: &Path, most: u64) -> io::Result<Vec<u8>> {
     let file = File::open(path)?;
     let about = file.metadata()?;
@@ -121,7 +131,7 @@
 
     fn create(&mut self, name: &str) -> io::Result<()> {
         let path = self.dir.join(name);
-        // Never through a link that somebody put there.
+        // Never write through a link that was placed here.
         if fs::symlink_metadata(&path).is_ok() {
             fs::remove_file(&path)?;
         }
--- a/crates/memory/src/facts.rs
+++ b/crates/memory/src/facts.rs
@@ -1,29 +1,31 @@
-//! What is kept: of each server what the roster said and what its line had come to. Times are wall clock
-//! milliseconds, with the machine's own uptime beside them: that one neither leaps nor goes back.
+//! The stored state: for each server its roster entry and the weight it had. Times are wall-clock
+//! milliseconds together with the machine's uptime, which is monotonic.
 
 use dahliapoint_control::{AdminState, Entry, ServerView};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A verdict that moves by less is not written down; one that stands is renewed so often.
+/// A share that changes by less than `SLACK` is not written; an unchanged one below 1 is renewed
+/// after `RENEW_MS`.
 const SLACK: f64 = 0.02;
 const RENEW_MS: f64 = 10_000.0;
-/// Longer names are none of ours.
+/// Longer names and values are rejected.
 const LONGEST: usize = 4_096;
 const LARGEST_KEPT: usize = 512 * 1024;
 
-/// A moment, told so that another process can say how long ago it was.
+/// A point in time that another process can compare with its own clock.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Timestamp {
+    /// Wall-clock milliseconds since the Unix epoch.
     pub wall_ms: f64,
-    /// The machine's boot, and the time since then; empty where it cannot be told.
+    /// The boot ID of the machine and the uptime since that boot; the ID is empty if it is unknown.
     pub boot: String,
     pub up_ms: f64,
 }
 
 impl Timestamp {
-    /// How long before this one another was. Within a boot by the uptime, whatever the wall clock did;
-    /// else by the wall clock. Nothing if that went back: then nobody knows.
+    /// The time from `before` until this one: by uptime within one boot, whatever the wall clock
+    /// did, else by the wall clock. `None` if that went backwards, so that the time is unknown.
     pub fn since(&self, before: &Timestamp) -> Option<f64> {
         let same = !self.boot.is_empty() && self.boot == before.boot;
         let gap = match same {
@@ -35,7 +37,7 @@
 }
 
 impl Timestamp {
-    /// The moment so long before this one.
+    /// The point in time `ms` milliseconds earlier.
     pub fn before(&self, ms: f64) -> Timestamp {
         Timestamp {
             wall_ms: self.wall_ms - ms,
@@ -48,49 +50,60 @@
 /// What is known of a server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerFact {
+    /// The server's name.
     pub name: String,
+    /// The server's address.
     pub address: String,
+    /// The server's zone.
     pub zone: String,
+    /// The state in the roster.
     pub state: AdminState,
-    /// Since when the roster says so.
+    /// Since when the server has been in this state.
     pub since: Timestamp,
+    /// The listed weight.
     pub weight: f64,
-    /// What its line has come to, as a share of the listed weight: below 1 it is trimmed, held or warming.
+    /// The server's published weight as a share of its listed weight; below 1 it is reduced, held
+    /// or warming up.
     pub share: f64,
-    /// When that was last so.
+    /// When the share was last confirmed.
     pub judged: Timestamp,
+    /// Whether the server receives no visits.
     pub withdrawn: bool,
 }
 
-/// A change of what is known.
+/// A change of the stored state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
+    /// A server was added or changed.
     Server(ServerFact),
+    /// A server was removed, by name.
     Forgotten(String),
-    /// What is let in of a class.
+    /// The admitted share of a class.
     Level(String, f64, Timestamp),
-    /// The controller lives at this moment.
+    /// The controller was running at this time.
     Alive(Timestamp),
-    /// What a hook keeps: its file and name, and the value as text. Since schema 2.
+    /// A value kept by a hook: the hook's file, the name, and the value as text. Since schema 2.
     Kept(String, String, String),
 }
 
-/// All that is known.
+/// The stored state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Facts {
+    /// Servers by name.
     pub servers: BTreeMap<String, ServerFact>,
+    /// Admitted shares by class, and when each was set.
     pub levels: BTreeMap<String, (f64, Timestamp)>,
-    /// When the controller was last known to live.
+    /// When the controller was last known to be running.
     pub alive: Timestamp,
-    /// By file and name.
+    /// Values kept by hooks, by file and name.
     pub kept: BTreeMap<(String, String), String>,
 }
 
 impl Facts {
-    /// Takes a change; one that nobody can have meant is an error.
+    /// Applies a change.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// Returns what is wrong with the change if its values are out of range.
     pub fn apply(&mut self, change: Change) -> Result<(), String> {
         match change {
             Change::Server(fact) => {
@@ -122,7 +135,7 @@
         Ok(())
     }
 
-    /// The roster as it was last known.
+    /// The last known roster.
     pub fn entries(&self) -> Vec<Entry> {
         let entry = |f: &ServerFact| Entry {
             name: f.name.clone(),
@@ -136,7 +149,7 @@
     }
 }
 
-/// Finds what has changed since it was last asked.
+/// Finds the changes between the stored state and the controller's current one.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeTracker {
     told: BTreeMap<String, ServerFact>,
@@ -144,7 +157,8 @@
 }
 
 impl ChangeTracker {
-    /// Begins with what was kept: until lines are ordered that is still what is known of them.
+    /// Starts from the stored state, which remains what is known of the servers until the first
+    /// weights are published.
     pub fn from_facts(facts: &Facts) -> ChangeTracker {
         ChangeTracker {
             told: facts.servers.clone(),
@@ -152,7 +166,7 @@
         }
     }
 
-    /// The changes from what was told before to what a controller knows now.
+    /// The changes since the last call.
     pub fn changes(
         &mut self,
         now: &Timestamp,
@@ -161,12 +175,12 @@
     ) -> Vec<Change> {
         let mut out = Vec::new();
         let mut seen = BTreeMap::new();
-        // Before any line is ordered nothing is known of any.
+        // No share is known before the first weights are published.
         let ordered = servers.iter().any(|s| s.weight > 0.0);
         for s in servers {
             let before = self.told.get(&*s.name);
-            // A share that no visit has backed since we began is what we were told, as old as it was then: a verdict
-            // does not grow young by being handed on.
+            // A share that no visit has confirmed since the start keeps the age it was stored with:
+            // passing a share on does not renew it.
             let judged = match (s.met_ago_ms, before) {
                 (Some(ago), _) => now.before(ago),
                 (None, Some(before)) => before.judged.clone(),
--- a/crates/memory/src/frames.rs
+++ b/crates/memory/src/frames.rs
@@ -1,27 +1,33 @@
-//! How bytes are checked. A file begins with a head of 24 bytes: magic, the schema's version, the kind, whether
-//! it is keyed, and its generation. Then frames: length (u32, little endian), CRC-32 of the generation, the
-//! frame's number and the bytes; in a keyed file 32 bytes of an HMAC-SHA-256 that is chained over all before;
-//! the bytes. So neither a frame of another file nor one in another place is taken, and without the key
-//! nobody can add one.
+//! The file format. A file starts with a header of 24 bytes: magic, schema version, kind, whether
+//! it is keyed, and its generation. Frames follow: length (u32, little endian); CRC-32 of the
+//! generation, the frame's number and the payload; in a keyed file 32 bytes of an HMAC-SHA-256
+//! chained over all preceding frames; the payload.
+//!
+//! So a frame from another file or from another position is rejected, and frames cannot be added
+//! without the key.
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
 const MAGIC: &[u8; 8] = b"dahlmem\0";
-/// The version that is written. Older ones are read: 1 knew nothing of what hooks keep.
+/// The schema version that is written. Older versions are read; version 1 had no values kept by
+/// hooks.
 pub const SCHEMA: u8 = 2;
 const HEAD: usize = 24;
-/// A longer frame is taken for damage.
+/// A longer frame is treated as corrupt.
 const LONGEST: usize = 1 << 20;
 
-/// What a file is.
+/// The kind of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
+    /// Changes since the snapshot of the same generation.
     Journal,
+    /// The whole state at one time.
     Snapshot,
 }
 
 impl Kind {
+    /// The byte that marks the kind in the header.
     fn letter(self) -> u8 {
         match self {
             Kind::Journal => b'J',
@@ -30,11 +36,11 @@
     }
 }
 
-/// A key for files; nothing: checksums alone.
+/// The key that authenticates files; without one they only have checksums.
 #[derive(Clone, Default)]
 pub struct Key(pub Option<Vec<u8>>);
 
-/// Where frames are written or read.
+/// The position in a file at which frames are written or read.
 #[derive(Clone)]
 pub struct FrameChain {
     generation: u64,
@@ -44,6 +50,7 @@
 }
 
 impl FrameChain {
+    /// Starts at the first frame of a file of this generation.
     pub fn new(generation: u64, key: &Key) -> FrameChain {
         FrameChain {
             generation,
@@ -53,7 +60,7 @@
         }
     }
 
-    /// The head of a file.
+    /// The header of a file.
     pub fn head(&self, kind: Kind) -> Vec<u8> {
         let mut out = MAGIC.to_vec();
         out.extend([SCHEMA, kind.letter(), u8::from(self.key.0.is_some())]);
@@ -62,6 +69,7 @@
         out
     }
 
+    /// The checksum of the next frame with this payload.
     fn crc(&self, bytes: &[u8]) -> u32 {
         let mut sum = crc32fast::Hasher::new();
         sum.update(&self.generation.to_le_bytes());
@@ -70,6 +78,7 @@
         sum.finalize()
     }
 
+    /// The MAC of the next frame with this payload; `None` without a key.
     fn next_mac(&self, bytes: &[u8]) -> Option<[u8; 32]> {
         let key = self.key.0.as_ref()?;
         let mut mac = Hmac::<Sha256>::new_from_slice(key).ok()?;
@@ -79,7 +88,7 @@
         Some(mac.finalize().into_bytes().into())
     }
 
-    /// Puts a frame behind what is there.
+    /// Appends a frame to `out`.
     pub fn put(&mut self, out: &mut Vec<u8>, bytes: &[u8]) {
         out.extend((bytes.len() as u32).to_le_bytes());
         out.extend(self.crc(bytes).to_le_bytes());
@@ -91,7 +100,8 @@
         self.number += 1;
     }
 
-    /// Reads a frame: its bytes and its length in the file. Nothing if it is not whole or not ours.
+    /// Reads a frame; returns its payload and its length in the file. `None` if it is incomplete or
+    /// does not belong here.
     fn take<'a>(&mut self, from: &'a [u8]) -> Option<(&'a [u8], usize)> {
         let keyed: usize = if self.key.0.is_some() { 32 } else { 0 };
         let word = |at: usize| Some(u32::from_le_bytes(from.get(at..at + 4)?.try_into().ok()?));
@@ -115,28 +125,32 @@
     }
 }
 
-/// Why a file is not read at all.
+/// Why a file is not read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FileError {
-    /// Written by a newer program: nothing is done to it.
+    /// Written by a newer version, with this schema; the file is left untouched.
     Newer(u8),
-    /// Keyed, and we have no key; or not keyed, and we have one.
+    /// The file is keyed and we have no key or another one, or the file is not keyed and we have a
+    /// key.
     Key,
+    /// The header is missing or not of this kind.
     NotOurs,
 }
 
-/// What was read.
+/// The contents of a file.
 pub struct FileFrames<'a> {
+    /// The generation in the header.
     pub generation: u64,
+    /// Payloads in file order.
     pub frames: Vec<&'a [u8]>,
-    /// Bytes behind the last good frame.
+    /// Number of bytes after the last valid frame.
     pub left: usize,
 }
 
-/// The frames of a file, up to the first that is not whole.
+/// Reads the frames of a file up to the first invalid one.
 ///
 /// # Errors
-/// Why nothing of it is read.
+/// Returns why the file is not read.
 pub fn read<'a>(bytes: &'a [u8], kind: Kind, key: &Key) -> Result<FileFrames<'a>, FileError> {
     let head = bytes.get(..HEAD).ok_or(FileError::NotOurs)?;
     if head[..8] != MAGIC[..] || head[9] != kind.letter() {
@@ -156,7 +170,8 @@
         frames.push(frame);
         at += length;
     }
-    // A first frame that is whole but for its seal was written with another key: a torn one is not whole.
+    // A complete first frame with a wrong MAC was written with another key; a torn one would be
+    // incomplete.
     if frames.is_empty() && key.0.is_some() && is_whole(&bytes[at..], generation) {
         return Err(FileError::Key);
     }
@@ -167,7 +182,7 @@
     })
 }
 
-/// Whether a keyed file's first frame is whole, its seal aside.
+/// Whether the first frame of a keyed file is complete, ignoring its MAC.
 fn is_whole(from: &[u8], generation: u64) -> bool {
     let length = from.get(..4).and_then(|b| b.try_into().ok());
     let length = length.map_or(usize::MAX, |b| u32::from_le_bytes(b) as usize);
--- a/crates/memory/src/lib.rs
+++ b/crates/memory/src/lib.rs
@@ -1,9 +1,14 @@
-//! What a controller knows, kept over restarts.
+//! Persists what a controller knows about its servers, so that a restart does not lose it.
 //!
-//! Free of I/O, clock and chance: [`facts`] (what is kept), [`restore`] (what it is worth when it is read
-//! back). Around them: [`directory`] (the calls to a disk, each of which may fail or be lost), [`frames`] (how
-//! bytes are checked), [`store`] (journal and snapshots in a directory), [`writer`] (the thread that writes
-//! them, so that no decision waits for a disk).
+//! - [`facts`]: the stored state, and changes to it;
+//! - [`restore`]: how far stored facts are still valid after a restart;
+//! - [`directory`]: the file operations, each of which may fail or be lost in a power failure;
+//! - [`frames`]: the framing and checking of bytes in files;
+//! - [`store`]: the journal and the snapshots in a directory;
+//! - [`writer`]: the thread that writes them, so that no decision waits for a disk;
+//! - [`clock`]: the machine's clocks.
+//!
+//! `facts` and `restore` do no I/O, read no clock and use no randomness.
 
 pub mod clock;
 pub mod directory;
--- a/crates/memory/src/restore.rs
+++ b/crates/memory/src/restore.rs
@@ -1,49 +1,52 @@
-//! What old knowledge is worth, free of I/O: an ordered list of short rules, each a condition and an effect;
-//! for each server of the roster the first that says something decides. Called once, when a controller
-//! begins, with what was kept, the roster as it is now, and the moment.
+//! Decides how far stored facts about servers are still valid after a restart, without I/O. An
+//! ordered list of rules is applied to each server of the roster; the first that applies decides.
+//! Called once at the start with the stored state, the current roster and the current time.
 //!
-//! What comes out is the roster as this controller "last held it": the planner is told that first and the
-//! true roster right after, so what was remembered enters by the same calls as any day's events. A server
-//! remembered as draining that is ready now returns through the ramp; one that the planner had trimmed
-//! begins as if it had warmed up to that share. All times are ratios to the time until a server is warm.
+//! The result is the roster as the controller last knew it. The planner receives it first and the
+//! true roster right after, so that stored facts enter by the same calls as any other event: a
+//! server stored as draining that is ready now returns through the ramp, and one with a reduced
+//! weight starts as if it had warmed up to that share. All times are relative to the warm-up time
+//! of a server.
 
 use crate::facts::{Facts, ServerFact, Timestamp};
 use dahliapoint_control::{AdminState, Entry};
 
-/// A verdict loses half of its worth in so many times the warming time without being renewed.
+/// Half-life of a stored share that is not renewed, in multiples of the warm-up time.
 const HALF: f64 = 5.0;
-/// A verdict that leaves a line this much is as good as none.
+/// A share above this is treated as full weight.
 const NO_VERDICT: f64 = 0.95;
-/// What a server is taken to be able to do when it was withdrawn and nobody knows since when it is back.
+/// Assumed share of a server that was withdrawn and may have returned at an unknown time.
 const RETURNED: f64 = 0.1;
-/// Of the ready weight no more than this begins below its full share on the word of memory alone.
+/// Maximum share of the ready servers' weight that stored facts may withhold at the start.
 const MOST: f64 = 0.35;
 
-/// A server of the roster, and what is remembered of it.
+/// A server of the roster with its stored fact.
 struct Case<'a> {
     entry: &'a Entry,
     fact: Option<&'a ServerFact>,
-    /// For how long nobody looked; nothing: it cannot be told.
+    /// Time since the controller was last running; `None` if unknown.
     gap_ms: Option<f64>,
     now: &'a Timestamp,
     warm_ms: f64,
 }
 
-/// How a server is told to the planner.
+/// How a server is presented to the planner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Restored {
-    /// As the roster has it.
+    /// As in the roster.
     AsListed,
-    /// As draining: it returns now.
+    /// As draining, so that it returns now.
     Returning,
-    /// Not at all: it is new, and enters as one that was started.
+    /// Left out, so that it enters as newly started.
     New,
-    /// As if so much of its warming were over.
+    /// As if this share of its warm-up were over.
     Share(f64),
 }
 
+/// Decides how a server is restored; `None` if the rule does not apply.
 type Rule = fn(&Case) -> Option<Restored>;
 
+/// The rules in order; the first that applies decides.
 const RULES: [Rule; 6] = [
     the_roster_knows_who_is_not_ready,
     a_start_that_is_told_holds,
@@ -53,30 +56,33 @@
     a_verdict_fades,
 ];
 
-/// Stored facts never bring a server back: gone and draining are the roster's to say.
+/// Stored facts never make a server ready: only the roster says which servers are gone or draining.
 fn the_roster_knows_who_is_not_ready(c: &Case) -> Option<Restored> {
     (c.entry.state != AdminState::Ready).then_some(Restored::AsListed)
 }
 
-/// A start time does not age: who started lately is cold, whatever is remembered of its life before.
+/// A start time in the roster counts as it is: a server that started recently is cold, whatever is
+/// stored about it.
 fn a_start_that_is_told_holds(c: &Case) -> Option<Restored> {
     let fresh = c.entry.started.is_some_and(|(ago, _)| ago < c.warm_ms);
     fresh.then_some(Restored::AsListed)
 }
 
-/// Guards against a machine that took over a name while we were down being sent a warm one's visits.
+/// Prevents another machine that took over the name during the downtime from receiving a warm
+/// server's visits.
 fn a_name_at_another_address_is_another_server(c: &Case) -> Option<Restored> {
     let other = c.fact.is_some_and(|f| f.address != c.entry.address);
     other.then(|| unknown(c))
 }
 
+/// A server without a stored fact.
 fn who_was_not_known_is_new(c: &Case) -> Option<Restored> {
     c.fact.is_none().then(|| unknown(c))
 }
 
-/// Nobody has seen it. Within a warming time it cannot be warm; after a longer gap it is taken as a
-/// controller's start takes it: at full weight. May harm when the gap cannot be told: then it is full too,
-/// as without any memory.
+/// A server without a valid fact. Within a warm-up time it cannot be warm; after a longer downtime
+/// it gets full weight, as at a start without stored facts. So it does if the length of the
+/// downtime is unknown, although the server may be cold.
 fn unknown(c: &Case) -> Restored {
     match c.gap_ms {
         Some(gap) if gap < c.warm_ms => Restored::New,
@@ -84,9 +90,9 @@
     }
 }
 
-/// Guards against a server that came back under the same name while we were down: it has just started, or
-/// it has been warm for long. Until a warming time has passed it returns as it would have before our eyes;
-/// from then on the doubt fades. May harm by a ramp that was not needed.
+/// A server that was draining, gone or withdrawn and is ready now may have just started, or may
+/// have been warm for long. Until a warm-up time has passed it returns through the ramp, as while
+/// the controller runs; from then on the doubt decays. The cost is a ramp that may not be needed.
 fn a_drain_stays_one_until_the_roster_says_otherwise(c: &Case) -> Option<Restored> {
     let fact = c
         .fact
@@ -98,13 +104,14 @@
     })
 }
 
-/// What was slow or failing may be so still: it begins with what its line had come to, the less so the
-/// longer that was not renewed. A moment that lies ahead of now is no fresh one: nobody knows its age.
+/// A server that was slow or failing may still be so: it starts with its stored share, which
+/// approaches 1 with its age. A time in the future gives no age, so the share is ignored.
 fn a_verdict_fades(c: &Case) -> Option<Restored> {
     let fact = c.fact.filter(|f| f.share < NO_VERDICT)?;
     Some(faded(fact.share, c.now.since(&fact.judged), c.warm_ms))
 }
 
+/// A stored share, brought closer to 1 the older it is.
 fn faded(share: f64, age: Option<f64>, warm_ms: f64) -> Restored {
     let worth = age.map_or(0.0, |age| 0.5_f64.powf(age / (HALF * warm_ms)));
     let left = 1.0 - (1.0 - share.clamp(0.0, 1.0)) * worth;
@@ -114,7 +121,7 @@
     }
 }
 
-/// How doubtful a recall is: the higher, the sooner it is let go when there is too much of it.
+/// How doubtful a restored fact is; the most doubtful are dropped first if there are too many.
 fn doubt(recall: Restored) -> f64 {
     match recall {
         Restored::AsListed | Restored::Returning => 0.0,
@@ -123,7 +130,8 @@
     }
 }
 
-/// The roster as the planner is to be told first, and how each server of it was recalled.
+/// Returns the roster to present to the planner first, and how each server of the given roster was
+/// restored.
 pub fn restore_roster(
     now: &Timestamp,
     facts: &Facts,
@@ -152,7 +160,7 @@
             Restored::Returning => entry.state = AdminState::Draining,
             Restored::New => return None,
             Restored::Share(share) => {
-                // A stamp of its own: the roster's next word replaces it.
+                // A marker of its own, so that the roster's next start time replaces it.
                 entry.started = Some((warm_ms * share, u64::MAX));
             }
         }
@@ -161,10 +169,10 @@
     (told.collect(), recalled)
 }
 
-/// Guards against a memory that is wrong about many at once (a fleet that was changed while we were down, a
-/// site that was all slow): a fleet that begins on a tenth of its weight is worse than one that begins as
-/// listed. The most doubtful are let go first. May harm when a third of the fleet really is cold: then the
-/// planner's own rule for cold servers is what is left.
+/// Limits the damage if the stored facts are wrong about many servers at once (the fleet was
+/// replaced during the downtime, or a whole site was slow): starting with a tenth of the weight is
+/// worse than starting as listed. The most doubtful facts are dropped first. If a third of the
+/// fleet is really cold, only the planner's own rule for cold servers remains.
 fn not_too_much_at_once(roster: &[Entry], recalled: &mut [Restored]) {
     let ready = |e: &Entry| e.state == AdminState::Ready;
     let all: f64 = roster.iter().filter(|e| ready(e)).map(|e| e.weight).sum();
@@ -232,7 +240,7 @@
         }
     }
 
-    /// One server among twenty that are well; down from 0 until then.
+    /// Restores one server among twenty healthy ones, after a downtime that began at time 0.
     fn one(fact: Option<ServerFact>, entry: Entry, now: Timestamp) -> Restored {
         let mut facts = Facts {
             alive: at(0.0),
@@ -386,7 +394,7 @@
         let mut roster = Vec::new();
         for i in 0..30 {
             let name = format!("s{i}");
-            // Ten well, ten slow, ten that nobody knows.
+            // Ten healthy, ten slow, ten unknown.
             if i < 20 {
                 let share = if i < 10 { 1.0 } else { 0.2 };
                 facts
--- a/crates/memory/src/store.rs
+++ b/crates/memory/src/store.rs
@@ -1,9 +1,10 @@
-//! Journal and snapshots in a directory.
+//! The journal and snapshots in a directory.
 //!
-//! A generation is a snapshot and the journal of what changed since. A new one begins with its journal, to
-//! which all changes go from then on; its snapshot follows in slices, aside; only once that was renamed and
-//! read back are older files removed. What is read at a start: the newest snapshot that is whole, and all
-//! journals from its generation on, each up to its first frame that is not whole.
+//! A generation consists of a snapshot and the journal of changes since. A new generation starts
+//! with its journal, to which all further changes go. Its snapshot is written in slices to a
+//! temporary file; older files are removed only once that file has been renamed and read back.
+//! Recovery reads the newest complete snapshot and all journals from its generation on, each up to
+//! its first invalid frame.
 
 use crate::directory::Directory;
 use crate::facts::{Change, Facts};
@@ -11,18 +12,21 @@
 use serde::{Deserialize, Serialize};
 use std::io;
 
-/// A larger file is none of ours.
+/// A larger file is not read.
 const LARGEST: u64 = 1 << 30;
+/// Temporary name of a snapshot that is being written.
 const ASIDE: &str = "snapshot.aside";
 
-/// A frame's content.
+/// The payload of a frame.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum Record {
     Change(Change),
-    /// The end of a snapshot, with the records before it: one without is not whole.
+    /// The end of a snapshot, with the number of records before it. A snapshot without it is
+    /// incomplete.
     End(u64),
 }
 
+/// The file name of a journal or snapshot.
 fn name_of(kind: Kind, generation: u64) -> String {
     match kind {
         Kind::Journal => format!("journal-{generation:012}"),
@@ -30,6 +34,7 @@
     }
 }
 
+/// The kind and generation of a file name; `None` for other files.
 fn generation_of(name: &str) -> Option<(Kind, u64)> {
     let (kind, digits) = name.split_once('-')?;
     let kind = match kind {
@@ -41,26 +46,28 @@
     ours.then(|| Some((kind, digits.parse().ok()?)))?
 }
 
-/// What a directory had to say.
+/// What recovery found in a directory.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Found {
-    /// The snapshot that was read, if one was; journals and records read after it.
+    /// The generation of the snapshot that was read, if any; then the journals and records read
+    /// after it.
     pub snapshot: Option<u64>,
     pub journals: u64,
     pub records: u64,
-    /// Bytes behind the last good record of the journals: a torn tail, or damage.
+    /// Bytes after the last valid record of the journals: a torn write or corruption.
     pub torn_bytes: u64,
-    /// What was passed over, in words.
+    /// Files and records that were skipped, with the reason.
     pub passed_over: Vec<String>,
+    /// The highest generation among the file names.
     #[serde(skip)]
     pub newest: u64,
 }
 
-/// Reads a directory, changing nothing.
+/// Reads a directory without changing it.
 ///
 /// # Errors
-/// Those of the layer; also when a newer program, or one with another key, has written there: nothing of
-/// theirs is thrown away.
+/// Returns the error of the directory; also if a newer version, or one with another key, has
+/// written there, so that its data is not discarded.
 pub fn recover(layer: &mut dyn Directory, key: &Key) -> io::Result<(Facts, Found)> {
     let mut found = Found::default();
     let mut files: Vec<(Kind, u64)> = layer
@@ -99,7 +106,7 @@
         let journal = match read(&bytes, Kind::Journal, key) {
             Ok(journal) if journal.generation == *generation => journal,
             Ok(_) | Err(FileError::NotOurs) => {
-                // Its head was not synced when the power went.
+                // The header was not synced before a power failure.
                 found.torn_bytes += bytes.len() as u64;
                 found.passed_over.push(format!("{name}: no head of ours"));
                 continue;
@@ -123,6 +130,7 @@
     Ok((facts, found))
 }
 
+/// The error for a file that must not be touched.
 fn refusal(name: &str, refused: &FileError) -> io::Error {
     let why = match refused {
         FileError::Newer(version) => {
@@ -134,8 +142,10 @@
     io::Error::new(io::ErrorKind::InvalidData, why)
 }
 
+/// The state in a snapshot and its number of records, or why the snapshot is unusable.
 type Snapshot = Result<(Facts, u64), String>;
 
+/// Reads a snapshot file.
 fn snapshot(layer: &mut dyn Directory, generation: u64, key: &Key) -> io::Result<Snapshot> {
     let name = name_of(Kind::Snapshot, generation);
     let bytes = match layer.read(&name, LARGEST) {
@@ -150,6 +160,7 @@
     Ok(whole(&file.frames, file.generation == generation))
 }
 
+/// Decodes the records of a snapshot, which has to be complete.
 fn whole(frames: &[&[u8]], is_its_own: bool) -> Snapshot {
     if !is_its_own {
         return Err("of another generation".into());
@@ -174,23 +185,24 @@
     chain: FrameChain,
 }
 
-/// A directory that is written to.
+/// A directory with its current generation.
 pub struct Store<L: Directory> {
     layer: L,
     key: Key,
     generation: u64,
-    /// The journal's frames so far, and its bytes.
+    /// The position in the journal, and the journal's size in bytes.
     chain: FrameChain,
     pub journal_bytes: u64,
     writing: Option<Writing>,
+    /// Snapshots completed.
     pub snapshots: u64,
 }
 
 impl<L: Directory> Store<L> {
-    /// Reads a directory and begins a generation there.
+    /// Recovers a directory and starts a new generation in it.
     ///
     /// # Errors
-    /// Those of [`recover`]; also when nothing can be written.
+    /// Returns the errors of [`recover`]; also if nothing can be written.
     pub fn open(mut layer: L, key: Key) -> io::Result<(Store<L>, Facts, Found)> {
         let (facts, found) = recover(&mut layer, &key)?;
         let mut store = Store {
@@ -207,17 +219,18 @@
         Ok((store, facts, found))
     }
 
-    /// Begins a generation: its journal now, its snapshot by [`Store::write_snapshot_records`].
+    /// Starts a generation: creates its journal now, and its snapshot by calls of
+    /// [`Store::write_snapshot_records`].
     ///
     /// # Errors
-    /// Those of the layer; the older generation stands.
+    /// Returns the error of the directory; the older generation remains valid.
     pub fn begin_generation(&mut self, facts: &Facts) -> io::Result<()> {
         self.writing = None;
         let generation = self.generation + 1;
         let chain = FrameChain::new(generation, &self.key);
         let name = name_of(Kind::Journal, generation);
         self.layer.create(&name)?;
-        // Used up whatever comes of it.
+        // The number is used up even if a later step fails.
         self.generation = generation;
         let head = chain.head(Kind::Journal);
         self.layer.append(&name, &head)?;
@@ -241,14 +254,16 @@
         Ok(())
     }
 
+    /// Whether a snapshot is being written.
     pub fn is_writing_snapshot(&self) -> bool {
         self.writing.is_some()
     }
 
-    /// Writes so many records of the snapshot; tells whether more is to do.
+    /// Writes up to `many` records of the snapshot. Returns whether more are left.
     ///
     /// # Errors
-    /// Those of the layer; the older generation stands, and the journal goes on.
+    /// Returns the error of the directory; the older generation remains valid, and the journal is
+    /// still written.
     pub fn write_snapshot_records(&mut self, many: usize) -> io::Result<bool> {
         let Some(mut writing) = self.writing.take() else {
             return Ok(false);
@@ -277,7 +292,7 @@
             .rename(ASIDE, &name_of(Kind::Snapshot, self.generation))?;
         self.layer.sync_names()?;
         self.snapshots += 1;
-        // Proven readable before anything older goes.
+        // Remove older files only after the snapshot has been read back.
         if snapshot(&mut self.layer, self.generation, &self.key)?.is_ok() {
             for name in self.layer.list()? {
                 if generation_of(&name).is_some_and(|(_, g)| g < self.generation) {
@@ -288,10 +303,12 @@
         Ok(false)
     }
 
-    /// Writes changes to the journal, as a group: after it they outlast a power cut.
+    /// Appends changes to the journal as a group and makes them durable. Returns the number of
+    /// bytes written.
     ///
     /// # Errors
-    /// Those of the layer. The journal may end in half a record then: a new generation is to be begun.
+    /// Returns the error of the directory. The journal may then end in an incomplete record, and a
+    /// new generation has to be started.
     pub fn commit(&mut self, changes: &[Change]) -> io::Result<u64> {
         let mut out = Vec::new();
         for change in changes {
@@ -306,6 +323,7 @@
     }
 }
 
+/// Encodes a record.
 fn bytes_of(record: &Record) -> io::Result<Vec<u8>> {
     postcard::to_allocvec(record).map_err(io::Error::other)
 }
--- a/crates/memory/src/writer.rs
+++ b/crates/memory/src/writer.rs
@@ -1,6 +1,7 @@
-//! The thread that writes what is known. Decisions never wait for it: changes are offered to a bounded
-//! queue, and one that is full says so. Commits go before snapshots, which are written in slices within a
-//! budget. Whatever fails, the facts are in memory: a new generation from them mends the directory.
+//! The thread that writes the journal and the snapshots. Decisions never wait for it: changes go to
+//! a bounded queue, which reports when it is full. Commits go before snapshots, which are written
+//! in slices within a CPU budget. After a write error the state is still in memory, and a new
+//! generation written from it repairs the directory.
 
 use crate::directory::Directory;
 use crate::facts::{Change, Facts};
@@ -13,29 +14,34 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// Groups of changes that may wait.
+/// Maximum number of queued groups of changes.
 const WAITING: usize = 256;
-/// A journal this many times as large as a snapshot of what it leads to is compacted; no sooner than at
-/// this size.
+/// The journal is compacted once it is `COMPACT` times as large as a snapshot of the state would
+/// be, estimated at `RECORD` bytes per server, but not below `SMALLEST` bytes.
 const COMPACT: u64 = 4;
 const SMALLEST: u64 = 256 * 1024;
 const RECORD: u64 = 200;
-/// Records of a snapshot that one slice writes, and the budget of all slices in a period.
+/// Snapshot records written per slice, the scheduler's period, and the share of it that all slices
+/// may use.
 const SLICE: usize = 256;
 const PERIOD_MS: f64 = 100.0;
 const SNAPSHOT_SHARE: f64 = 0.2;
-/// Commits have no class: they are what the thread does first in each turn.
+/// The scheduler class of snapshots. Commits need none: the thread does them first in each
+/// iteration.
 const SNAPSHOT: usize = 0;
-/// A directory that fails is tried again after this long, doubling so often.
+/// Delay before a failed directory is tried again; it doubles with each failure, up to `DOUBLINGS`
+/// times.
 const AGAIN_MS: f64 = 500.0;
 const DOUBLINGS: u32 = 6;
 
+/// Queued groups of changes, and whether to stop.
 #[derive(Default)]
 struct Waiting {
     groups: VecDeque<Vec<Change>>,
     over: bool,
 }
 
+/// Counters for the status page.
 #[derive(Clone, Debug, Default)]
 struct Tally {
     groups: u64,
@@ -47,7 +53,7 @@
     fault: Option<String>,
 }
 
-/// See the module's head.
+/// Handle to the writer thread; see the module documentation.
 pub struct JournalWriter {
     waiting: Mutex<Waiting>,
     bell: Condvar,
@@ -55,26 +61,28 @@
     found: Found,
 }
 
+/// Locks a mutex, ignoring poisoning.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
+/// State owned by the writer thread.
 struct Hand<L: Directory> {
     store: Store<L>,
     facts: Facts,
     scheduler: Scheduler,
     snapshot_waits: bool,
     failures: u32,
-    /// The journal cannot be relied on: a new generation is due at that time.
+    /// Set while the journal is unreliable: when to try a new generation.
     mend_at: Option<f64>,
     begun: Instant,
 }
 
 impl JournalWriter {
-    /// Starts to write; `facts` are what the store was opened with.
+    /// Starts the thread; `facts` is the state that the store was opened with.
     ///
     /// # Errors
-    /// When the thread cannot be started.
+    /// Returns an error if the thread cannot be started.
     pub fn start<L: Directory + 'static>(
         store: Store<L>,
         facts: Facts,
@@ -106,7 +114,8 @@
         Ok((keeper, thread))
     }
 
-    /// Offers a group of changes, without waiting. False: there is no room, and all is to be offered anew.
+    /// Queues a group of changes without blocking. Returns `false` if the queue is full; the caller
+    /// then has to queue the whole state again.
     pub fn offer(&self, changes: Vec<Change>) -> bool {
         if changes.is_empty() {
             return true;
@@ -122,13 +131,13 @@
         true
     }
 
-    /// Ends it once what waits was written.
+    /// Stops the thread once all queued changes are written.
     pub fn stop(&self) {
         lock(&self.waiting).over = true;
         self.bell.notify_all();
     }
 
-    /// For people.
+    /// Counters and the last error, for the status page.
     pub fn status(&self) -> Value {
         let waiting = lock(&self.waiting).groups.len();
         let tally = lock(&self.tally).clone();
@@ -140,6 +149,7 @@
         })
     }
 
+    /// The thread's main loop.
     fn live<L: Directory>(&self, mut hand: Hand<L>) {
         loop {
             let now = hand.now_ms();
@@ -175,7 +185,8 @@
         }
     }
 
-    /// All that waits; waits for it so long. Nothing once it is over and all was taken.
+    /// Takes all queued changes, waiting for some for `wait_ms` at most. `None` once the thread is
+    /// to stop and the queue is empty.
     fn take(&self, wait_ms: f64) -> Option<Vec<Change>> {
         let mut waiting = lock(&self.waiting);
         if waiting.groups.is_empty() && !waiting.over && wait_ms > 0.0 {
@@ -189,7 +200,7 @@
         Some(waiting.groups.drain(..).flatten().collect())
     }
 
-    /// One group for all that waits: one sync.
+    /// Writes all queued changes as one group, with one sync.
     fn commit<L: Directory>(&self, hand: &mut Hand<L>, changes: Vec<Change>) {
         for change in &changes {
             if let Err(why) = hand.facts.apply(change.clone()) {
@@ -197,7 +208,8 @@
             }
         }
         if hand.mend_at.is_some() {
-            // The facts have it; the generation that mends the directory will too.
+            // The changes are in `facts`; the generation that repairs the directory will contain
+            // them.
             return;
         }
         let begun = hand.now_ms();
@@ -214,6 +226,7 @@
         }
     }
 
+    /// Records a write error and schedules the repair. Only the first of a row of errors is logged.
     fn failed<L: Directory>(&self, hand: &mut Hand<L>, e: &std::io::Error) {
         let doubled = f64::from(1_u32 << hand.failures.min(DOUBLINGS));
         hand.mend_at = Some(hand.now_ms() + AGAIN_MS * doubled);
@@ -224,7 +237,7 @@
         lock(&self.tally).fault = Some(e.to_string());
     }
 
-    /// Begins anew from the facts: whatever was half written is behind us.
+    /// Repairs the directory by writing a new generation from the state in memory.
     fn mend<L: Directory>(&self, hand: &mut Hand<L>) {
         match hand.store.begin_generation(&hand.facts) {
             Ok(()) => match hand.store.write_snapshot_records(usize::MAX) {
@@ -239,7 +252,7 @@
         }
     }
 
-    /// A slice of a snapshot; tells whether more is to do.
+    /// Writes a slice of a snapshot. Returns whether more is left.
     fn slice<L: Directory>(&self, hand: &mut Hand<L>) -> bool {
         if hand.mend_at.is_some() {
             return false;
@@ -262,10 +275,12 @@
 }
 
 impl<L: Directory> Hand<L> {
+    /// Milliseconds since the thread was started.
     fn now_ms(&self) -> f64 {
         self.begun.elapsed().as_secs_f64() * 1e3
     }
 
+    /// Submits a snapshot task if the journal has grown too large.
     fn plan_snapshot(&mut self, now: f64) {
         let size = RECORD * self.facts.servers.len() as u64;
         let due = self.store.journal_bytes > (COMPACT * size).max(SMALLEST);
