--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -1,5 +1,5 @@
-//! The question at a start: peers in turn, within a time for all of them. The first that tells all is enough; of those
-//! that do not, the fullest word counts.
+//! The query at the start: peers are asked one after another within a total time. The first
+//! complete answer is used; if there is none, the one with the most facts.
 
 use crate::merge::PeerFacts;
 use crate::messages::{Ask, Said, TELL_METHOD, Word};
@@ -9,10 +9,11 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// Words that one peer may say.
+/// Maximum number of facts taken from one peer.
 const MOST: usize = 100_000;
 
-/// Asks one peer; what came before it ended counts, whatever the end.
+/// Queries one peer. Returns the facts received, whatever ended the stream, and the error if there
+/// was one.
 pub fn query(
     peer: SocketAddr,
     service: &str,
@@ -26,6 +27,7 @@
     (learned, ended)
 }
 
+/// Opens the stream and collects facts until it ends.
 fn listen(
     peer: SocketAddr,
     service: &str,
@@ -67,14 +69,14 @@
                 let why = format!("it controls {:?}", head.service);
                 return Err(Status::new(Code::FailedPrecondition, why));
             }
-            // Of a newer peer: nothing that we know what to do with.
+            // Sent by a newer peer: unknown, and ignored.
             None => {}
         }
     }
     Ok(())
 }
 
-/// Asks peers in turn until one tells all, or the time is over.
+/// Queries peers one after another until one answers completely or `within` has passed.
 pub fn query_all(
     peers: &[SocketAddr],
     service: &str,
@@ -88,7 +90,7 @@
         if left.is_zero() {
             break;
         }
-        // One that hangs leaves the others their part of the time.
+        // Divide the remaining time, so that a peer that hangs leaves the others their share.
         let own = Instant::now() + left / (peers.len() - i) as u32;
         let (learned, ended) = query(*peer, service, clock, own);
         match &ended {
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,10 +1,12 @@
-//! What a new controller learns from a running one. Controllers share nothing while they run; this is one question at
-//! a start, and whatever comes of it goes through the same ageing as a controller's own memory.
+//! What a new controller learns from a running one. Controllers share no state while they run; this
+//! is a single query at the start, and its answer is treated like the controller's own stored
+//! facts.
 //!
-//! - [`merge`]: which word about a server counts, by its age; free of I/O, clock and chance;
-//! - [`service`]: what a running controller says, the most useful first;
-//! - [`client`]: the question, bounded in time; what came whole before a peer died is kept;
-//! - [`messages`]: the messages. Ages cross the wire, never clocks.
+//! - [`messages`]: the protobuf messages; they carry ages instead of clock times;
+//! - [`service`]: the answer of a running controller, most useful facts first;
+//! - [`client`]: the query, bounded in time; facts received before a peer fails are kept;
+//! - [`merge`]: merges the peer's facts with the controller's own by their age; does no I/O, reads
+//!   no clock and uses no randomness.
 
 pub mod client;
 pub mod merge;
--- a/crates/peer/src/merge.rs
+++ b/crates/peer/src/merge.rs
@@ -1,41 +1,46 @@
-//! Which word about a server counts: a controller's own memory, or a peer's, by age. Free of I/O, clock and chance.
+//! Merges the controller's own stored facts with a peer's, by their age. Does no I/O, reads no
+//! clock and uses no randomness.
 //!
-//! How it is called: [`merge_facts`] once, at a start, with what was kept and what a peer told. What comes out is as if it
-//! had been kept, and is aged by the same rules. The rules are gone through for each server; each decides one thing.
+//! Call [`merge_facts`] once at the start. The result is treated as stored facts: the same rules of
+//! age apply. All rules are applied to each server; each decides one aspect.
 
 use crate::messages::timestamp_ago;
 use dahliapoint_memory::facts::{Facts, ServerFact, Timestamp};
 
-/// A teller that has run for less than so many times the warming time cannot say who is new: to it all are.
+/// Running time, in multiples of the warm-up time, below which a peer cannot tell which servers are
+/// new: to it all are.
 const LIVED: f64 = 1.0;
 
-/// What a peer told.
+/// A peer's answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PeerFacts {
+    /// Facts by server.
     pub facts: Vec<ServerFact>,
-    /// All that it had to tell, to the end.
+    /// Whether the answer arrived to its end, with as many facts as announced.
     pub complete: bool,
-    /// How long it had run.
+    /// How long the peer had been running.
     pub runs_ms: f64,
-    /// How long the asking took: what was told is that much older than it said, at the most.
+    /// Duration of the query: the facts may be older than stated by up to this.
     pub took_ms: f64,
 }
 
-/// Which words counted, for the log.
+/// How many servers' facts were taken from which side; logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counted {
+    /// All from our own facts.
     pub own: usize,
+    /// All from the peer.
     pub peers: usize,
-    /// State of one, share of the other.
+    /// State from one side, share from the other.
     pub mixed: usize,
 }
 
-/// Two words about one server, each with its observer's own moment.
+/// The two facts about one server, with the time at which each side last looked.
 struct Case<'a> {
     now: &'a Timestamp,
     own: &'a ServerFact,
     peers: &'a ServerFact,
-    /// When our own memory was last written, and how old the peer's word is.
+    /// When our own facts were last written, and the maximum age of the peer's.
     own_alive: &'a Timestamp,
     took_ms: f64,
 }
@@ -47,17 +52,20 @@
     share: bool,
 }
 
+/// Decides one aspect of what is taken from the peer.
 type Rule = fn(&Case, &mut Takes);
 
+/// The rules, applied in order; the last may override the one before.
 const RULES: [Rule; 3] = [
     the_fresher_eye_says_who_is_there,
     the_fresher_judgement_says_how_well,
     another_machine_is_judged_by_who_saw_it,
 ];
 
-/// Whoever looked last says state and address: a peer that runs looks now, our own memory ended with us. Guards
-/// against a machine that was replaced while we were down. May harm if the peer's roster is behind ours: the true
-/// roster is told right after.
+/// State and address come from the side that looked last: a running peer looks now, our own facts
+/// ended with our last run. Prevents use of facts about a machine that was replaced during the
+/// downtime. If the peer's roster is behind ours the state is wrong, but the true roster follows at
+/// once.
 fn the_fresher_eye_says_who_is_there(c: &Case, takes: &mut Takes) {
     takes.state = match c.now.since(c.own_alive) {
         Some(age) => age > c.took_ms,
@@ -65,8 +73,9 @@
     };
 }
 
-/// The younger judgement counts, whoever made it; of the same age our own. One whose age nobody knows is older than
-/// any. Guards against hours-old verdicts of a peer that has had no visits since: it may run and still know less.
+/// The share comes from the side that confirmed it last; at the same age from our own. An unknown
+/// age counts as older than any. Prevents hours-old shares of a peer that has had no visits since
+/// from replacing ours: a peer may be running and still know less.
 fn the_fresher_judgement_says_how_well(c: &Case, takes: &mut Takes) {
     let age = |f: &ServerFact| c.now.since(&f.judged);
     takes.share = match (age(c.own), age(c.peers)) {
@@ -76,15 +85,15 @@
     };
 }
 
-/// A judgement is of a machine, not of a name: at another address than the one that counts it says nothing, and who
-/// saw that one is taken whole.
+/// A share belongs to a machine, not to a name: if the addresses differ, the share comes from the
+/// side whose address was taken.
 fn another_machine_is_judged_by_who_saw_it(c: &Case, takes: &mut Takes) {
     if c.own.address != c.peers.address {
         takes.share = takes.state;
     }
 }
 
-/// One body of facts from two. Words of the peer are made older by the time that asking took.
+/// Merges both sides' facts. The peer's are first aged by the duration of the query.
 pub fn merge_facts(
     now: &Timestamp,
     own: &Facts,
@@ -123,15 +132,16 @@
         };
         out.servers.insert(fact.name.clone(), fact);
     }
-    // Who is missing is new only to an eye that was there, and whose word came whole. Else our own memory says since
-    // when nobody looked, and without one nobody knows.
+    // A server missing from the answer is new only if the peer had been running long enough and its
+    // answer is complete. Otherwise the time of our own facts stands, and without any it is
+    // unknown.
     if learned.complete && learned.runs_ms >= LIVED * warm_ms && !learned.facts.is_empty() {
         out.alive = timestamp_ago(now, learned.took_ms);
     }
     (out, counted)
 }
 
-/// A word as old as it may be. One of unknown age stays so.
+/// Ages a fact by the duration of the query. An unknown age stays unknown.
 fn aged(now: &Timestamp, told: &ServerFact, took_ms: f64) -> ServerFact {
     let older = |at: &Timestamp| match now.since(at) {
         Some(age) => timestamp_ago(now, age + took_ms.max(0.0)),
@@ -193,7 +203,8 @@
 
     #[test]
     fn the_fresher_word_counts() {
-        // Own: when last alive, state, share, judged ago, address; the peer's the same; then what counts.
+        // Own: time since last alive; then state, share, time since confirmed and address, own and
+        // the peer's; then the expected result.
         type Said = (AdminState, f64, f64, &'static str);
         type Case = (
             &'static str,
@@ -300,8 +311,7 @@
     }
 
     proptest! {
-        /// Whatever is told: a share that counts is never older than one that was set aside, and never younger than
-        /// whoever saw it said.
+        /// Whatever the ages, the result has the share that was confirmed last, with its age.
         #[test]
         fn stale_never_counts_more_than_fresh(own in 0.0..1e8, peers in 0.0..1e8, took in 0.0..1e4, alive in 0.0..1e8) {
             let learned = PeerFacts { took_ms: took, ..told(fact(Ready, 0.2, peers, "a")) };
--- a/crates/peer/src/messages.rs
+++ b/crates/peer/src/messages.rs
@@ -1,51 +1,62 @@
-//! The messages of `dahliapoint.peer.v1.Peer/Tell`: one question, a stream of words. Every word about a server stands
-//! by itself; the end says how many there were.
+//! The messages of `dahliapoint.peer.v1.Peer/Tell`: one request, answered by a stream of messages.
+//! Each fact about a server is self-contained; the last message has their number.
 
 use dahliapoint_control::AdminState;
 use dahliapoint_memory::facts::{ServerFact, Timestamp};
 
-/// The method's path, and the service's.
+/// Path of the method, and the prefix of all methods of the service.
 pub const TELL_METHOD: &str = "/dahliapoint.peer.v1.Peer/Tell";
 pub const SERVICE_PREFIX: &str = "/dahliapoint.peer.v1.Peer/";
 
+/// The request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Ask {
-    /// The service that the asker is to control; another's knowledge is of no use to it.
+    /// The service that the new controller is to control; facts about another one are of no use to
+    /// it.
     #[prost(string, tag = "1")]
     pub service: String,
 }
 
+/// One message of the answer.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Word {
     #[prost(oneof = "Said", tags = "1, 2, 3")]
     pub said: Option<Said>,
 }
 
+/// The contents of a message.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Said {
+    /// Sent first.
     #[prost(message, tag = "1")]
     Head(Head),
+    /// A batch of facts.
     #[prost(message, tag = "2")]
     Servers(Servers),
+    /// Sent last.
     #[prost(message, tag = "3")]
     End(End),
 }
 
+/// The beginning of an answer.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Head {
+    /// The service that the peer controls.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// How long the teller has run, in milliseconds.
+    /// How long the peer has been running, in milliseconds.
     #[prost(double, tag = "2")]
     pub runs_ms: f64,
 }
 
+/// A batch of facts about servers.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Servers {
     #[prost(message, repeated, tag = "1")]
     pub servers: Vec<ServerWord>,
 }
 
+/// A fact about one server; see [`ServerFact`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ServerWord {
     #[prost(string, tag = "1")]
@@ -57,30 +68,33 @@
     /// 0 ready, 1 draining, 2 gone.
     #[prost(uint32, tag = "4")]
     pub state: u32,
-    /// How long ago that began, in milliseconds; negative: nobody knows.
+    /// Time since the state began, in milliseconds; negative if unknown.
     #[prost(double, tag = "5")]
     pub since_ms: f64,
     #[prost(double, tag = "6")]
     pub weight: f64,
     #[prost(double, tag = "7")]
     pub share: f64,
-    /// How long ago the share was last backed by visits.
+    /// Time since the share was last confirmed by visits, in milliseconds; negative if unknown.
     #[prost(double, tag = "8")]
     pub judged_ms: f64,
     #[prost(bool, tag = "9")]
     pub shut: bool,
 }
 
+/// The end of an answer.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct End {
+    /// Number of facts sent.
     #[prost(uint64, tag = "1")]
     pub servers: u64,
 }
 
-/// Longer texts are of nobody's list.
+/// Longer names and addresses are rejected.
 const LONGEST: usize = 4_096;
 
 impl ServerWord {
+    /// Converts a fact, with ages relative to `now`.
     pub fn of(now: &Timestamp, fact: &ServerFact) -> ServerWord {
         let age = |at: &Timestamp| now.since(at).unwrap_or(-1.0);
         ServerWord {
@@ -100,7 +114,8 @@
         }
     }
 
-    /// As a fact of ours; what cannot be meant is none. Ages that nobody knows stay so: a moment ahead of now.
+    /// Converts to a fact on our clock; `None` if a value is out of range. An unknown age becomes a
+    /// time in the future.
     pub fn fact(&self, now: &Timestamp) -> Option<ServerFact> {
         let texts = [&self.name, &self.address, &self.zone];
         let sound = |n: f64| n.is_finite() && n.abs() <= 1e15;
@@ -131,7 +146,8 @@
     }
 }
 
-/// A moment so long ago; a negative time is one of which nobody knows the age.
+/// The time `ms` milliseconds ago; a negative value means an unknown age and gives a time in the
+/// future.
 pub fn timestamp_ago(now: &Timestamp, ms: f64) -> Timestamp {
     now.before(if ms < 0.0 { -1.0 } else { ms })
 }
--- a/crates/peer/src/service.rs
+++ b/crates/peer/src/service.rs
@@ -1,5 +1,5 @@
-//! What a running controller tells one that asks. What would change what the asker does goes first: if the teller
-//! dies halfway, that is what has come.
+//! The answer of a running controller to a new one. Facts that change what the new controller does
+//! are sent first, so that they have arrived if this controller dies midway.
 
 use crate::messages::{Ask, End, Head, Said, ServerWord, Servers, TELL_METHOD, Word};
 use dahliapoint_control::AdminState;
@@ -10,25 +10,26 @@
 use std::time::Instant;
 use tracing::{debug, info};
 
-/// Words about servers in one message.
+/// Facts per message.
 const BATCH: usize = 64;
-/// Askers that are answered at one time; more are told to come again.
+/// Maximum number of concurrent answers; further callers are rejected.
 const MOST: usize = 4;
-/// A share below this is a verdict.
+/// A share below this is a reduced weight.
 const VERDICT: f64 = 0.95;
 
-/// What is known now; the owner writes it once a round, tellers read it.
+/// The current facts; the owner updates them once a round, and the service reads them.
 #[derive(Clone, Default)]
 pub struct SharedFacts(Arc<Mutex<Facts>>);
 
 impl SharedFacts {
-    /// The facts, for a moment.
+    /// Locks the facts.
     pub fn lock(&self) -> MutexGuard<'_, Facts> {
         self.0.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
 
-/// How useful a word is: what is withdrawn or draining, then verdicts, the worse first, then the rest.
+/// Sort key of a fact: withdrawn and draining servers first, then reduced weights, lowest first,
+/// then the rest.
 fn rank(f: &ServerFact) -> (u8, u64) {
     let away = f.withdrawn || f.state != AdminState::Ready;
     let class = match (away, f.share < VERDICT) {
@@ -36,18 +37,18 @@
         (false, true) => 1,
         (false, false) => 2,
     };
-    // Shares are not negative: their bits are in their order.
+    // Shares are non-negative, so their bit patterns sort like the shares.
     (class, f.share.max(0.0).to_bits())
 }
 
-/// All that is to be told, the most useful first; the same each time.
+/// All facts to send, most useful first, in a deterministic order.
 pub fn prioritized(facts: &Facts, now: &Timestamp) -> Vec<ServerWord> {
     let mut all: Vec<&ServerFact> = facts.servers.values().collect();
     all.sort_by(|a, b| rank(a).cmp(&rank(b)).then_with(|| a.name.cmp(&b.name)));
     all.into_iter().map(|f| ServerWord::of(now, f)).collect()
 }
 
-/// Answers askers.
+/// Answers queries of new controllers.
 pub struct PeerService {
     service: String,
     known: SharedFacts,
@@ -57,6 +58,7 @@
 }
 
 impl PeerService {
+    /// Creates the service for the controller of `service`; `clock` gives the current time.
     pub fn new(service: &str, known: SharedFacts, clock: fn() -> Timestamp) -> Arc<PeerService> {
         Arc::new(PeerService {
             service: service.into(),
@@ -67,6 +69,7 @@
         })
     }
 
+    /// Reads the query and sends all facts. Returns their number.
     fn tell(&self, call: &mut Call) -> Result<usize, Status> {
         let ask: Ask = match call.inbound.message()? {
             Some(ask) => ask,
@@ -76,7 +79,7 @@
             let why = format!("this controls {:?}, not {:?}", self.service, ask.service);
             return Err(Status::new(Code::FailedPrecondition, why));
         }
-        // A copy: nobody waits for an asker that reads slowly.
+        // Sends a copy, so that a slow reader does not hold the lock.
         let now = (self.clock)();
         let words = prioritized(&self.known.lock(), &now);
         let head = Head {
