--- a/crates/intake/benches/structures.rs
+++ b/crates/intake/benches/structures.rs
@@ -1,6 +1,5 @@
-//! The intake's structures against the plain ones that they stand in for, at 100, 1,000 and 10,000.
-//!
-//! `cargo bench -p dahliapoint-intake`; figures are in docs/measurements.md.
+//! Compares the intake's data structures with simpler ones, at sizes of 100, 1,000 and 10,000. Run
+//! with `cargo bench -p dahliapoint-intake`; results are in docs/measurements.md.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use dahliapoint_intake::coverage::Coverage;
@@ -35,7 +34,7 @@
         .collect()
 }
 
-/// Expiry: every reporter is heard ten times, then all are looked through once.
+/// Expiry: every reporter reports ten times, and each round takes the expired ones.
 fn wheel(c: &mut Criterion) {
     let mut group = c.benchmark_group("expiry");
     for n in SIZES {
@@ -74,7 +73,7 @@
     group.finish();
 }
 
-/// Sums over the last five seconds, after so many lines.
+/// Sums over the last five seconds after `n` lines.
 fn ring(c: &mut Criterion) {
     let mut group = c.benchmark_group("sums over time");
     for n in SIZES {
@@ -110,7 +109,7 @@
     group.finish();
 }
 
-/// The 95th of 100 of so many times, merged from ten parts.
+/// The 95th percentile of `n` times, merged from ten parts.
 fn sketch(c: &mut Criterion) {
     let mut group = c.benchmark_group("quantile of ten merged parts");
     for n in SIZES {
@@ -142,7 +141,7 @@
     group.finish();
 }
 
-/// So many reports of ten lines between two rounds, and the round's reading.
+/// `n` reports of ten lines between two rounds, and reading them.
 fn mouth(c: &mut Criterion) {
     let mut group = c.benchmark_group("reports of a round");
     for n in SIZES {
@@ -182,7 +181,7 @@
     group.finish();
 }
 
-/// Which share of each server's reporters is heard: so many servers, twelve reporters each.
+/// The reporting share of each of `n` servers with twelve reporters each.
 fn index(c: &mut Criterion) {
     let mut group = c.benchmark_group("share heard of every server");
     for n in SIZES {
--- a/crates/intake/examples/worth.rs
+++ b/crates/intake/examples/worth.rs
@@ -1,5 +1,6 @@
-//! What each part of the intake is worth, by itself, on scripted reports: the error of estimates with it
-//! and without. `cargo run --release -p dahliapoint-intake --example worth`; the same figures each time.
+//! Measures what each part of the intake contributes: the error of estimates with and without it,
+//! on scripted reports. Run with `cargo run --release -p dahliapoint-intake --example worth`; the
+//! figures are the same each time.
 
 use dahliapoint_intake::estimates::{Estimates, Observation};
 use dahliapoint_intake::interval::ReportInterval;
@@ -23,8 +24,8 @@
     (at(0.5) * 100.0, at(0.99) * 100.0)
 }
 
-/// Tries that each reporter met at each server: a few servers much used, reporters of unequal size, and one
-/// that is fifty times as loud as the rest.
+/// Tries by reporter and server: a few servers get most of the load, reporters differ in size, and
+/// one sends fifty times as much as the rest.
 fn sizes(chance: &mut Rng) -> Vec<Vec<f64>> {
     let loud = |r: usize| if r == 0 { 50.0 } else { 1.0 + (r % 7) as f64 };
     let much = |s: usize| 20.0 / (1.0 + s as f64).sqrt();
@@ -64,7 +65,7 @@
                 if chance.next_f64() < 0.1 {
                     sums[1][s] += size * 10.0;
                 }
-                // Read as they come until the room is full, the rest dropped.
+                // Read in order of arrival until the capacity is used up; the rest is dropped.
                 if left > 0 {
                     left -= 1;
                     sums[2][s] += size;
@@ -88,7 +89,7 @@
     }
 }
 
-/// One reporter in four stalls for ten seconds and then tells all at once.
+/// One reporter in four stalls for ten seconds and then sends everything at once.
 fn ageing() {
     let (mut placed, mut arrived) = (Estimates::new(500.0, 1), Estimates::new(500.0, 1));
     let mut clocks = vec![Timeline::new(0.0); REPORTERS];
@@ -118,7 +119,7 @@
                 arrived.record(now, &noted(now - 500.0, now));
             }
         }
-        // The two seconds before, when nobody stalls now: what was really tried is known.
+        // The last two seconds, while nobody stalls: the true number of tries is known.
         if (round / 20) % 2 == 0 && round > 6 {
             let truth = 2.0 * REPORTERS as f64 * 4.0;
             let error = |e: &Estimates| {
@@ -184,7 +185,7 @@
     }
 }
 
-/// Reports come two hundred times as often as rounds are read.
+/// Reports arrive two hundred times as often as they are read.
 fn merging() {
     let mut mouth: ReportQueue<usize, usize> = ReportQueue::new(500.0, 1000, 1);
     (0..REPORTERS).for_each(|r| mouth.stream_started(0.0, r));
--- a/crates/intake/tests/intake.rs
+++ b/crates/intake/tests/intake.rs
@@ -1,5 +1,5 @@
-//! The intake's parts against cases and against days drawn by chance: what is read stays true on average,
-//! what is merged does not depend on order, and no suspicion rises in calm.
+//! Tests of the intake on fixed cases and on random input: sampled sums are unbiased, merging does
+//! not depend on order, and no flag is raised without a cause.
 
 use dahliapoint_intake::estimates::{Estimates, Observation};
 use dahliapoint_intake::interval::ReportInterval;
@@ -98,7 +98,7 @@
     let quiet = read.iter().find(|r| r.reporter == 2).unwrap();
     assert_eq!(quiet.lines, [(3, line(7.0, 7.0, 0.0), 0.0)]);
     assert_eq!(mouth.pending_lines(), 0);
-    // Refused, and nothing else is disturbed.
+    // Rejected reports leave everything else unchanged.
     let many = (0..51).map(|s| (s, Line::default()));
     let many = mouth.push(0.0, &1, 1.0, many, std::iter::empty());
     assert_eq!(many, Err(Refusal::TooManyServers));
@@ -123,7 +123,7 @@
 
 #[test]
 fn what_does_not_fit_waits_and_merges_before_it_is_sampled() {
-    // A hundred reporters, ten lines each, and room for a third of that in a round.
+    // A hundred reporters with ten lines each; a round can read 400 of the 1,000 lines.
     let mut mouth: ReportQueue<u64, usize> = ReportQueue::new(500.0, 50, 1);
     (0..100).for_each(|r| mouth.stream_started(0.0, r));
     let mut told = 0.0;
@@ -143,7 +143,7 @@
         let lines = read.iter().flat_map(|r| &r.lines);
         heard += lines.map(|l| l.1.tries).sum::<f64>();
     }
-    // Sums stay true: what is not heard yet waits.
+    // No load is lost: what has not been read is still pending.
     assert!((heard / told - 1.0).abs() < 0.15, "{heard} of {told}");
 }
 
@@ -152,7 +152,8 @@
     let mut mouth: ReportQueue<u64, usize> = ReportQueue::new(500.0, 50, 1);
     mouth.stream_started(0.0, 1);
     let mut estimates = Estimates::new(500.0, 1);
-    // Ten tries each half second; then thirty seconds of silence, and all of it at once.
+    // Ten tries every half second; the stream stalls for thirty seconds and everything arrives at
+    // once.
     for i in 0..60 {
         let tries = line(10.0, 0.0, 100.0);
         let put = mouth.push(
@@ -197,7 +198,7 @@
 fn the_interval_moves_before_anything_is_left_and_does_not_dance() {
     let mut interval = ReportInterval::new(0.0, 500.0, 1_000.0);
     let mut moves = Vec::new();
-    // Reporters bring 1,500 lines a second at the usual interval, less at longer ones.
+    // Reporters send 1,500 lines per second at the usual interval, fewer at longer ones.
     for i in 1..400 {
         let now = f64::from(i) * 500.0;
         let lines = 1_500.0 * 500.0 / interval.ms() / 2.0;
@@ -205,7 +206,7 @@
     }
     assert!(moves.len() <= 3, "settles: {moves:?}");
     assert!(interval.ms() > 500.0);
-    // Calm again: back to the usual, and no further.
+    // At low load the interval returns to the usual one and no lower.
     for i in 400..800 {
         interval.observe(f64::from(i) * 500.0, 10.0, 500.0);
     }
@@ -224,7 +225,8 @@
 
 #[test]
 fn a_server_that_repeats_a_low_load_while_it_slows_is_flagged_and_an_idle_one_is_not() {
-    // What is said, what is met, whether it must be flagged after ten half-second periods.
+    // Name; self-reported time and queue and measured time by period; whether the server must be
+    // flagged within ten periods of half a second.
     type Case = (&'static str, fn(usize) -> (f64, f64, f64), bool);
     let cases: [Case; 6] = [
         ("idle", |i| (20.0 + (i % 3) as f64, 0.0, 22.0), false),
@@ -252,7 +254,7 @@
     ];
     for (name, at, wanted) in cases {
         let mut belief = TrustTracker::default();
-        // Calm first, and then the case.
+        // A calm phase, followed by the case.
         for i in 0..20 {
             belief.observe_servers(&words(20.0 + f64::from(i % 2), 0.0, 22.0));
         }
@@ -263,7 +265,7 @@
             belief.is_stale(0)
         });
         assert_eq!(raised.is_some(), wanted, "{name}: {raised:?}");
-        // Unflagged by sustained evidence of the contrary, not by one period.
+        // The flag is cleared by sustained evidence, not by one period.
         if wanted {
             belief.observe_servers(&words(21.0, 0.0, 22.0));
             assert!(belief.is_stale(0), "{name}: one period is not enough");
@@ -354,7 +356,7 @@
     let mut belief = TrustTracker::default();
     let server = views(&|_, server| server == 2);
     assert!((0..20).all(|_| belief.observe_proxies(&server).is_empty()));
-    // Says all is well where all others fail.
+    // A proxy that succeeds where all others fail.
     let mut belief = TrustTracker::default();
     let blind = views(&|proxy, _| proxy != 1);
     (0..4).for_each(|_| drop(belief.observe_proxies(&blind)));
@@ -364,7 +366,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None, rng_seed: RngSeed::Fixed(9), ..ProptestConfig::default() })]
 
-    /// Merging is free of order and grouping, and quantiles are within their stated error.
+    /// Merging is commutative and associative, and quantiles stay within the stated error.
     #[test]
     fn sketches_merge_in_any_order(values in prop::collection::vec(0.02..50_000.0_f64, 1..300), at in 0.0..1.0_f64) {
         let of = |values: &[f64]| {
@@ -390,8 +392,8 @@
         }
     }
 
-    /// Whatever is reported, in whatever order and however late: no estimate is negative, infinite, or
-    /// younger than what it is made of; nothing that was put in is lost but what is past.
+    /// Whatever is reported, in whatever order and however late: no estimate is negative, infinite
+    /// or too old, and all pending lines are read in the end.
     #[test]
     fn no_report_spoils_an_estimate(
         script in prop::collection::vec((0_u64..4, 0_usize..5, 0.0..20_000.0_f64, 0.0..1e6_f64, 0.0..1.0_f64, 0.0..3000.0_f64), 1..120),
@@ -427,7 +429,7 @@
                 }
             }
         }
-        // What waits is read, whole or sampled, once it must be.
+        // Pending lines have to be read, whole or sampled, after a bounded time.
         for later in 1..50 {
             mouth.read(now + 2_000.0 * f64::from(later), room);
         }
--- a/crates/memory/examples/cost.rs
+++ b/crates/memory/examples/cost.rs
@@ -1,5 +1,6 @@
-//! What remembering costs: bytes a round, a commit, a snapshot, reading a million records back.
-//! `cargo run --release -p dahliapoint-memory --example cost [DIR]`
+//! Measures the cost of persistence: bytes per round, commit time, snapshot time and the time to
+//! read a million records back. Run with `cargo run --release -p dahliapoint-memory --example cost
+//! [DIR]`.
 
 use dahliapoint_control::AdminState;
 use dahliapoint_memory::clock::now;
--- a/crates/memory/tests/store.rs
+++ b/crates/memory/tests/store.rs
@@ -1,5 +1,5 @@
-//! Power cuts, bent bytes, newer and foreign files, full disks: what is read back is a state that was, and
-//! nothing that was committed is lost.
+//! Tests of recovery after power failures, corruption, files of other versions and keys, and full
+//! disks: the state that is read existed at some time, and no committed change is lost.
 
 use dahliapoint_control::AdminState;
 use dahliapoint_memory::directory::{Directory, FsDirectory};
@@ -14,11 +14,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What a call did, as a power cut may undo it.
+/// An operation that a power failure may undo.
 #[derive(Clone, Debug)]
 enum Undone {
     Bytes(String, Vec<u8>),
-    /// A new name, with what of its bytes was synced.
+    /// A new file, with those of its bytes that were synced.
     Create(String, Vec<u8>),
     Rename(String, String),
     Remove(String),
@@ -26,18 +26,18 @@
 
 #[derive(Default)]
 struct Disk {
-    /// What is seen, and what would outlast a power cut.
+    /// The contents as visible now, and those that survive a power failure.
     now: BTreeMap<String, Vec<u8>>,
     safe: BTreeMap<String, Vec<u8>>,
-    /// Names that are not synced, and bytes that are not.
+    /// Operations on names and on bytes that were not synced.
     names: Vec<Undone>,
     bytes: Vec<Undone>,
-    /// Calls until the power goes, or until the disk is full.
+    /// Number of calls until the power fails, and until the disk is full.
     left: Option<usize>,
     full: Option<usize>,
 }
 
-/// A directory in memory whose unsynced writes are lost, torn and reordered.
+/// A directory in memory that loses, tears and reorders unsynced writes.
 #[derive(Clone, Default)]
 struct Torn(Arc<Mutex<Disk>>);
 
@@ -59,7 +59,8 @@
         change(&mut disk)
     }
 
-    /// The power comes back: of what was not synced any part may be there, chosen by the seed.
+    /// The directory after a power failure: any part of the unsynced operations may have survived,
+    /// chosen by the seed.
     fn back(&self, seed: u64) -> Torn {
         let disk = self.0.lock().unwrap();
         let mut chance = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
@@ -87,7 +88,7 @@
                     files.remove(name);
                 }
                 Undone::Bytes(name, bytes) => {
-                    // A part of it, or its length with other bytes in it.
+                    // A prefix of the bytes, whose end may be zeroed.
                     let mut part = bytes[..draw(bytes.len() + 1)].to_vec();
                     if draw(3) == 0 {
                         let at = draw(part.len());
@@ -139,7 +140,7 @@
     fn sync(&mut self, name: &str) -> io::Result<()> {
         self.call(|d| {
             let whole = d.now.get(name).cloned().ok_or_else(absent)?;
-            // Its bytes are safe; whether its name is is another matter.
+            // The bytes are durable; the name may not be.
             d.bytes
                 .retain(|u| !matches!(u, Undone::Bytes(n, _) if n == name));
             let mut named = true;
@@ -216,7 +217,7 @@
     })
 }
 
-/// The states after each change of a run; one of each is a moment.
+/// The states before and after each change of a run.
 fn states(many: u64) -> Vec<Facts> {
     let mut facts = Facts::default();
     let mut out = vec![facts.clone()];
@@ -231,7 +232,8 @@
     Key(Some(b"0123456789abcdef".to_vec()))
 }
 
-/// A scripted run: commits, and a compaction in the midst; how many changes were committed for sure.
+/// A scripted run of commits with compactions in between. Returns the last change committed for
+/// certain and the last one attempted.
 fn run(layer: &Torn, key: &Key, many: u64) -> (u64, u64) {
     let (mut safe, mut tried) = (0, 0);
     let Ok((mut store, mut facts, _)) = Store::open(layer.clone(), key.clone()) else {
@@ -247,7 +249,7 @@
         if n % 9 == 4 && store.begin_generation(&facts).is_err() {
             return (safe, tried);
         }
-        // Slices in between, so that commits go on during a compaction.
+        // Write the snapshot in slices, so that commits continue during a compaction.
         if store.write_snapshot_records(3).is_err() {
             return (safe, tried);
         }
@@ -284,7 +286,8 @@
                     (safe..=tried).contains(&at),
                     "{what}: state {at}, {found:?}"
                 );
-                // And it goes on from there; killed at once and begun again, twice in a row.
+                // The directory can be opened again, also after two further power failures right at
+                // the start.
                 for _ in 0..2 {
                     let (store, again, _) = Store::open(back.clone(), key.clone()).unwrap();
                     assert_eq!(again.servers, facts.servers, "{what}");
@@ -307,14 +310,14 @@
         for at in 0..length {
             let mut bent = layer.back(0);
             bent.0.lock().unwrap().now.get_mut(&name).unwrap()[at] ^= 0x10;
-            // Told, or passed over: what is read is a state that was.
+            // Either an error, or a state that existed.
             if let Ok((facts, _)) = recover(&mut bent, &key()) {
                 let was = states.iter().any(|s| s.servers == facts.servers);
                 assert!(was, "{name} bent at {at}: {facts:?}");
             }
         }
     }
-    // Without the key nobody can write what is read with it; and the other way round.
+    // Without the key nobody can write what is read with it, and the other way round.
     let planted = Torn::default();
     run(&planted, &Key::default(), 3);
     assert!(recover(&mut planted.clone(), &key()).is_err());
@@ -343,7 +346,8 @@
     assert_eq!(layer.0.lock().unwrap().now, before);
 }
 
-/// Files of schema 1 are read, and what is written from then on, as hooks' own values, comes back with it.
+/// Files of schema 1 are read, and values kept by hooks, which are new in schema 2, can be added to
+/// them.
 #[test]
 fn an_older_programs_file_is_read_and_gone_on_from() {
     let layer = Torn::default();
@@ -384,7 +388,8 @@
     std::fs::remove_dir_all(&dir).unwrap();
 }
 
-/// A disk that is full for a while: nothing waits for it, and it is mended from what is known.
+/// While the disk is full nothing blocks; afterwards the directory is repaired from the state in
+/// memory.
 #[test]
 fn a_full_disk_is_mended_and_costs_no_decision() {
     let layer = Torn::default();
@@ -415,7 +420,7 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: RngSeed::Fixed(5), ..ProptestConfig::default() })]
-    /// Any bytes under our names: no panic, nothing large is made of them.
+    /// Arbitrary bytes in our files cause neither a panic nor large allocations.
     #[test]
     fn any_bytes_are_read_without_harm(bytes in proptest::collection::vec(any::<u8>(), 0..300), head in any::<bool>()) {
         let layer = Torn::default();
--- a/crates/scheduler/tests/scheduler.rs
+++ b/crates/scheduler/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! The order of work under a scripted clock: tables of cases, and days drawn by chance.
+//! Tests of the order of tasks under a scripted clock, on fixed cases and on random input.
 
 use dahliapoint_scheduler::{Budget, Class, Event, OwnerId, Scheduler, Task, TaskId};
 use proptest::prelude::*;
@@ -25,7 +25,7 @@
     }
 }
 
-/// Works for so long, each piece for one millisecond; the pieces done, by time.
+/// Runs tasks of one millisecond each during an interval; returns them in order.
 fn work(s: &mut Scheduler, from: f64, until: f64, more: bool) -> Vec<(TaskId, Task)> {
     let (mut now, mut done) = (from, Vec::new());
     while now < until {
@@ -99,7 +99,7 @@
         let part = share(&done, |p| p.owner == owner);
         assert!((part - 1.0 / 3.0).abs() < 0.02, "{owner}: {part}");
     }
-    // One that comes late does not make up for the time before.
+    // An owner that arrives late does not catch up on the time before.
     let mut s = Scheduler::new(0.0, 100.0, &[budget(100.0, 10_000)]);
     many(&mut s, 0.0, 900, piece(0, 1));
     work(&mut s, 0.0, 400.0, false);
@@ -129,7 +129,7 @@
 
 #[test]
 fn a_class_that_waits_for_ever_gets_a_turn_now_and_then() {
-    // The first class asks for more than all the time there is.
+    // The first class asks for more than all the available time.
     let mut s = Scheduler::new(0.0, 10.0, &[budget(1000.0, 100_000), budget(0.0, 10)]);
     many(&mut s, 0.0, 5000, piece(0, 1));
     s.submit(0.0, piece(1, 1));
@@ -177,8 +177,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None, rng_seed: RngSeed::Fixed(3), ..ProptestConfig::default() })]
 
-    /// Whatever is submitted, cancelled and worked: every piece is done, cancelled, told of or still
-    /// waits, exactly one of these; and the same script gives the same order.
+    /// Whatever is submitted, cancelled and run: every task is either done, cancelled, reported as
+    /// dropped or still queued, and the same script gives the same order.
     #[test]
     fn nothing_is_lost_nor_done_twice(
         script in prop::collection::vec((0_u8..6, 0_usize..3, 0_u64..4, 0.0..40.0_f64), 1..300),
