--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -12,8 +12,8 @@
 use dahliapoint::{
     Admission, Class, Orders, PlannerSettings, RetryPolicy, RosterEntry, RosterUpdate,
 };
-use dahliapoint_intake::belief::Change;
-use dahliapoint_intake::coverage::Heard;
+use dahliapoint_intake::coverage::ReporterChange;
+use dahliapoint_intake::trust::TrustChange;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -565,8 +565,8 @@
         }
         for heard in round.heard {
             let (p, word) = match heard {
-                Heard::Silent(p) => (p, "reports no more"),
-                Heard::Again(p) => (p, "reports again"),
+                ReporterChange::Silent(p) => (p, "reports no more"),
+                ReporterChange::Resumed(p) => (p, "reports again"),
             };
             if let Some(proxy) = self.proxies.get(&p) {
                 out.push(Output::Note(format!("proxy {}: {word}", proxy.name)));
@@ -574,7 +574,7 @@
         }
         for change in round.changes {
             let note = match change {
-                Change::StaleServer(s, stale) => {
+                TrustChange::StaleServer(s, stale) => {
                     let name = &self.servers.slots[s].name;
                     let word = if stale {
                         "does not explain"
@@ -583,7 +583,7 @@
                     };
                     format!("server {name}: its own word of its load {word} what proxies meet")
                 }
-                Change::ContraryProxy(p, contrary) => {
+                TrustChange::ContraryProxy(p, contrary) => {
                     let name = self.proxies.get(&p).map(|p| p.name.to_string());
                     let word = if contrary {
                         "contradicts"
--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -11,12 +11,13 @@
 };
 use dahliapoint_fibers::{Notify, Queue, Received};
 use dahliapoint_hooks::value::{LineSeen, World};
-use dahliapoint_intake::mouth::{Line, Mouth, Read};
-use dahliapoint_intake::pace::Interval;
-use dahliapoint_memory::facts::{Change, Differ, Facts};
-use dahliapoint_memory::keeper::{self, Keeper};
-use dahliapoint_peer::telling::Known;
-use dahliapoint_scheduler::{Budget, Id, Piece, Scheduler, Told};
+use dahliapoint_intake::interval::ReportInterval;
+use dahliapoint_intake::report_queue::{Line, MergedReport, ReportQueue};
+use dahliapoint_memory::clock;
+use dahliapoint_memory::facts::{Change, ChangeTracker, Facts};
+use dahliapoint_memory::writer::JournalWriter;
+use dahliapoint_peer::service::SharedFacts;
+use dahliapoint_scheduler::{Budget, Event, Scheduler, Task, TaskId};
 use dahliapoint_xds::Owner;
 
 use std::collections::VecDeque;
@@ -102,14 +103,14 @@
 pub struct Engine {
     clock: Clock,
     queue: Queue<Item>,
-    mouth: Arc<Mutex<Mouth<Reporter, Place>>>,
+    mouth: Arc<Mutex<ReportQueue<Reporter, Place>>>,
     /// The reporting interval that proxies are told, as the bits of a number.
     every_ms: Arc<AtomicU64>,
     roster_fault: Arc<Mutex<Option<String>>>,
     figures: Arc<Mutex<Figures>>,
     views: Arc<Mutex<Vec<(&'static str, View)>>>,
     hooking: Arc<Mutex<Option<Arc<Hooking>>>>,
-    known: Arc<Mutex<Option<(Known, Differ)>>>,
+    known: Arc<Mutex<Option<(SharedFacts, ChangeTracker)>>>,
     /// A hand that spoils orders, for tests of the guard.
     spoiled: Arc<Mutex<Option<Between>>>,
 }
@@ -137,17 +138,17 @@
     record: Option<Recorder<BufWriter<File>>>,
     hand: Hand,
     scheduler: Scheduler,
-    interval: Interval,
+    interval: ReportInterval,
     every_ms: f64,
     next_round: f64,
     /// The round being read, what it began with, and its piece of work.
-    unread: VecDeque<Read<Reporter, Place>>,
-    reading: Option<(Id, f64)>,
+    unread: VecDeque<MergedReport<Reporter, Place>>,
+    reading: Option<(TaskId, f64)>,
     lines_before: u64,
-    asked: Vec<(Id, Arc<Asked>)>,
-    memory: Option<(Arc<Keeper>, Differ)>,
+    asked: Vec<(TaskId, Arc<Asked>)>,
+    memory: Option<(Arc<JournalWriter>, ChangeTracker)>,
     /// What peers are told, brought up to date once a round.
-    known: Option<(Known, Differ)>,
+    known: Option<(SharedFacts, ChangeTracker)>,
     hooking: Option<Arc<Hooking>>,
     /// The world as hooks last saw it, and when that was.
     world: Arc<World>,
@@ -160,7 +161,7 @@
         Engine {
             clock,
             queue: Queue::bounded(MOST),
-            mouth: Arc::new(Mutex::new(Mouth::new(every_ms, MOST_SERVERS, seed))),
+            mouth: Arc::new(Mutex::new(ReportQueue::new(every_ms, MOST_SERVERS, seed))),
             every_ms: Arc::new(AtomicU64::new(every_ms.to_bits())),
             roster_fault: Arc::default(),
             figures: Arc::default(),
@@ -172,9 +173,9 @@
     }
 
     /// Keeps what peers are told, beginning with what was known at the start.
-    pub fn tells(&self, known: Known, first: &Facts) {
-        *known.hold() = first.clone();
-        *lock(&self.known) = Some((known, Differ::since(first)));
+    pub fn tells(&self, known: SharedFacts, first: &Facts) {
+        *known.lock() = first.clone();
+        *lock(&self.known) = Some((known, ChangeTracker::from_facts(first)));
     }
 
     /// Hooks see what happens, from when the engine runs.
@@ -198,7 +199,7 @@
         record: Option<&Path>,
         first: Vec<Input>,
         hand: Hand,
-        memory: Option<(Arc<Keeper>, Differ)>,
+        memory: Option<(Arc<JournalWriter>, ChangeTracker)>,
     ) -> io::Result<JoinHandle<()>> {
         let now = self.clock.now_ms();
         let mut recorder = None;
@@ -214,13 +215,13 @@
             )?);
         }
         let budget = |share| Budget {
-            ms: PERIOD_MS * share,
-            most: WAITING,
+            cpu_ms: PERIOD_MS * share,
+            max_queued: WAITING,
         };
         let budgets = [budget(READING_SHARE), budget(TELLING_SHARE)];
         let every_ms = terms.report_every_ms;
         let work = Work {
-            interval: Interval::new(now, every_ms, terms.reports_per_s),
+            interval: ReportInterval::new(now, every_ms, terms.reports_per_s),
             controller: Controller::begun(now, seed, terms),
             record: recorder,
             hand,
@@ -289,7 +290,7 @@
                     _ => self.answer(&mut work, id),
                 };
                 let now = self.clock.now_ms();
-                work.scheduler.worked(now, id, now - begun, more);
+                work.scheduler.task_ran(now, id, now - begun, more);
             }
         }
         work.asked
@@ -393,10 +394,10 @@
     /// Offers what has changed to memory and to peers, without waiting.
     fn remember(&self, work: &mut Work) {
         if let Some((known, differ)) = &mut work.known {
-            let now = keeper::now();
+            let now = clock::now();
             let (servers, levels) = (work.controller.servers(), work.controller.levels());
             let changes = differ.changes(&now, &servers, &levels);
-            let mut facts = known.hold();
+            let mut facts = known.lock();
             for change in changes.into_iter().chain([Change::Alive(now)]) {
                 // Made by our own differ: always sound.
                 let _ = facts.apply(change);
@@ -405,13 +406,13 @@
         let Some((keeper, differ)) = &mut work.memory else {
             return;
         };
-        let now = keeper::now();
+        let now = clock::now();
         let (servers, levels) = (work.controller.servers(), work.controller.levels());
         let mut changes = differ.changes(&now, &servers, &levels);
         changes.push(Change::Alive(now));
         if !keeper.offer(changes) {
             // What was not taken is found again, all of it.
-            *differ = Differ::default();
+            *differ = ChangeTracker::default();
         }
     }
 
@@ -421,12 +422,12 @@
         let room = (per_ms * work.every_ms).max(1.0) as usize;
         let (read, tally) = {
             let mut mouth = lock(&self.mouth);
-            (mouth.read(now, room), mouth.tally)
+            (mouth.read(now, room), mouth.stats)
         };
         let came = (tally.lines - work.lines_before) as f64;
         work.lines_before = tally.lines;
         let over = now - (work.next_round - work.every_ms);
-        if let Some(every) = work.interval.heard(now, came, over) {
+        if let Some(every) = work.interval.observe(now, came, over) {
             warn!(
                 every_ms = every,
                 lines = came,
@@ -437,7 +438,7 @@
         work.next_round = (work.next_round + work.every_ms).max(now);
         self.remember(work);
         work.unread = read.into();
-        let piece = Piece {
+        let piece = Task {
             class: READING,
             owner: 0,
             deadline: None,
@@ -466,7 +467,7 @@
     }
 
     fn submit_answer(&self, work: &mut Work, asked: Arc<Asked>) {
-        let piece = Piece {
+        let piece = Task {
             class: TELLING,
             owner: 0,
             deadline: None,
@@ -477,13 +478,13 @@
     }
 
     fn say_what_waits(&self, work: &mut Work) {
-        for told in work.scheduler.told() {
+        for told in work.scheduler.take_events() {
             match told {
-                Told::PutOff(class) => {
+                Event::Deferred(class) => {
                     lock(&self.figures).put_off += 1;
                     debug!(class, "background work waits for its next period");
                 }
-                Told::PushedOut(id) | Told::TooLate(id) => {
+                Event::Evicted(id) | Event::Expired(id) => {
                     let gone = work.asked.iter().position(|(i, _)| *i == id);
                     if let Some(at) = gone {
                         work.asked.swap_remove(at).1.bell.notify();
@@ -495,7 +496,7 @@
     }
 
     /// Answers a question; there is never more of it.
-    fn answer(&self, work: &mut Work, id: Id) -> bool {
+    fn answer(&self, work: &mut Work, id: TaskId) -> bool {
         let Some(at) = work.asked.iter().position(|(i, _)| *i == id) else {
             return false;
         };
@@ -514,14 +515,14 @@
         });
         let (tally, waiting) = {
             let mouth = lock(&self.mouth);
-            (mouth.tally, mouth.waiting())
+            (mouth.stats, mouth.pending_lines())
         };
         view["intake"] = serde_json::json!({
             "reports": tally.reports,
             "lines": tally.lines,
             "merged": tally.merged,
             "read": tally.read,
-            "left_unread": tally.left,
+            "left_unread": tally.sampled_out,
             "refused": tally.refused,
             "waiting": waiting,
             "every_ms": self.report_every_ms(),
@@ -554,7 +555,7 @@
 }
 
 /// What was read of a reporter, as an input.
-fn reported(now: f64, read: Read<Reporter, Place>) -> Input {
+fn reported(now: f64, read: MergedReport<Reporter, Place>) -> Input {
     let met = read
         .lines
         .into_iter()
@@ -565,13 +566,13 @@
             failed: l.failed,
             good_ms: l.good_ms,
             variance,
-            words: l.words,
+            words: l.self_reports,
             own_queue: l.own_queue,
             own_ms: l.own_ms,
             in_flight: l.in_flight,
         });
     let came = read
-        .came
+        .visits
         .into_iter()
         .map(|((class, _), n)| (class.to_string(), n));
     let report = Report {
@@ -592,8 +593,8 @@
         let reporter = (Arc::from(proxy), stream);
         let mut mouth = lock(&self.mouth);
         match begins {
-            true => mouth.begun(self.clock.now_ms(), reporter),
-            false => mouth.ended(&reporter),
+            true => mouth.stream_started(self.clock.now_ms(), reporter),
+            false => mouth.stream_ended(&reporter),
         }
     }
 
@@ -603,7 +604,7 @@
                 tries: m.tries,
                 failed: m.failed,
                 good_ms: m.good_ms,
-                words: m.words,
+                self_reports: m.words,
                 own_queue: m.own_queue,
                 own_ms: m.own_ms,
                 in_flight: m.in_flight,
@@ -617,7 +618,7 @@
         let reporter = (Arc::from(proxy), stream);
         let now = self.clock.now_ms();
         lock(&self.mouth)
-            .put(now, &reporter, report.window_ms, lines, came)
+            .push(now, &reporter, report.window_ms, lines, came)
             .map_err(|why| format!("a report that is not taken: {why:?}"))
     }
 
--- a/crates/daemon/src/life.rs
+++ b/crates/daemon/src/life.rs
@@ -11,12 +11,13 @@
 use dahliapoint_files::front::{self as files, Place};
 use dahliapoint_files::reach::Promise;
 use dahliapoint_grpc::{Call, Handler, Limits, Server};
-use dahliapoint_memory::ageing::{self, Recall};
-use dahliapoint_memory::facts::{Change, Differ, Facts};
-use dahliapoint_memory::keeper::{self, Keeper};
-use dahliapoint_peer::telling::{Known, Teller};
-use dahliapoint_peer::weighing::weigh;
-use dahliapoint_peer::{asking, words};
+use dahliapoint_memory::clock;
+use dahliapoint_memory::facts::{Change, ChangeTracker, Facts};
+use dahliapoint_memory::restore::{self, Restored};
+use dahliapoint_memory::writer::JournalWriter;
+use dahliapoint_peer::merge::merge_facts;
+use dahliapoint_peer::service::{PeerService, SharedFacts};
+use dahliapoint_peer::{client, messages};
 use dahliapoint_xds::{Front, Shape};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -50,7 +51,7 @@
     watcher: Option<JoinHandle<()>>,
     resolver: Option<JoinHandle<()>>,
     files: Option<(Arc<files::Front>, JoinHandle<()>)>,
-    memory: Option<(Arc<Keeper>, JoinHandle<()>)>,
+    memory: Option<(Arc<JournalWriter>, JoinHandle<()>)>,
     hooks: Option<(Arc<Hooking>, JoinHandle<()>)>,
 }
 
@@ -74,7 +75,7 @@
                     warn!("memory: {passed}");
                 }
                 let kept = facts.clone();
-                let started = Keeper::start(store, kept, found);
+                let started = JournalWriter::start(store, kept, found);
                 let started = started.map_err(|e| format!("{}: {e}", dir.display()))?;
                 (Some(started), facts)
             }
@@ -138,12 +139,12 @@
             keepalive: patience / 2,
             ..Limits::default()
         };
-        let known = Known::default();
+        let known = SharedFacts::default();
         let ways = Arc::new(Ways {
             front: front.clone(),
             teller: deployment.tells.then(|| {
                 engine.tells(known.clone(), &facts);
-                Teller::new(&terms.service, known, keeper::now)
+                PeerService::new(&terms.service, known, clock::now)
             }),
         });
         let server = Server::start(deployment.listen, limits, ways)
@@ -188,9 +189,9 @@
         let mut first = Vec::new();
         if !facts.servers.is_empty() {
             // What is remembered goes before what is: it enters as any day's events do.
-            let now = keeper::now();
-            let (told, how) = ageing::recall(&now, &facts, &entries, terms.warm_after_ms);
-            let doubted = how.iter().filter(|r| **r != Recall::AsListed).count();
+            let now = clock::now();
+            let (told, how) = restore::restore_roster(&now, &facts, &entries, terms.warm_after_ms);
+            let doubted = how.iter().filter(|r| **r != Restored::AsListed).count();
             info!(
                 servers,
                 doubted, "what was known is told to the planner first"
@@ -199,9 +200,9 @@
         }
         first.push(Input::Roster(entries));
         let kept = memory.as_ref();
-        let kept = kept.map(|(keeper, _)| (keeper.clone(), Differ::since(&facts)));
+        let kept = kept.map(|(keeper, _)| (keeper.clone(), ChangeTracker::from_facts(&facts)));
         if let Some((keeper, _)) = kept.clone() {
-            engine.shows("memory", Box::new(move || keeper.view()));
+            engine.shows("memory", Box::new(move || keeper.status()));
         }
         if let Some(resolving) = resolving.clone() {
             engine.shows("dns", Box::new(move || resolving.view()));
@@ -282,7 +283,7 @@
             let _ = thread.join();
         }
         if let Some((keeper, thread)) = self.memory {
-            keeper.end();
+            keeper.stop();
             let _ = thread.join();
         }
         for thread in [self.watcher, self.resolver].into_iter().flatten() {
@@ -296,13 +297,13 @@
 /// Calls of proxies and people, and of newcomers.
 struct Ways {
     front: Arc<Front>,
-    teller: Option<Arc<Teller>>,
+    teller: Option<Arc<PeerService>>,
 }
 
 impl Handler for Ways {
     fn call(&self, call: Call) {
         match &self.teller {
-            Some(teller) if call.path.starts_with(words::SERVICE) => teller.call(call),
+            Some(teller) if call.path.starts_with(messages::SERVICE_PREFIX) => teller.call(call),
             _ => self.front.call(call),
         }
     }
@@ -315,19 +316,19 @@
     }
     let within = Duration::from_secs_f64(deployment.peers_within_ms / 1e3);
     let service = &deployment.terms.service;
-    let Some(learned) = asking::ask_all(&deployment.peers, service, keeper::now, within) else {
+    let Some(learned) = client::query_all(&deployment.peers, service, clock::now, within) else {
         warn!("no peer told anything: this starts on what it has itself");
         return kept;
     };
-    let (facts, counted) = weigh(
-        &keeper::now(),
+    let (facts, counted) = merge_facts(
+        &clock::now(),
         &kept,
         &learned,
         deployment.terms.warm_after_ms,
     );
     info!(
         ?counted,
-        whole = learned.whole,
+        whole = learned.complete,
         "what peers know is weighed against what was kept"
     );
     facts
--- a/crates/daemon/src/memory.rs
+++ b/crates/daemon/src/memory.rs
@@ -1,10 +1,10 @@
 //! Memory as the daemon and its command line open it.
 
 use dahliapoint_files::seal::Keys;
+use dahliapoint_memory::clock;
+use dahliapoint_memory::directory::FsDirectory;
 use dahliapoint_memory::facts::Facts;
 use dahliapoint_memory::frames::Key;
-use dahliapoint_memory::keeper;
-use dahliapoint_memory::layer::Plain;
 use dahliapoint_memory::store::{Found, Store, recover};
 use std::fmt::Write;
 use std::path::Path;
@@ -23,9 +23,9 @@
 ///
 /// # Errors
 /// What is wrong, in words for an operator.
-pub fn open(dir: &Path, keys: Option<&Path>) -> Result<(Store<Plain>, Facts, Found), String> {
+pub fn open(dir: &Path, keys: Option<&Path>) -> Result<(Store<FsDirectory>, Facts, Found), String> {
     let wrong = |e: std::io::Error| format!("{}: {e}", dir.display());
-    let layer = Plain::open(dir).map_err(wrong)?;
+    let layer = FsDirectory::open(dir).map_err(wrong)?;
     Store::open(layer, key(keys)?).map_err(wrong)
 }
 
@@ -38,20 +38,20 @@
     if !dir.is_dir() {
         return Err(format!("{}: no directory", dir.display()));
     }
-    let mut layer = Plain::look(dir).map_err(wrong)?;
+    let mut layer = FsDirectory::open_read_only(dir).map_err(wrong)?;
     recover(&mut layer, &key(keys)?).map_err(wrong)
 }
 
 /// What is known, for a person.
 pub fn as_table(facts: &Facts) -> String {
-    let now = keeper::now();
+    let now = clock::now();
     let age = |at| match now.since(at) {
         Some(ms) => format!("{:.0} s ago", ms / 1e3),
         None => "nobody knows when".to_string(),
     };
     let mut out = format!("alive {}\n", age(&facts.alive));
     for f in facts.servers.values() {
-        let shut = if f.shut { ", withdrawn" } else { "" };
+        let shut = if f.withdrawn { ", withdrawn" } else { "" };
         let _ = writeln!(
             out,
             "{:<24} {:<22} {:<9} since {:<16} weight {:<6} line {:.2}, {}{shut}",
--- a/crates/intake/examples/worth.rs
+++ b/crates/intake/examples/worth.rs
@@ -1,10 +1,11 @@
-//! What each part of the intake is worth, by itself, on scripted reports: the error of estimates with it
-//! and without. `cargo run --release -p dahliapoint-intake --example worth`; the same figures each time.
+//! Measures what each part of the intake contributes: the error of estimates with and without it,
+//! on scripted reports. Run with `cargo run --release -p dahliapoint-intake --example worth`; the
+//! figures are the same each time.
 
-use dahliapoint_intake::estimates::{Estimates, Noted};
-use dahliapoint_intake::mouth::{Line, Mouth};
-use dahliapoint_intake::pace::Interval;
-use dahliapoint_intake::sampling::{Chance, fate, odds, quota, threshold};
+use dahliapoint_intake::estimates::{Estimates, Observation};
+use dahliapoint_intake::interval::ReportInterval;
+use dahliapoint_intake::report_queue::{Line, ReportQueue};
+use dahliapoint_intake::sampling::{Rng, keep_probability, quota, sample, threshold};
 use dahliapoint_intake::timeline::Timeline;
 
 const SERVERS: usize = 100;
@@ -23,21 +24,21 @@
     (at(0.5) * 100.0, at(0.99) * 100.0)
 }
 
-/// Tries that each reporter met at each server: a few servers much used, reporters of unequal size, and one
-/// that is fifty times as loud as the rest.
-fn sizes(chance: &mut Chance) -> Vec<Vec<f64>> {
+/// Tries by reporter and server: a few servers get most of the load, reporters differ in size, and
+/// one sends fifty times as much as the rest.
+fn sizes(chance: &mut Rng) -> Vec<Vec<f64>> {
     let loud = |r: usize| if r == 0 { 50.0 } else { 1.0 + (r % 7) as f64 };
     let much = |s: usize| 20.0 / (1.0 + s as f64).sqrt();
-    let one = |r: usize, chance: &mut Chance| {
+    let one = |r: usize, chance: &mut Rng| {
         (0..SERVERS)
-            .map(|s| (loud(r) * much(s) * chance.draw()).round())
+            .map(|s| (loud(r) * much(s) * chance.next_f64()).round())
             .collect()
     };
     (0..REPORTERS).map(|r| one(r, chance)).collect()
 }
 
 fn sampling() {
-    let mut chance = Chance::from(3);
+    let mut chance = Rng::from_seed(3);
     let room = SERVERS * REPORTERS / 10;
     let (mut ours, mut plain, mut first) = (Vec::new(), Vec::new(), Vec::new());
     for _ in 0..40 {
@@ -56,14 +57,15 @@
         for r in &sizes {
             let level = threshold(r, each);
             for (s, size) in r.iter().enumerate() {
-                let odds = odds(*size, level).max(odds(*size, by_server[s]));
-                if let Some((factor, _)) = fate(*size, odds, &mut chance) {
+                let odds =
+                    keep_probability(*size, level).max(keep_probability(*size, by_server[s]));
+                if let Some((factor, _)) = sample(*size, odds, &mut chance) {
                     sums[0][s] += size * factor;
                 }
-                if chance.draw() < 0.1 {
+                if chance.next_f64() < 0.1 {
                     sums[1][s] += size * 10.0;
                 }
-                // Read as they come until the room is full, the rest dropped.
+                // Read in order of arrival until the capacity is used up; the rest is dropped.
                 if left > 0 {
                     left -= 1;
                     sums[2][s] += size;
@@ -87,10 +89,10 @@
     }
 }
 
-/// One reporter in four stalls for ten seconds and then tells all at once.
+/// One reporter in four stalls for ten seconds and then sends everything at once.
 fn ageing() {
     let (mut placed, mut arrived) = (Estimates::new(500.0, 1), Estimates::new(500.0, 1));
-    let mut clocks = vec![Timeline::begun(0.0); REPORTERS];
+    let mut clocks = vec![Timeline::new(0.0); REPORTERS];
     let mut held: Vec<u32> = vec![0; REPORTERS];
     let (mut ours, mut plain) = (Vec::new(), Vec::new());
     for round in 1..120_u32 {
@@ -103,7 +105,7 @@
             }
             for _ in 0..std::mem::take(&mut held[r]) {
                 let stretch = clocks[r].place(now, 500.0);
-                let noted = |begin, end| Noted {
+                let noted = |begin, end| Observation {
                     server: 0,
                     zone: 0,
                     begin,
@@ -113,15 +115,15 @@
                     good_ms: 40.0,
                     variance: 0.0,
                 };
-                placed.note(now, &noted(stretch.begin, stretch.end));
-                arrived.note(now, &noted(now - 500.0, now));
+                placed.record(now, &noted(stretch.begin, stretch.end));
+                arrived.record(now, &noted(now - 500.0, now));
             }
         }
-        // The two seconds before, when nobody stalls now: what was really tried is known.
+        // The last two seconds, while nobody stalls: the true number of tries is known.
         if (round / 20) % 2 == 0 && round > 6 {
             let truth = 2.0 * REPORTERS as f64 * 4.0;
             let error = |e: &Estimates| {
-                (e.of(now, 0, 2_000.0).map_or(0.0, |e| e.tries) / truth - 1.0).abs()
+                (e.estimate(now, 0, 2_000.0).map_or(0.0, |e| e.tries) / truth - 1.0).abs()
             };
             ours.push(error(&placed));
             plain.push(error(&arrived));
@@ -143,13 +145,13 @@
 fn back_pressure() {
     println!("twice as many lines come as can be read, for a minute; left unread:");
     for asks in [true, false] {
-        let mut interval = Interval::new(0.0, 500.0, 4_000.0);
-        let mut mouth: Mouth<usize, usize> = Mouth::new(500.0, 1000, 1);
-        (0..REPORTERS).for_each(|r| mouth.begun(0.0, r));
+        let mut interval = ReportInterval::new(0.0, 500.0, 4_000.0);
+        let mut mouth: ReportQueue<usize, usize> = ReportQueue::new(500.0, 1000, 1);
+        (0..REPORTERS).for_each(|r| mouth.stream_started(0.0, r));
         let mut next = vec![0.0; REPORTERS];
         for round in 1..120 {
             let now = f64::from(round) * 500.0;
-            let before = mouth.tally.lines;
+            let before = mouth.stats.lines;
             for (r, due) in next.iter_mut().enumerate() {
                 let every = if asks { interval.ms() } else { 500.0 };
                 if now >= *due {
@@ -163,14 +165,14 @@
                             },
                         )
                     });
-                    let _ = mouth.put(now, &r, every, lines, std::iter::empty());
+                    let _ = mouth.push(now, &r, every, lines, std::iter::empty());
                 }
             }
-            interval.heard(now, (mouth.tally.lines - before) as f64, 500.0);
+            interval.observe(now, (mouth.stats.lines - before) as f64, 500.0);
             mouth.read(now, 2_000);
         }
-        let t = mouth.tally;
-        let share = t.left as f64 / (t.left + t.read) as f64 * 100.0;
+        let t = mouth.stats;
+        let share = t.sampled_out as f64 / (t.sampled_out + t.read) as f64 * 100.0;
         let name = if asks {
             "the interval is moved"
         } else {
@@ -183,10 +185,10 @@
     }
 }
 
-/// Reports come two hundred times as often as rounds are read.
+/// Reports arrive two hundred times as often as they are read.
 fn merging() {
-    let mut mouth: Mouth<usize, usize> = Mouth::new(500.0, 1000, 1);
-    (0..REPORTERS).for_each(|r| mouth.begun(0.0, r));
+    let mut mouth: ReportQueue<usize, usize> = ReportQueue::new(500.0, 1000, 1);
+    (0..REPORTERS).for_each(|r| mouth.stream_started(0.0, r));
     let (mut most, mut read) = (0, 0);
     for i in 0..2_000_u32 {
         let now = f64::from(i) * 2.5;
@@ -200,9 +202,9 @@
                     },
                 )
             });
-            let _ = mouth.put(now, &r, 2.5, lines, std::iter::empty());
+            let _ = mouth.push(now, &r, 2.5, lines, std::iter::empty());
         }
-        most = most.max(mouth.waiting());
+        most = most.max(mouth.pending_lines());
         if i % 200 == 199 {
             read += mouth
                 .read(now, 1_000_000)
@@ -213,12 +215,12 @@
     }
     println!(
         "{} lines told in 5 s, a round each half second:",
-        mouth.tally.lines
+        mouth.stats.lines
     );
     println!("  merged at the mouth                      {read} read, {most} waiting at the most");
     println!(
         "  queued                                   {} read, {} waiting at the most",
-        mouth.tally.lines,
+        mouth.stats.lines,
         200 * REPORTERS * 10
     );
 }
--- a/crates/memory/examples/cost.rs
+++ b/crates/memory/examples/cost.rs
@@ -1,11 +1,12 @@
-//! What remembering costs: bytes a round, a commit, a snapshot, reading a million records back.
-//! `cargo run --release -p dahliapoint-memory --example cost [DIR]`
+//! Measures the cost of persistence: bytes per round, commit time, snapshot time and the time to
+//! read a million records back. Run with `cargo run --release -p dahliapoint-memory --example cost
+//! [DIR]`.
 
 use dahliapoint_control::AdminState;
+use dahliapoint_memory::clock::now;
+use dahliapoint_memory::directory::FsDirectory;
 use dahliapoint_memory::facts::{Change, Facts, ServerFact};
 use dahliapoint_memory::frames::Key;
-use dahliapoint_memory::keeper::now;
-use dahliapoint_memory::layer::Plain;
 use dahliapoint_memory::store::{Store, recover};
 use std::path::PathBuf;
 use std::time::Instant;
@@ -23,7 +24,7 @@
         weight: 1.0,
         share,
         judged: now(),
-        shut: false,
+        withdrawn: false,
     })
 }
 
@@ -34,7 +35,7 @@
     for key in [Key::default(), Key(Some(vec![7; 32]))] {
         let keyed = if key.0.is_some() { "keyed" } else { "plain" };
         for servers in [115, 384] {
-            let (mut store, ..) = Store::open(Plain::open(&dir)?, key.clone())?;
+            let (mut store, ..) = Store::open(FsDirectory::open(&dir)?, key.clone())?;
             let mut times = Vec::new();
             let mut bytes = 0;
             for round in 0..50 {
@@ -53,7 +54,7 @@
             drop(store);
             std::fs::remove_dir_all(&dir)?;
         }
-        let (mut store, ..) = Store::open(Plain::open(&dir)?, key.clone())?;
+        let (mut store, ..) = Store::open(FsDirectory::open(&dir)?, key.clone())?;
         let mut facts = Facts::default();
         for n in 0..RECORDS / GROUP {
             let group: Vec<_> = (0..GROUP)
@@ -66,21 +67,21 @@
         }
         drop(store);
         let begun = Instant::now();
-        let (_, found) = recover(&mut Plain::look(&dir)?, &key)?;
+        let (_, found) = recover(&mut FsDirectory::open_read_only(&dir)?, &key)?;
         println!(
             "{keyed}, {} records read back in {:?}",
             found.records,
             begun.elapsed()
         );
         let begun = Instant::now();
-        let (mut store, facts, _) = Store::open(Plain::open(&dir)?, key.clone())?;
+        let (mut store, facts, _) = Store::open(FsDirectory::open(&dir)?, key.clone())?;
         println!("{keyed}, opened and compacted in {:?}", begun.elapsed());
         let begun = Instant::now();
-        store.begin(&facts)?;
+        store.begin_generation(&facts)?;
         let mut longest = std::time::Duration::ZERO;
         loop {
             let slice = Instant::now();
-            let more = store.step(256)?;
+            let more = store.write_snapshot_records(256)?;
             longest = longest.max(slice.elapsed());
             if !more {
                 break;
--- a/crates/memory/src/ageing.rs
+++ b/crates/memory/src/restore.rs
@@ -1,49 +1,52 @@
-//! What old knowledge is worth, free of I/O: an ordered list of short rules, each a condition and an effect;
-//! for each server of the roster the first that says something decides. Called once, when a controller
-//! begins, with what was kept, the roster as it is now, and the moment.
+//! Decides how far stored facts about servers are still valid after a restart, without I/O. An
+//! ordered list of rules is applied to each server of the roster; the first that applies decides.
+//! Called once at the start with the stored state, the current roster and the current time.
 //!
-//! What comes out is the roster as this controller "last held it": the planner is told that first and the
-//! true roster right after, so what was remembered enters by the same calls as any day's events. A server
-//! remembered as draining that is ready now returns through the ramp; one that the planner had trimmed
-//! begins as if it had warmed up to that share. All times are ratios to the time until a server is warm.
+//! The result is the roster as the controller last knew it. The planner receives it first and the
+//! true roster right after, so that stored facts enter by the same calls as any other event: a
+//! server stored as draining that is ready now returns through the ramp, and one with a reduced
+//! weight starts as if it had warmed up to that share. All times are relative to the warm-up time
+//! of a server.
 
-use crate::facts::{Facts, ServerFact, Stamp};
+use crate::facts::{Facts, ServerFact, Timestamp};
 use dahliapoint_control::{AdminState, Entry};
 
-/// A verdict loses half of its worth in so many times the warming time without being renewed.
+/// Half-life of a stored share that is not renewed, in multiples of the warm-up time.
 const HALF: f64 = 5.0;
-/// A verdict that leaves a line this much is as good as none.
+/// A share above this is treated as full weight.
 const NO_VERDICT: f64 = 0.95;
-/// What a server is taken to be able to do when it was withdrawn and nobody knows since when it is back.
+/// Assumed share of a server that was withdrawn and may have returned at an unknown time.
 const RETURNED: f64 = 0.1;
-/// Of the ready weight no more than this begins below its full share on the word of memory alone.
+/// Maximum share of the ready servers' weight that stored facts may withhold at the start.
 const MOST: f64 = 0.35;
 
-/// A server of the roster, and what is remembered of it.
+/// A server of the roster with its stored fact.
 struct Case<'a> {
     entry: &'a Entry,
     fact: Option<&'a ServerFact>,
-    /// For how long nobody looked; nothing: it cannot be told.
+    /// Time since the controller was last running; `None` if unknown.
     gap_ms: Option<f64>,
-    now: &'a Stamp,
+    now: &'a Timestamp,
     warm_ms: f64,
 }
 
-/// How a server is told to the planner.
+/// How a server is presented to the planner.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Recall {
-    /// As the roster has it.
+pub enum Restored {
+    /// As in the roster.
     AsListed,
-    /// As draining: it returns now.
-    Returns,
-    /// Not at all: it is new, and enters as one that was started.
+    /// As draining, so that it returns now.
+    Returning,
+    /// Left out, so that it enters as newly started.
     New,
-    /// As if so much of its warming were over.
+    /// As if this share of its warm-up were over.
     Share(f64),
 }
 
-type Rule = fn(&Case) -> Option<Recall>;
+/// Decides how a server is restored; `None` if the rule does not apply.
+type Rule = fn(&Case) -> Option<Restored>;
 
+/// The rules in order; the first that applies decides.
 const RULES: [Rule; 6] = [
     the_roster_knows_who_is_not_ready,
     a_start_that_is_told_holds,
@@ -53,81 +56,88 @@
     a_verdict_fades,
 ];
 
-/// Stored facts never bring a server back: gone and draining are the roster's to say.
-fn the_roster_knows_who_is_not_ready(c: &Case) -> Option<Recall> {
-    (c.entry.state != AdminState::Ready).then_some(Recall::AsListed)
+/// Stored facts never make a server ready: only the roster says which servers are gone or draining.
+fn the_roster_knows_who_is_not_ready(c: &Case) -> Option<Restored> {
+    (c.entry.state != AdminState::Ready).then_some(Restored::AsListed)
 }
 
-/// A start time does not age: who started lately is cold, whatever is remembered of its life before.
-fn a_start_that_is_told_holds(c: &Case) -> Option<Recall> {
+/// A start time in the roster counts as it is: a server that started recently is cold, whatever is
+/// stored about it.
+fn a_start_that_is_told_holds(c: &Case) -> Option<Restored> {
     let fresh = c.entry.started.is_some_and(|(ago, _)| ago < c.warm_ms);
-    fresh.then_some(Recall::AsListed)
+    fresh.then_some(Restored::AsListed)
 }
 
-/// Guards against a machine that took over a name while we were down being sent a warm one's visits.
-fn a_name_at_another_address_is_another_server(c: &Case) -> Option<Recall> {
+/// Prevents another machine that took over the name during the downtime from receiving a warm
+/// server's visits.
+fn a_name_at_another_address_is_another_server(c: &Case) -> Option<Restored> {
     let other = c.fact.is_some_and(|f| f.address != c.entry.address);
     other.then(|| unknown(c))
 }
 
-fn who_was_not_known_is_new(c: &Case) -> Option<Recall> {
+/// A server without a stored fact.
+fn who_was_not_known_is_new(c: &Case) -> Option<Restored> {
     c.fact.is_none().then(|| unknown(c))
 }
 
-/// Nobody has seen it. Within a warming time it cannot be warm; after a longer gap it is taken as a
-/// controller's start takes it: at full weight. May harm when the gap cannot be told: then it is full too,
-/// as without any memory.
-fn unknown(c: &Case) -> Recall {
+/// A server without a valid fact. Within a warm-up time it cannot be warm; after a longer downtime
+/// it gets full weight, as at a start without stored facts. So it does if the length of the
+/// downtime is unknown, although the server may be cold.
+fn unknown(c: &Case) -> Restored {
     match c.gap_ms {
-        Some(gap) if gap < c.warm_ms => Recall::New,
-        _ => Recall::AsListed,
+        Some(gap) if gap < c.warm_ms => Restored::New,
+        _ => Restored::AsListed,
     }
 }
 
-/// Guards against a server that came back under the same name while we were down: it has just started, or
-/// it has been warm for long. Until a warming time has passed it returns as it would have before our eyes;
-/// from then on the doubt fades. May harm by a ramp that was not needed.
-fn a_drain_stays_one_until_the_roster_says_otherwise(c: &Case) -> Option<Recall> {
-    let fact = c.fact.filter(|f| f.state != AdminState::Ready || f.shut)?;
+/// A server that was draining, gone or withdrawn and is ready now may have just started, or may
+/// have been warm for long. Until a warm-up time has passed it returns through the ramp, as while
+/// the controller runs; from then on the doubt decays. The cost is a ramp that may not be needed.
+fn a_drain_stays_one_until_the_roster_says_otherwise(c: &Case) -> Option<Restored> {
+    let fact = c
+        .fact
+        .filter(|f| f.state != AdminState::Ready || f.withdrawn)?;
     Some(match c.gap_ms {
         Some(gap) if gap >= c.warm_ms => faded(RETURNED, Some(gap - c.warm_ms), c.warm_ms),
-        Some(_) => Recall::Returns,
+        Some(_) => Restored::Returning,
         None => faded(RETURNED, c.now.since(&fact.since), c.warm_ms),
     })
 }
 
-/// What was slow or failing may be so still: it begins with what its line had come to, the less so the
-/// longer that was not renewed. A moment that lies ahead of now is no fresh one: nobody knows its age.
-fn a_verdict_fades(c: &Case) -> Option<Recall> {
+/// A server that was slow or failing may still be so: it starts with its stored share, which
+/// approaches 1 with its age. A time in the future gives no age, so the share is ignored.
+fn a_verdict_fades(c: &Case) -> Option<Restored> {
     let fact = c.fact.filter(|f| f.share < NO_VERDICT)?;
     Some(faded(fact.share, c.now.since(&fact.judged), c.warm_ms))
 }
 
-fn faded(share: f64, age: Option<f64>, warm_ms: f64) -> Recall {
+/// A stored share, brought closer to 1 the older it is.
+fn faded(share: f64, age: Option<f64>, warm_ms: f64) -> Restored {
     let worth = age.map_or(0.0, |age| 0.5_f64.powf(age / (HALF * warm_ms)));
     let left = 1.0 - (1.0 - share.clamp(0.0, 1.0)) * worth;
     match left < NO_VERDICT {
-        true => Recall::Share(left),
-        false => Recall::AsListed,
+        true => Restored::Share(left),
+        false => Restored::AsListed,
     }
 }
 
-/// How doubtful a recall is: the higher, the sooner it is let go when there is too much of it.
-fn doubt(recall: Recall) -> f64 {
+/// How doubtful a restored fact is; the most doubtful are dropped first if there are too many.
+fn doubt(recall: Restored) -> f64 {
     match recall {
-        Recall::AsListed | Recall::Returns => 0.0,
-        Recall::Share(share) => 1.0 + share,
-        Recall::New => 3.0,
+        Restored::AsListed | Restored::Returning => 0.0,
+        Restored::Share(share) => 1.0 + share,
+        Restored::New => 3.0,
     }
 }
 
-/// The roster as the planner is to be told first, and how each server of it was recalled.
-pub fn recall(
-    now: &Stamp,
+/// Returns the roster to present to the planner first, and how each server of the given roster was
+/// restored.
+pub fn restore_roster(
+    now: &Timestamp,
     facts: &Facts,
     roster: &[Entry],
     warm_ms: f64,
-) -> (Vec<Entry>, Vec<Recall>) {
+) -> (Vec<Entry>, Vec<Restored>) {
     let gap_ms = now.since(&facts.alive);
     let case = |entry| Case {
         entry,
@@ -139,18 +149,18 @@
     let decide = |entry| {
         let case = case(entry);
         let said = RULES.iter().find_map(|rule| rule(&case));
-        said.unwrap_or(Recall::AsListed)
+        said.unwrap_or(Restored::AsListed)
     };
-    let mut recalled: Vec<Recall> = roster.iter().map(decide).collect();
+    let mut recalled: Vec<Restored> = roster.iter().map(decide).collect();
     not_too_much_at_once(roster, &mut recalled);
     let told = roster.iter().zip(&recalled).filter_map(|(entry, recall)| {
         let mut entry = entry.clone();
         match recall {
-            Recall::AsListed => {}
-            Recall::Returns => entry.state = AdminState::Draining,
-            Recall::New => return None,
-            Recall::Share(share) => {
-                // A stamp of its own: the roster's next word replaces it.
+            Restored::AsListed => {}
+            Restored::Returning => entry.state = AdminState::Draining,
+            Restored::New => return None,
+            Restored::Share(share) => {
+                // A marker of its own, so that the roster's next start time replaces it.
                 entry.started = Some((warm_ms * share, u64::MAX));
             }
         }
@@ -159,17 +169,17 @@
     (told.collect(), recalled)
 }
 
-/// Guards against a memory that is wrong about many at once (a fleet that was changed while we were down, a
-/// site that was all slow): a fleet that begins on a tenth of its weight is worse than one that begins as
-/// listed. The most doubtful are let go first. May harm when a third of the fleet really is cold: then the
-/// planner's own rule for cold servers is what is left.
-fn not_too_much_at_once(roster: &[Entry], recalled: &mut [Recall]) {
+/// Limits the damage if the stored facts are wrong about many servers at once (the fleet was
+/// replaced during the downtime, or a whole site was slow): starting with a tenth of the weight is
+/// worse than starting as listed. The most doubtful facts are dropped first. If a third of the
+/// fleet is really cold, only the planner's own rule for cold servers remains.
+fn not_too_much_at_once(roster: &[Entry], recalled: &mut [Restored]) {
     let ready = |e: &Entry| e.state == AdminState::Ready;
     let all: f64 = roster.iter().filter(|e| ready(e)).map(|e| e.weight).sum();
-    let lost = |recall: &Recall, weight: f64| match recall {
-        Recall::AsListed => 0.0,
-        Recall::Share(share) => weight * (1.0 - share),
-        Recall::Returns | Recall::New => weight,
+    let lost = |recall: &Restored, weight: f64| match recall {
+        Restored::AsListed => 0.0,
+        Restored::Share(share) => weight * (1.0 - share),
+        Restored::Returning | Restored::New => weight,
     };
     let mut sum: f64 = roster
         .iter()
@@ -186,7 +196,7 @@
             return;
         }
         sum -= lost(&recalled[i], roster[i].weight);
-        recalled[i] = Recall::AsListed;
+        recalled[i] = Restored::AsListed;
     }
 }
 
@@ -197,8 +207,8 @@
 
     const WARM: f64 = 10_000.0;
 
-    fn at(ms: f64) -> Stamp {
-        Stamp {
+    fn at(ms: f64) -> Timestamp {
+        Timestamp {
             wall_ms: 1e12 + ms,
             boot: "b".into(),
             up_ms: 1e6 + ms,
@@ -226,12 +236,12 @@
             weight: 1.0,
             share,
             judged: at(0.0),
-            shut: false,
+            withdrawn: false,
         }
     }
 
-    /// One server among twenty that are well; down from 0 until then.
-    fn one(fact: Option<ServerFact>, entry: Entry, now: Stamp) -> Recall {
+    /// Restores one server among twenty healthy ones, after a downtime that began at time 0.
+    fn one(fact: Option<ServerFact>, entry: Entry, now: Timestamp) -> Restored {
         let mut facts = Facts {
             alive: at(0.0),
             ..Facts::default()
@@ -247,24 +257,24 @@
         if let Some(fact) = fact {
             facts.servers.insert(fact.name.clone(), fact);
         }
-        let (_, recalled) = recall(&now, &facts, &roster, WARM);
-        assert!(recalled[1..].iter().all(|r| *r == Recall::AsListed));
+        let (_, recalled) = restore_roster(&now, &facts, &roster, WARM);
+        assert!(recalled[1..].iter().all(|r| *r == Restored::AsListed));
         recalled[0]
     }
 
     #[test]
     fn each_fact_ages_by_its_own_rule() {
-        use Recall::{AsListed, New, Returns, Share};
+        use Restored::{AsListed, New, Returning, Share};
         let s = |state| entry("s", state, None);
         let moved = ServerFact {
             address: "2:2".into(),
             ..fact("s", Ready, 1.0)
         };
-        let elsewhere = Stamp {
+        let elsewhere = Timestamp {
             boot: "other".into(),
             ..at(-5_000.0)
         };
-        let leapt = Stamp {
+        let leapt = Timestamp {
             wall_ms: 0.0,
             ..at(1_000.0)
         };
@@ -296,14 +306,14 @@
                 Some(fact("s", Draining, 1.0)),
                 s(Ready),
                 at(1e3),
-                Returns,
+                Returning,
             ),
             (
                 "gone, and back",
                 Some(fact("s", Gone, 1.0)),
                 s(Ready),
                 at(9_999.0),
-                Returns,
+                Returning,
             ),
             (
                 "back perhaps for long",
@@ -384,7 +394,7 @@
         let mut roster = Vec::new();
         for i in 0..30 {
             let name = format!("s{i}");
-            // Ten well, ten slow, ten that nobody knows.
+            // Ten healthy, ten slow, ten unknown.
             if i < 20 {
                 let share = if i < 10 { 1.0 } else { 0.2 };
                 facts
@@ -393,11 +403,11 @@
             }
             roster.push(entry(&name, Ready, None));
         }
-        let (told, recalled) = recall(&at(1.0), &facts, &roster, WARM);
-        let new = recalled.iter().filter(|r| **r == Recall::New).count();
+        let (told, recalled) = restore_roster(&at(1.0), &facts, &roster, WARM);
+        let new = recalled.iter().filter(|r| **r == Restored::New).count();
         let slow = recalled
             .iter()
-            .filter(|r| matches!(r, Recall::Share(_)))
+            .filter(|r| matches!(r, Restored::Share(_)))
             .count();
         assert_eq!((new, slow), (2, 10), "the unknown are let go first");
         assert_eq!(told.len(), 28);
--- a/crates/peer/src/telling.rs
+++ b/crates/peer/src/service.rs
@@ -1,64 +1,66 @@
-//! What a running controller tells one that asks. What would change what the asker does goes first: if the teller
-//! dies halfway, that is what has come.
+//! The answer of a running controller to a new one. Facts that change what the new controller does
+//! are sent first, so that they have arrived if this controller dies midway.
 
-use crate::words::{Ask, End, Head, Said, ServerWord, Servers, TELL, Word};
+use crate::messages::{Ask, End, Head, Said, ServerWord, Servers, TELL_METHOD, Word};
 use dahliapoint_control::AdminState;
 use dahliapoint_grpc::{Call, Code, Handler, Status};
-use dahliapoint_memory::facts::{Facts, ServerFact, Stamp};
+use dahliapoint_memory::facts::{Facts, ServerFact, Timestamp};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant;
 use tracing::{debug, info};
 
-/// Words about servers in one message.
+/// Facts per message.
 const BATCH: usize = 64;
-/// Askers that are answered at one time; more are told to come again.
+/// Maximum number of concurrent answers; further callers are rejected.
 const MOST: usize = 4;
-/// A share below this is a verdict.
+/// A share below this is a reduced weight.
 const VERDICT: f64 = 0.95;
 
-/// What is known now; the owner writes it once a round, tellers read it.
+/// The current facts; the owner updates them once a round, and the service reads them.
 #[derive(Clone, Default)]
-pub struct Known(Arc<Mutex<Facts>>);
+pub struct SharedFacts(Arc<Mutex<Facts>>);
 
-impl Known {
-    /// The facts, for a moment.
-    pub fn hold(&self) -> MutexGuard<'_, Facts> {
+impl SharedFacts {
+    /// Locks the facts.
+    pub fn lock(&self) -> MutexGuard<'_, Facts> {
         self.0.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
 
-/// How useful a word is: what is withdrawn or draining, then verdicts, the worse first, then the rest.
+/// Sort key of a fact: withdrawn and draining servers first, then reduced weights, lowest first,
+/// then the rest.
 fn rank(f: &ServerFact) -> (u8, u64) {
-    let away = f.shut || f.state != AdminState::Ready;
+    let away = f.withdrawn || f.state != AdminState::Ready;
     let class = match (away, f.share < VERDICT) {
         (true, _) => 0,
         (false, true) => 1,
         (false, false) => 2,
     };
-    // Shares are not negative: their bits are in their order.
+    // Shares are non-negative, so their bit patterns sort like the shares.
     (class, f.share.max(0.0).to_bits())
 }
 
-/// All that is to be told, the most useful first; the same each time.
-pub fn in_order(facts: &Facts, now: &Stamp) -> Vec<ServerWord> {
+/// All facts to send, most useful first, in a deterministic order.
+pub fn prioritized(facts: &Facts, now: &Timestamp) -> Vec<ServerWord> {
     let mut all: Vec<&ServerFact> = facts.servers.values().collect();
     all.sort_by(|a, b| rank(a).cmp(&rank(b)).then_with(|| a.name.cmp(&b.name)));
     all.into_iter().map(|f| ServerWord::of(now, f)).collect()
 }
 
-/// Answers askers.
-pub struct Teller {
+/// Answers queries of new controllers.
+pub struct PeerService {
     service: String,
-    known: Known,
+    known: SharedFacts,
     begun: Instant,
-    clock: fn() -> Stamp,
+    clock: fn() -> Timestamp,
     at_work: AtomicUsize,
 }
 
-impl Teller {
-    pub fn new(service: &str, known: Known, clock: fn() -> Stamp) -> Arc<Teller> {
-        Arc::new(Teller {
+impl PeerService {
+    /// Creates the service for the controller of `service`; `clock` gives the current time.
+    pub fn new(service: &str, known: SharedFacts, clock: fn() -> Timestamp) -> Arc<PeerService> {
+        Arc::new(PeerService {
             service: service.into(),
             known,
             begun: Instant::now(),
@@ -67,6 +69,7 @@
         })
     }
 
+    /// Reads the query and sends all facts. Returns their number.
     fn tell(&self, call: &mut Call) -> Result<usize, Status> {
         let ask: Ask = match call.inbound.message()? {
             Some(ask) => ask,
@@ -76,9 +79,9 @@
             let why = format!("this controls {:?}, not {:?}", self.service, ask.service);
             return Err(Status::new(Code::FailedPrecondition, why));
         }
-        // A copy: nobody waits for an asker that reads slowly.
+        // Sends a copy, so that a slow reader does not hold the lock.
         let now = (self.clock)();
-        let words = in_order(&self.known.hold(), &now);
+        let words = prioritized(&self.known.lock(), &now);
         let head = Head {
             service: self.service.clone(),
             runs_ms: self.begun.elapsed().as_secs_f64() * 1e3,
@@ -98,9 +101,9 @@
     }
 }
 
-impl Handler for Teller {
+impl Handler for PeerService {
     fn call(&self, mut call: Call) {
-        if call.path != TELL {
+        if call.path != TELL_METHOD {
             let status = Status::new(Code::Unimplemented, format!("no method {}", call.path));
             return call.outbound.finish(&status);
         }
