--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -7,7 +7,7 @@
 use crate::servers::{Servers, Slot};
 use crate::ward::{Channel, Rate, Ward, WardView};
 use crate::{AdminState, Entry, FurtherTry, Input, Line, LineState, Message, Output, Report};
-use crate::{Scope, Session, Terms, Way};
+use crate::{ControllerSettings, Scope, Session, Way};
 use dahliapoint::rules::Planner;
 use dahliapoint::{Admission, Class, Extent, Listed, Opening, Orders, Standing, Tries};
 use dahliapoint_intake::belief::Change;
@@ -34,7 +34,7 @@
 
 /// See the crate's head for how it is called.
 pub struct Controller {
-    terms: Terms,
+    terms: ControllerSettings,
     patience: Patience,
     presence: Presence,
     planner: Planner,
@@ -126,8 +126,8 @@
     pub guard: WardView,
 }
 
-fn opening(terms: &Terms) -> Opening {
-    let limit = (terms.most_messages - terms.writes_by_joining) / terms.writes_by_message;
+fn opening(terms: &ControllerSettings) -> Opening {
+    let limit = (terms.max_messages - terms.writes_per_join) / terms.writes_per_message;
     Opening {
         zones: terms.zones.len(),
         classes: terms
@@ -138,29 +138,25 @@
                 earnings: c.earnings,
             })
             .collect(),
-        admission: match terms.shares {
+        admission: match terms.admission_control {
             true => Admission::Share,
             false => Admission::Unused,
         },
-        most_waiting: terms.most_waiting,
+        most_waiting: terms.max_queued_lines,
         lines_per_ms: terms.lines_per_s / 1000.0,
-        way_ms: terms.way_ms,
-        message_lines: terms.message_lines,
-        idle_ms: terms.idle_ms,
-        standing_lines: terms.standing_lines,
-        most_messages: if terms.most_messages > 0.0 {
-            limit
-        } else {
-            0.0
-        },
-        message_span_ms: terms.message_span_ms,
-        report_every_ms: terms.report_every_ms,
+        way_ms: terms.message_latency_ms,
+        message_lines: terms.message_overhead_lines,
+        idle_ms: terms.idle_timeout_ms,
+        standing_lines: terms.initial_servers,
+        most_messages: if terms.max_messages > 0.0 { limit } else { 0.0 },
+        message_span_ms: terms.message_window_ms,
+        report_every_ms: terms.report_interval_ms,
         reports_per_ms: terms.reports_per_s / 1000.0,
-        cold_share: terms.cold_share,
-        warm_after_ms: terms.warm_after_ms,
-        fall_multiple: terms.fall_multiple,
-        dropped_may_stay: terms.dropped_may_stay,
-        usual_tries: match terms.usual_tries {
+        cold_share: terms.cold_capacity_share,
+        warm_after_ms: terms.warm_up_ms,
+        fall_multiple: terms.overload_multiple,
+        dropped_may_stay: terms.keep_unlisted_servers,
+        usual_tries: match terms.default_retry_policy {
             FurtherTry::Never => Tries::Never,
             FurtherTry::OnProof => Tries::OnProof,
             FurtherTry::OnFailure => Tries::OnFailure,
@@ -174,17 +170,17 @@
 impl Controller {
     /// A controller that has been told nothing yet. Times are milliseconds on a clock that never goes
     /// back; `seed` is where all chance comes from.
-    pub fn begun(now: f64, seed: u64, terms: Terms) -> Controller {
+    pub fn begun(now: f64, seed: u64, terms: ControllerSettings) -> Controller {
         let zones = terms.zones.iter().cloned().zip(0..).collect();
         let classes = terms.classes.iter().map(|c| c.name.clone()).zip(0..);
         let usual = Way {
             share: 1.0,
-            tries: terms.usual_tries,
+            tries: terms.default_retry_policy,
         };
         Controller {
             planner: Planner::begun(now, seed, &opening(&terms)),
             patience: Patience::of(&terms),
-            presence: Presence::new(terms.beat_ms),
+            presence: Presence::new(terms.heartbeat_interval_ms),
             servers: Servers::default(),
             moved: Vec::new(),
             proxies: BTreeMap::new(),
@@ -196,7 +192,7 @@
             ways: vec![usual; terms.classes.len()],
             reports: Reports::new(
                 now,
-                terms.report_every_ms,
+                terms.report_interval_ms,
                 terms.zones.len(),
                 terms.classes.len(),
             ),
@@ -219,7 +215,7 @@
         self.between = Some(between);
     }
 
-    pub fn terms(&self) -> &Terms {
+    pub fn settings(&self) -> &ControllerSettings {
         &self.terms
     }
 
@@ -267,7 +263,7 @@
             .values()
             .filter_map(|p| p.outstanding.oldest_serial());
         let oldest = unanswered.min().unwrap_or(u64::MAX);
-        let after = self.terms.warm_after_ms * FORGET;
+        let after = self.terms.warm_up_ms * FORGET;
         for s in self.servers.forget(now, after, oldest) {
             self.reports.forget_server(s);
         }
@@ -393,7 +389,7 @@
         self.by_session.insert(session, index);
         self.by_name.insert(name.clone(), index);
         let known = pace.filter(|p| p.is_finite() && *p >= 0.0);
-        let pace = known.unwrap_or(self.terms.usual_pace) / 1000.0;
+        let pace = known.unwrap_or(self.terms.default_visits_per_s) / 1000.0;
         self.planner.proxy_joined(index, zone, pace);
         self.proxies.insert(
             index,
@@ -612,7 +608,7 @@
                 Tries::OnProof => FurtherTry::OnProof,
                 Tries::OnFailure => FurtherTry::OnFailure,
             };
-            let tries = self.ward.tries(tries, self.terms.classes[class].repeatable);
+            let tries = self.ward.tries(tries, self.terms.classes[class].idempotent);
             self.ways[class] = Way { share, tries };
             touched.ways.entry(part).or_default().push(class);
         }
@@ -701,9 +697,9 @@
     ) {
         let mut parts = self.ward.due();
         parts.extend(asked);
-        let span = self.terms.message_span_ms;
-        let by_message = self.terms.writes_by_message;
-        let most = (self.terms.most_messages - self.terms.writes_by_joining) / by_message;
+        let span = self.terms.message_window_ms;
+        let by_message = self.terms.writes_per_message;
+        let most = (self.terms.max_messages - self.terms.writes_per_join) / by_message;
         let mut channels: BTreeMap<usize, Channel> = BTreeMap::new();
         let mut waiting = 0.0;
         for p in self.proxies.values().filter(|_| !parts.is_empty()) {
@@ -712,7 +708,7 @@
                 let c = channels.entry(part).or_default();
                 c.readers += 1.0;
                 let lately = p.outstanding.lately(now, span) as f64;
-                let limited = self.terms.most_messages > 0.0;
+                let limited = self.terms.max_messages > 0.0;
                 let written = if limited { lately / most.max(1.0) } else { 0.0 };
                 c.written = c.written.max(written);
             }
@@ -888,7 +884,7 @@
         let sent = Sent {
             serial: message.serial,
             mark,
-            lines: lines + self.terms.message_lines,
+            lines: lines + self.terms.message_overhead_lines,
             at: now,
             whole: matches!(message.scope, Scope::Whole(_)),
             withdraws: message.lines.iter().any(|l| l.state != LineState::Open),
@@ -898,12 +894,12 @@
             let Some(proxy) = self.proxies.get_mut(i) else {
                 continue;
             };
-            proxy.outstanding.wrote(sent, self.terms.message_span_ms);
+            proxy.outstanding.wrote(sent, self.terms.message_window_ms);
             proxy.member.unanswered_since.get_or_insert(now);
             sessions.push(proxy.session);
             self.accounts.messages += 1;
             self.accounts.lines += sent.lines as u64;
-            let lately = proxy.outstanding.lately(now, self.terms.message_span_ms);
+            let lately = proxy.outstanding.lately(now, self.terms.message_window_ms);
             self.accounts.most_messages = self.accounts.most_messages.max(lately);
         }
         out.push(Output::Write(sessions, Arc::new(message)));
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -30,54 +30,54 @@
 
 /// What a controller is told about the service when it begins.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Terms {
+pub struct ControllerSettings {
     pub service: String,
     pub zones: Vec<String>,
-    pub classes: Vec<ClassTerms>,
+    pub classes: Vec<ClassSettings>,
     /// Levels: a share of the visits of a class is let in; without it proxies let everything in.
-    pub shares: bool,
+    pub admission_control: bool,
     /// The channel: lines that may wait, lines it sends a second, mean way of a message, lines that a
     /// message costs beyond its own; messages to one proxy within a span (0: no limit).
-    pub most_waiting: f64,
+    pub max_queued_lines: f64,
     pub lines_per_s: f64,
-    pub way_ms: f64,
-    pub message_lines: f64,
-    pub most_messages: f64,
-    pub message_span_ms: f64,
+    pub message_latency_ms: f64,
+    pub message_overhead_lines: f64,
+    pub max_messages: f64,
+    pub message_window_ms: f64,
     /// What the fronts make of one message at most, and of a joining, in messages of the limit above.
-    pub writes_by_message: f64,
-    pub writes_by_joining: f64,
+    pub writes_per_message: f64,
+    pub writes_per_join: f64,
     /// A proxy closes a connection idle for so long, draws so many servers for itself at its start, and
     /// is taken to have so many visits a second if it does not say.
-    pub idle_ms: f64,
-    pub standing_lines: f64,
-    pub usual_pace: f64,
-    pub report_every_ms: f64,
+    pub idle_timeout_ms: f64,
+    pub initial_servers: f64,
+    pub default_visits_per_s: f64,
+    pub report_interval_ms: f64,
     pub reports_per_s: f64,
     /// The cold rule: share at the start, time until warm, multiple that pushes over.
-    pub cold_share: f64,
-    pub warm_after_ms: f64,
-    pub fall_multiple: f64,
+    pub cold_capacity_share: f64,
+    pub warm_up_ms: f64,
+    pub overload_multiple: f64,
     /// The drain rule's grace.
-    pub grace_ms: f64,
-    pub dropped_may_stay: bool,
+    pub drain_grace_ms: f64,
+    pub keep_unlisted_servers: bool,
     /// How proxies try again where no order says otherwise.
-    pub usual_tries: FurtherTry,
+    pub default_retry_policy: FurtherTry,
     pub may_probe: bool,
     /// How often a proxy without a stream is to give a sign of life.
-    pub beat_ms: f64,
+    pub heartbeat_interval_ms: f64,
     /// What is done about tables that are dangerous.
-    pub guard: ward::Guarding,
+    pub guard_mode: ward::Guarding,
 }
 
 /// A class of visits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ClassTerms {
+pub struct ClassSettings {
     pub name: String,
     pub soft_limit_ms: f64,
     pub earnings: f64,
     /// Its visits may be tried again after any failure: no effect comes twice by it.
-    pub repeatable: bool,
+    pub idempotent: bool,
 }
 
 /// What the roster says of a server.
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -4,7 +4,7 @@
 //! How it is called: [`Member`] is what is known of a joined proxy; [`next`] tells the one thing to do
 //! about it now, if any, and notes it. Figures are ratios to the service's own.
 
-use crate::Terms;
+use crate::ControllerSettings;
 
 /// A proxy that does not answer is given up after so many times the grace, or so many ways of a message.
 const SILENT_GRACES: f64 = 4.0;
@@ -33,16 +33,18 @@
 }
 
 impl Patience {
-    pub fn of(terms: &Terms) -> Patience {
-        let ways = terms.way_ms * SILENT_WAYS;
+    pub fn of(terms: &ControllerSettings) -> Patience {
+        let ways = terms.message_latency_ms * SILENT_WAYS;
         // A full channel drains in this time; a proxy at its end must not count as silent.
-        let drained = 2.0 * 1000.0 * terms.most_waiting / terms.lines_per_s;
+        let drained = 2.0 * 1000.0 * terms.max_queued_lines / terms.lines_per_s;
         Patience {
-            silent_ms: (terms.grace_ms * SILENT_GRACES).max(ways).max(drained),
-            withdraw_again_ms: terms.grace_ms * WITHDRAW_AGAIN,
-            withdraw_most_ms: terms.grace_ms * WITHDRAW_MOST,
-            again_ms: terms.grace_ms * AGAIN,
-            room: terms.most_waiting * ROOM,
+            silent_ms: (terms.drain_grace_ms * SILENT_GRACES)
+                .max(ways)
+                .max(drained),
+            withdraw_again_ms: terms.drain_grace_ms * WITHDRAW_AGAIN,
+            withdraw_most_ms: terms.drain_grace_ms * WITHDRAW_MOST,
+            again_ms: terms.drain_grace_ms * AGAIN,
+            room: terms.max_queued_lines * ROOM,
         }
     }
 }
--- a/crates/control/src/record.rs
+++ b/crates/control/src/record.rs
@@ -4,7 +4,7 @@
 //! endian), the CRC-32 of its bytes (u32, little endian), and the bytes: the first frame holds the
 //! [`Begin`], each later one a moment and its inputs, in postcard's encoding.
 
-use crate::{Controller, Input, Output, Terms};
+use crate::{Controller, ControllerSettings, Input, Output};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use std::io::{self, Read, Write};
 
@@ -17,7 +17,7 @@
 pub struct Begin {
     pub now: f64,
     pub seed: u64,
-    pub terms: Terms,
+    pub settings: ControllerSettings,
 }
 
 /// Writes a day down.
@@ -148,7 +148,7 @@
     let begin: Begin = frames
         .next()
         .map_err(|end| format!("the record does not begin: {end:?}"))?;
-    let mut controller = Controller::begun(begin.now, begin.seed, begin.terms);
+    let mut controller = Controller::begun(begin.now, begin.seed, begin.settings);
     let mut frame = frames.next::<(f64, Vec<Input>)>();
     loop {
         let (now, inputs) = match frame {
--- a/crates/control/src/ward.rs
+++ b/crates/control/src/ward.rs
@@ -9,7 +9,7 @@
 //! the channel is full; the rest leaves by the guard's steps, no sooner after each other than its pace.
 
 use crate::servers::Slot;
-use crate::{AdminState, FurtherTry, Terms};
+use crate::{AdminState, ControllerSettings, FurtherTry};
 use dahliapoint_guard::bearing::{Bearing, Carried};
 use dahliapoint_guard::steps::Step;
 use dahliapoint_guard::{Danger, Guard, Line, Reason, Server, Standing};
@@ -150,27 +150,27 @@
 }
 
 impl Ward {
-    pub fn of(terms: &Terms) -> Ward {
+    pub fn of(terms: &ControllerSettings) -> Ward {
         let limits = terms.classes.iter().map(|c| c.soft_limit_ms);
         Ward {
-            mode: terms.guard,
+            mode: terms.guard_mode,
             guard: Guard::default(),
-            bearing: Bearing::new(terms.warm_after_ms),
+            bearing: Bearing::new(terms.warm_up_ms),
             loads: BTreeMap::new(),
-            cold_share: terms.cold_share,
-            warm_after_ms: terms.warm_after_ms,
-            fall_multiple: terms.fall_multiple,
-            late_ms: terms.grace_ms * LATE,
-            pace_ms: (terms.warm_after_ms * PACE).max(terms.report_every_ms),
+            cold_share: terms.cold_capacity_share,
+            warm_after_ms: terms.warm_up_ms,
+            fall_multiple: terms.overload_multiple,
+            late_ms: terms.drain_grace_ms * LATE,
+            pace_ms: (terms.warm_up_ms * PACE).max(terms.report_interval_ms),
             tight_ms: limits.fold(f64::INFINITY, f64::min),
-            most_waiting: terms.most_waiting,
-            dropped_may_stay: terms.dropped_may_stay,
+            most_waiting: terms.max_queued_lines,
+            dropped_may_stay: terms.keep_unlisted_servers,
             owed: BTreeMap::new(),
             unfinished: BTreeMap::new(),
             cold: BTreeSet::new(),
             told: BTreeMap::new(),
             view: WardView {
-                mode: match terms.guard {
+                mode: match terms.guard_mode {
                     Guarding::Off => "off",
                     Guarding::Tell => "tell",
                     Guarding::Hold => "hold",
--- a/crates/control/tests/controller.rs
+++ b/crates/control/tests/controller.rs
@@ -2,47 +2,47 @@
 
 use dahliapoint_control::record::{Begin, End, Recorder, bytes_of, replay};
 use dahliapoint_control::{
-    AdminState, ClassTerms, Controller, Entry, FurtherTry, Input, LineState, MetLine, Output,
-    Report, Scope, Session, Terms,
+    AdminState, ClassSettings, Controller, ControllerSettings, Entry, FurtherTry, Input, LineState,
+    MetLine, Output, Report, Scope, Session,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn terms() -> Terms {
-    let class = |name: &str, earnings| ClassTerms {
+fn terms() -> ControllerSettings {
+    let class = |name: &str, earnings| ClassSettings {
         name: name.into(),
         soft_limit_ms: 1000.0,
         earnings,
-        repeatable: false,
+        idempotent: false,
     };
-    Terms {
+    ControllerSettings {
         service: "portal".into(),
         zones: vec!["east".into(), "west".into()],
         classes: vec![class("view", 1.0), class("set", 2.0)],
-        shares: true,
-        most_waiting: 5_000.0,
+        admission_control: true,
+        max_queued_lines: 5_000.0,
         lines_per_s: 10_000.0,
-        way_ms: 20.0,
-        message_lines: 3.0,
-        most_messages: 40.0,
-        message_span_ms: 10_000.0,
-        writes_by_message: 2.0,
-        writes_by_joining: 4.0,
-        idle_ms: 15_000.0,
-        standing_lines: 12.0,
-        usual_pace: 20.0,
-        report_every_ms: 500.0,
+        message_latency_ms: 20.0,
+        message_overhead_lines: 3.0,
+        max_messages: 40.0,
+        message_window_ms: 10_000.0,
+        writes_per_message: 2.0,
+        writes_per_join: 4.0,
+        idle_timeout_ms: 15_000.0,
+        initial_servers: 12.0,
+        default_visits_per_s: 20.0,
+        report_interval_ms: 500.0,
         reports_per_s: 300.0,
-        cold_share: 0.15,
-        warm_after_ms: 16_000.0,
-        fall_multiple: 3.0,
-        grace_ms: 3_000.0,
-        dropped_may_stay: false,
-        usual_tries: FurtherTry::OnProof,
+        cold_capacity_share: 0.15,
+        warm_up_ms: 16_000.0,
+        overload_multiple: 3.0,
+        drain_grace_ms: 3_000.0,
+        keep_unlisted_servers: false,
+        default_retry_policy: FurtherTry::OnProof,
         may_probe: true,
-        beat_ms: 1_000.0,
-        guard: dahliapoint_control::ward::Guarding::Hold,
+        heartbeat_interval_ms: 1_000.0,
+        guard_mode: dahliapoint_control::ward::Guarding::Hold,
     }
 }
 
@@ -83,7 +83,7 @@
 }
 
 impl Day {
-    fn begun(terms: Terms) -> Day {
+    fn begun(terms: ControllerSettings) -> Day {
         Day {
             controller: Controller::begun(1e6, 7, terms),
             now: 1e6,
@@ -254,8 +254,8 @@
         assert_eq!(open, ["bb", "ccc", "dddd"], "draining and dropped alike");
     }
     // The channel is full of what nobody answers: a joiner waits, but is told what is withdrawn.
-    let mut day = Day::begun(Terms {
-        most_waiting: 150.0,
+    let mut day = Day::begun(ControllerSettings {
+        max_queued_lines: 150.0,
         ..terms()
     });
     day.answering = false;
@@ -447,10 +447,10 @@
 #[test]
 fn many_that_come_back_at_once_are_paced() {
     let most_waiting = 4_000.0;
-    let mut day = Day::begun(Terms {
-        most_waiting,
-        most_messages: 0.0,
-        usual_pace: 0.1,
+    let mut day = Day::begun(ControllerSettings {
+        max_queued_lines: most_waiting,
+        max_messages: 0.0,
+        default_visits_per_s: 0.1,
         ..terms()
     });
     let names: Vec<String> = (0..115)
@@ -574,7 +574,7 @@
         cut in 0.0..1.0_f64,
     ) {
         let mut day = Day::begun(terms());
-        let begin = Begin { now: day.now, seed: 7, terms: terms() };
+        let begin = Begin { now: day.now, seed: 7, settings: terms() };
         let mut record = Recorder::begin(Vec::new(), &begin).unwrap();
         let mut bytes = Vec::new();
         let mut streams = 0;
--- a/crates/control/tests/ward.rs
+++ b/crates/control/tests/ward.rs
@@ -5,8 +5,8 @@
 use dahliapoint::Tries;
 use dahliapoint_control::ward::Guarding;
 use dahliapoint_control::{
-    AdminState, ClassTerms, Controller, Entry, FurtherTry, Input, LineState, MetLine, Output,
-    Report, Scope, Terms,
+    AdminState, ClassSettings, Controller, ControllerSettings, Entry, FurtherTry, Input, LineState,
+    MetLine, Output, Report, Scope,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -18,39 +18,39 @@
 const STEP_MS: f64 = 50.0;
 const ROUND_MS: f64 = 500.0;
 
-fn terms(guard: Guarding) -> Terms {
-    Terms {
+fn terms(guard: Guarding) -> ControllerSettings {
+    ControllerSettings {
         service: "portal".into(),
         zones: vec!["east".into()],
-        classes: vec![ClassTerms {
+        classes: vec![ClassSettings {
             name: "view".into(),
             soft_limit_ms: 1000.0,
             earnings: 1.0,
-            repeatable: false,
+            idempotent: false,
         }],
-        shares: false,
-        most_waiting: 5_000.0,
+        admission_control: false,
+        max_queued_lines: 5_000.0,
         lines_per_s: 10_000.0,
-        way_ms: 20.0,
-        message_lines: 3.0,
-        most_messages: 0.0,
-        message_span_ms: 10_000.0,
-        writes_by_message: 2.0,
-        writes_by_joining: 4.0,
-        idle_ms: 15_000.0,
-        standing_lines: 4.0,
-        usual_pace: 20.0,
-        report_every_ms: ROUND_MS,
+        message_latency_ms: 20.0,
+        message_overhead_lines: 3.0,
+        max_messages: 0.0,
+        message_window_ms: 10_000.0,
+        writes_per_message: 2.0,
+        writes_per_join: 4.0,
+        idle_timeout_ms: 15_000.0,
+        initial_servers: 4.0,
+        default_visits_per_s: 20.0,
+        report_interval_ms: ROUND_MS,
         reports_per_s: 10_000.0,
-        cold_share: 0.15,
-        warm_after_ms: WARM_MS,
-        fall_multiple: 3.0,
-        grace_ms: GRACE_MS,
-        dropped_may_stay: false,
-        usual_tries: FurtherTry::OnProof,
+        cold_capacity_share: 0.15,
+        warm_up_ms: WARM_MS,
+        overload_multiple: 3.0,
+        drain_grace_ms: GRACE_MS,
+        keep_unlisted_servers: false,
+        default_retry_policy: FurtherTry::OnProof,
         may_probe: true,
-        beat_ms: 0.0,
-        guard,
+        heartbeat_interval_ms: 0.0,
+        guard_mode: guard,
     }
 }
 
--- a/crates/daemon/src/deployment.rs
+++ b/crates/daemon/src/deployment.rs
@@ -5,7 +5,7 @@
 use crate::importing::{Foreign, RosterForm};
 use crate::resolving::DnsPlace;
 use dahliapoint_control::ward::Guarding;
-use dahliapoint_control::{ClassTerms, FurtherTry, Terms};
+use dahliapoint_control::{ClassSettings, ControllerSettings, FurtherTry};
 use dahliapoint_files::forms::Form;
 use dahliapoint_files::reach::{Promise, Reach};
 use dahliapoint_hooks::host::Bounds;
@@ -41,7 +41,7 @@
 /// All of a deployment file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deployment {
-    pub terms: Terms,
+    pub terms: ControllerSettings,
     /// By class.
     pub repeats: Vec<Repeat>,
     pub hard_limits_ms: Vec<f64>,
@@ -246,33 +246,33 @@
     at.close();
 
     Deployment {
-        terms: Terms {
+        terms: ControllerSettings {
             service,
             zones,
             classes,
-            shares,
-            most_waiting,
+            admission_control: shares,
+            max_queued_lines: most_waiting,
             lines_per_s,
-            way_ms,
-            message_lines,
-            most_messages,
-            message_span_ms,
-            writes_by_message: RESPONSES_BY_MESSAGE,
-            writes_by_joining: RESPONSES_BY_JOINING,
-            idle_ms,
-            standing_lines,
-            usual_pace,
-            report_every_ms,
+            message_latency_ms: way_ms,
+            message_overhead_lines: message_lines,
+            max_messages: most_messages,
+            message_window_ms: message_span_ms,
+            writes_per_message: RESPONSES_BY_MESSAGE,
+            writes_per_join: RESPONSES_BY_JOINING,
+            idle_timeout_ms: idle_ms,
+            initial_servers: standing_lines,
+            default_visits_per_s: usual_pace,
+            report_interval_ms: report_every_ms,
             reports_per_s,
-            cold_share,
-            warm_after_ms,
-            fall_multiple,
-            grace_ms,
-            dropped_may_stay,
-            usual_tries,
+            cold_capacity_share: cold_share,
+            warm_up_ms: warm_after_ms,
+            overload_multiple: fall_multiple,
+            drain_grace_ms: grace_ms,
+            keep_unlisted_servers: dropped_may_stay,
+            default_retry_policy: usual_tries,
             may_probe,
-            beat_ms: files.as_ref().map_or(0.0, |f| f.beat_ms),
-            guard,
+            heartbeat_interval_ms: files.as_ref().map_or(0.0, |f| f.beat_ms),
+            guard_mode: guard,
         },
         repeats,
         hard_limits_ms,
@@ -464,7 +464,7 @@
     names
 }
 
-fn classes(at: &At) -> (Vec<ClassTerms>, Vec<Repeat>, Vec<f64>) {
+fn classes(at: &At) -> (Vec<ClassSettings>, Vec<Repeat>, Vec<f64>) {
     let (mut classes, mut repeats, mut limits) = (Vec::new(), Vec::new(), Vec::new());
     let mut seen = BTreeSet::new();
     for place in at.list() {
@@ -486,11 +486,11 @@
         if hard_ms < soft {
             hard.wrong("a time no shorter than the soft limit is wanted");
         }
-        classes.push(ClassTerms {
+        classes.push(ClassSettings {
             name,
             soft_limit_ms: soft,
             earnings: place.field("earnings").number(0.001..=1e6, Some(1.0)),
-            repeatable: repeat != Repeat::Never,
+            idempotent: repeat != Repeat::Never,
         });
         repeats.push(repeat);
         limits.push(hard_ms);
--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -7,7 +7,8 @@
 use crate::hooking::Hooking;
 use dahliapoint_control::record::{Begin, Recorder};
 use dahliapoint_control::{
-    Between, Controller, Input, LineState, MetLine, Output, Report, Scope, Session, Terms,
+    Between, Controller, ControllerSettings, Input, LineState, MetLine, Output, Report, Scope,
+    Session,
 };
 use dahliapoint_fibers::{Bell, Queue, Received};
 use dahliapoint_hooks::value::{LineSeen, World};
@@ -194,7 +195,7 @@
     pub fn run(
         &self,
         seed: u64,
-        terms: Terms,
+        terms: ControllerSettings,
         record: Option<&Path>,
         first: Vec<Input>,
         hand: Hand,
@@ -206,7 +207,7 @@
             let begin = Begin {
                 now,
                 seed,
-                terms: terms.clone(),
+                settings: terms.clone(),
             };
             recorder = Some(Recorder::begin(
                 BufWriter::new(File::create(path)?),
@@ -218,7 +219,7 @@
             most: WAITING,
         };
         let budgets = [budget(READING_SHARE), budget(TELLING_SHARE)];
-        let every_ms = terms.report_every_ms;
+        let every_ms = terms.report_interval_ms;
         let work = Work {
             interval: Interval::new(now, every_ms, terms.reports_per_s),
             controller: Controller::begun(now, seed, terms),
@@ -383,7 +384,7 @@
             }
         }
         let controller = &work.controller;
-        let zones = &controller.terms().zones;
+        let zones = &controller.settings().zones;
         if let Some(world) = hooking.sees(&mut work.seen_at, || controller.overview(), zones) {
             work.world = world;
         }
@@ -417,7 +418,7 @@
 
     /// Takes what the mouth holds, as much as may be read in a round, and has it read in slices.
     fn begin_round(&self, work: &mut Work, now: f64) {
-        let per_ms = work.controller.terms().reports_per_s / 1e3;
+        let per_ms = work.controller.settings().reports_per_s / 1e3;
         let room = (per_ms * work.every_ms).max(1.0) as usize;
         let (read, tally) = {
             let mut mouth = lock(&self.mouth);
@@ -504,7 +505,7 @@
         let mut view = serde_json::to_value(controller.overview()).unwrap_or_default();
         view["roster_fault"] = serde_json::json!(*lock(&self.roster_fault));
         let figures = *lock(&self.figures);
-        view["service"] = serde_json::json!(controller.terms().service);
+        view["service"] = serde_json::json!(controller.settings().service);
         view["deciding"] = serde_json::json!({
             "moments": figures.moments,
             "inputs": figures.inputs,
--- a/crates/daemon/src/life.rs
+++ b/crates/daemon/src/life.rs
@@ -128,7 +128,7 @@
             let now = SystemTime::now().duration_since(UNIX_EPOCH);
             now.map_or(1, |d| d.as_nanos() as u64)
         });
-        let engine = Engine::new(clock, seed, terms.report_every_ms);
+        let engine = Engine::new(clock, seed, terms.report_interval_ms);
         let shared: Arc<dyn Owner> = Arc::new(engine.clone());
         let shape = Shape::of(&terms, deployment.connect_ms);
         let front = Front::new(shape, shared.clone(), 1);
@@ -189,7 +189,7 @@
         if !facts.servers.is_empty() {
             // What is remembered goes before what is: it enters as any day's events do.
             let now = keeper::now();
-            let (told, how) = ageing::recall(&now, &facts, &entries, terms.warm_after_ms);
+            let (told, how) = ageing::recall(&now, &facts, &entries, terms.warm_up_ms);
             let doubted = how.iter().filter(|r| **r != Recall::AsListed).count();
             info!(
                 servers,
@@ -319,12 +319,7 @@
         warn!("no peer told anything: this starts on what it has itself");
         return kept;
     };
-    let (facts, counted) = weigh(
-        &keeper::now(),
-        &kept,
-        &learned,
-        deployment.terms.warm_after_ms,
-    );
+    let (facts, counted) = weigh(&keeper::now(), &kept, &learned, deployment.terms.warm_up_ms);
     info!(
         ?counted,
         whole = learned.whole,
--- a/crates/files/src/front.rs
+++ b/crates/files/src/front.rs
@@ -9,7 +9,7 @@
 use crate::seal::Keys;
 use crate::seat::{Seat, Wants};
 use crate::spool::{Said, Spool};
-use dahliapoint_control::{Input, Message, Output, Owner, Session, Terms};
+use dahliapoint_control::{ControllerSettings, Input, Message, Output, Owner, Session};
 use dahliapoint_scheduler::{Budget, Id, Piece, Scheduler, Told};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -127,10 +127,10 @@
         place: Place,
         owner: Arc<dyn Owner>,
         first: Session,
-        terms: &Terms,
+        terms: &ControllerSettings,
     ) -> io::Result<(Arc<Front>, JoinHandle<()>)> {
         std::fs::create_dir_all(&place.dir)?;
-        let spool = Spool::open(&place.dir, place.keys.clone(), terms.report_every_ms)?;
+        let spool = Spool::open(&place.dir, place.keys.clone(), terms.report_interval_ms)?;
         let wall = SystemTime::now().duration_since(UNIX_EPOCH);
         let wall = wall.map_or(0, |d| d.as_millis() as u64);
         let budgets = SHARES.map(|share| Budget {
--- a/crates/standins/src/play.rs
+++ b/crates/standins/src/play.rs
@@ -315,19 +315,19 @@
     let terms = &day.deployment.terms;
     let figures = Figures {
         bare_ms: day.bare_ms,
-        grace_ms: terms.grace_ms,
-        most_waiting: terms.most_waiting,
-        most_messages: terms.most_messages as usize,
-        span_ms: terms.message_span_ms,
+        grace_ms: terms.drain_grace_ms,
+        most_waiting: terms.max_queued_lines,
+        most_messages: terms.max_messages as usize,
+        span_ms: terms.message_window_ms,
     };
     let ledger = Ledger::new(figures, day.classes.len());
     let knows_after_ms = day.deployment.roster_every_ms + MARGIN_MS;
     let world = World::new(terms.zones.clone(), day.servers, ledger, knows_after_ms);
     let world = Arc::new(world);
     let cold = Cold {
-        share: terms.cold_share,
-        warm_after_ms: terms.warm_after_ms,
-        falls_at: terms.fall_multiple,
+        share: terms.cold_capacity_share,
+        warm_after_ms: terms.warm_up_ms,
+        falls_at: terms.overload_multiple,
         falls_in_ms: day.falls_in_ms,
     };
     let never_twice: Vec<bool> = day.classes.iter().map(|c| c.never_twice).collect();
@@ -381,14 +381,14 @@
         by_address: by_address.collect(),
         backends,
         relays: relays.map_err(|e| format!("a relay cannot be started: {e}"))?,
-        channel: Channel::new(terms.lines_per_s, terms.way_ms),
+        channel: Channel::new(terms.lines_per_s, terms.message_latency_ms),
         strikes: day.strikes,
         shun_ms: day.shun_ms,
         apply_us: day.apply_us,
-        standing: terms.standing_lines as usize,
+        standing: terms.initial_servers as usize,
         connect_ms: day.deployment.connect_ms,
-        idle_ms: terms.idle_ms,
-        message_lines: terms.message_lines,
+        idle_ms: terms.idle_timeout_ms,
+        message_lines: terms.message_overhead_lines,
         knows_after_ms,
         seed: day.seed,
         visits: AtomicU64::new(0),
@@ -514,7 +514,7 @@
     }
 
     fn look(&mut self, now: f64) {
-        let warm = self.day.deployment.terms.warm_after_ms;
+        let warm = self.day.deployment.terms.warm_up_ms;
         let told = lock(&self.world.told).clone();
         let open = self.layer.backends.iter().any(|b| {
             let t = &told[b.index];
--- a/crates/standins/src/sabotage.rs
+++ b/crates/standins/src/sabotage.rs
@@ -43,7 +43,7 @@
     dahliapoint_daemon::cli::log(&deployment);
     let terms = deployment.terms.clone();
     let seed = deployment.seed.unwrap_or(1);
-    let engine = Engine::new(Clock::start(), seed, terms.report_every_ms);
+    let engine = Engine::new(Clock::start(), seed, terms.report_interval_ms);
     let owner: Arc<dyn Owner> = Arc::new(engine.clone());
     let shape = Shape::of(&terms, deployment.connect_ms);
     let front = Front::new(shape, owner.clone(), 1);
--- a/crates/xds/src/resources.rs
+++ b/crates/xds/src/resources.rs
@@ -23,7 +23,7 @@
     RetryPolicy, Route, RouteAction, RouteConfiguration, RouteMatch, VirtualHost, route,
     route_action, route_match::PathSpecifier,
 };
-use dahliapoint_control::{FurtherTry, Line, LineState, Terms, Way};
+use dahliapoint_control::{ControllerSettings, FurtherTry, Line, LineState, Way};
 use prost::{Message, Name};
 use sha2::{Digest, Sha256};
 
@@ -45,13 +45,13 @@
 }
 
 impl Shape {
-    pub fn of(terms: &Terms, connect_ms: f64) -> Shape {
+    pub fn of(terms: &ControllerSettings, connect_ms: f64) -> Shape {
         Shape {
             service: terms.service.clone(),
             classes: terms.classes.iter().map(|c| c.name.clone()).collect(),
             zones: terms.zones.clone(),
             connect_ms,
-            shares: terms.shares,
+            shares: terms.admission_control,
         }
     }
 
--- a/crates/xds/tests/protocol.rs
+++ b/crates/xds/tests/protocol.rs
@@ -2,8 +2,8 @@
 //! whatever is refused, lost or asked for twice on the way.
 
 use dahliapoint_control::{
-    AdminState, ClassTerms, Controller, Entry, FurtherTry, Input, Line, LineState, Message, Output,
-    Scope, Terms, Way,
+    AdminState, ClassSettings, Controller, ControllerSettings, Entry, FurtherTry, Input, Line,
+    LineState, Message, Output, Scope, Way,
 };
 use dahliapoint_xds::names::{self, CDS, EDS, LEDS, RDS};
 use dahliapoint_xds::pb::discovery::{DeltaDiscoveryRequest, DiscoveryRequest};
@@ -377,40 +377,40 @@
     assert_eq!(s.next_full().unwrap().resources.len(), 1);
 }
 
-fn terms() -> Terms {
-    let class = |name: &str, earnings| ClassTerms {
+fn terms() -> ControllerSettings {
+    let class = |name: &str, earnings| ClassSettings {
         name: name.into(),
         soft_limit_ms: 1000.0,
         earnings,
-        repeatable: false,
+        idempotent: false,
     };
-    Terms {
+    ControllerSettings {
         service: "portal".into(),
         zones: vec!["east".into(), "west".into()],
         classes: vec![class("view", 1.0), class("set", 2.0)],
-        shares: true,
-        most_waiting: 400.0,
+        admission_control: true,
+        max_queued_lines: 400.0,
         lines_per_s: 10_000.0,
-        way_ms: 20.0,
-        message_lines: 3.0,
-        most_messages: 0.0,
-        message_span_ms: 10_000.0,
-        writes_by_message: 1.0,
-        writes_by_joining: 0.0,
-        idle_ms: 15_000.0,
-        standing_lines: 4.0,
-        usual_pace: 0.3,
-        report_every_ms: 500.0,
+        message_latency_ms: 20.0,
+        message_overhead_lines: 3.0,
+        max_messages: 0.0,
+        message_window_ms: 10_000.0,
+        writes_per_message: 1.0,
+        writes_per_join: 0.0,
+        idle_timeout_ms: 15_000.0,
+        initial_servers: 4.0,
+        default_visits_per_s: 0.3,
+        report_interval_ms: 500.0,
         reports_per_s: 300.0,
-        cold_share: 0.15,
-        warm_after_ms: 16_000.0,
-        fall_multiple: 3.0,
-        grace_ms: 3_000.0,
-        dropped_may_stay: false,
-        usual_tries: FurtherTry::OnProof,
+        cold_capacity_share: 0.15,
+        warm_up_ms: 16_000.0,
+        overload_multiple: 3.0,
+        drain_grace_ms: 3_000.0,
+        keep_unlisted_servers: false,
+        default_retry_policy: FurtherTry::OnProof,
         may_probe: false,
-        beat_ms: 1_000.0,
-        guard: dahliapoint_control::ward::Guarding::Hold,
+        heartbeat_interval_ms: 1_000.0,
+        guard_mode: dahliapoint_control::ward::Guarding::Hold,
     }
 }
 
