--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -3,10 +3,10 @@
 use crate::accounts::{Accounts, Outstanding, Sent};
 use crate::membership::{self, Deed, Member, Patience};
 use crate::presence::{self, Presence};
-use crate::reports::{ClassView, EstimateView, Reports, fault_of};
+use crate::reports::{ClassView, EstimateView, Reports, report_error};
 use crate::servers::{Servers, Slot};
 use crate::ward::{Channel, Rate, Ward, WardView};
-use crate::{AdminState, Entry, FurtherTry, Input, Line, LineState, Message, Output, Report};
+use crate::{AdminState, Entry, FurtherTry, Input, Line, LineState, LoadReport, Message, Output};
 use crate::{ControllerSettings, Scope, Session, Way};
 use dahliapoint::rules::Planner;
 use dahliapoint::{Admission, Class, Extent, Listed, Opening, Orders, Standing, Tries};
@@ -512,18 +512,18 @@
         }
     }
 
-    fn reported(&mut self, now: f64, proxy: &str, report: &Report) {
+    fn reported(&mut self, now: f64, proxy: &str, report: &LoadReport) {
         let Some(index) = self.by_name.get(proxy).copied() else {
-            self.accounts.unknown_lines += report.met.len() as u64;
+            self.accounts.unknown_lines += report.lines.len() as u64;
             return;
         };
-        if fault_of(report).is_some() {
+        if report_error(report).is_some() {
             self.accounts.refused_reports += 1;
             return;
         }
         let who = (index, self.proxies[&index].zone);
         self.reports.heard(now, index, report.window_ms);
-        for m in &report.met {
+        for m in &report.lines {
             let known = m.class < self.terms.classes.len();
             match self.servers.find(&m.server).filter(|_| known) {
                 Some(s) => {
@@ -537,7 +537,7 @@
                 None => self.accounts.unknown_lines += 1,
             }
         }
-        for (class, visits) in &report.came {
+        for (class, visits) in &report.arrivals {
             match self.classes.get(class) {
                 Some(class) => self.reports.came(index, *class, *visits, report.window_ms),
                 None => self.accounts.unknown_lines += 1,
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -20,7 +20,7 @@
 pub use accounts::Accounts;
 pub use controller::{Between, Controller, Gate, Leaving, Overview, ProxyView, ServerView};
 pub use owner::Owner;
-pub use reports::{ClassView, EstimateView, fault_of};
+pub use reports::{ClassView, EstimateView, report_error};
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -103,7 +103,7 @@
 
 /// What a proxy met at a server with the visits of one class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct MetLine {
+pub struct ReportLine {
     /// Name or address.
     pub server: String,
     /// The class, by its place in the terms.
@@ -111,26 +111,26 @@
     pub tries: f64,
     pub failed: f64,
     /// Summed time of the tries that did not fail.
-    pub good_ms: f64,
+    pub success_ms: f64,
     /// Variance of the tries, where this line stands for others that were not read.
     pub variance: f64,
     /// The server's own words: how many answers carried one, and the sums of its queue and its time.
-    pub words: f64,
-    pub own_queue: f64,
-    pub own_ms: f64,
+    pub load_samples: f64,
+    pub queue_sum: f64,
+    pub service_ms_sum: f64,
     /// Visits under way at the end of the stretch.
     pub in_flight: f64,
 }
 
 /// A load report of one proxy.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct LoadReport {
     /// The stretch of time that it covers, and how long ago that ended.
     pub window_ms: f64,
     pub ended_ago_ms: f64,
-    pub met: Vec<MetLine>,
+    pub lines: Vec<ReportLine>,
     /// Visits that came, by class.
-    pub came: Vec<(String, f64)>,
+    pub arrivals: Vec<(String, f64)>,
 }
 
 /// One thing that happened.
@@ -153,7 +153,7 @@
     /// The proxy refused that message and keeps what it holds.
     Refused(Session, u64, String),
     /// A report of the proxy of that name.
-    Reported(String, Report),
+    Reported(String, LoadReport),
     /// All reports of a round were told: now they are judged together.
     RoundEnds,
     Probed {
--- a/crates/control/src/owner.rs
+++ b/crates/control/src/owner.rs
@@ -1,6 +1,6 @@
 //! The owner of a controller, as fronts see it.
 
-use crate::{Input, Report, Session};
+use crate::{Input, LoadReport, Session};
 
 /// The owner of the controller, as a front sees it.
 pub trait Owner: Send + Sync + 'static {
@@ -12,7 +12,7 @@
     ///
     /// # Errors
     /// Why it is not taken.
-    fn report(&self, proxy: &str, stream: Session, report: Report) -> Result<(), String>;
+    fn report(&self, proxy: &str, stream: Session, report: LoadReport) -> Result<(), String>;
     /// How often proxies are to report now.
     fn report_every_ms(&self) -> f64;
     /// The present state, for people.
--- a/crates/control/src/reports.rs
+++ b/crates/control/src/reports.rs
@@ -2,7 +2,7 @@
 //! at a time, so that nothing is judged on half of one. What is news, what is too vague and whom to believe
 //! is decided in `dahliapoint-intake`.
 
-use crate::{MetLine, Report};
+use crate::{LoadReport, ReportLine};
 use dahliapoint::Met;
 use dahliapoint_intake::belief::{Belief, Change, Views, Word};
 use dahliapoint_intake::coverage::{Coverage, Heard};
@@ -16,7 +16,7 @@
 const LONGEST_MS: f64 = 3.6e6;
 
 /// What is impossible about a report, if anything is.
-pub fn fault_of(report: &Report) -> Option<String> {
+pub fn report_error(report: &LoadReport) -> Option<String> {
     let count = |n: f64| n.is_finite() && (0.0..=MOST).contains(&n);
     if !(report.window_ms > 0.0 && report.window_ms <= LONGEST_MS) {
         return Some(format!(
@@ -27,10 +27,16 @@
     if !(report.ended_ago_ms >= 0.0 && report.ended_ago_ms.is_finite()) {
         return Some("a report that ends in the future".into());
     }
-    for m in &report.met {
-        if ![m.variance, m.words, m.own_queue, m.own_ms, m.in_flight]
-            .iter()
-            .all(|x| x.is_finite() && *x >= 0.0)
+    for m in &report.lines {
+        if ![
+            m.variance,
+            m.load_samples,
+            m.queue_sum,
+            m.service_ms_sum,
+            m.in_flight,
+        ]
+        .iter()
+        .all(|x| x.is_finite() && *x >= 0.0)
         {
             return Some(format!(
                 "{}: words and variances from 0 up are wanted",
@@ -43,11 +49,11 @@
         if m.failed > m.tries {
             return Some(format!("{}: more failed than were tried", m.server));
         }
-        if !(m.good_ms >= 0.0 && m.good_ms <= (m.tries - m.failed) * LONGEST_MS) {
+        if !(m.success_ms >= 0.0 && m.success_ms <= (m.tries - m.failed) * LONGEST_MS) {
             return Some(format!("{}: time without tries, or below 0", m.server));
         }
     }
-    let came = report.came.iter().find(|(_, n)| !count(*n));
+    let came = report.arrivals.iter().find(|(_, n)| !count(*n));
     came.map(|(class, _)| format!("{class}: visits from 0 to 1e9 are wanted"))
 }
 
@@ -121,7 +127,7 @@
     heard: Vec<Heard>,
     met: BTreeMap<(usize, usize), Sum>,
     came: BTreeMap<(usize, usize), (f64, f64)>,
-    words: BTreeMap<usize, (MetLine, f64)>,
+    words: BTreeMap<usize, (ReportLine, f64)>,
     views: Views,
     /// By proxy: visits under way at each server, as last told.
     in_flight: BTreeMap<usize, BTreeMap<usize, f64>>,
@@ -160,8 +166,8 @@
         now: f64,
         who: (usize, usize),
         server: usize,
-        report: &Report,
-        m: &MetLine,
+        report: &LoadReport,
+        m: &ReportLine,
     ) -> bool {
         let (proxy, zone) = who;
         let end = now - report.ended_ago_ms;
@@ -180,7 +186,7 @@
                 end,
                 tries: m.tries,
                 failed: m.failed,
-                good_ms: m.good_ms,
+                good_ms: m.success_ms,
                 variance: m.variance,
             },
         );
@@ -190,16 +196,16 @@
         let sum = self.met.entry((server, zone)).or_default();
         sum.tries += m.tries * trust;
         sum.failed += m.failed * trust;
-        sum.good_ms += m.good_ms * trust;
+        sum.good_ms += m.success_ms * trust;
         sum.variance += m.variance * trust * trust;
         sum.tries_back += m.tries * trust * (now - begin);
         let word = self.words.entry(server).or_default();
         word.0.tries += m.tries;
         word.0.failed += m.failed;
-        word.0.good_ms += m.good_ms;
-        word.0.words += m.words;
-        word.0.own_queue += m.own_queue;
-        word.0.own_ms += m.own_ms;
+        word.0.success_ms += m.success_ms;
+        word.0.load_samples += m.load_samples;
+        word.0.queue_sum += m.queue_sum;
+        word.0.service_ms_sum += m.service_ms_sum;
         let view = self
             .views
             .entry(proxy)
@@ -269,12 +275,12 @@
         let words = std::mem::take(&mut self.words).into_iter();
         let words: BTreeMap<usize, Word> = words
             .map(|(server, (m, _))| {
-                let said = m.words > 0.0;
+                let said = m.load_samples > 0.0;
                 let good = m.tries - m.failed;
                 let word = Word {
-                    own_ms: said.then(|| m.own_ms / m.words),
-                    own_queue: said.then(|| m.own_queue / m.words),
-                    met_ms: if good > 0.0 { m.good_ms / good } else { 0.0 },
+                    own_ms: said.then(|| m.service_ms_sum / m.load_samples),
+                    own_queue: said.then(|| m.queue_sum / m.load_samples),
+                    met_ms: if good > 0.0 { m.success_ms / good } else { 0.0 },
                     tries: if good > 0.0 { m.tries } else { 0.0 },
                 };
                 (server, word)
--- a/crates/control/tests/controller.rs
+++ b/crates/control/tests/controller.rs
@@ -3,7 +3,7 @@
 use dahliapoint_control::record::{Begin, End, Recorder, bytes_of, replay};
 use dahliapoint_control::{
     AdminState, ClassSettings, Controller, ControllerSettings, Entry, FurtherTry, Input, LineState,
-    MetLine, Output, Report, Scope, Session,
+    LoadReport, Output, ReportLine, Scope, Session,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -304,7 +304,7 @@
         Input::Applied(77, 1),
         Input::Refused(77, 1, "who".into()),
         Input::Left(77),
-        Input::Reported("nobody".into(), Report::default()),
+        Input::Reported("nobody".into(), LoadReport::default()),
     ];
     day.tell(odd.to_vec());
     assert_eq!(day.controller.overview().accounts.odd_answers, 4);
@@ -373,18 +373,18 @@
 #[test]
 fn reports_that_cannot_be_are_refused_and_unknown_ones_counted() {
     let mut day = five();
-    let line = |server: &str, tries, failed, good_ms| MetLine {
+    let line = |server: &str, tries, failed, good_ms| ReportLine {
         server: server.into(),
         tries,
         failed,
-        good_ms,
-        ..MetLine::default()
+        success_ms: good_ms,
+        ..ReportLine::default()
     };
-    let report = |met| Report {
+    let report = |met| LoadReport {
         window_ms: 500.0,
         ended_ago_ms: 0.0,
-        met: vec![met],
-        came: vec![("view".into(), 3.0)],
+        lines: vec![met],
+        arrivals: vec![("view".into(), 3.0)],
     };
     let cases = [
         (line("a", 10.0, 1.0, 90.0), true),
@@ -399,7 +399,7 @@
     for (met, fine) in &cases {
         let report = report(met.clone());
         assert_eq!(
-            dahliapoint_control::fault_of(&report).is_none(),
+            dahliapoint_control::report_error(&report).is_none(),
             *fine,
             "{met:?}"
         );
@@ -409,14 +409,14 @@
     assert_eq!((accounts.report_lines, accounts.unknown_lines), (1, 1));
     assert_eq!(accounts.refused_reports, 6);
     // A class that the terms do not have: counted as unknown, nothing else.
-    let odd = MetLine {
+    let odd = ReportLine {
         class: 9,
         ..line("a", 1.0, 0.0, 1.0)
     };
     day.tell(vec![Input::Reported("p1".into(), report(odd))]);
     assert_eq!(day.controller.overview().accounts.unknown_lines, 2);
     // Visits under way are those of each proxy's newest word.
-    let busy = |n: f64| MetLine {
+    let busy = |n: f64| ReportLine {
         in_flight: n,
         ..line("a", 1.0, 0.0, 1.0)
     };
@@ -435,11 +435,11 @@
         a.by_class
     );
     assert_eq!(a.estimate.unwrap().in_flight, 5.0);
-    let long = Report {
+    let long = LoadReport {
         window_ms: 1e9,
         ..report(line("a", 1.0, 0.0, 1.0))
     };
-    assert!(dahliapoint_control::fault_of(&long).is_some());
+    assert!(dahliapoint_control::report_error(&long).is_some());
 }
 
 /// All proxies of a grown site come back within a second: nobody is written more than the channel bears,
@@ -527,19 +527,19 @@
     let roster = prop::collection::vec(one, 0..7);
     let session = 1_u64..6;
     let met = ("[a-d]{1,4}", 0.0..50.0, 0.0..1.0, 0.0..3000.0).prop_map(
-        |(server, tries, part, mean): (String, f64, f64, f64)| MetLine {
+        |(server, tries, part, mean): (String, f64, f64, f64)| ReportLine {
             server,
             tries,
             failed: tries * part,
-            good_ms: tries * (1.0 - part) * mean,
-            ..MetLine::default()
+            success_ms: tries * (1.0 - part) * mean,
+            ..ReportLine::default()
         },
     );
-    let report = prop::collection::vec(met, 0..5).prop_map(|met| Report {
+    let report = prop::collection::vec(met, 0..5).prop_map(|met| LoadReport {
         window_ms: 500.0,
         ended_ago_ms: 20.0,
-        met,
-        came: vec![("view".into(), 9.0), ("none".into(), 1.0)],
+        lines: met,
+        arrivals: vec![("view".into(), 9.0), ("none".into(), 1.0)],
     });
     prop_oneof![
         roster.clone().prop_map(Input::Roster),
--- a/crates/control/tests/ward.rs
+++ b/crates/control/tests/ward.rs
@@ -6,7 +6,7 @@
 use dahliapoint_control::ward::Guarding;
 use dahliapoint_control::{
     AdminState, ClassSettings, Controller, ControllerSettings, Entry, FurtherTry, Input, LineState,
-    MetLine, Output, Report, Scope,
+    LoadReport, Output, ReportLine, Scope,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -308,17 +308,17 @@
         if self.now % ROUND_MS < STEP_MS {
             for i in 0..PROXIES {
                 let mine = self.met.iter().filter(|((p, _), _)| *p == i);
-                let met = mine.map(|((_, s), (tries, late))| MetLine {
+                let met = mine.map(|((_, s), (tries, late))| ReportLine {
                     server: format!("s{s}"),
                     tries: *tries,
-                    good_ms: (tries - late) * 30.0 + late * 3_000.0,
-                    ..MetLine::default()
+                    success_ms: (tries - late) * 30.0 + late * 3_000.0,
+                    ..ReportLine::default()
                 });
-                let report = Report {
+                let report = LoadReport {
                     window_ms: ROUND_MS,
                     ended_ago_ms: 0.0,
-                    met: met.collect(),
-                    came: Vec::new(),
+                    lines: met.collect(),
+                    arrivals: Vec::new(),
                 };
                 inputs.push(Input::Reported(format!("p{i}"), report));
             }
--- a/crates/daemon/examples/newcomer.rs
+++ b/crates/daemon/examples/newcomer.rs
@@ -1,7 +1,7 @@
 //! How soon a newcomer decides well, cold and with a peer: reports tell of one server in ten that answers late; how long
 //! until every such line is at half or less of the others', and how long the learning takes.
 
-use dahliapoint_control::{AdminState, Entry, Input, MetLine, Owner, Report};
+use dahliapoint_control::{AdminState, Entry, Input, LoadReport, Owner, ReportLine};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_memory::keeper;
@@ -43,17 +43,17 @@
 
 fn report(daemon: &Daemon, servers: usize) {
     for n in 0..PROXIES {
-        let met = (0..servers).map(|i| MetLine {
+        let met = (0..servers).map(|i| ReportLine {
             server: format!("s{i}"),
             tries: 5.0,
-            good_ms: 5.0 * if i % 10 == 1 { 1_500.0 } else { 20.0 },
-            ..MetLine::default()
+            success_ms: 5.0 * if i % 10 == 1 { 1_500.0 } else { 20.0 },
+            ..ReportLine::default()
         });
-        let report = Report {
+        let report = LoadReport {
             window_ms: 500.0,
             ended_ago_ms: 0.0,
-            met: met.collect(),
-            came: Vec::new(),
+            lines: met.collect(),
+            arrivals: Vec::new(),
         };
         let _ = daemon.engine().report(&format!("p{n}"), 7 + n, report);
     }
--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -7,8 +7,8 @@
 use crate::hooking::Hooking;
 use dahliapoint_control::record::{Begin, Recorder};
 use dahliapoint_control::{
-    Between, Controller, ControllerSettings, Input, LineState, MetLine, Output, Report, Scope,
-    Session,
+    Between, Controller, ControllerSettings, Input, LineState, LoadReport, Output, ReportLine,
+    Scope, Session,
 };
 use dahliapoint_fibers::{Bell, Queue, Received};
 use dahliapoint_hooks::value::{LineSeen, World};
@@ -559,27 +559,27 @@
     let met = read
         .lines
         .into_iter()
-        .map(|((server, class), l, variance)| MetLine {
+        .map(|((server, class), l, variance)| ReportLine {
             server: server.to_string(),
             class,
             tries: l.tries,
             failed: l.failed,
-            good_ms: l.good_ms,
+            success_ms: l.good_ms,
             variance,
-            words: l.words,
-            own_queue: l.own_queue,
-            own_ms: l.own_ms,
+            load_samples: l.words,
+            queue_sum: l.own_queue,
+            service_ms_sum: l.own_ms,
             in_flight: l.in_flight,
         });
     let came = read
         .came
         .into_iter()
         .map(|((class, _), n)| (class.to_string(), n));
-    let report = Report {
+    let report = LoadReport {
         window_ms: read.end - read.begin,
         ended_ago_ms: (now - read.end).max(0.0),
-        met: met.collect(),
-        came: came.collect(),
+        lines: met.collect(),
+        arrivals: came.collect(),
     };
     Input::Reported(read.reporter.0.to_string(), report)
 }
@@ -598,21 +598,21 @@
         }
     }
 
-    fn report(&self, proxy: &str, stream: Session, report: Report) -> Result<(), String> {
-        let lines = report.met.into_iter().map(|m| {
+    fn report(&self, proxy: &str, stream: Session, report: LoadReport) -> Result<(), String> {
+        let lines = report.lines.into_iter().map(|m| {
             let line = Line {
                 tries: m.tries,
                 failed: m.failed,
-                good_ms: m.good_ms,
-                words: m.words,
-                own_queue: m.own_queue,
-                own_ms: m.own_ms,
+                good_ms: m.success_ms,
+                words: m.load_samples,
+                own_queue: m.queue_sum,
+                own_ms: m.service_ms_sum,
                 in_flight: m.in_flight,
             };
             ((Arc::from(m.server), m.class), line)
         });
         let came = report
-            .came
+            .arrivals
             .into_iter()
             .map(|(class, n)| ((Arc::from(class), 0), n));
         let reporter = (Arc::from(proxy), stream);
--- a/crates/daemon/tests/peer.rs
+++ b/crates/daemon/tests/peer.rs
@@ -1,7 +1,7 @@
 //! A newcomer and a running controller on loopback: what it learns, what it does not believe, and peers that hang, die
 //! halfway, or are of another service.
 
-use dahliapoint_control::{AdminState, Entry, Input, MetLine, Owner, Report};
+use dahliapoint_control::{AdminState, Entry, Input, LoadReport, Owner, ReportLine};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_grpc::{Call, Code, Handler, Limits, Server, Status};
@@ -51,17 +51,17 @@
 /// Proxies report: s1 answers late, all others in time.
 fn report(daemon: &Daemon) {
     for n in 0..4 {
-        let met = (0..SERVERS).map(|i| MetLine {
+        let met = (0..SERVERS).map(|i| ReportLine {
             server: format!("s{i}"),
             tries: 5.0,
-            good_ms: 5.0 * if i == 1 { 1_500.0 } else { 20.0 },
-            ..MetLine::default()
+            success_ms: 5.0 * if i == 1 { 1_500.0 } else { 20.0 },
+            ..ReportLine::default()
         });
-        let report = Report {
+        let report = LoadReport {
             window_ms: 100.0,
             ended_ago_ms: 0.0,
-            met: met.collect(),
-            came: Vec::new(),
+            lines: met.collect(),
+            arrivals: Vec::new(),
         };
         daemon
             .engine()
--- a/crates/files/src/words.rs
+++ b/crates/files/src/words.rs
@@ -1,6 +1,6 @@
 //! What a proxy puts into its spool: JSON on one line, and its seal on the next ([`crate::seal`]).
 
-use dahliapoint_control::{MetLine, Report, fault_of};
+use dahliapoint_control::{LoadReport, ReportLine, report_error};
 use serde::{Deserialize, Serialize};
 
 /// A sign of life, `beat`, written anew each time.
@@ -73,29 +73,29 @@
     ///
     /// # Errors
     /// What is wrong with it.
-    pub fn report(&self, classes: &[String]) -> Result<Report, String> {
-        let mut report = Report {
+    pub fn report(&self, classes: &[String]) -> Result<LoadReport, String> {
+        let mut report = LoadReport {
             window_ms: self.window_ms,
-            ..Report::default()
+            ..LoadReport::default()
         };
         for told in &self.classes {
             let class = classes.iter().position(|c| *c == told.class);
             let class = class.ok_or_else(|| format!("no class {:?}", told.class))?;
-            report.came.push((told.class.clone(), told.came as f64));
-            report.met.extend(told.met.iter().map(|m| MetLine {
+            report.arrivals.push((told.class.clone(), told.came as f64));
+            report.lines.extend(told.met.iter().map(|m| ReportLine {
                 server: m.server.clone(),
                 class,
                 tries: (m.good + m.failed) as f64,
                 failed: m.failed as f64,
-                good_ms: m.good_ms,
+                success_ms: m.good_ms,
                 variance: 0.0,
-                words: m.words as f64,
-                own_queue: m.own_queue,
-                own_ms: m.own_ms,
+                load_samples: m.words as f64,
+                queue_sum: m.own_queue,
+                service_ms_sum: m.own_ms,
                 in_flight: m.in_flight as f64,
             }));
         }
-        match fault_of(&report) {
+        match report_error(&report) {
             Some(why) => Err(why),
             None => Ok(report),
         }
--- a/crates/xds/src/lrs.rs
+++ b/crates/xds/src/lrs.rs
@@ -9,7 +9,7 @@
 use crate::pb::load_stats::LoadStatsRequest;
 use crate::pb::protobuf::Duration;
 use crate::resources::{Shape, address_of, text_of};
-use dahliapoint_control::{MetLine, Report};
+use dahliapoint_control::{LoadReport, ReportLine};
 use std::collections::BTreeMap;
 
 /// The metric that carries the summed time of tries that did not fail, in milliseconds. Servers' own
@@ -27,9 +27,9 @@
 ///
 /// # Errors
 /// A sentence about what no proxy can have met.
-pub fn read(shape: &Shape, request: &LoadStatsRequest) -> Result<Option<Report>, String> {
-    let mut report = Report::default();
-    let mut met: BTreeMap<(String, usize), MetLine> = BTreeMap::new();
+pub fn read(shape: &Shape, request: &LoadStatsRequest) -> Result<Option<LoadReport>, String> {
+    let mut report = LoadReport::default();
+    let mut met: BTreeMap<(String, usize), ReportLine> = BTreeMap::new();
     let mut lines = 0;
     for cluster in &request.cluster_stats {
         let interval = cluster.load_report_interval.as_ref();
@@ -37,7 +37,7 @@
         report.window_ms = report.window_ms.max(window);
         let Some(class) = shape.class_of(&cluster.cluster_name) else {
             // Of a cluster that is not this service's; counted by the controller as unknown.
-            report.came.push((cluster.cluster_name.clone(), 0.0));
+            report.arrivals.push((cluster.cluster_name.clone(), 0.0));
             continue;
         };
         let mut visits = cluster.total_dropped_requests as f64;
@@ -55,22 +55,22 @@
                 let times = e.load_metric_stats.iter();
                 let times = times.filter(|m| m.metric_name == VISIT_MS);
                 let place = (server.clone(), class);
-                let line = met.entry(place).or_insert_with(|| MetLine {
+                let line = met.entry(place).or_insert_with(|| ReportLine {
                     server,
                     class,
-                    ..MetLine::default()
+                    ..ReportLine::default()
                 });
                 line.tries += good + failed;
                 line.failed += failed;
                 line.in_flight += e.total_requests_in_progress as f64;
-                line.good_ms += times.map(|m| m.total_metric_value).sum::<f64>();
+                line.success_ms += times.map(|m| m.total_metric_value).sum::<f64>();
                 for m in &e.load_metric_stats {
                     let answers = m.num_requests_finished_with_metric as f64;
                     match m.metric_name.as_str() {
-                        OWN_QUEUE => line.own_queue += m.total_metric_value,
+                        OWN_QUEUE => line.queue_sum += m.total_metric_value,
                         OWN_MS => {
-                            line.own_ms += m.total_metric_value;
-                            line.words += answers;
+                            line.service_ms_sum += m.total_metric_value;
+                            line.load_samples += answers;
                         }
                         _ => {}
                     }
@@ -78,13 +78,13 @@
                 visits += e.total_issued_requests as f64;
             }
         }
-        report.came.push((shape.classes[class].clone(), visits));
+        report.arrivals.push((shape.classes[class].clone(), visits));
     }
-    report.met = met.into_values().collect();
+    report.lines = met.into_values().collect();
     if request.cluster_stats.is_empty() {
         return Ok(None);
     }
-    match dahliapoint_control::fault_of(&report) {
+    match dahliapoint_control::report_error(&report) {
         Some(why) => Err(why),
         None => Ok(Some(report)),
     }
