--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -6,7 +6,9 @@
 use crate::reports::{ClassView, EstimateView, Reports, report_error};
 use crate::servers::{Servers, Slot};
 use crate::ward::{Channel, Rate, Ward, WardView};
-use crate::{AdminState, Entry, FurtherTry, Input, Line, LineState, LoadReport, Message, Output};
+use crate::{
+    AdminState, FurtherTry, Input, Line, LineState, LoadReport, Message, Output, RosterEntry,
+};
 use crate::{ControllerSettings, Scope, Session, Way};
 use dahliapoint::rules::Planner;
 use dahliapoint::{Admission, Class, Extent, Listed, Opening, Orders, Standing, Tries};
@@ -240,7 +242,7 @@
         let news = |i: &Input| {
             matches!(
                 i,
-                Input::RoundEnds | Input::Roster(_) | Input::RosterChanges(_)
+                Input::RoundEnded | Input::Roster(_) | Input::RosterChanges(_)
             )
         };
         let learns = inputs.iter().any(news);
@@ -280,17 +282,17 @@
                 session,
                 proxy,
                 zone,
-                pace,
+                visits_per_s: pace,
             } => {
                 self.joined(session, &proxy, &zone, pace, out);
                 self.presence.streamed(now, &proxy, true);
             }
             Input::Left(session) => self.leaves(now, session),
-            Input::Beat {
+            Input::Heartbeat {
                 session,
                 proxy,
                 zone,
-                pace,
+                visits_per_s: pace,
             } => {
                 let held = self.by_name.get(proxy.as_str());
                 let held = held.map(|i| self.proxies[i].session);
@@ -301,11 +303,11 @@
                     self.present(deed, out);
                 }
             }
-            Input::Goodbye(session) => self.presence.says_goodbye(session),
+            Input::Deregistered(session) => self.presence.says_goodbye(session),
             Input::Applied(session, serial) => self.applied(now, session, serial),
             Input::Refused(session, serial, why) => self.refused(now, session, serial, why, out),
             Input::Reported(proxy, report) => self.reported(now, &proxy, &report),
-            Input::RoundEnds => self.end_round(now, out),
+            Input::RoundEnded => self.end_round(now, out),
             Input::Pinned(parts) => {
                 self.pins = parts.into_iter().map(|(p, ms)| (p, now + ms)).collect();
                 self.ward.look_again(now);
@@ -313,7 +315,7 @@
             Input::Gated(_) => {}
             Input::Probed {
                 server,
-                fine,
+                healthy: fine,
                 took_ms,
             } => {
                 if let Some(s) = self.servers.find(&server) {
@@ -324,7 +326,7 @@
         }
     }
 
-    fn roster(&mut self, now: f64, entries: &[Entry], whole: bool, out: &mut Vec<Output>) {
+    fn roster(&mut self, now: f64, entries: &[RosterEntry], whole: bool, out: &mut Vec<Output>) {
         let mut listed = Vec::with_capacity(entries.len());
         let mut placed = Vec::with_capacity(entries.len());
         for entry in entries {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -90,7 +90,7 @@
 
 /// One entry of the roster.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct RosterEntry {
     pub name: String,
     pub address: String,
     pub zone: String,
@@ -137,15 +137,15 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Input {
     /// The whole roster. The first one is what the controller begins with.
-    Roster(Vec<Entry>),
+    Roster(Vec<RosterEntry>),
     /// Only entries that changed; a gone one is named as such.
-    RosterChanges(Vec<Entry>),
+    RosterChanges(Vec<RosterEntry>),
     Joined {
         session: Session,
         proxy: String,
         zone: String,
         /// Visits a second that usually come to it, if it says.
-        pace: Option<f64>,
+        visits_per_s: Option<f64>,
     },
     Left(Session),
     /// The proxy applied the message with that serial and all before it.
@@ -155,21 +155,21 @@
     /// A report of the proxy of that name.
     Reported(String, LoadReport),
     /// All reports of a round were told: now they are judged together.
-    RoundEnds,
+    RoundEnded,
     Probed {
         server: String,
-        fine: bool,
+        healthy: bool,
         took_ms: f64,
     },
     /// A sign of life of a proxy that has no stream; a session of it is one life.
-    Beat {
+    Heartbeat {
         session: Session,
         proxy: String,
         zone: String,
-        pace: Option<f64>,
+        visits_per_s: Option<f64>,
     },
     /// A proxy without a stream leaves by its own word.
-    Goodbye(Session),
+    Deregistered(Session),
     /// Parts whose tables are to stay as they are for so long, all that there are; withdrawals pass.
     Pinned(Vec<(usize, f64)>),
     /// In records only: parts whose lines a gate held back in the moment just before.
--- a/crates/control/src/servers.rs
+++ b/crates/control/src/servers.rs
@@ -1,6 +1,6 @@
 //! Servers by name and by index. An index is used again only once nothing refers to it.
 
-use crate::{AdminState, Entry, Line, LineState};
+use crate::{AdminState, Line, LineState, RosterEntry};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
@@ -70,7 +70,7 @@
 
     /// The index for an entry, an old one if there is one, and what it now says. Tells whether the
     /// address has changed under a line that stands.
-    pub fn place(&mut self, entry: &Entry, zone: usize, now: f64) -> (usize, bool) {
+    pub fn place(&mut self, entry: &RosterEntry, zone: usize, now: f64) -> (usize, bool) {
         let index = match self.by_name.get(entry.name.as_str()) {
             Some(index) => *index,
             None => self.fresh(entry, zone),
@@ -94,7 +94,7 @@
         (index, moved && slot.weight > 0.0)
     }
 
-    fn fresh(&mut self, entry: &Entry, zone: usize) -> usize {
+    fn fresh(&mut self, entry: &RosterEntry, zone: usize) -> usize {
         let name: Arc<str> = entry.name.as_str().into();
         let used = self.free.get_mut(&zone).and_then(Vec::pop);
         let index = used.unwrap_or(self.slots.len());
--- a/crates/control/tests/controller.rs
+++ b/crates/control/tests/controller.rs
@@ -2,8 +2,8 @@
 
 use dahliapoint_control::record::{Begin, End, Recorder, bytes_of, replay};
 use dahliapoint_control::{
-    AdminState, ClassSettings, Controller, ControllerSettings, Entry, FurtherTry, Input, LineState,
-    LoadReport, Output, ReportLine, Scope, Session,
+    AdminState, ClassSettings, Controller, ControllerSettings, FurtherTry, Input, LineState,
+    LoadReport, Output, ReportLine, RosterEntry, Scope, Session,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -46,8 +46,8 @@
     }
 }
 
-fn entry(name: &str, state: AdminState) -> Entry {
-    Entry {
+fn entry(name: &str, state: AdminState) -> RosterEntry {
+    RosterEntry {
         name: name.into(),
         address: format!("127.0.0.1:{}", 1000 + name.len()),
         zone: if name.len().is_multiple_of(2) {
@@ -166,7 +166,7 @@
             for server in std::mem::take(&mut self.probed) {
                 inputs.push(Input::Probed {
                     server,
-                    fine: true,
+                    healthy: true,
                     took_ms: 1.0,
                 });
             }
@@ -179,7 +179,7 @@
             session,
             proxy: proxy.into(),
             zone: "east".into(),
-            pace: Some(50.0),
+            visits_per_s: Some(50.0),
         };
         self.tell(vec![input]);
     }
@@ -320,7 +320,7 @@
         session: 9,
         proxy: "p9".into(),
         zone: "mars".into(),
-        pace: None,
+        visits_per_s: None,
     };
     day.tell(vec![input]);
     assert_eq!(day.closed, [1, 9]);
@@ -425,7 +425,7 @@
     }
     // What was met is told by class once the round has ended and its stretch is complete.
     day.now += 1500.0;
-    day.tell(vec![Input::RoundEnds]);
+    day.tell(vec![Input::RoundEnded]);
     let view = day.controller.overview();
     let a = view.servers.iter().find(|s| &*s.name == "a").unwrap();
     assert_eq!((a.by_class.len(), a.by_class[0].class), (1, 0));
@@ -465,7 +465,7 @@
                 session: round * 1_000 + p,
                 proxy: format!("p{p}"),
                 zone: if p % 2 == 0 { "east" } else { "west" }.into(),
-                pace: Some(2.0),
+                visits_per_s: Some(2.0),
             };
             day.tell(vec![input]);
             let view = day.controller.overview();
@@ -486,12 +486,12 @@
 #[test]
 fn a_clock_that_jumps_makes_no_new_start() {
     let mut day = five();
-    let started = |ago, stamp| Entry {
+    let started = |ago, stamp| RosterEntry {
         started: Some((ago, stamp)),
         ..entry("a", Ready)
     };
     let rest = || ["bb", "ccc", "dddd", "eeeee"].map(|n| entry(n, Ready));
-    let tell = |day: &mut Day, first: Entry| {
+    let tell = |day: &mut Day, first: RosterEntry| {
         let mut entries = vec![first];
         entries.extend(rest());
         day.tell(vec![Input::Roster(entries)]);
@@ -519,11 +519,12 @@
     let name = prop::sample::select(vec!["a", "bb", "ccc", "dddd", "é ü/\"\n", "f%2F\u{0}"]);
     let state = prop::sample::select(vec![Ready, Draining, Gone]);
     let started = prop::option::of((0.0..20_000.0, 0_u64..4));
-    let one = (name, state, 0.1..4.0_f64, started).prop_map(|(n, state, weight, started)| Entry {
-        weight,
-        started,
-        ..entry(n, state)
-    });
+    let one =
+        (name, state, 0.1..4.0_f64, started).prop_map(|(n, state, weight, started)| RosterEntry {
+            weight,
+            started,
+            ..entry(n, state)
+        });
     let roster = prop::collection::vec(one, 0..7);
     let session = 1_u64..6;
     let met = ("[a-d]{1,4}", 0.0..50.0, 0.0..1.0, 0.0..3000.0).prop_map(
@@ -548,16 +549,16 @@
             session: s,
             proxy: format!("p{}", s % 4),
             zone: if s % 2 == 0 { "east" } else { "west" }.into(),
-            pace: Some(pace),
+            visits_per_s: Some(pace),
         }),
         session.clone().prop_map(Input::Left),
         (session.clone(), 0_u64..60).prop_map(|(s, n)| Input::Applied(s, n)),
         (session.clone(), 0_u64..60).prop_map(|(s, n)| Input::Refused(s, n, "no".into())),
         (session, report).prop_map(|(s, r)| Input::Reported(format!("p{}", s % 4), r)),
-        Just(Input::RoundEnds),
+        Just(Input::RoundEnded),
         ("[a-d]{1,4}", any::<bool>()).prop_map(|(server, fine)| Input::Probed {
             server,
-            fine,
+            healthy: fine,
             took_ms: 3.0
         }),
     ]
@@ -585,10 +586,10 @@
             let inputs: Vec<_> = inputs.into_iter().map(|input| {
                 let of = |s: &Session| live.get(s).copied().unwrap_or(*s + 1000);
                 match input {
-                    Input::Joined { session, proxy, zone, pace } => {
+                    Input::Joined { session, proxy, zone, visits_per_s: pace } => {
                         streams += 1;
                         live.insert(session, streams);
-                        Input::Joined { session: streams, proxy, zone, pace }
+                        Input::Joined { session: streams, proxy, zone, visits_per_s: pace }
                     }
                     Input::Left(s) => Input::Left(of(&s)),
                     Input::Applied(s, n) => Input::Applied(of(&s), n),
--- a/crates/control/tests/ward.rs
+++ b/crates/control/tests/ward.rs
@@ -5,8 +5,8 @@
 use dahliapoint::Tries;
 use dahliapoint_control::ward::Guarding;
 use dahliapoint_control::{
-    AdminState, ClassSettings, Controller, ControllerSettings, Entry, FurtherTry, Input, LineState,
-    LoadReport, Output, ReportLine, Scope,
+    AdminState, ClassSettings, Controller, ControllerSettings, FurtherTry, Input, LineState,
+    LoadReport, Output, ReportLine, RosterEntry, Scope,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -209,8 +209,8 @@
         }
     }
 
-    fn roster(&self) -> Vec<Entry> {
-        let entry = |(i, t): (usize, &Truth)| Entry {
+    fn roster(&self) -> Vec<RosterEntry> {
+        let entry = |(i, t): (usize, &Truth)| RosterEntry {
             name: format!("s{i}"),
             address: format!("127.0.0.1:{}", i + 1),
             zone: "east".into(),
@@ -300,7 +300,7 @@
         for s in std::mem::take(&mut self.probes) {
             inputs.push(Input::Probed {
                 server: format!("s{s}"),
-                fine: self.truth[s].state != AdminState::Gone,
+                healthy: self.truth[s].state != AdminState::Gone,
                 took_ms: 1.0,
             });
         }
@@ -322,7 +322,7 @@
                 };
                 inputs.push(Input::Reported(format!("p{i}"), report));
             }
-            inputs.push(Input::RoundEnds);
+            inputs.push(Input::RoundEnded);
             self.met.clear();
         }
         self.tell(inputs);
@@ -390,7 +390,7 @@
                 session: i as u64,
                 proxy: format!("p{i}"),
                 zone: "east".into(),
-                pace: Some(60.0),
+                visits_per_s: Some(60.0),
             };
             day.tell(vec![joined]);
         }
@@ -510,7 +510,7 @@
             session: i as u64,
             proxy: format!("p{i}"),
             zone: "east".into(),
-            pace: None,
+            visits_per_s: None,
         };
         day.tell(vec![joined]);
     });
--- a/crates/daemon/examples/newcomer.rs
+++ b/crates/daemon/examples/newcomer.rs
@@ -1,7 +1,7 @@
 //! How soon a newcomer decides well, cold and with a peer: reports tell of one server in ten that answers late; how long
 //! until every such line is at half or less of the others', and how long the learning takes.
 
-use dahliapoint_control::{AdminState, Entry, Input, LoadReport, Owner, ReportLine};
+use dahliapoint_control::{AdminState, Input, LoadReport, Owner, ReportLine, RosterEntry};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_memory::keeper;
@@ -18,7 +18,7 @@
          listen: {{xds: '127.0.0.1:0'}}\nreports: {{every: 500ms}}\npeers: {{ask: {peers:?}, within: 2s}}\nlog: {{level: error}}\n"
     );
     let deployment = deployment::parse("d.yaml", &text).expect("a good deployment");
-    let entry = |i: usize| Entry {
+    let entry = |i: usize| RosterEntry {
         name: format!("s{i}"),
         address: format!("127.0.{}.{}:80", i / 250, i % 250 + 1),
         zone: "east".into(),
@@ -35,7 +35,7 @@
             session: 7 + n,
             proxy,
             zone: "east".into(),
-            pace: Some(50.0),
+            visits_per_s: Some(50.0),
         });
     }
     daemon
--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -454,7 +454,7 @@
         let mut inputs: Vec<Input> = slice.map(|r| reported(now, r)).collect();
         let more = !work.unread.is_empty();
         if !more {
-            inputs.push(Input::RoundEnds);
+            inputs.push(Input::RoundEnded);
         }
         self.decide(work, inputs);
         if let Some((_, begun)) = work.reading.filter(|_| !more) {
--- a/crates/daemon/src/hooking.rs
+++ b/crates/daemon/src/hooking.rs
@@ -6,7 +6,7 @@
 //! before publications, within a bounded time for all of them.
 
 use crate::engine::Engine;
-use dahliapoint_control::{AdminState, Entry, Input, Leaving, Overview, Owner};
+use dahliapoint_control::{AdminState, Input, Leaving, Overview, Owner, RosterEntry};
 use dahliapoint_hooks::book::{Book, InForce, Listed, Told};
 use dahliapoint_hooks::discipline::{Deed, End};
 use dahliapoint_hooks::host::{
@@ -64,7 +64,7 @@
     published: VecDeque<(usize, Vec<LineSeen>)>,
     dropped: u64,
     verdicts: VecDeque<Verdict>,
-    roster: Option<Vec<Entry>>,
+    roster: Option<Vec<RosterEntry>>,
     over: bool,
 }
 
@@ -265,11 +265,11 @@
     world: Arc<World>,
     waits: BTreeMap<usize, Vec<String>>,
     /// The roster as it is said, and as it was last put.
-    said: Vec<Entry>,
-    put: Vec<Entry>,
+    said: Vec<RosterEntry>,
+    put: Vec<RosterEntry>,
     pins: BTreeMap<usize, f64>,
     overruled: Vec<Told>,
-    refused: Option<(Vec<Entry>, f64)>,
+    refused: Option<(Vec<RosterEntry>, f64)>,
     stamp: Option<Vec<(PathBuf, u64, Option<SystemTime>)>>,
     fault: Option<String>,
     look_at: f64,
@@ -393,7 +393,7 @@
     // ---- others' side ----
 
     /// The roster says something new: hooks see it first, for a bounded time.
-    pub fn roster(&self, entries: Vec<Entry>) {
+    pub fn roster(&self, entries: Vec<RosterEntry>) {
         lock(&self.mail).roster = Some(entries);
         self.bell.notify_one();
     }
@@ -418,7 +418,7 @@
     pub fn start(
         self: &Arc<Self>,
         engine: Engine,
-        first: Vec<Entry>,
+        first: Vec<RosterEntry>,
         memory: Option<Arc<Keeper>>,
         kept: BTreeMap<(String, String), String>,
     ) -> Result<JoinHandle<()>, String> {
@@ -742,10 +742,10 @@
 
     /// A new roster: hooks that wait for one see it, together no longer than their time; then it holds, unless one
     /// refused it.
-    fn decide_roster(&self, work: &mut Work, entries: Vec<Entry>) {
-        let before: BTreeMap<&str, &Entry> =
+    fn decide_roster(&self, work: &mut Work, entries: Vec<RosterEntry>) {
+        let before: BTreeMap<&str, &RosterEntry> =
             work.said.iter().map(|e| (e.name.as_str(), e)).collect();
-        let is_new = |e: &&Entry| {
+        let is_new = |e: &&RosterEntry| {
             before
                 .get(e.name.as_str())
                 .is_none_or(|b| b.state != e.state || b.weight != e.weight)
@@ -757,11 +757,11 @@
             .collect();
         let there: std::collections::BTreeSet<&str> =
             entries.iter().map(|e| e.name.as_str()).collect();
-        let dropped: Vec<Entry> = work
+        let dropped: Vec<RosterEntry> = work
             .said
             .iter()
             .filter(|e| !there.contains(e.name.as_str()))
-            .map(|e| Entry {
+            .map(|e| RosterEntry {
                 state: AdminState::Gone,
                 ..e.clone()
             })
@@ -794,7 +794,7 @@
 
     /// What is in force goes into the owner's queue, if it is something else than before.
     fn put(&self, work: &mut Work) {
-        let listed = |e: &Entry| Listed {
+        let listed = |e: &RosterEntry| Listed {
             name: e.name.as_str().into(),
             zone: e.zone.as_str().into(),
             state: state_of(e.state),
@@ -806,11 +806,11 @@
             pins,
             overruled,
         } = work.book.in_force(&roster);
-        let entries: Vec<Entry> = work
+        let entries: Vec<RosterEntry> = work
             .said
             .iter()
             .map(|e| match servers.get(e.name.as_str()) {
-                Some((state, weight)) => Entry {
+                Some((state, weight)) => RosterEntry {
                     state: admin(*state),
                     weight: *weight,
                     ..e.clone()
@@ -938,7 +938,7 @@
 }
 
 /// The world as it would be with another roster.
-fn with_roster<'a>(world: &World, entries: impl Iterator<Item = &'a Entry>) -> World {
+fn with_roster<'a>(world: &World, entries: impl Iterator<Item = &'a RosterEntry>) -> World {
     let mut world = world.clone();
     for e in entries {
         let name: Arc<str> = e.name.as_str().into();
--- a/crates/daemon/src/importing.rs
+++ b/crates/daemon/src/importing.rs
@@ -2,7 +2,7 @@
 //! written back.
 
 use crate::roster;
-use dahliapoint_control::{AdminState, Entry};
+use dahliapoint_control::{AdminState, RosterEntry};
 use dahliapoint_import::{Files, Import, Kind, State, Wanted, read};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -89,7 +89,7 @@
     import: &Import,
     foreign: &Foreign,
     zones: Option<&[String]>,
-) -> Result<Vec<Entry>, String> {
+) -> Result<Vec<RosterEntry>, String> {
     let (mut out, mut faults) = (Vec::new(), Vec::new());
     let is_zone = |z: &String| zones.is_none_or(|all| all.contains(z));
     for h in &import.hosts {
@@ -105,7 +105,7 @@
             ));
             continue;
         };
-        out.push(Entry {
+        out.push(RosterEntry {
             name: h.name.clone(),
             address: h.address.clone(),
             zone: zone.clone(),
@@ -126,7 +126,7 @@
 }
 
 /// A roster in our own form.
-pub fn as_yaml(entries: &[Entry]) -> String {
+pub fn as_yaml(entries: &[RosterEntry]) -> String {
     let mut out = String::from("servers:\n");
     if entries.is_empty() {
         return "servers: []\n".into();
--- a/crates/daemon/src/life.rs
+++ b/crates/daemon/src/life.rs
@@ -7,7 +7,7 @@
 use crate::probe::Prober;
 use crate::resolving::Resolving;
 use crate::roster::{Look, Watch};
-use dahliapoint_control::{Entry, Input, Output, Owner};
+use dahliapoint_control::{Input, Output, Owner, RosterEntry};
 use dahliapoint_files::front::{self as files, Place};
 use dahliapoint_files::reach::Promise;
 use dahliapoint_grpc::{Call, Handler, Limits, Server};
@@ -37,7 +37,7 @@
     /// The deployment's roster file, watched.
     File,
     /// These, for good.
-    Fixed(Vec<Entry>),
+    Fixed(Vec<RosterEntry>),
 }
 
 /// A running controller.
@@ -329,7 +329,7 @@
 }
 
 /// The roster that the owner begins with.
-fn entries_of(first: &[Input]) -> Vec<Entry> {
+fn entries_of(first: &[Input]) -> Vec<RosterEntry> {
     let mut rosters = first.iter().rev().filter_map(|i| match i {
         Input::Roster(entries) => Some(entries.clone()),
         _ => None,
@@ -348,7 +348,7 @@
 }
 
 impl Delivery {
-    fn roster(&self, entries: Vec<Entry>) {
+    fn roster(&self, entries: Vec<RosterEntry>) {
         let _order = self.order.lock().unwrap_or_else(|e| e.into_inner());
         self.put(match &self.resolving {
             Some(resolving) => resolving.roster(entries),
@@ -356,7 +356,7 @@
         });
     }
 
-    fn put(&self, entries: Vec<Entry>) {
+    fn put(&self, entries: Vec<RosterEntry>) {
         match &self.hooks {
             Some(hooks) => hooks.roster(entries),
             None => {
--- a/crates/daemon/src/probe.rs
+++ b/crates/daemon/src/probe.rs
@@ -44,7 +44,7 @@
             out.fetch_sub(1, Ordering::SeqCst);
             owner.put(Input::Probed {
                 server,
-                fine,
+                healthy: fine,
                 took_ms: begun.elapsed().as_secs_f64() * 1e3,
             });
         });
--- a/crates/daemon/src/resolving.rs
+++ b/crates/daemon/src/resolving.rs
@@ -1,6 +1,6 @@
 //! DNS beside the roster: a thread that looks up, and the one list that both make. The roster has the last word.
 
-use dahliapoint_control::{AdminState, Entry};
+use dahliapoint_control::{AdminState, RosterEntry};
 use dahliapoint_dns::agree::{Agree, Disagreement, Listed};
 use dahliapoint_dns::lookup::look;
 use dahliapoint_dns::refresh::{Refresh, Worth};
@@ -31,7 +31,7 @@
 struct Both {
     agree: Agree,
     refresh: Refresh,
-    roster: Vec<Entry>,
+    roster: Vec<RosterEntry>,
     disagree: BTreeMap<String, Disagreement>,
     added: usize,
     /// As memory has it.
@@ -139,7 +139,7 @@
     }
 
     /// A roster came: the list that holds.
-    pub fn roster(&self, entries: Vec<Entry>) -> Vec<Entry> {
+    pub fn roster(&self, entries: Vec<RosterEntry>) -> Vec<RosterEntry> {
         let mut both = self.lock();
         let hosts: Vec<(String, SocketAddr, Listed)> = entries
             .iter()
@@ -150,7 +150,7 @@
         self.merge(&mut both)
     }
 
-    fn merge(&self, both: &mut Both) -> Vec<Entry> {
+    fn merge(&self, both: &mut Both) -> Vec<RosterEntry> {
         let (targets, worth) = both.refresh.listed(self.now_ms());
         let (added, disagree) = both.agree.merged(targets, worth == Worth::Fresh);
         for (name, why) in disagree
@@ -173,7 +173,7 @@
         {
             both.kept = text;
         }
-        out.extend(added.into_iter().map(|a| Entry {
+        out.extend(added.into_iter().map(|a| RosterEntry {
             name: a.name,
             address: a.address.to_string(),
             zone: self.place.zone.clone(),
@@ -186,7 +186,7 @@
     }
 
     /// The list that holds now.
-    pub fn both(&self) -> Vec<Entry> {
+    pub fn both(&self) -> Vec<RosterEntry> {
         self.merge(&mut self.lock())
     }
 
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -3,7 +3,7 @@
 //! that they include.
 
 use crate::importing::{self, Disk, RosterForm, Stamp, stamp};
-use dahliapoint_control::{AdminState, Entry};
+use dahliapoint_control::{AdminState, RosterEntry};
 use dahliapoint_yaml::{Faults, read};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -16,7 +16,12 @@
 ///
 /// # Errors
 /// All that is wrong with it, with lines.
-pub fn parse(file: &str, text: &str, zones: &[String], wall_ms: f64) -> Result<Vec<Entry>, Faults> {
+pub fn parse(
+    file: &str,
+    text: &str,
+    zones: &[String],
+    wall_ms: f64,
+) -> Result<Vec<RosterEntry>, Faults> {
     read(file, text, |at| {
         let mut entries = Vec::new();
         let mut names: BTreeMap<String, u64> = BTreeMap::new();
@@ -58,7 +63,7 @@
                 let ago = (wall_ms - seconds * 1e3).max(0.0);
                 (ago, (seconds * 1e3) as u64)
             });
-            entries.push(Entry {
+            entries.push(RosterEntry {
                 name: called,
                 address: socket,
                 zone: in_zone,
@@ -85,7 +90,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Look {
     Same,
-    New(Vec<Entry>),
+    New(Vec<RosterEntry>),
     /// Refused, with the reason; told once for each state of the file.
     Refused(String),
 }
--- a/crates/daemon/src/sample.rs
+++ b/crates/daemon/src/sample.rs
@@ -1,7 +1,7 @@
 //! The sample service of the embedded default: three small servers on loopback within the process, so
 //! that the program runs from a clean checkout.
 
-use dahliapoint_control::{AdminState, Entry};
+use dahliapoint_control::{AdminState, RosterEntry};
 use dahliapoint_fibers::{TcpStream, listen, sleep, spawn};
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 /// When no port can be had.
-pub fn servers(zones: &[String]) -> io::Result<Vec<Entry>> {
+pub fn servers(zones: &[String]) -> io::Result<Vec<RosterEntry>> {
     let mut entries = Vec::new();
     for i in 0..3 {
         let listener = listen(SocketAddr::from(([127, 0, 0, 1], 0)))?;
@@ -27,7 +27,7 @@
                 }
             }
         });
-        entries.push(Entry {
+        entries.push(RosterEntry {
             name: format!("sample-{}", i + 1),
             address,
             zone: zones[i % zones.len()].clone(),
--- a/crates/daemon/tests/guard.rs
+++ b/crates/daemon/tests/guard.rs
@@ -1,6 +1,6 @@
 //! The guard beside a running controller, and offline.
 
-use dahliapoint_control::{AdminState, Entry, Input, Owner};
+use dahliapoint_control::{AdminState, Input, Owner, RosterEntry};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use std::path::Path;
@@ -58,7 +58,7 @@
 fn what_leaves_a_running_controller_is_judged() {
     let text = "service: portal\nzones: [east]\nclasses: [{name: view, soft_limit: 1s}]\nseed: 3\n\
                 roster: {file: none}\nlisten: {xds: '127.0.0.1:0'}\nreports: {every: 50ms}\n";
-    let entry = |i: usize, state| Entry {
+    let entry = |i: usize, state| RosterEntry {
         name: format!("s{i}"),
         address: format!("127.0.0.1:{}", i + 1),
         zone: "east".into(),
@@ -73,7 +73,7 @@
         session: n,
         proxy: format!("p{n}"),
         zone: "east".into(),
-        pace: Some(10.0),
+        visits_per_s: Some(10.0),
     };
     assert!((7..10).all(|n| daemon.engine().put(joined(n))));
     let view = || daemon.engine().overview()["guard"].clone();
--- a/crates/daemon/tests/hooks.rs
+++ b/crates/daemon/tests/hooks.rs
@@ -60,7 +60,7 @@
             session: n,
             proxy: format!("p{n}"),
             zone: "east".into(),
-            pace: Some(10.0),
+            visits_per_s: Some(10.0),
         };
         assert!((7..10).all(|n| daemon.engine().put(joined(n))));
         daemon
--- a/crates/daemon/tests/interop.rs
+++ b/crates/daemon/tests/interop.rs
@@ -1,7 +1,7 @@
 //! Whether it is the specification that is spoken, and not a dialect: an independent gRPC client and
 //! server (tonic) against ours, on the whole path.
 
-use dahliapoint_control::{AdminState, Entry};
+use dahliapoint_control::{AdminState, RosterEntry};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_fibers::spawn;
@@ -35,7 +35,7 @@
 
 fn daemon() -> Daemon {
     let deployment = deployment::parse("d.yaml", DEPLOYMENT).unwrap();
-    let entry = |i: usize| Entry {
+    let entry = |i: usize| RosterEntry {
         name: format!("s{i}"),
         address: format!("127.0.0.1:{}", 7000 + i),
         zone: if i == 0 { "east" } else { "west" }.into(),
--- a/crates/daemon/tests/memory.rs
+++ b/crates/daemon/tests/memory.rs
@@ -72,7 +72,7 @@
         session: 7,
         proxy: "p".into(),
         zone: "east".into(),
-        pace: Some(1.0),
+        visits_per_s: Some(1.0),
     });
     let mut found = Vec::new();
     until("lines are ordered", || {
--- a/crates/daemon/tests/peer.rs
+++ b/crates/daemon/tests/peer.rs
@@ -1,7 +1,7 @@
 //! A newcomer and a running controller on loopback: what it learns, what it does not believe, and peers that hang, die
 //! halfway, or are of another service.
 
-use dahliapoint_control::{AdminState, Entry, Input, LoadReport, Owner, ReportLine};
+use dahliapoint_control::{AdminState, Input, LoadReport, Owner, ReportLine, RosterEntry};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_grpc::{Call, Code, Handler, Limits, Server, Status};
@@ -15,8 +15,8 @@
 
 const SERVERS: usize = 8;
 
-fn roster() -> Vec<Entry> {
-    let entry = |i: usize| Entry {
+fn roster() -> Vec<RosterEntry> {
+    let entry = |i: usize| RosterEntry {
         name: format!("s{i}"),
         address: format!("127.0.0.1:{}", i + 1),
         zone: "east".into(),
@@ -40,7 +40,7 @@
             session: 7 + n,
             proxy: format!("p{n}"),
             zone: "east".into(),
-            pace: Some(50.0),
+            visits_per_s: Some(50.0),
         };
         assert!(daemon.engine().put(joined));
         daemon.engine().reporter(&format!("p{n}"), 7 + n, true);
--- a/crates/files/src/front.rs
+++ b/crates/files/src/front.rs
@@ -446,7 +446,7 @@
                     p.above(held);
                 }
                 self.owner.put(match beat.leaves {
-                    true => Input::Goodbye(session),
+                    true => Input::Deregistered(session),
                     false => match self.seats.get(&session) {
                         Some(seat) => seat.beat(),
                         None => return,
--- a/crates/files/src/seat.rs
+++ b/crates/files/src/seat.rs
@@ -73,11 +73,11 @@
 
     /// A sign of life, as the controller takes it.
     pub fn beat(&self) -> Input {
-        Input::Beat {
+        Input::Heartbeat {
             session: self.session,
             proxy: self.proxy.clone(),
             zone: self.zone.clone(),
-            pace: self.pace,
+            visits_per_s: self.pace,
         }
     }
 
--- a/crates/memory/src/ageing.rs
+++ b/crates/memory/src/ageing.rs
@@ -8,7 +8,7 @@
 //! begins as if it had warmed up to that share. All times are ratios to the time until a server is warm.
 
 use crate::facts::{Facts, ServerFact, Stamp};
-use dahliapoint_control::{AdminState, Entry};
+use dahliapoint_control::{AdminState, RosterEntry};
 
 /// A verdict loses half of its worth in so many times the warming time without being renewed.
 const HALF: f64 = 5.0;
@@ -21,7 +21,7 @@
 
 /// A server of the roster, and what is remembered of it.
 struct Case<'a> {
-    entry: &'a Entry,
+    entry: &'a RosterEntry,
     fact: Option<&'a ServerFact>,
     /// For how long nobody looked; nothing: it cannot be told.
     gap_ms: Option<f64>,
@@ -125,9 +125,9 @@
 pub fn recall(
     now: &Stamp,
     facts: &Facts,
-    roster: &[Entry],
+    roster: &[RosterEntry],
     warm_ms: f64,
-) -> (Vec<Entry>, Vec<Recall>) {
+) -> (Vec<RosterEntry>, Vec<Recall>) {
     let gap_ms = now.since(&facts.alive);
     let case = |entry| Case {
         entry,
@@ -163,8 +163,8 @@
 /// site that was all slow): a fleet that begins on a tenth of its weight is worse than one that begins as
 /// listed. The most doubtful are let go first. May harm when a third of the fleet really is cold: then the
 /// planner's own rule for cold servers is what is left.
-fn not_too_much_at_once(roster: &[Entry], recalled: &mut [Recall]) {
-    let ready = |e: &Entry| e.state == AdminState::Ready;
+fn not_too_much_at_once(roster: &[RosterEntry], recalled: &mut [Recall]) {
+    let ready = |e: &RosterEntry| e.state == AdminState::Ready;
     let all: f64 = roster.iter().filter(|e| ready(e)).map(|e| e.weight).sum();
     let lost = |recall: &Recall, weight: f64| match recall {
         Recall::AsListed => 0.0,
@@ -205,8 +205,8 @@
         }
     }
 
-    fn entry(name: &str, state: AdminState, ago: Option<f64>) -> Entry {
-        Entry {
+    fn entry(name: &str, state: AdminState, ago: Option<f64>) -> RosterEntry {
+        RosterEntry {
             name: name.into(),
             address: "1:1".into(),
             zone: "z".into(),
@@ -231,7 +231,7 @@
     }
 
     /// One server among twenty that are well; down from 0 until then.
-    fn one(fact: Option<ServerFact>, entry: Entry, now: Stamp) -> Recall {
+    fn one(fact: Option<ServerFact>, entry: RosterEntry, now: Stamp) -> Recall {
         let mut facts = Facts {
             alive: at(0.0),
             ..Facts::default()
--- a/crates/memory/src/facts.rs
+++ b/crates/memory/src/facts.rs
@@ -1,7 +1,7 @@
 //! What is kept: of each server what the roster said and what its line had come to. Times are wall clock
 //! milliseconds, with the machine's own uptime beside them: that one neither leaps nor goes back.
 
-use dahliapoint_control::{AdminState, Entry, ServerView};
+use dahliapoint_control::{AdminState, RosterEntry, ServerView};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -123,8 +123,8 @@
     }
 
     /// The roster as it was last known.
-    pub fn entries(&self) -> Vec<Entry> {
-        let entry = |f: &ServerFact| Entry {
+    pub fn entries(&self) -> Vec<RosterEntry> {
+        let entry = |f: &ServerFact| RosterEntry {
             name: f.name.clone(),
             address: f.address.clone(),
             zone: f.zone.clone(),
--- a/crates/proxy/tests/files.rs
+++ b/crates/proxy/tests/files.rs
@@ -1,6 +1,6 @@
 //! Proxies steered by files, against the controller: the way there and back, moves between the fronts.
 
-use dahliapoint_control::{AdminState, Entry};
+use dahliapoint_control::{AdminState, RosterEntry};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_proxy::described;
@@ -233,7 +233,7 @@
     until("both have it", || {
         by_files.lines() == 2 && by_stream.lines() == 2
     });
-    let entry = Entry {
+    let entry = RosterEntry {
         name: "s0".into(),
         address: "127.0.0.1:1".into(),
         zone: "east".into(),
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -1,6 +1,6 @@
 //! The proxy on real sockets: clients and servers of the test's own, tables from the real controller.
 
-use dahliapoint_control::{AdminState, Entry, Input};
+use dahliapoint_control::{AdminState, Input, RosterEntry};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_proxy::described::{self, Listed};
@@ -185,15 +185,16 @@
     came.head[9..12].parse().unwrap()
 }
 
-fn entries(servers: &[(SocketAddr, f64, AdminState)]) -> Vec<Entry> {
-    let entry = |(i, (address, weight, state)): (usize, &(SocketAddr, f64, AdminState))| Entry {
-        name: format!("s{i}"),
-        address: address.to_string(),
-        zone: "east".into(),
-        state: *state,
-        weight: *weight,
-        started: None,
-    };
+fn entries(servers: &[(SocketAddr, f64, AdminState)]) -> Vec<RosterEntry> {
+    let entry =
+        |(i, (address, weight, state)): (usize, &(SocketAddr, f64, AdminState))| RosterEntry {
+            name: format!("s{i}"),
+            address: address.to_string(),
+            zone: "east".into(),
+            state: *state,
+            weight: *weight,
+            started: None,
+        };
     servers.iter().enumerate().map(entry).collect()
 }
 
--- a/crates/standins/src/sabotage.rs
+++ b/crates/standins/src/sabotage.rs
@@ -70,7 +70,7 @@
             dahliapoint_fibers::spawn(move || {
                 owner.put(Input::Probed {
                     server,
-                    fine: true,
+                    healthy: true,
                     took_ms: 1.0,
                 })
             });
--- a/crates/xds/src/front.rs
+++ b/crates/xds/src/front.rs
@@ -373,7 +373,7 @@
                     session: stream.id,
                     proxy: node.id.clone(),
                     zone: zone.unwrap_or_default(),
-                    pace,
+                    visits_per_s: pace,
                 }
             }
             Answer::Applied(serial) => Input::Applied(stream.id, serial),
--- a/crates/xds/tests/protocol.rs
+++ b/crates/xds/tests/protocol.rs
@@ -2,8 +2,8 @@
 //! whatever is refused, lost or asked for twice on the way.
 
 use dahliapoint_control::{
-    AdminState, ClassSettings, Controller, ControllerSettings, Entry, FurtherTry, Input, Line,
-    LineState, Message, Output, Scope, Way,
+    AdminState, ClassSettings, Controller, ControllerSettings, FurtherTry, Input, Line, LineState,
+    Message, Output, RosterEntry, Scope, Way,
 };
 use dahliapoint_xds::names::{self, CDS, EDS, LEDS, RDS};
 use dahliapoint_xds::pb::discovery::{DeltaDiscoveryRequest, DiscoveryRequest};
@@ -439,7 +439,7 @@
             let calm = step > 150;
             let mut inputs = Vec::new();
             if step % 7 == 0 && !calm {
-                let entry = |(i, n): (usize, &String)| Entry {
+                let entry = |(i, n): (usize, &String)| RosterEntry {
                     name: n.clone(),
                     address: format!("127.0.0.1:{}", 5000 + i),
                     zone: if i % 2 == 0 { "east" } else { "west" }.into(),
@@ -472,7 +472,7 @@
                             session: next,
                             proxy: format!("p{i}"),
                             zone: "east".into(),
-                            pace: Some(0.3),
+                            visits_per_s: Some(0.3),
                         });
                         streams.insert(next, (i, session));
                         next += 1;
