--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -7,9 +7,9 @@
 use crate::servers::{Servers, Slot};
 use crate::ward::{Channel, Rate, Ward, WardView};
 use crate::{
-    AdminState, FurtherTry, Input, Line, LineState, LoadReport, Message, Output, RosterEntry,
+    AdminState, Input, Line, LineState, LoadReport, Message, Output, RetryPolicy, RosterEntry,
 };
-use crate::{ControllerSettings, Scope, Session, Way};
+use crate::{ClassPolicy, ControllerSettings, Scope, Session};
 use dahliapoint::rules::Planner;
 use dahliapoint::{Admission, Class, Extent, Listed, Opening, Orders, Standing, Tries};
 use dahliapoint_intake::belief::Change;
@@ -49,7 +49,7 @@
     free: BTreeSet<usize>,
     zones: HashMap<String, usize>,
     classes: HashMap<String, usize>,
-    ways: Vec<Way>,
+    ways: Vec<ClassPolicy>,
     reports: Reports,
     now: f64,
     planner_alarm: f64,
@@ -123,7 +123,8 @@
 pub struct Overview {
     pub servers: Vec<ServerView>,
     pub proxies: Vec<ProxyView>,
-    pub ways: Vec<(String, Way)>,
+    #[serde(rename = "ways")]
+    pub policies: Vec<(String, ClassPolicy)>,
     pub accounts: Accounts,
     pub guard: WardView,
 }
@@ -159,9 +160,9 @@
         fall_multiple: terms.overload_multiple,
         dropped_may_stay: terms.keep_unlisted_servers,
         usual_tries: match terms.default_retry_policy {
-            FurtherTry::Never => Tries::Never,
-            FurtherTry::OnProof => Tries::OnProof,
-            FurtherTry::OnFailure => Tries::OnFailure,
+            RetryPolicy::Never => Tries::Never,
+            RetryPolicy::OnProof => Tries::OnProof,
+            RetryPolicy::OnFailure => Tries::OnFailure,
         },
         may_probe: terms.may_probe,
         must_ask: false,
@@ -175,9 +176,9 @@
     pub fn begun(now: f64, seed: u64, terms: ControllerSettings) -> Controller {
         let zones = terms.zones.iter().cloned().zip(0..).collect();
         let classes = terms.classes.iter().map(|c| c.name.clone()).zip(0..);
-        let usual = Way {
-            share: 1.0,
-            tries: terms.default_retry_policy,
+        let usual = ClassPolicy {
+            admitted_share: 1.0,
+            retry: terms.default_retry_policy,
         };
         Controller {
             planner: Planner::begun(now, seed, &opening(&terms)),
@@ -332,7 +333,7 @@
         for entry in entries {
             let Some(zone) = self.zones.get(&entry.zone).copied() else {
                 let note = format!("roster: {}: no zone {:?}", entry.name, entry.zone);
-                out.push(Output::Note(note));
+                out.push(Output::Log(note));
                 continue;
             };
             let (server, moves) = self.servers.place(entry, zone, now);
@@ -437,7 +438,7 @@
                 // Its stream may have taken the name over already.
                 if let Some(index) = self.by_session.get(&session).copied() {
                     let note = format!("proxy {}: leaves, {why}", self.proxies[&index].name);
-                    out.push(Output::Note(note));
+                    out.push(Output::Log(note));
                     self.by_session.remove(&session);
                     self.left(index);
                     self.close(session, why.into(), out);
@@ -445,7 +446,7 @@
             }
             presence::Deed::Doubled(name) => {
                 let why = "has a stream and beats beside it: two processes have one name";
-                out.push(Output::Note(format!("proxy {name}: {why}")));
+                out.push(Output::Log(format!("proxy {name}: {why}")));
             }
             presence::Deed::Forget(_) => {}
         }
@@ -510,7 +511,7 @@
             let note = format!("proxy {}: refused its table: {why}", proxy.name);
             proxy.member.refused(now, sent.iter().any(|m| m.withdraws));
             proxy.refusal = Some(why);
-            out.push(Output::Note(note));
+            out.push(Output::Log(note));
         }
     }
 
@@ -565,7 +566,7 @@
                 Heard::Again(p) => (p, "reports again"),
             };
             if let Some(proxy) = self.proxies.get(&p) {
-                out.push(Output::Note(format!("proxy {}: {word}", proxy.name)));
+                out.push(Output::Log(format!("proxy {}: {word}", proxy.name)));
             }
         }
         for change in round.changes {
@@ -589,7 +590,7 @@
                     format!("proxy {}: {word} all others", name.unwrap_or_default())
                 }
             };
-            out.push(Output::Note(note));
+            out.push(Output::Log(note));
         }
     }
 
@@ -606,12 +607,15 @@
         }
         for (part, class, share, tries) in orders.levels {
             let tries = match tries {
-                Tries::Never => FurtherTry::Never,
-                Tries::OnProof => FurtherTry::OnProof,
-                Tries::OnFailure => FurtherTry::OnFailure,
+                Tries::Never => RetryPolicy::Never,
+                Tries::OnProof => RetryPolicy::OnProof,
+                Tries::OnFailure => RetryPolicy::OnFailure,
             };
             let tries = self.ward.tries(tries, self.terms.classes[class].idempotent);
-            self.ways[class] = Way { share, tries };
+            self.ways[class] = ClassPolicy {
+                admitted_share: share,
+                retry: tries,
+            };
             touched.ways.entry(part).or_default().push(class);
         }
         for (s, shut) in orders.withdrawals {
@@ -651,7 +655,7 @@
             self.planner_alarm = self.planner_alarm.min(at);
         }
         let named = orders.notes.into_iter().map(|n| self.named(&n));
-        out.extend(named.map(Output::Note));
+        out.extend(named.map(Output::Log));
     }
 
     /// What the guard knows is brought up to date.
@@ -749,7 +753,7 @@
                 .iter()
                 .for_each(|(s, _)| touched.server(Some(part), *s));
             self.held |= leaves.held;
-            out.extend(leaves.notes.into_iter().map(Output::Note));
+            out.extend(leaves.notes.into_iter().map(Output::Log));
         }
     }
 
@@ -794,12 +798,12 @@
             let lines: Vec<Line> = touched.lines(part, &self.servers);
             let ways = touched.ways.get(&part).into_iter().flatten();
             let ways: Vec<_> = ways.map(|c| (*c, self.ways[*c])).collect();
-            let scope = Scope::Part(part);
+            let scope = Scope::Changes(part);
             let message = Message {
                 serial,
                 scope,
                 lines,
-                ways,
+                policies: ways,
             };
             writes.push((proxies, message));
         }
@@ -816,15 +820,15 @@
             let lines = servers.iter().map(|s| {
                 let slot = &self.servers.slots[*s];
                 slot.line_as(match slot.shut {
-                    true => LineState::Shut,
-                    false => LineState::Away,
+                    true => LineState::Withdrawn,
+                    false => LineState::Removed,
                 })
             });
             Message {
                 serial,
-                scope: Scope::Standing,
+                scope: Scope::Unbound,
                 lines: lines.collect(),
-                ways: Vec::new(),
+                policies: Vec::new(),
             }
         };
         writes.push((standing, shut(&touched.standing)));
@@ -840,9 +844,9 @@
         let ways = self.ways.iter().copied().enumerate();
         Message {
             serial,
-            scope: Scope::Whole(part),
+            scope: Scope::Snapshot(part),
             lines: lines.collect(),
-            ways: ways.collect(),
+            policies: ways.collect(),
         }
     }
 
@@ -851,9 +855,9 @@
         let shut = self.servers.known().filter(|(_, s)| s.shut);
         Message {
             serial,
-            scope: Scope::Standing,
-            lines: shut.map(|(_, s)| s.line_as(LineState::Shut)).collect(),
-            ways: Vec::new(),
+            scope: Scope::Unbound,
+            lines: shut.map(|(_, s)| s.line_as(LineState::Withdrawn)).collect(),
+            policies: Vec::new(),
         }
     }
 
@@ -865,8 +869,8 @@
         mark: Option<u32>,
         out: &mut Vec<Output>,
     ) {
-        let nothing = message.lines.is_empty() && message.ways.is_empty();
-        if proxies.is_empty() || nothing && !matches!(message.scope, Scope::Whole(_)) {
+        let nothing = message.lines.is_empty() && message.policies.is_empty();
+        if proxies.is_empty() || nothing && !matches!(message.scope, Scope::Snapshot(_)) {
             // The planner waits for an answer to what was held back: it is answered here.
             if let Some(mark) = mark.filter(|_| self.held) {
                 proxies
@@ -882,13 +886,13 @@
                 *named_in = (*named_in).max(message.serial);
             }
         }
-        let lines = (message.lines.len() + message.ways.len()) as f64;
+        let lines = (message.lines.len() + message.policies.len()) as f64;
         let sent = Sent {
             serial: message.serial,
             mark,
             lines: lines + self.terms.message_overhead_lines,
             at: now,
-            whole: matches!(message.scope, Scope::Whole(_)),
+            whole: matches!(message.scope, Scope::Snapshot(_)),
             withdraws: message.lines.iter().any(|l| l.state != LineState::Open),
         };
         let mut sessions = Vec::with_capacity(proxies.len());
@@ -934,13 +938,13 @@
                         self.by_session.remove(&session);
                         self.left(i);
                         self.presence.closed(now, session);
-                        out.push(Output::Note(format!("proxy {name}: answers nothing")));
+                        out.push(Output::Log(format!("proxy {name}: answers nothing")));
                         self.close(session, "no answer to what was sent".into(), out);
                     }
                     (Deed::WithdrawAgain, Some(part)) => {
                         let mut message = self.whole(serial, part);
-                        message.scope = Scope::Part(part);
-                        message.ways.clear();
+                        message.scope = Scope::Changes(part);
+                        message.policies.clear();
                         let shut = self.servers.known();
                         let shut = shut.filter(|(_, s)| s.part == Some(part) && s.shut);
                         message.lines = shut.map(|(_, s)| s.line()).collect();
@@ -986,7 +990,9 @@
     /// What is let in of each class.
     pub fn levels(&self) -> Vec<(String, f64)> {
         let names = self.terms.classes.iter().map(|c| c.name.clone());
-        names.zip(self.ways.iter().map(|w| w.share)).collect()
+        names
+            .zip(self.ways.iter().map(|w| w.admitted_share))
+            .collect()
     }
 
     /// The present state, for people.
@@ -1011,7 +1017,7 @@
         Overview {
             servers: servers.collect(),
             proxies: proxies.collect(),
-            ways: names.zip(self.ways.iter().copied()).collect(),
+            policies: names.zip(self.ways.iter().copied()).collect(),
             accounts: self.accounts,
             guard: self.ward.view(),
         }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -9,6 +9,7 @@
 
 mod accounts;
 mod controller;
+mod debug_text;
 pub mod membership;
 mod owner;
 pub mod presence;
@@ -62,7 +63,7 @@
     pub drain_grace_ms: f64,
     pub keep_unlisted_servers: bool,
     /// How proxies try again where no order says otherwise.
-    pub default_retry_policy: FurtherTry,
+    pub default_retry_policy: RetryPolicy,
     pub may_probe: bool,
     /// How often a proxy without a stream is to give a sign of life.
     pub heartbeat_interval_ms: f64,
@@ -177,13 +178,13 @@
 }
 
 /// How a line stands in a table.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[derive(Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LineState {
     Open,
     /// Withdrawn: not to be picked, whatever its weight.
-    Shut,
+    Withdrawn,
     /// Not in the table any more.
-    Away,
+    Removed,
 }
 
 /// A line of a table.
@@ -198,42 +199,44 @@
 
 /// When proxies may try another server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum FurtherTry {
+pub enum RetryPolicy {
     Never,
     OnProof,
     OnFailure,
 }
 
 /// What is let in of a class, and when its visits are tried again.
-#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Way {
-    pub share: f64,
-    pub tries: FurtherTry,
+#[derive(Clone, Copy, PartialEq, Serialize, Deserialize)]
+pub struct ClassPolicy {
+    #[serde(rename = "share")]
+    pub admitted_share: f64,
+    #[serde(rename = "tries")]
+    pub retry: RetryPolicy,
 }
 
 /// What the lines of a message are about.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[derive(Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Scope {
     /// Changes of the part that the proxy is bound to.
-    Part(usize),
+    Changes(usize),
     /// All of a part: the proxy is bound to it from now on.
-    Whole(usize),
+    Snapshot(usize),
     /// Withdrawals for a proxy that is not bound: they hold for whatever tables it has.
-    Standing,
+    Unbound,
 }
 
 /// One message; the proxy answers for its serial.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[derive(Clone, PartialEq, Serialize, Deserialize)]
 pub struct Message {
     pub serial: u64,
     pub scope: Scope,
     pub lines: Vec<Line>,
     /// By class; only those that changed, all of them in a whole table.
-    pub ways: Vec<(usize, Way)>,
+    pub policies: Vec<(usize, ClassPolicy)>,
 }
 
 /// What is to be done, in this order.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[derive(Clone, PartialEq, Serialize, Deserialize)]
 pub enum Output {
     /// One message for all these sessions.
     Write(Vec<Session>, Arc<Message>),
@@ -242,5 +245,5 @@
     /// Call a server and say how it went.
     Probe { server: String, address: String },
     /// For the operators' log.
-    Note(String),
+    Log(String),
 }
--- a/crates/control/src/servers.rs
+++ b/crates/control/src/servers.rs
@@ -34,8 +34,8 @@
     /// The line that stands in its part's table.
     pub fn line(&self) -> Line {
         let state = match (self.weight > 0.0, self.shut) {
-            (false, _) => LineState::Away,
-            (true, true) => LineState::Shut,
+            (false, _) => LineState::Removed,
+            (true, true) => LineState::Withdrawn,
             (true, false) => LineState::Open,
         };
         self.line_as(state)
--- a/crates/control/src/ward.rs
+++ b/crates/control/src/ward.rs
@@ -9,7 +9,7 @@
 //! the channel is full; the rest leaves by the guard's steps, no sooner after each other than its pace.
 
 use crate::servers::Slot;
-use crate::{AdminState, ControllerSettings, FurtherTry};
+use crate::{AdminState, ControllerSettings, RetryPolicy};
 use dahliapoint_guard::bearing::{Bearing, Carried};
 use dahliapoint_guard::steps::Step;
 use dahliapoint_guard::{Danger, Guard, Line, Reason, Server, Standing};
@@ -308,13 +308,13 @@
     }
 
     /// Tries that may repeat an effect are not ordered for a class that must not repeat.
-    pub fn tries(&mut self, tries: FurtherTry, repeatable: bool) -> FurtherTry {
-        if self.is_off() || tries != FurtherTry::OnFailure || repeatable {
+    pub fn tries(&mut self, tries: RetryPolicy, repeatable: bool) -> RetryPolicy {
+        if self.is_off() || tries != RetryPolicy::OnFailure || repeatable {
             return tries;
         }
         self.count(Reason::Repeats);
         match self.holds() {
-            true => FurtherTry::OnProof,
+            true => RetryPolicy::OnProof,
             false => tries,
         }
     }
--- a/crates/control/tests/controller.rs
+++ b/crates/control/tests/controller.rs
@@ -2,8 +2,8 @@
 
 use dahliapoint_control::record::{Begin, End, Recorder, bytes_of, replay};
 use dahliapoint_control::{
-    AdminState, ClassSettings, Controller, ControllerSettings, FurtherTry, Input, LineState,
-    LoadReport, Output, ReportLine, RosterEntry, Scope, Session,
+    AdminState, ClassSettings, Controller, ControllerSettings, Input, LineState, LoadReport,
+    Output, ReportLine, RetryPolicy, RosterEntry, Scope, Session,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -39,7 +39,7 @@
         overload_multiple: 3.0,
         drain_grace_ms: 3_000.0,
         keep_unlisted_servers: false,
-        default_retry_policy: FurtherTry::OnProof,
+        default_retry_policy: RetryPolicy::OnProof,
         may_probe: true,
         heartbeat_interval_ms: 1_000.0,
         guard_mode: dahliapoint_control::ward::Guarding::Hold,
@@ -112,23 +112,23 @@
                         let held = self.held.get_mut(s).expect("written to who is joined");
                         assert!(m.serial > held.last, "serials rise");
                         held.last = m.serial;
-                        if let Scope::Whole(part) = m.scope {
+                        if let Scope::Snapshot(part) = m.scope {
                             held.lines.clear();
                             held.part = Some(part);
                         }
-                        if let Scope::Part(part) = m.scope {
+                        if let Scope::Changes(part) = m.scope {
                             assert_eq!(held.part, Some(part), "changes of the part bound to");
                         }
                         for l in &m.lines {
                             let name = l.server.to_string();
                             match (m.scope, l.state) {
-                                (Scope::Standing, LineState::Shut) => {
+                                (Scope::Unbound, LineState::Withdrawn) => {
                                     held.shut.insert(name);
                                 }
-                                (Scope::Standing, _) => {
+                                (Scope::Unbound, _) => {
                                     held.shut.remove(&name);
                                 }
-                                (_, LineState::Away) => {
+                                (_, LineState::Removed) => {
                                     held.lines.remove(&name);
                                 }
                                 (_, state) => {
@@ -145,7 +145,7 @@
                     self.closed.push(*session);
                 }
                 Output::Probe { server, .. } => self.probed.push(server.clone()),
-                Output::Note(note) => self.notes.push(note.clone()),
+                Output::Log(note) => self.notes.push(note.clone()),
             }
         }
         out
@@ -202,7 +202,7 @@
             let wanted: BTreeMap<_, _> = there
                 .map(|s| {
                     let state = match s.shut {
-                        true => LineState::Shut,
+                        true => LineState::Withdrawn,
                         false => LineState::Open,
                     };
                     (s.name.to_string(), (format!("{:.6}", s.weight), state))
--- a/crates/control/tests/ward.rs
+++ b/crates/control/tests/ward.rs
@@ -5,8 +5,8 @@
 use dahliapoint::Tries;
 use dahliapoint_control::ward::Guarding;
 use dahliapoint_control::{
-    AdminState, ClassSettings, Controller, ControllerSettings, FurtherTry, Input, LineState,
-    LoadReport, Output, ReportLine, RosterEntry, Scope,
+    AdminState, ClassSettings, Controller, ControllerSettings, Input, LineState, LoadReport,
+    Output, ReportLine, RetryPolicy, RosterEntry, Scope,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -47,7 +47,7 @@
         overload_multiple: 3.0,
         drain_grace_ms: GRACE_MS,
         keep_unlisted_servers: false,
-        default_retry_policy: FurtherTry::OnProof,
+        default_retry_policy: RetryPolicy::OnProof,
         may_probe: true,
         heartbeat_interval_ms: 0.0,
         guard_mode: guard,
@@ -250,15 +250,18 @@
                             )
                         })
                         .collect();
-                    let repeats = m.ways.iter().any(|w| w.1.tries == FurtherTry::OnFailure);
+                    let repeats = m
+                        .policies
+                        .iter()
+                        .any(|w| w.1.retry == RetryPolicy::OnFailure);
                     self.broken.repeats += usize::from(repeats);
                     for session in sessions {
                         // Each at its own moment, in order.
                         let after = 20.0 + self.chance.below(1_500) as f64;
                         let p = &mut self.proxies[session as usize];
                         let at = p.way.back().map_or(0.0, |w| w.0).max(self.now + after);
-                        let whole = matches!(m.scope, Scope::Whole(_));
-                        let lines = if m.scope == Scope::Standing {
+                        let whole = matches!(m.scope, Scope::Snapshot(_));
+                        let lines = if m.scope == Scope::Unbound {
                             Vec::new()
                         } else {
                             lines.clone()
@@ -268,7 +271,7 @@
                 }
                 Output::Probe { server, .. } => self.probes.push(number(&server)),
                 Output::Close(session, why) => panic!("{session} is closed: {why}"),
-                Output::Note(_) => {}
+                Output::Log(_) => {}
             }
         }
     }
--- a/crates/daemon/src/deployment.rs
+++ b/crates/daemon/src/deployment.rs
@@ -5,7 +5,7 @@
 use crate::importing::{Foreign, RosterForm};
 use crate::resolving::DnsPlace;
 use dahliapoint_control::ward::Guarding;
-use dahliapoint_control::{ClassSettings, ControllerSettings, FurtherTry};
+use dahliapoint_control::{ClassSettings, ControllerSettings, RetryPolicy};
 use dahliapoint_files::forms::Form;
 use dahliapoint_files::reach::{Promise, Reach};
 use dahliapoint_hooks::host::Bounds;
@@ -107,13 +107,13 @@
     let tries = proxies.field("further_try");
     let usual_tries = tries.choice(
         &[
-            ("never", FurtherTry::Never),
-            ("on_proof", FurtherTry::OnProof),
-            ("on_failure", FurtherTry::OnFailure),
+            ("never", RetryPolicy::Never),
+            ("on_proof", RetryPolicy::OnProof),
+            ("on_failure", RetryPolicy::OnFailure),
         ],
-        Some(FurtherTry::OnProof),
+        Some(RetryPolicy::OnProof),
     );
-    if usual_tries == FurtherTry::OnFailure && repeats.contains(&Repeat::Never) {
+    if usual_tries == RetryPolicy::OnFailure && repeats.contains(&Repeat::Never) {
         tries.wrong("never or on_proof is wanted: a class here must never run twice");
     }
     let shares = proxies.field("refuse");
--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -322,7 +322,7 @@
             figures.longest_ms = figures.longest_ms.max(took);
         }
         for output in outputs {
-            if let Some(Output::Note(note)) = (work.hand)(output) {
+            if let Some(Output::Log(note)) = (work.hand)(output) {
                 match note.starts_with("guard:") {
                     true => warn!(target: "guard", "{note}"),
                     false => info!(target: "decisions", "{note}"),
@@ -367,12 +367,12 @@
         }
         for output in &outputs {
             if let Output::Write(_, message) = output
-                && let Scope::Part(part) = message.scope
+                && let Scope::Changes(part) = message.scope
                 && !message.lines.is_empty()
             {
                 let seen = |l: &dahliapoint_control::Line| LineSeen {
                     server: l.server.clone(),
-                    weight: if l.state == LineState::Away {
+                    weight: if l.state == LineState::Removed {
                         0.0
                     } else {
                         l.weight
--- a/crates/files/src/forms.rs
+++ b/crates/files/src/forms.rs
@@ -1,7 +1,7 @@
 //! A table as it is published, and the forms that it is written in: our own, and those that plain proxies
 //! already read. All forms of one generation are made from one table.
 
-use dahliapoint_control::{FurtherTry, Line, LineState};
+use dahliapoint_control::{Line, LineState, RetryPolicy};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -38,7 +38,7 @@
 pub struct ClassWay {
     /// The share of its visits that is let in.
     pub share: f64,
-    pub tries: FurtherTry,
+    pub tries: RetryPolicy,
 }
 
 /// A table of one proxy, whole.
--- a/crates/files/src/seat.rs
+++ b/crates/files/src/seat.rs
@@ -85,24 +85,24 @@
     pub fn deliver(&mut self, message: &Message, classes: &[String]) {
         let table = &mut self.table;
         table.serial = table.serial.max(message.serial);
-        for (class, way) in &message.ways {
+        for (class, way) in &message.policies {
             if let Some(name) = classes.get(*class) {
                 let way = ClassWay {
-                    share: way.share,
-                    tries: way.tries,
+                    share: way.admitted_share,
+                    tries: way.retry,
                 };
                 table.classes.insert(name.clone(), way);
             }
         }
         let lines = message.lines.iter();
         match message.scope {
-            Scope::Standing => lines.for_each(|l| {
+            Scope::Unbound => lines.for_each(|l| {
                 match l.state {
-                    LineState::Away => table.shut.remove(&*l.server),
+                    LineState::Removed => table.shut.remove(&*l.server),
                     _ => table.shut.insert(l.server.to_string()),
                 };
             }),
-            Scope::Whole(part) => {
+            Scope::Snapshot(part) => {
                 self.part = Some(part);
                 table.bound = true;
                 // The table now says itself what is withdrawn.
@@ -111,14 +111,14 @@
                     .map(|l| (l.server.to_string(), TableLine::of(l)))
                     .collect();
             }
-            Scope::Part(part) if self.part == Some(part) => lines.for_each(|l| {
+            Scope::Changes(part) if self.part == Some(part) => lines.for_each(|l| {
                 match l.state {
-                    LineState::Away => table.lines.remove(&*l.server),
+                    LineState::Removed => table.lines.remove(&*l.server),
                     _ => table.lines.insert(l.server.to_string(), TableLine::of(l)),
                 };
             }),
             // A part that it is not bound to: told before it was bound anew.
-            Scope::Part(_) => {}
+            Scope::Changes(_) => {}
         }
         let withdraws = message.lines.iter().any(|l| l.state != LineState::Open);
         let wants = if withdraws {
@@ -207,11 +207,11 @@
             serial,
             scope,
             lines: lines.iter().map(|(s, state)| line(s, *state)).collect(),
-            ways: vec![],
+            policies: vec![],
         }
     }
 
-    use LineState::{Away, Open, Shut};
+    use LineState::{Open, Removed, Withdrawn};
 
     #[test]
     fn messages_become_a_table_and_answers_become_marks() {
@@ -219,27 +219,27 @@
         assert_eq!(seat.wants(0.0, 1e3), None, "nothing was told");
         let steps = [
             (
-                message(1, Scope::Standing, &[("x", Shut)]),
+                message(1, Scope::Unbound, &[("x", Withdrawn)]),
                 Wants::Urgently,
                 "/x",
             ),
             (
-                message(2, Scope::Whole(0), &[("a", Open), ("b", Shut)]),
+                message(2, Scope::Snapshot(0), &[("a", Open), ("b", Withdrawn)]),
                 Wants::Urgently,
                 "a,(b)/",
             ),
             (
-                message(3, Scope::Part(0), &[("c", Open)]),
+                message(3, Scope::Changes(0), &[("c", Open)]),
                 Wants::Soon,
                 "a,(b),c/",
             ),
             (
-                message(4, Scope::Part(1), &[("d", Open)]),
+                message(4, Scope::Changes(1), &[("d", Open)]),
                 Wants::Soon,
                 "a,(b),c/",
             ),
             (
-                message(5, Scope::Part(0), &[("a", Away), ("b", Open)]),
+                message(5, Scope::Changes(0), &[("a", Removed), ("b", Open)]),
                 Wants::Urgently,
                 "b,c/",
             ),
@@ -270,7 +270,7 @@
     #[test]
     fn failures_wait_longer_each_time_and_tables_are_refreshed() {
         let mut seat = Seat::new(1, "p", 7, "s", None);
-        seat.deliver(&message(1, Scope::Whole(0), &[("a", Open)]), &[]);
+        seat.deliver(&message(1, Scope::Snapshot(0), &[("a", Open)]), &[]);
         let waits: Vec<f64> = (0..8)
             .map(|_| {
                 seat.failed(1_000.0, 100.0);
--- a/crates/proxy/src/filed.rs
+++ b/crates/proxy/src/filed.rs
@@ -4,7 +4,7 @@
 use crate::around::Crossed;
 use crate::described::Spooled;
 use crate::plane::Plane;
-use dahliapoint_control::FurtherTry;
+use dahliapoint_control::RetryPolicy;
 use dahliapoint_files::forms::Table;
 use dahliapoint_files::front::{ALIVE, keys};
 use dahliapoint_files::read::{Look, Reader};
@@ -341,9 +341,9 @@
     let classes = table.classes.iter();
     let retry_on = classes.clone().map(|(class, way)| {
         let on = match way.tries {
-            FurtherTry::Never => "",
-            FurtherTry::OnProof => "connect-failure,refused-stream",
-            FurtherTry::OnFailure => "5xx",
+            RetryPolicy::Never => "",
+            RetryPolicy::OnProof => "connect-failure,refused-stream",
+            RetryPolicy::OnFailure => "5xx",
         };
         (class.clone(), on.to_string())
     });
--- a/crates/standins/src/sabotage.rs
+++ b/crates/standins/src/sabotage.rs
@@ -3,7 +3,7 @@
 //! module itself were wrong: then the guard is what keeps the rules.
 
 use dahliapoint::{Orders, Tries};
-use dahliapoint_control::{FurtherTry, Input, LineState, Message, Output, Scope};
+use dahliapoint_control::{Input, LineState, Message, Output, RetryPolicy, Scope};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::engine::{Clock, Engine};
 use dahliapoint_daemon::roster::{Look, Watch};
@@ -200,9 +200,9 @@
                 }
             }
             Wrong::RetriesAll => {
-                m.ways
+                m.policies
                     .iter_mut()
-                    .for_each(|w| w.1.tries = FurtherTry::OnFailure);
+                    .for_each(|w| w.1.retry = RetryPolicy::OnFailure);
             }
             Wrong::EmptiesTables => {
                 let late = self.begun.elapsed() > Duration::from_secs(2);
@@ -211,12 +211,14 @@
                     seen.extend(m.lines.iter().cloned());
                     if late {
                         m.lines = seen.clone();
-                        m.lines.iter_mut().for_each(|l| l.state = LineState::Away);
+                        m.lines
+                            .iter_mut()
+                            .for_each(|l| l.state = LineState::Removed);
                     }
                 }
             }
             Wrong::FloodsTheChannel => {
-                if m.scope == Scope::Standing {
+                if m.scope == Scope::Unbound {
                     return vec![Output::Write(sessions, message)];
                 }
                 // The same lines again and again, each time a little different.
--- a/crates/xds/src/resources.rs
+++ b/crates/xds/src/resources.rs
@@ -23,7 +23,7 @@
     RetryPolicy, Route, RouteAction, RouteConfiguration, RouteMatch, VirtualHost, route,
     route_action, route_match::PathSpecifier,
 };
-use dahliapoint_control::{ControllerSettings, FurtherTry, Line, LineState, Way};
+use dahliapoint_control::{self as control, ClassPolicy, ControllerSettings, Line, LineState};
 use prost::{Message, Name};
 use sha2::{Digest, Sha256};
 
@@ -123,7 +123,7 @@
 fn endpoint(line: &Line) -> LbEndpoint {
     let health = match line.state {
         LineState::Open => HealthStatus::Healthy,
-        LineState::Shut | LineState::Away => HealthStatus::Draining,
+        LineState::Withdrawn | LineState::Removed => HealthStatus::Draining,
     };
     LbEndpoint {
         health_status: health.into(),
@@ -143,7 +143,7 @@
 pub fn line(line: &Line) -> Versioned {
     let mark = match line.state {
         LineState::Open => 'o',
-        LineState::Shut | LineState::Away => 'd',
+        LineState::Withdrawn | LineState::Removed => 'd',
     };
     let version = format!("{}{mark}@{}", scaled(line.weight), line.address);
     packed(&endpoint(line), Some(version))
@@ -172,8 +172,8 @@
     }
 }
 
-fn policy(shape: &Shape, class: usize, way: Way) -> Policy {
-    let refused = (1.0 - way.share.clamp(0.0, 1.0)) * 1e6;
+fn policy(shape: &Shape, class: usize, way: ClassPolicy) -> Policy {
+    let refused = (1.0 - way.admitted_share.clamp(0.0, 1.0)) * 1e6;
     let drop = DropOverload {
         category: shape.classes[class].clone(),
         drop_percentage: Some(FractionalPercent {
@@ -182,13 +182,17 @@
         }),
     };
     Policy {
-        drop_overloads: if way.share < 1.0 { vec![drop] } else { vec![] },
+        drop_overloads: if way.admitted_share < 1.0 {
+            vec![drop]
+        } else {
+            vec![]
+        },
         ..Policy::default()
     }
 }
 
 /// The assignment of a class whose lines are a collection.
-pub fn by_collection(shape: &Shape, class: usize, part: usize, way: Way) -> Versioned {
+pub fn by_collection(shape: &Shape, class: usize, part: usize, way: ClassPolicy) -> Versioned {
     let policy = policy(shape, class, way);
     let refused = policy
         .drop_overloads
@@ -219,7 +223,7 @@
     shape: &Shape,
     class: usize,
     lines: impl Iterator<Item = &'a Line> + Clone,
-    way: Way,
+    way: ClassPolicy,
 ) -> Versioned {
     let locality = |(index, name): (usize, &String)| {
         let there = lines.clone().filter(|l| l.zone == index);
@@ -282,18 +286,18 @@
 }
 
 /// A route a class, by the first segment of the path, with when its visits may be tried again.
-pub fn routes(shape: &Shape, ways: &[Way]) -> Versioned {
-    let route = |(class, way): (usize, &Way)| {
+pub fn routes(shape: &Shape, ways: &[ClassPolicy]) -> Versioned {
+    let route = |(class, way): (usize, &ClassPolicy)| {
         let retry = |on: &str| RetryPolicy {
             retry_on: on.to_string(),
             num_retries: Some(UInt32Value { value: 1 }),
             ..RetryPolicy::default()
         };
-        let retry_policy = match way.tries {
-            FurtherTry::Never => None,
+        let retry_policy = match way.retry {
+            control::RetryPolicy::Never => None,
             // Proof that the first try never ran.
-            FurtherTry::OnProof => Some(retry("connect-failure,refused-stream")),
-            FurtherTry::OnFailure => Some(retry(
+            control::RetryPolicy::OnProof => Some(retry("connect-failure,refused-stream")),
+            control::RetryPolicy::OnFailure => Some(retry(
                 "connect-failure,refused-stream,reset,gateway-error,5xx",
             )),
         };
--- a/crates/xds/src/session.rs
+++ b/crates/xds/src/session.rs
@@ -11,7 +11,7 @@
     DeltaDiscoveryRequest, DeltaDiscoveryResponse, DiscoveryRequest, DiscoveryResponse, Resource,
 };
 use crate::resources::{self, Shape, Versioned};
-use dahliapoint_control::{FurtherTry, Line, LineState, Message, Scope, Way};
+use dahliapoint_control::{ClassPolicy, Line, LineState, Message, RetryPolicy, Scope};
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -112,7 +112,7 @@
     raw: BTreeMap<Arc<str>, Line>,
     lines: BTreeMap<String, Versioned>,
     withdrawn: BTreeMap<String, Versioned>,
-    ways: Vec<Way>,
+    ways: Vec<ClassPolicy>,
     /// The newest serial merged, and the newest that a response carries.
     newest: u64,
     told: u64,
@@ -126,9 +126,9 @@
 
 impl Session {
     pub fn new(shape: Arc<Shape>, flavour: Flavour) -> Session {
-        let way = Way {
-            share: 1.0,
-            tries: FurtherTry::OnProof,
+        let way = ClassPolicy {
+            admitted_share: 1.0,
+            retry: RetryPolicy::OnProof,
         };
         let ways = vec![way; shape.classes.len()];
         Session {
@@ -354,9 +354,9 @@
     pub fn deliver(&mut self, message: &Message) {
         self.newest = self.newest.max(message.serial);
         let leds = self.flavour == Flavour::DeltaLeds;
-        let tries = |ways: &[Way]| ways.iter().map(|w| w.tries).collect::<Vec<_>>();
+        let tries = |ways: &[ClassPolicy]| ways.iter().map(|w| w.retry).collect::<Vec<_>>();
         let before = tries(&self.ways);
-        for (class, way) in &message.ways {
+        for (class, way) in &message.policies {
             if let Some(there) = self.ways.get_mut(*class) {
                 *there = *way;
             }
@@ -365,20 +365,20 @@
             let name = names::routes(&self.shape.service);
             self.kinds[K_RDS].dirty.insert(name);
         }
-        let mut assignments = !message.ways.is_empty();
+        let mut assignments = !message.policies.is_empty();
         match message.scope {
-            Scope::Standing => {
+            Scope::Unbound => {
                 let collection = names::withdrawn(&self.shape.service);
                 for line in &message.lines {
                     let name = names::line(&collection, &line.server);
                     match line.state {
-                        LineState::Away => self.withdrawn.remove(&name),
+                        LineState::Removed => self.withdrawn.remove(&name),
                         _ => self.withdrawn.insert(name.clone(), resources::line(line)),
                     };
                     self.touch_line(name);
                 }
             }
-            Scope::Whole(part) => {
+            Scope::Snapshot(part) => {
                 self.bound = Some(part);
                 self.raw.clear();
                 self.lines.clear();
@@ -399,7 +399,7 @@
                 k.owed |= k.names.contains(&collection);
                 assignments = true;
             }
-            Scope::Part(part) if self.bound == Some(part) => {
+            Scope::Changes(part) if self.bound == Some(part) => {
                 let collection = names::part(&self.shape.service, part);
                 for line in &message.lines {
                     self.put(&collection, line);
@@ -407,7 +407,7 @@
                 }
                 assignments |= !leds;
             }
-            Scope::Part(_) => {}
+            Scope::Changes(_) => {}
         }
         if assignments {
             let names = self.there(K_EDS);
@@ -418,7 +418,7 @@
     fn put(&mut self, collection: &str, line: &Line) {
         let leds = self.flavour == Flavour::DeltaLeds;
         let name = names::line(collection, &line.server);
-        if line.state == LineState::Away {
+        if line.state == LineState::Removed {
             self.raw.remove(&line.server);
             self.lines.remove(&name);
         } else {
--- a/crates/xds/tests/protocol.rs
+++ b/crates/xds/tests/protocol.rs
@@ -2,8 +2,8 @@
 //! whatever is refused, lost or asked for twice on the way.
 
 use dahliapoint_control::{
-    AdminState, ClassSettings, Controller, ControllerSettings, FurtherTry, Input, Line, LineState,
-    Message, Output, RosterEntry, Scope, Way,
+    AdminState, ClassPolicy, ClassSettings, Controller, ControllerSettings, Input, Line, LineState,
+    Message, Output, RetryPolicy, RosterEntry, Scope,
 };
 use dahliapoint_xds::names::{self, CDS, EDS, LEDS, RDS};
 use dahliapoint_xds::pb::discovery::{DeltaDiscoveryRequest, DiscoveryRequest};
@@ -35,23 +35,23 @@
 }
 
 fn message(serial: u64, scope: Scope, lines: &[(&str, f64, LineState)]) -> Message {
-    let way = |share| Way {
-        share,
-        tries: FurtherTry::OnProof,
+    let way = |share| ClassPolicy {
+        admitted_share: share,
+        retry: RetryPolicy::OnProof,
     };
     let ways = match scope {
-        Scope::Whole(_) => vec![(0, way(1.0)), (1, way(1.0))],
+        Scope::Snapshot(_) => vec![(0, way(1.0)), (1, way(1.0))],
         _ => vec![],
     };
     Message {
         serial,
         scope,
         lines: lines.iter().map(|(n, w, s)| line(n, *w, *s)).collect(),
-        ways,
+        policies: ways,
     }
 }
 
-use LineState::{Away, Open, Shut};
+use LineState::{Open, Removed, Withdrawn};
 
 /// A client and its stream; everything said is carried until both are at rest.
 struct Pair {
@@ -120,16 +120,16 @@
     assert_eq!(p.holder.table(), None, "withheld until it is bound");
     p.tell(&message(
         1,
-        Scope::Whole(0),
+        Scope::Snapshot(0),
         &[("a", 1.0, Open), ("b", 0.5, Open)],
     ));
     let both = [("a".into(), 10_000, true), ("b".into(), 5_000, true)];
     assert_eq!(p.held(), both);
     assert_eq!(p.answers, [Answer::Joined, Answer::Applied(1)]);
     p.responses.clear();
-    p.tell(&message(2, Scope::Part(0), &[("b", 0.6, Open)]));
-    p.tell(&message(3, Scope::Part(0), &[("a", 1.0, Shut)]));
-    p.tell(&message(4, Scope::Part(0), &[("a", 0.0, Away)]));
+    p.tell(&message(2, Scope::Changes(0), &[("b", 0.6, Open)]));
+    p.tell(&message(3, Scope::Changes(0), &[("a", 1.0, Withdrawn)]));
+    p.tell(&message(4, Scope::Changes(0), &[("a", 0.0, Removed)]));
     assert_eq!(
         p.responses,
         [
@@ -147,11 +147,11 @@
     let mut p = Pair::new();
     p.tell(&message(
         1,
-        Scope::Whole(0),
+        Scope::Snapshot(0),
         &[("a", 1.0, Open), ("b", 1.0, Open)],
     ));
-    let bad = [("a", 1.0, Shut), ("ghost", 1.0, Open)];
-    p.session.deliver(&message(2, Scope::Part(0), &bad));
+    let bad = [("a", 1.0, Withdrawn), ("ghost", 1.0, Open)];
+    p.session.deliver(&message(2, Scope::Changes(0), &bad));
     p.rest("ghost");
     assert!(matches!(&p.answers[..], [.., Answer::Refused(2, why)] if why.contains("ghost")));
     assert!(
@@ -160,17 +160,21 @@
     );
     // What was withdrawn, alone, passes.
     p.session
-        .deliver(&message(3, Scope::Part(0), &[("a", 1.0, Shut)]));
+        .deliver(&message(3, Scope::Changes(0), &[("a", 1.0, Withdrawn)]));
     p.rest("ghost");
     assert_eq!(p.answers.last(), Some(&Answer::Applied(3)));
     assert!(!p.held()[0].2);
     // The whole table again: only the line that is missing is sent, and refused again.
     p.responses.clear();
-    let whole = [("a", 1.0, Shut), ("b", 1.0, Open), ("ghost", 1.0, Open)];
-    p.session.deliver(&message(4, Scope::Whole(0), &whole));
+    let whole = [
+        ("a", 1.0, Withdrawn),
+        ("b", 1.0, Open),
+        ("ghost", 1.0, Open),
+    ];
+    p.session.deliver(&message(4, Scope::Snapshot(0), &whole));
     p.rest("ghost");
     assert_eq!(p.responses, [("LbEndpoint".into(), 1, 0)]);
-    p.session.deliver(&message(5, Scope::Whole(0), &whole));
+    p.session.deliver(&message(5, Scope::Snapshot(0), &whole));
     p.rest("");
     assert_eq!(p.held().len(), 3);
     assert_eq!(p.answers.last(), Some(&Answer::Applied(5)));
@@ -180,11 +184,11 @@
 fn a_proxy_that_returns_with_the_right_table_is_sent_no_line() {
     let mut p = Pair::new();
     let whole = [("a", 1.0, Open), ("b", 1.0, Open), ("c", 1.0, Open)];
-    p.tell(&message(1, Scope::Whole(2), &whole));
+    p.tell(&message(1, Scope::Snapshot(2), &whole));
     p.responses.clear();
     p.again();
     assert_eq!(p.held().len(), 3, "holds its table while it waits");
-    p.tell(&message(7, Scope::Whole(2), &whole));
+    p.tell(&message(7, Scope::Snapshot(2), &whole));
     let lines: usize = p.responses.iter().map(|r| r.1 + r.2).sum();
     assert_eq!(lines, 0, "{:?}", p.responses);
     assert_eq!(p.answers.last(), Some(&Answer::Applied(7)));
@@ -192,7 +196,7 @@
     p.again();
     p.responses.clear();
     let other = [("a", 0.3, Open), ("b", 1.0, Open), ("d", 1.0, Open)];
-    p.tell(&message(8, Scope::Whole(2), &other));
+    p.tell(&message(8, Scope::Snapshot(2), &other));
     let lines: usize = p.responses.iter().map(|r| r.1 + r.2).sum();
     assert_eq!(lines, 3, "{:?}", p.responses);
     let held = p.held();
@@ -207,11 +211,11 @@
     let mut p = Pair::new();
     p.tell(&message(
         1,
-        Scope::Whole(0),
+        Scope::Snapshot(0),
         &[("a", 1.0, Open), ("b", 1.0, Open)],
     ));
     p.again();
-    p.tell(&message(2, Scope::Standing, &[("a", 1.0, Shut)]));
+    p.tell(&message(2, Scope::Unbound, &[("a", 1.0, Withdrawn)]));
     assert_eq!(p.answers.last(), Some(&Answer::Applied(2)));
     assert_eq!(
         p.held(),
@@ -220,7 +224,7 @@
     // Bound again: the given table says what is open.
     p.tell(&message(
         3,
-        Scope::Whole(0),
+        Scope::Snapshot(0),
         &[("a", 0.1, Open), ("b", 1.0, Open)],
     ));
     assert_eq!(p.held()[0], ("a".into(), 1_000, true));
@@ -229,9 +233,9 @@
 #[test]
 fn a_move_to_another_part_keeps_the_old_table_until_the_new_lines_are_there() {
     let mut p = Pair::new();
-    p.tell(&message(1, Scope::Whole(0), &[("a", 1.0, Open)]));
+    p.tell(&message(1, Scope::Snapshot(0), &[("a", 1.0, Open)]));
     p.session
-        .deliver(&message(2, Scope::Whole(1), &[("b", 1.0, Open)]));
+        .deliver(&message(2, Scope::Snapshot(1), &[("b", 1.0, Open)]));
     let mut seen = Vec::new();
     while let Some(response) = p.session.next_delta() {
         for r in p.holder.apply(&response, |_| true) {
@@ -248,12 +252,12 @@
 #[test]
 fn a_client_that_answers_nothing_is_told_the_newest_state_once() {
     let mut p = Pair::new();
-    p.tell(&message(1, Scope::Whole(0), &[("a", 1.0, Open)]));
+    p.tell(&message(1, Scope::Snapshot(0), &[("a", 1.0, Open)]));
     let mut held_back = Vec::new();
     for serial in 2..500 {
         let weight = f64::from(serial as u32) / 100.0;
         p.session
-            .deliver(&message(serial, Scope::Part(0), &[("a", weight, Open)]));
+            .deliver(&message(serial, Scope::Changes(0), &[("a", weight, Open)]));
         while let Some(r) = p.session.next_delta() {
             held_back.push(r);
         }
@@ -272,7 +276,7 @@
 #[test]
 fn odd_requests_of_a_delta_client() {
     let mut p = Pair::new();
-    p.tell(&message(1, Scope::Whole(0), &[("a", 1.0, Open)]));
+    p.tell(&message(1, Scope::Snapshot(0), &[("a", 1.0, Open)]));
     let ask = |type_url: &str, subscribe: &[&str]| DeltaDiscoveryRequest {
         type_url: type_url.into(),
         resource_names_subscribe: subscribe.iter().map(|s| s.to_string()).collect(),
@@ -340,8 +344,8 @@
     assert_eq!(s.answers(), [Answer::Joined]);
     s.deliver(&message(
         1,
-        Scope::Whole(0),
-        &[("a", 1.0, Open), ("b", 1.0, Shut)],
+        Scope::Snapshot(0),
+        &[("a", 1.0, Open), ("b", 1.0, Withdrawn)],
     ));
     let given = s.next_full().unwrap();
     let read = |any: &[u8]| ClusterLoadAssignment::decode(any).unwrap();
@@ -356,7 +360,7 @@
         .unwrap();
     assert_eq!(s.answers(), [Answer::Applied(1)]);
     // A change: the assignment again, whole; refused, then the next one taken.
-    s.deliver(&message(2, Scope::Part(0), &[("b", 0.0, Away)]));
+    s.deliver(&message(2, Scope::Changes(0), &[("b", 0.0, Removed)]));
     let next = s.next_full().unwrap();
     assert_eq!(
         read(&next.resources[0].value).endpoints[0]
@@ -407,7 +411,7 @@
         overload_multiple: 3.0,
         drain_grace_ms: 3_000.0,
         keep_unlisted_servers: false,
-        default_retry_policy: FurtherTry::OnProof,
+        default_retry_policy: RetryPolicy::OnProof,
         may_probe: false,
         heartbeat_interval_ms: 1_000.0,
         guard_mode: dahliapoint_control::ward::Guarding::Hold,
@@ -552,9 +556,9 @@
         ("*", 3.0, Open),
         ("", 4.0, Open),
     ];
-    p.tell(&message(1, Scope::Whole(1), &odd));
+    p.tell(&message(1, Scope::Snapshot(1), &odd));
     assert_eq!(p.held().len(), 4, "{:?}", p.answers);
-    p.tell(&message(2, Scope::Part(1), &[("*", 3.0, Away)]));
+    p.tell(&message(2, Scope::Changes(1), &[("*", 3.0, Removed)]));
     let names: Vec<_> = p.held().into_iter().map(|l| l.0).collect();
     assert_eq!(names, ["", "a%2Fb", "a/b"]);
     assert!(names::line(&collection, "*").ends_with("%2A"));
