--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -59,7 +59,7 @@
     ward: Ward,
     /// Something that was ordered did not leave in this moment.
     held: bool,
-    between: Option<Between>,
+    between: Option<FaultInjector>,
     /// Parts whose tables stay, and until when.
     pins: BTreeMap<usize, f64>,
     /// Tries a second by server, in the newest round of reports alone.
@@ -68,21 +68,21 @@
 
 /// A line that is about to leave.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Leaving {
+pub struct PendingLine {
     pub server: Arc<str>,
     pub weight: f64,
     pub open: bool,
     /// Its weight in the table that stands.
-    pub before: f64,
+    pub current_weight: f64,
 }
 
 /// Asked before lines of a part leave; true: the table that stands is to stay. Withdrawals, and what the guard
 /// does for servers that fall, pass all the same.
-pub type Gate<'a> = &'a mut dyn FnMut(usize, &[Leaving]) -> bool;
+pub type Gate<'a> = &'a mut dyn FnMut(usize, &[PendingLine]) -> bool;
 
 /// A hand between the planner and the guard. For tests that spoil orders on purpose: the guard's worth is what it
 /// keeps then.
-pub type Between = Box<dyn FnMut(f64, &mut Orders) + Send>;
+pub type FaultInjector = Box<dyn FnMut(f64, &mut Orders) + Send>;
 
 /// A server as an operator wants to see it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -173,7 +173,7 @@
 impl Controller {
     /// A controller that has been told nothing yet. Times are milliseconds on a clock that never goes
     /// back; `seed` is where all chance comes from.
-    pub fn begun(now: f64, seed: u64, terms: ControllerSettings) -> Controller {
+    pub fn new(now: f64, seed: u64, terms: ControllerSettings) -> Controller {
         let zones = terms.zones.iter().cloned().zip(0..).collect();
         let classes = terms.classes.iter().map(|c| c.name.clone()).zip(0..);
         let usual = ClassPolicy {
@@ -214,7 +214,7 @@
     }
 
     /// Puts a hand between planner and guard.
-    pub fn spoiled_by(&mut self, between: Between) {
+    pub fn inject_faults(&mut self, between: FaultInjector) {
         self.between = Some(between);
     }
 
@@ -231,13 +231,13 @@
     }
 
     /// All that came at one moment, and what is to be done about it.
-    pub fn take(&mut self, now: f64, inputs: Vec<Input>) -> Vec<Output> {
-        self.take_gated(now, inputs, &mut |_, _| false)
+    pub fn handle(&mut self, now: f64, inputs: Vec<Input>) -> Vec<Output> {
+        self.handle_gated(now, inputs, &mut |_, _| false)
     }
 
     /// The same, with a gate that is asked before lines leave. To be played again the same way, what it held is
     /// written down behind the moment ([`Input::Gated`]).
-    pub fn take_gated(&mut self, now: f64, inputs: Vec<Input>, gate: Gate) -> Vec<Output> {
+    pub fn handle_gated(&mut self, now: f64, inputs: Vec<Input>, gate: Gate) -> Vec<Output> {
         let mut out = Vec::new();
         self.now = now;
         let news = |i: &Input| {
@@ -729,13 +729,13 @@
             let pinned = self.pins.get(&part).is_some_and(|until| now < *until);
             let stands = slots.iter().any(|s| s.part == Some(part) && s.weight > 0.0);
             if stands && !leaves.urgent && !leaves.lines.is_empty() {
-                let leaving = |(s, weight): &(usize, f64)| Leaving {
+                let leaving = |(s, weight): &(usize, f64)| PendingLine {
                     server: slots[*s].name.clone(),
                     weight: *weight,
                     open: !slots[*s].shut && *weight > 0.0,
-                    before: slots[*s].weight,
+                    current_weight: slots[*s].weight,
                 };
-                let asked: Vec<Leaving> = leaves.lines.iter().map(leaving).collect();
+                let asked: Vec<PendingLine> = leaves.lines.iter().map(leaving).collect();
                 if pinned || gate(part, &asked) {
                     self.ward.stays(now, part, slots, &mut leaves);
                 }
@@ -988,7 +988,7 @@
     }
 
     /// What is let in of each class.
-    pub fn levels(&self) -> Vec<(String, f64)> {
+    pub fn admission_levels(&self) -> Vec<(String, f64)> {
         let names = self.terms.classes.iter().map(|c| c.name.clone());
         names
             .zip(self.ways.iter().map(|w| w.admitted_share))
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -19,7 +19,9 @@
 pub mod ward;
 
 pub use accounts::Accounts;
-pub use controller::{Between, Controller, Gate, Leaving, Overview, ProxyView, ServerView};
+pub use controller::{
+    Controller, FaultInjector, Gate, Overview, PendingLine, ProxyView, ServerView,
+};
 pub use owner::Owner;
 pub use reports::{ClassView, EstimateView, report_error};
 
--- a/crates/control/src/record.rs
+++ b/crates/control/src/record.rs
@@ -148,7 +148,7 @@
     let begin: Begin = frames
         .next()
         .map_err(|end| format!("the record does not begin: {end:?}"))?;
-    let mut controller = Controller::begun(begin.now, begin.seed, begin.settings);
+    let mut controller = Controller::new(begin.now, begin.seed, begin.settings);
     let mut frame = frames.next::<(f64, Vec<Input>)>();
     loop {
         let (now, inputs) = match frame {
@@ -164,7 +164,7 @@
             held = parts.clone();
             next = frames.next();
         }
-        let outputs = controller.take_gated(now, inputs, &mut |part, _| held.contains(&part));
+        let outputs = controller.handle_gated(now, inputs, &mut |part, _| held.contains(&part));
         each(now, &outputs);
         frame = next;
     }
--- a/crates/control/tests/controller.rs
+++ b/crates/control/tests/controller.rs
@@ -85,7 +85,7 @@
 impl Day {
     fn begun(terms: ControllerSettings) -> Day {
         Day {
-            controller: Controller::begun(1e6, 7, terms),
+            controller: Controller::new(1e6, 7, terms),
             now: 1e6,
             held: BTreeMap::new(),
             closed: Vec::new(),
@@ -104,7 +104,7 @@
                 self.held.remove(session);
             }
         }
-        let out = self.controller.take(self.now, inputs);
+        let out = self.controller.handle(self.now, inputs);
         for o in &out {
             match o {
                 Output::Write(sessions, m) => {
@@ -311,7 +311,7 @@
     // The same node again: the newer stream holds, the older one's late words count for nothing.
     day.join(3, "p1");
     assert_eq!(day.closed, [1]);
-    day.controller.take(day.now, vec![Input::Left(1)]);
+    day.controller.handle(day.now, vec![Input::Left(1)]);
     day.pass(3000.0, 100.0);
     day.agrees();
     assert_eq!(day.controller.overview().proxies.len(), 2);
--- a/crates/control/tests/ward.rs
+++ b/crates/control/tests/ward.rs
@@ -145,12 +145,12 @@
             since: now,
         };
         let spoil = std::sync::Arc::new(std::sync::Mutex::new(Spoil::Nothing));
-        let mut controller = Controller::begun(now, seed, terms(guard));
+        let mut controller = Controller::new(now, seed, terms(guard));
         let told = spoil.clone();
         let (mut seen, mut wild, mut turn) = (BTreeSet::new(), Chance(seed), 0);
         // What the module itself ordered: once it is right again, that is what it wants, all of it.
         let (mut own, mut own_shut, mut was_wrong) = (BTreeMap::new(), BTreeMap::new(), false);
-        controller.spoiled_by(Box::new(move |_, orders| {
+        controller.inject_faults(Box::new(move |_, orders| {
             own.extend(orders.lines.iter().map(|l| ((l.0, l.1), l.2)));
             own_shut.extend(orders.withdrawals.iter().copied());
             let spoil = *told.lock().unwrap();
@@ -233,7 +233,7 @@
     }
 
     fn tell(&mut self, inputs: Vec<Input>) {
-        for output in self.controller.take(self.now, inputs) {
+        for output in self.controller.handle(self.now, inputs) {
             match output {
                 Output::Write(sessions, m) => {
                     let lines: Vec<(usize, f64)> = m
--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -7,8 +7,8 @@
 use crate::hooking::Hooking;
 use dahliapoint_control::record::{Begin, Recorder};
 use dahliapoint_control::{
-    Between, Controller, ControllerSettings, Input, LineState, LoadReport, Output, ReportLine,
-    Scope, Session,
+    Controller, ControllerSettings, FaultInjector, Input, LineState, LoadReport, Output,
+    ReportLine, Scope, Session,
 };
 use dahliapoint_fibers::{Bell, Queue, Received};
 use dahliapoint_hooks::value::{LineSeen, World};
@@ -112,7 +112,7 @@
     hooking: Arc<Mutex<Option<Arc<Hooking>>>>,
     known: Arc<Mutex<Option<(Known, Differ)>>>,
     /// A hand that spoils orders, for tests of the guard.
-    spoiled: Arc<Mutex<Option<Between>>>,
+    spoiled: Arc<Mutex<Option<FaultInjector>>>,
 }
 
 /// A part's own words for an overview.
@@ -184,7 +184,7 @@
     }
 
     /// Puts a hand between planner and guard, before the engine runs.
-    pub fn spoiled_by(&self, between: Between) {
+    pub fn spoiled_by(&self, between: FaultInjector) {
         *lock(&self.spoiled) = Some(between);
     }
 
@@ -222,7 +222,7 @@
         let every_ms = terms.report_interval_ms;
         let work = Work {
             interval: Interval::new(now, every_ms, terms.reports_per_s),
-            controller: Controller::begun(now, seed, terms),
+            controller: Controller::new(now, seed, terms),
             record: recorder,
             hand,
             scheduler: Scheduler::new(now, PERIOD_MS, &budgets),
@@ -240,7 +240,7 @@
         };
         let mut work = work;
         if let Some(between) = lock(&self.spoiled).take() {
-            work.controller.spoiled_by(between);
+            work.controller.inject_faults(between);
         }
         let engine = self.clone();
         std::thread::Builder::new()
@@ -337,23 +337,24 @@
     /// One moment through the controller, with hooks before what leaves and behind it.
     fn take(&self, work: &mut Work, now: f64, inputs: Vec<Input>) -> Vec<Output> {
         let Some(hooking) = work.hooking.clone() else {
-            return work.controller.take(now, inputs);
+            return work.controller.handle(now, inputs);
         };
         let mut held = Vec::new();
         let outputs = match hooking.gate() {
-            None => work.controller.take(now, inputs),
+            None => work.controller.handle(now, inputs),
             Some(gate) => {
                 let world = work.world.clone();
                 let mut until = None;
-                work.controller.take_gated(now, inputs, &mut |part, lines| {
-                    // One time for all publications of a moment.
-                    let ms = hooking.publication_ms() / 1e3;
-                    let until =
-                        *until.get_or_insert_with(|| Instant::now() + Duration::from_secs_f64(ms));
-                    let hold = hooking.judges(&gate, &world, part, lines, until);
-                    held.extend(hold.then_some(part));
-                    hold
-                })
+                work.controller
+                    .handle_gated(now, inputs, &mut |part, lines| {
+                        // One time for all publications of a moment.
+                        let ms = hooking.publication_ms() / 1e3;
+                        let until = *until
+                            .get_or_insert_with(|| Instant::now() + Duration::from_secs_f64(ms));
+                        let hold = hooking.judges(&gate, &world, part, lines, until);
+                        held.extend(hold.then_some(part));
+                        hold
+                    })
             }
         };
         if !held.is_empty()
@@ -395,7 +396,10 @@
     fn remember(&self, work: &mut Work) {
         if let Some((known, differ)) = &mut work.known {
             let now = keeper::now();
-            let (servers, levels) = (work.controller.servers(), work.controller.levels());
+            let (servers, levels) = (
+                work.controller.servers(),
+                work.controller.admission_levels(),
+            );
             let changes = differ.changes(&now, &servers, &levels);
             let mut facts = known.hold();
             for change in changes.into_iter().chain([Change::Alive(now)]) {
@@ -407,7 +411,10 @@
             return;
         };
         let now = keeper::now();
-        let (servers, levels) = (work.controller.servers(), work.controller.levels());
+        let (servers, levels) = (
+            work.controller.servers(),
+            work.controller.admission_levels(),
+        );
         let mut changes = differ.changes(&now, &servers, &levels);
         changes.push(Change::Alive(now));
         if !keeper.offer(changes) {
--- a/crates/daemon/src/hooking.rs
+++ b/crates/daemon/src/hooking.rs
@@ -6,7 +6,7 @@
 //! before publications, within a bounded time for all of them.
 
 use crate::engine::Engine;
-use dahliapoint_control::{AdminState, Input, Leaving, Overview, Owner, RosterEntry};
+use dahliapoint_control::{AdminState, Input, Overview, Owner, PendingLine, RosterEntry};
 use dahliapoint_hooks::book::{Book, InForce, Listed, Told};
 use dahliapoint_hooks::discipline::{Deed, End};
 use dahliapoint_hooks::host::{
@@ -351,15 +351,15 @@
         gate: &Gate,
         world: &World,
         part: usize,
-        lines: &[Leaving],
+        lines: &[PendingLine],
         until: Instant,
     ) -> bool {
         let begun = Instant::now();
-        let seen = |l: &Leaving| LineSeen {
+        let seen = |l: &PendingLine| LineSeen {
             server: l.server.clone(),
             weight: l.weight,
             open: l.open,
-            before: l.before,
+            before: l.current_weight,
         };
         let world = World {
             lines: lines.iter().map(seen).collect(),
--- a/crates/xds/tests/protocol.rs
+++ b/crates/xds/tests/protocol.rs
@@ -431,7 +431,7 @@
             (state >> 33) % n
         };
         let mut now = 1e6;
-        let mut controller = Controller::begun(now, seed, terms());
+        let mut controller = Controller::new(now, seed, terms());
         let mut streams: BTreeMap<u64, (usize, Session)> = BTreeMap::new();
         let mut holders: Vec<Holder> = (0..5)
             .map(|i| Holder::new("portal", &format!("p{i}"), "east", 0.3))
@@ -501,7 +501,7 @@
                     Answer::Joined => unreachable!("joined once"),
                 }));
             }
-            for output in controller.take(now, inputs) {
+            for output in controller.handle(now, inputs) {
                 match output {
                     Output::Write(ids, m) => ids.iter().for_each(|id| {
                         if let Some((_, s)) = streams.get_mut(id) {
