--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -22,7 +22,7 @@
 pub use controller::{
     Controller, FaultInjector, Gate, Overview, PendingLine, ProxyView, ServerView,
 };
-pub use owner::Owner;
+pub use owner::ControllerHandle;
 pub use reports::{ClassView, EstimateView, report_error};
 
 use serde::{Deserialize, Serialize};
--- a/crates/daemon/examples/newcomer.rs
+++ b/crates/daemon/examples/newcomer.rs
@@ -1,7 +1,9 @@
 //! How soon a newcomer decides well, cold and with a peer: reports tell of one server in ten that answers late; how long
 //! until every such line is at half or less of the others', and how long the learning takes.
 
-use dahliapoint_control::{AdminState, Input, LoadReport, Owner, ReportLine, RosterEntry};
+use dahliapoint_control::{
+    AdminState, ControllerHandle, Input, LoadReport, ReportLine, RosterEntry,
+};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_memory::keeper;
@@ -30,8 +32,8 @@
     let daemon = Daemon::start(&deployment, Source::Fixed(roster), None).expect("it starts");
     for n in 0..PROXIES {
         let proxy = format!("p{n}");
-        daemon.engine().reporter(&proxy, 7 + n, true);
-        daemon.engine().put(Input::Joined {
+        daemon.engine().report_stream(&proxy, 7 + n, true);
+        daemon.engine().send(Input::Joined {
             session: 7 + n,
             proxy,
             zone: "east".into(),
--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -18,7 +18,7 @@
 use dahliapoint_memory::keeper::{self, Keeper};
 use dahliapoint_peer::telling::Known;
 use dahliapoint_scheduler::{Budget, Id, Piece, Scheduler, Told};
-use dahliapoint_xds::Owner;
+use dahliapoint_xds::ControllerHandle;
 
 use std::collections::VecDeque;
 use std::fs::File;
@@ -532,7 +532,7 @@
             "left_unread": tally.left,
             "refused": tally.refused,
             "waiting": waiting,
-            "every_ms": self.report_every_ms(),
+            "every_ms": self.report_interval_ms(),
             "rounds": figures.rounds,
             "longest_round_ms": figures.longest_round_ms,
             "put_off": figures.put_off,
@@ -591,12 +591,12 @@
     Input::Reported(read.reporter.0.to_string(), report)
 }
 
-impl Owner for Engine {
-    fn put(&self, input: Input) -> bool {
+impl ControllerHandle for Engine {
+    fn send(&self, input: Input) -> bool {
         self.queue.put(Item::Input(input)).is_ok()
     }
 
-    fn reporter(&self, proxy: &str, stream: Session, begins: bool) {
+    fn report_stream(&self, proxy: &str, stream: Session, begins: bool) {
         let reporter = (Arc::from(proxy), stream);
         let mut mouth = lock(&self.mouth);
         match begins {
@@ -629,7 +629,7 @@
             .map_err(|why| format!("a report that is not taken: {why:?}"))
     }
 
-    fn report_every_ms(&self) -> f64 {
+    fn report_interval_ms(&self) -> f64 {
         f64::from_bits(self.every_ms.load(Ordering::SeqCst))
     }
 
--- a/crates/daemon/src/hooking.rs
+++ b/crates/daemon/src/hooking.rs
@@ -6,7 +6,9 @@
 //! before publications, within a bounded time for all of them.
 
 use crate::engine::Engine;
-use dahliapoint_control::{AdminState, Input, Overview, Owner, PendingLine, RosterEntry};
+use dahliapoint_control::{
+    AdminState, ControllerHandle, Input, Overview, PendingLine, RosterEntry,
+};
 use dahliapoint_hooks::book::{Book, InForce, Listed, Told};
 use dahliapoint_hooks::discipline::{Deed, End};
 use dahliapoint_hooks::host::{
@@ -823,7 +825,7 @@
             work.overruled = overruled;
         }
         if entries != work.put {
-            work.engine.put(Input::Roster(entries.clone()));
+            work.engine.send(Input::Roster(entries.clone()));
             work.put = entries;
         }
         if pins != work.pins {
@@ -831,7 +833,7 @@
             let ahead = pins
                 .iter()
                 .map(|(part, until)| (*part, (until - now).max(0.0)));
-            work.engine.put(Input::Pinned(ahead.collect()));
+            work.engine.send(Input::Pinned(ahead.collect()));
             work.pins = pins;
         }
     }
--- a/crates/daemon/src/life.rs
+++ b/crates/daemon/src/life.rs
@@ -7,7 +7,7 @@
 use crate::probe::Prober;
 use crate::resolving::Resolving;
 use crate::roster::{Look, Watch};
-use dahliapoint_control::{Input, Output, Owner, RosterEntry};
+use dahliapoint_control::{ControllerHandle, Input, Output, RosterEntry};
 use dahliapoint_files::front::{self as files, Place};
 use dahliapoint_files::reach::Promise;
 use dahliapoint_grpc::{Call, Handler, Limits, Server};
@@ -129,7 +129,7 @@
             now.map_or(1, |d| d.as_nanos() as u64)
         });
         let engine = Engine::new(clock, seed, terms.report_interval_ms);
-        let shared: Arc<dyn Owner> = Arc::new(engine.clone());
+        let shared: Arc<dyn ControllerHandle> = Arc::new(engine.clone());
         let shape = Shape::of(&terms, deployment.connect_ms);
         let front = Front::new(shape, shared.clone(), 1);
         let patience = Duration::from_secs_f64(deployment.stream_patience_ms / 1e3);
@@ -360,7 +360,7 @@
         match &self.hooks {
             Some(hooks) => hooks.roster(entries),
             None => {
-                self.engine.put(Input::Roster(entries));
+                self.engine.send(Input::Roster(entries));
             }
         }
     }
--- a/crates/daemon/src/probe.rs
+++ b/crates/daemon/src/probe.rs
@@ -2,7 +2,7 @@
 
 use dahliapoint_control::Input;
 use dahliapoint_fibers::{dial, shut_at, spawn};
-use dahliapoint_xds::Owner;
+use dahliapoint_xds::ControllerHandle;
 use std::io::{Read, Write};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,12 +18,12 @@
 pub struct Prober {
     path: String,
     within: Duration,
-    owner: Arc<dyn Owner>,
+    owner: Arc<dyn ControllerHandle>,
     out: Arc<AtomicUsize>,
 }
 
 impl Prober {
-    pub fn new(path: &str, within_ms: f64, owner: Arc<dyn Owner>) -> Prober {
+    pub fn new(path: &str, within_ms: f64, owner: Arc<dyn ControllerHandle>) -> Prober {
         Prober {
             path: path.to_string(),
             within: Duration::from_secs_f64(within_ms / 1e3),
@@ -42,7 +42,7 @@
             let begun = Instant::now();
             let fine = room && to.is_ok_and(|to| ask(to, &path, within).unwrap_or(false));
             out.fetch_sub(1, Ordering::SeqCst);
-            owner.put(Input::Probed {
+            owner.send(Input::Probed {
                 server,
                 healthy: fine,
                 took_ms: begun.elapsed().as_secs_f64() * 1e3,
--- a/crates/daemon/tests/dns.rs
+++ b/crates/daemon/tests/dns.rs
@@ -1,7 +1,7 @@
 //! DNS beside the roster of a running daemon: who has the last word, while DNS answers, fails, lies behind, and over a
 //! restart.
 
-use dahliapoint_control::Owner;
+use dahliapoint_control::ControllerHandle;
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use hickory_proto::op::{Message, MessageType, OpCode, ResponseCode};
--- a/crates/daemon/tests/guard.rs
+++ b/crates/daemon/tests/guard.rs
@@ -1,6 +1,6 @@
 //! The guard beside a running controller, and offline.
 
-use dahliapoint_control::{AdminState, Input, Owner, RosterEntry};
+use dahliapoint_control::{AdminState, ControllerHandle, Input, RosterEntry};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use std::path::Path;
@@ -75,7 +75,7 @@
         zone: "east".into(),
         visits_per_s: Some(10.0),
     };
-    assert!((7..10).all(|n| daemon.engine().put(joined(n))));
+    assert!((7..10).all(|n| daemon.engine().send(joined(n))));
     let view = || daemon.engine().overview()["guard"].clone();
     let judged = || view()["judged"].as_u64().unwrap_or(0);
     let end = Instant::now() + Duration::from_secs(20);
@@ -89,7 +89,7 @@
     let before = judged();
     daemon
         .engine()
-        .put(Input::RosterChanges(vec![entry(2, AdminState::Draining)]));
+        .send(Input::RosterChanges(vec![entry(2, AdminState::Draining)]));
     until("a drain is judged", &|| judged() > before);
     assert_eq!(view()["dangerous"], serde_json::json!({}), "{}", view());
     daemon.end(Duration::from_secs(1));
--- a/crates/daemon/tests/hooks.rs
+++ b/crates/daemon/tests/hooks.rs
@@ -2,7 +2,7 @@
 //! line on sources.
 
 use dahliapoint_control::record::{End, bytes_of, replay};
-use dahliapoint_control::{Input, Owner};
+use dahliapoint_control::{ControllerHandle, Input};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use serde_json::Value;
@@ -62,7 +62,7 @@
             zone: "east".into(),
             visits_per_s: Some(10.0),
         };
-        assert!((7..10).all(|n| daemon.engine().put(joined(n))));
+        assert!((7..10).all(|n| daemon.engine().send(joined(n))));
         daemon
     }
 }
@@ -184,7 +184,7 @@
             let wanted = if round == 1 { "Ready" } else { "Draining" };
             server(v, "s1")["state"] == wanted
         });
-        daemon.engine().put(Input::Left(7 + round));
+        daemon.engine().send(Input::Left(7 + round));
     }
     // Each point that has had an occasion: its hooks were cut off, or threw, and the good one has had its turns.
     let points = [
--- a/crates/daemon/tests/import.rs
+++ b/crates/daemon/tests/import.rs
@@ -1,6 +1,6 @@
 //! Others' host lists in a running daemon and on the command line, on sample files of the project's own.
 
-use dahliapoint_control::Owner;
+use dahliapoint_control::ControllerHandle;
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_files::forms::{FORM, Form, Table, TableLine};
--- a/crates/daemon/tests/memory.rs
+++ b/crates/daemon/tests/memory.rs
@@ -1,6 +1,6 @@
 //! A controller that ends and begins again, with and without what it knew.
 
-use dahliapoint_control::{Input, Owner};
+use dahliapoint_control::{ControllerHandle, Input};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_daemon::memory;
@@ -68,7 +68,7 @@
 /// The shares of the listed weight that lines have, once they are ordered.
 fn lines(daemon: &Daemon) -> Vec<f64> {
     // Lines are ordered once somebody is there to have them.
-    daemon.engine().put(Input::Joined {
+    daemon.engine().send(Input::Joined {
         session: 7,
         proxy: "p".into(),
         zone: "east".into(),
--- a/crates/daemon/tests/peer.rs
+++ b/crates/daemon/tests/peer.rs
@@ -1,7 +1,9 @@
 //! A newcomer and a running controller on loopback: what it learns, what it does not believe, and peers that hang, die
 //! halfway, or are of another service.
 
-use dahliapoint_control::{AdminState, Input, LoadReport, Owner, ReportLine, RosterEntry};
+use dahliapoint_control::{
+    AdminState, ControllerHandle, Input, LoadReport, ReportLine, RosterEntry,
+};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_grpc::{Call, Code, Handler, Limits, Server, Status};
@@ -42,8 +44,8 @@
             zone: "east".into(),
             visits_per_s: Some(50.0),
         };
-        assert!(daemon.engine().put(joined));
-        daemon.engine().reporter(&format!("p{n}"), 7 + n, true);
+        assert!(daemon.engine().send(joined));
+        daemon.engine().report_stream(&format!("p{n}"), 7 + n, true);
     }
     daemon
 }
--- a/crates/files/src/front.rs
+++ b/crates/files/src/front.rs
@@ -9,7 +9,7 @@
 use crate::seal::Keys;
 use crate::seat::{Seat, Wants};
 use crate::spool::{Said, Spool};
-use dahliapoint_control::{ControllerSettings, Input, Message, Output, Owner, Session};
+use dahliapoint_control::{ControllerHandle, ControllerSettings, Input, Message, Output, Session};
 use dahliapoint_scheduler::{Budget, Id, Piece, Scheduler, Told};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -92,7 +92,7 @@
 struct Hand<D: Disk> {
     place: Place,
     disk: D,
-    owner: Arc<dyn Owner>,
+    owner: Arc<dyn ControllerHandle>,
     classes: Vec<String>,
     service: String,
     begun: Instant,
@@ -125,7 +125,7 @@
     /// When its directories cannot be made or are links.
     pub fn start(
         place: Place,
-        owner: Arc<dyn Owner>,
+        owner: Arc<dyn ControllerHandle>,
         first: Session,
         terms: &ControllerSettings,
     ) -> io::Result<(Arc<Front>, JoinHandle<()>)> {
@@ -355,7 +355,7 @@
                         if self.by_proxy.get(&seat.proxy) == Some(&session) {
                             self.by_proxy.remove(&seat.proxy);
                         }
-                        self.owner.reporter(&seat.proxy, session, false);
+                        self.owner.report_stream(&seat.proxy, session, false);
                     }
                 }
             }
@@ -390,7 +390,7 @@
     /// Publishes what a proxy is to have; it may have been published meanwhile.
     fn publish(&mut self, session: Session) {
         let now = self.now_ms();
-        let every = self.owner.report_every_ms();
+        let every = self.owner.report_interval_ms();
         let Some(seat) = self.seats.get_mut(&session) else {
             return;
         };
@@ -434,7 +434,7 @@
         // Any word of a life is a sign of it.
         let seat = self.by_proxy.get(proxy).and_then(|s| self.seats.get(s));
         if let Some(seat) = seat.filter(|s| Some(s.life) == life) {
-            self.owner.put(seat.beat());
+            self.owner.send(seat.beat());
         }
         match said {
             Said::Beat(beat) => {
@@ -445,7 +445,7 @@
                 if let (Some(held), Some(p)) = (beat.holds, self.publishers.get_mut(proxy)) {
                     p.above(held);
                 }
-                self.owner.put(match beat.leaves {
+                self.owner.send(match beat.leaves {
                     true => Input::Deregistered(session),
                     false => match self.seats.get(&session) {
                         Some(seat) => seat.beat(),
@@ -461,7 +461,7 @@
                 let seat = session.and_then(|s| self.seats.get_mut(s));
                 let seat = seat.filter(|s| s.life == ack.life);
                 if let Some(input) = seat.and_then(|s| s.answered(ack.generation, ack.refused)) {
-                    self.owner.put(input);
+                    self.owner.send(input);
                 }
             }
             Said::Report(told) => {
@@ -497,11 +497,11 @@
         publisher.or_insert_with(|| Publisher::new(dir, proxy, keys, forms, least));
         if let Some(old) = self.by_proxy.insert(proxy.into(), session) {
             self.seats.remove(&old);
-            self.owner.reporter(proxy, old, false);
+            self.owner.report_stream(proxy, old, false);
         }
         let seat = Seat::new(session, proxy, life, &self.service, before);
         self.seats.insert(session, seat);
-        self.owner.reporter(proxy, session, true);
+        self.owner.report_stream(proxy, session, true);
         info!(proxy, session, "files: a proxy beats");
         session
     }
--- a/crates/proxy/tests/files.rs
+++ b/crates/proxy/tests/files.rs
@@ -87,7 +87,7 @@
 }
 
 fn overview(daemon: &Daemon) -> Value {
-    use dahliapoint_control::Owner;
+    use dahliapoint_control::ControllerHandle;
     daemon.engine().overview()
 }
 
@@ -241,8 +241,8 @@
         weight: 1.0,
         started: None,
     };
-    use dahliapoint_control::{Input, Owner};
-    daemon.engine().put(Input::RosterChanges(vec![entry]));
+    use dahliapoint_control::{ControllerHandle, Input};
+    daemon.engine().send(Input::RosterChanges(vec![entry]));
     until("both drain", || {
         by_files.lines() == 1 && by_stream.lines() == 1
     });
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -6,7 +6,7 @@
 use dahliapoint_proxy::described::{self, Listed};
 use dahliapoint_proxy::plane::Plane;
 use dahliapoint_proxy::steering::Steering;
-use dahliapoint_xds::Owner;
+use dahliapoint_xds::ControllerHandle;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -251,7 +251,7 @@
             > 100.0
     });
     listed[3].2 = Draining;
-    daemon.engine().put(Input::Roster(entries(&listed)));
+    daemon.engine().send(Input::Roster(entries(&listed)));
     until("withdrawn", || p.plane.lines() == 3);
     let then = servers[3].visits.load(Ordering::SeqCst);
     (0..200).for_each(|_| assert_eq!(client.visit("view"), 200));
--- a/crates/standins/src/sabotage.rs
+++ b/crates/standins/src/sabotage.rs
@@ -8,7 +8,7 @@
 use dahliapoint_daemon::engine::{Clock, Engine};
 use dahliapoint_daemon::roster::{Look, Watch};
 use dahliapoint_grpc::{Limits, Server};
-use dahliapoint_xds::{Front, Owner, Shape};
+use dahliapoint_xds::{ControllerHandle, Front, Shape};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -44,7 +44,7 @@
     let terms = deployment.terms.clone();
     let seed = deployment.seed.unwrap_or(1);
     let engine = Engine::new(Clock::start(), seed, terms.report_interval_ms);
-    let owner: Arc<dyn Owner> = Arc::new(engine.clone());
+    let owner: Arc<dyn ControllerHandle> = Arc::new(engine.clone());
     let shape = Shape::of(&terms, deployment.connect_ms);
     let front = Front::new(shape, owner.clone(), 1);
     let server =
@@ -68,7 +68,7 @@
             // Every probe is fine, which is a lie too.
             let owner = owner.clone();
             dahliapoint_fibers::spawn(move || {
-                owner.put(Input::Probed {
+                owner.send(Input::Probed {
                     server,
                     healthy: true,
                     took_ms: 1.0,
@@ -97,7 +97,7 @@
                 // So late that no proxy can be excused for not having known.
                 std::thread::sleep(Duration::from_millis(250));
             }
-            engine.put(Input::Roster(entries));
+            engine.send(Input::Roster(entries));
         }
     }
 }
--- a/crates/xds/src/front.rs
+++ b/crates/xds/src/front.rs
@@ -9,7 +9,7 @@
 use crate::resources::Shape;
 use crate::session::{Answer, Flavour, Session};
 use crate::{LEDS_FEATURE, lrs, status};
-use dahliapoint_control::{Input, Output, Owner, Session as Id};
+use dahliapoint_control::{ControllerHandle, Input, Output, Session as Id};
 use dahliapoint_fibers::{Bell, spawn};
 use dahliapoint_grpc::{Call, Code, Handler, Inbound, Outbound, Status};
 use std::collections::{BTreeMap, HashMap};
@@ -54,14 +54,14 @@
 /// The front; give it to a gRPC server as its handler.
 pub struct Front {
     shape: Arc<Shape>,
-    owner: Arc<dyn Owner>,
+    owner: Arc<dyn ControllerHandle>,
     streams: Mutex<Registry>,
     next: AtomicU64,
 }
 
 impl Front {
     /// `first` is the first number of a stream, so that fronts of one controller do not use each other's.
-    pub fn new(shape: Shape, owner: Arc<dyn Owner>, first: Id) -> Arc<Front> {
+    pub fn new(shape: Shape, owner: Arc<dyn ControllerHandle>, first: Id) -> Arc<Front> {
         Arc::new(Front {
             shape: Arc::new(shape),
             owner,
@@ -167,7 +167,7 @@
                 streams.by_node.remove(&stream.node.id);
             }
         }
-        self.owner.put(Input::Left(id));
+        self.owner.send(Input::Left(id));
         let _ = writing.join();
         match ended {
             Ok(()) => info!(stream = id, node = %stream.node.id, "a proxy's stream ends"),
@@ -216,7 +216,7 @@
             Err(status) => status,
         };
         if !node.is_empty() {
-            self.owner.reporter(&node, stream, false);
+            self.owner.report_stream(&node, stream, false);
         }
         outbound.finish(&status);
     }
@@ -237,9 +237,9 @@
                     let why = "the first report of a stream names its node";
                     return Err(Status::new(Code::InvalidArgument, why));
                 }
-                self.owner.reporter(node, stream, true);
+                self.owner.report_stream(node, stream, true);
             }
-            let wanted = self.owner.report_every_ms();
+            let wanted = self.owner.report_interval_ms();
             if told != wanted {
                 told = wanted;
                 outbound.send(&interval(wanted))?;
@@ -357,7 +357,7 @@
     }
 }
 
-fn tell(stream: &Stream, owner: &dyn Owner, answers: Vec<Answer>) -> Result<(), Status> {
+fn tell(stream: &Stream, owner: &dyn ControllerHandle, answers: Vec<Answer>) -> Result<(), Status> {
     for answer in answers {
         let input = match answer {
             Answer::Joined => {
@@ -379,7 +379,7 @@
             Answer::Applied(serial) => Input::Applied(stream.id, serial),
             Answer::Refused(serial, why) => Input::Refused(stream.id, serial, why),
         };
-        if !owner.put(input) {
+        if !owner.send(input) {
             return Err(Status::new(Code::Unavailable, "the controller ends"));
         }
     }
@@ -387,7 +387,7 @@
 }
 
 /// Writes what the session has, until the stream ends.
-fn write(stream: &Stream, way: Way, mut outbound: Outbound, owner: &dyn Owner) {
+fn write(stream: &Stream, way: Way, mut outbound: Outbound, owner: &dyn ControllerHandle) {
     loop {
         let (next, answers) = {
             let mut session = stream.session();
--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -13,7 +13,7 @@
 mod session;
 mod status;
 
-pub use dahliapoint_control::Owner;
+pub use dahliapoint_control::ControllerHandle;
 pub use front::{Front, Stream};
 pub use holder::{Held, HeldLine, Holder};
 pub use lrs::{ClusterTally, EndpointTally, read as read_loads, request as load_request};
