--- a/crates/control/src/accounts.rs
+++ b/crates/control/src/accounts.rs
@@ -74,7 +74,7 @@
 
 /// Sums since the start, and the present state of the channel.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Accounts {
+pub struct Counters {
     pub messages: u64,
     pub lines: u64,
     /// Lines under way now, and the most there ever were.
@@ -84,7 +84,8 @@
     pub most_messages: usize,
     pub refused: u64,
     /// Answers for messages that were not under way: late, doubled, or of another stream.
-    pub odd_answers: u64,
+    #[serde(rename = "odd_answers")]
+    pub unexpected_answers: u64,
     pub closed: u64,
     /// Report lines taken, for servers or classes that nobody knows, and refused as impossible.
     pub report_lines: u64,
--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -1,6 +1,6 @@
 //! One controller: its planner, its servers and proxies by name, and what each proxy was sent.
 
-use crate::accounts::{Accounts, Outstanding, Sent};
+use crate::accounts::{Counters, Outstanding, Sent};
 use crate::membership::{self, Deed, Member, Patience};
 use crate::presence::{self, Presence};
 use crate::reports::{ClassView, EstimateView, Reports, report_error};
@@ -55,7 +55,7 @@
     planner_alarm: f64,
     listed: bool,
     serial: u64,
-    accounts: Accounts,
+    accounts: Counters,
     ward: Ward,
     /// Something that was ordered did not leave in this moment.
     held: bool,
@@ -94,11 +94,13 @@
     pub listed_weight: f64,
     pub part: Option<usize>,
     pub weight: f64,
-    pub shut: bool,
+    #[serde(rename = "shut")]
+    pub withdrawn: bool,
     /// How long ago it started, if the roster says.
     pub started_ago_ms: Option<f64>,
     /// How long ago a report last told of tries there; nothing: none has since this controller began.
-    pub met_ago_ms: Option<f64>,
+    #[serde(rename = "met_ago_ms")]
+    pub last_try_ago_ms: Option<f64>,
     pub estimate: Option<EstimateView>,
     pub by_class: Vec<ClassView>,
 }
@@ -110,8 +112,10 @@
     pub zone: String,
     pub session: Session,
     pub part: Option<usize>,
-    pub unanswered: usize,
-    pub unanswered_lines: f64,
+    #[serde(rename = "unanswered")]
+    pub unacknowledged: usize,
+    #[serde(rename = "unanswered_lines")]
+    pub unacknowledged_lines: f64,
     pub refusal: Option<String>,
     /// Its reports contradict those of all others; it reported once and does no more.
     pub contrary: bool,
@@ -125,7 +129,8 @@
     pub proxies: Vec<ProxyView>,
     #[serde(rename = "ways")]
     pub policies: Vec<(String, ClassPolicy)>,
-    pub accounts: Accounts,
+    #[serde(rename = "accounts")]
+    pub counters: Counters,
     pub guard: WardView,
 }
 
@@ -203,7 +208,7 @@
             planner_alarm: now,
             listed: false,
             serial: 0,
-            accounts: Accounts::default(),
+            accounts: Counters::default(),
             ward: Ward::of(&terms),
             held: false,
             between: None,
@@ -470,12 +475,12 @@
     fn answered(&mut self, now: f64, session: Session, serial: u64) -> Option<(usize, Vec<Sent>)> {
         let index = self.by_session.get(&session).copied();
         let Some((index, proxy)) = index.and_then(|i| Some((i, self.proxies.get_mut(&i)?))) else {
-            self.accounts.odd_answers += 1;
+            self.accounts.unexpected_answers += 1;
             return None;
         };
         let sent = proxy.outstanding.answered(serial);
         if sent.is_empty() {
-            self.accounts.odd_answers += 1;
+            self.accounts.unexpected_answers += 1;
             return None;
         }
         // The rest is as old as the oldest left; but its answers queue behind this one.
@@ -979,9 +984,9 @@
             listed_weight: s.listed_weight,
             part: s.part,
             weight: s.weight,
-            shut: s.shut,
+            withdrawn: s.shut,
             started_ago_ms: s.started.map(|(_, at)| self.now - at),
-            met_ago_ms: s.met_at.map(|at| (self.now - at).max(0.0)),
+            last_try_ago_ms: s.met_at.map(|at| (self.now - at).max(0.0)),
             estimate: None,
             by_class: Vec::new(),
         }
@@ -1009,8 +1014,8 @@
             zone: self.terms.zones[p.zone].clone(),
             session: p.session,
             part: p.part,
-            unanswered: p.outstanding.count(),
-            unanswered_lines: p.outstanding.lines(),
+            unacknowledged: p.outstanding.count(),
+            unacknowledged_lines: p.outstanding.lines(),
             refusal: p.refusal.clone(),
         });
         let names = self.terms.classes.iter().map(|c| c.name.clone());
@@ -1018,7 +1023,7 @@
             servers: servers.collect(),
             proxies: proxies.collect(),
             policies: names.zip(self.ways.iter().copied()).collect(),
-            accounts: self.accounts,
+            counters: self.accounts,
             guard: self.ward.view(),
         }
     }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -18,7 +18,7 @@
 mod servers;
 pub mod ward;
 
-pub use accounts::Accounts;
+pub use accounts::Counters;
 pub use controller::{
     Controller, FaultInjector, Gate, Overview, PendingLine, ProxyView, ServerView,
 };
--- a/crates/control/src/reports.rs
+++ b/crates/control/src/reports.rs
@@ -70,7 +70,8 @@
     /// Its own word does not explain what is met there.
     pub stale: bool,
     /// Which share of those who tell of it is still heard.
-    pub heard_share: f64,
+    #[serde(rename = "heard_share")]
+    pub reporting_share: f64,
     /// Visits under way there, by the newest word of each proxy.
     pub in_flight: f64,
 }
@@ -350,7 +351,7 @@
             error_per_s: e.error * per_s,
             age_ms: e.age_ms,
             stale: self.belief.is_stale(server),
-            heard_share: self.coverage.share(server),
+            reporting_share: self.coverage.share(server),
             in_flight: self.in_flight.values().filter_map(|t| t.get(&server)).sum(),
         })
     }
--- a/crates/control/tests/controller.rs
+++ b/crates/control/tests/controller.rs
@@ -201,7 +201,7 @@
                 .filter(|s| s.part == p.part && s.weight > 0.0);
             let wanted: BTreeMap<_, _> = there
                 .map(|s| {
-                    let state = match s.shut {
+                    let state = match s.withdrawn {
                         true => LineState::Withdrawn,
                         false => LineState::Open,
                     };
@@ -291,7 +291,7 @@
     day.pass(3_500.0, 100.0);
     let view = day.controller.overview();
     assert!(view.proxies.iter().all(|p| p.refusal.is_none()), "{view:?}");
-    assert_eq!(view.accounts.refused, 1);
+    assert_eq!(view.counters.refused, 1);
     day.agrees();
 }
 
@@ -307,7 +307,7 @@
         Input::Reported("nobody".into(), LoadReport::default()),
     ];
     day.tell(odd.to_vec());
-    assert_eq!(day.controller.overview().accounts.odd_answers, 4);
+    assert_eq!(day.controller.overview().counters.unexpected_answers, 4);
     // The same node again: the newer stream holds, the older one's late words count for nothing.
     day.join(3, "p1");
     assert_eq!(day.closed, [1]);
@@ -405,7 +405,7 @@
         );
         day.tell(vec![Input::Reported("p1".into(), report)]);
     }
-    let accounts = day.controller.overview().accounts;
+    let accounts = day.controller.overview().counters;
     assert_eq!((accounts.report_lines, accounts.unknown_lines), (1, 1));
     assert_eq!(accounts.refused_reports, 6);
     // A class that the terms do not have: counted as unknown, nothing else.
@@ -414,7 +414,7 @@
         ..line("a", 1.0, 0.0, 1.0)
     };
     day.tell(vec![Input::Reported("p1".into(), report(odd))]);
-    assert_eq!(day.controller.overview().accounts.unknown_lines, 2);
+    assert_eq!(day.controller.overview().counters.unknown_lines, 2);
     // Visits under way are those of each proxy's newest word.
     let busy = |n: f64| ReportLine {
         in_flight: n,
@@ -469,7 +469,7 @@
             };
             day.tell(vec![input]);
             let view = day.controller.overview();
-            assert!(view.accounts.waiting <= most_waiting, "{:?}", view.accounts);
+            assert!(view.counters.waiting <= most_waiting, "{:?}", view.counters);
         }
         day.pass(30_000.0, 100.0);
         let view = day.controller.overview();
@@ -479,7 +479,7 @@
         );
         day.agrees();
     }
-    assert!(day.controller.overview().accounts.most_waiting <= most_waiting);
+    assert!(day.controller.overview().counters.most_waiting <= most_waiting);
 }
 
 /// The roster's clock jumps: the same start told with another age is no new start.
--- a/crates/control/tests/ward.rs
+++ b/crates/control/tests/ward.rs
@@ -494,7 +494,7 @@
             let stands: Table = view
                 .servers
                 .iter()
-                .filter(|s| !s.shut && s.weight > 0.0)
+                .filter(|s| !s.withdrawn && s.weight > 0.0)
                 .map(|s| (number(&s.name), s.weight))
                 .collect();
             assert_eq!(p.table, stands, "day {seed}");
@@ -524,10 +524,10 @@
     day.set(0, AdminState::Ready, true);
     day.news();
     *day.spoil.lock().unwrap() = Spoil::Flood(0);
-    let before = day.controller.overview().accounts.messages;
+    let before = day.controller.overview().counters.messages;
     day.play(10_000.0);
     let view = day.controller.overview();
-    let messages = view.accounts.messages - before;
+    let messages = view.counters.messages - before;
     // Paces of 1.6 s, to five proxies, and the planner's own ticks.
     assert!(
         messages <= 100,
--- a/crates/daemon/src/hooking.rs
+++ b/crates/daemon/src/hooking.rs
@@ -136,7 +136,7 @@
             state: state_of(s.state),
             listed: s.listed_weight,
             weight: s.weight,
-            shut: s.shut,
+            shut: s.withdrawn,
             part: s.part.map_or(-1.0, |p| p as f64),
             // A year: it is not known when it started.
             age_ms: s.started_ago_ms.unwrap_or(3.2e10),
@@ -151,7 +151,7 @@
         name: p.name.clone(),
         zone: p.zone.as_str().into(),
         part: p.part.map_or(-1.0, |p| p as f64),
-        unanswered: p.unanswered as f64,
+        unanswered: p.unacknowledged as f64,
         silent: p.silent,
         contrary: p.contrary,
     });
--- a/crates/memory/src/facts.rs
+++ b/crates/memory/src/facts.rs
@@ -167,7 +167,7 @@
             let before = self.told.get(&*s.name);
             // A share that no visit has backed since we began is what we were told, as old as it was then: a verdict
             // does not grow young by being handed on.
-            let judged = match (s.met_ago_ms, before) {
+            let judged = match (s.last_try_ago_ms, before) {
                 (Some(ago), _) => now.before(ago),
                 (None, Some(before)) => before.judged.clone(),
                 (None, None) => now.clone(),
@@ -189,7 +189,7 @@
                     1.0
                 },
                 judged,
-                shut: s.shut,
+                shut: s.withdrawn,
             };
             if let Some(before) = before.filter(|b| b.state == fact.state) {
                 fact.since = before.since.clone();
--- a/crates/xds/tests/protocol.rs
+++ b/crates/xds/tests/protocol.rs
@@ -518,7 +518,7 @@
         for p in &view.proxies {
             let (i, session) = &streams[&p.session];
             assert_eq!(
-                p.unanswered,
+                p.unacknowledged,
                 0,
                 "seed {seed}: {p:?}, under way {}",
                 session.under_way()
@@ -530,7 +530,7 @@
             let mut wanted: Vec<_> = there
                 .map(|s| {
                     let weight = (s.weight * dahliapoint_xds::SCALE).round() as u32;
-                    (s.name.to_string(), weight, !s.shut)
+                    (s.name.to_string(), weight, !s.withdrawn)
                 })
                 .collect();
             wanted.sort();
