--- a/crates/control/src/record.rs
+++ b/crates/control/src/record.rs
@@ -14,7 +14,7 @@
 
 /// What a controller began with.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Begin {
+pub struct Header {
     pub now: f64,
     pub seed: u64,
     pub settings: ControllerSettings,
@@ -38,7 +38,7 @@
     ///
     /// # Errors
     /// Those of the writer.
-    pub fn begin(mut to: W, begin: &Begin) -> io::Result<Recorder<W>> {
+    pub fn create(mut to: W, begin: &Header) -> io::Result<Recorder<W>> {
         to.write_all(MAGIC)?;
         frame(&mut to, begin)?;
         Ok(Recorder { to })
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     /// Those of the writer.
-    pub fn note(&mut self, now: f64, inputs: &[Input]) -> io::Result<()> {
+    pub fn append(&mut self, now: f64, inputs: &[Input]) -> io::Result<()> {
         frame(&mut self.to, &(now, inputs))
     }
 
@@ -66,11 +66,11 @@
 /// What was found at the end of a record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum End {
-    Whole,
+    Complete,
     /// The last frame was cut off: the process was killed while it wrote.
-    Torn,
+    Truncated,
     /// A frame that is not what was written; with its number, from 1.
-    Damaged(u64, String),
+    Corrupt(u64, String),
 }
 
 /// Reads frames until the first that is not whole.
@@ -84,15 +84,15 @@
         self.number += 1;
         let mut head = [0; 8];
         match fill(&mut self.from, &mut head) {
-            Ok(0) => return Err(End::Whole),
+            Ok(0) => return Err(End::Complete),
             Ok(8) => {}
-            Ok(_) => return Err(End::Torn),
-            Err(e) => return Err(End::Damaged(self.number, e.to_string())),
+            Ok(_) => return Err(End::Truncated),
+            Err(e) => return Err(End::Corrupt(self.number, e.to_string())),
         }
         let word =
             |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
         let (length, sum) = (word(0), word(4));
-        let damaged = |why: &str| End::Damaged(self.number, why.to_string());
+        let damaged = |why: &str| End::Corrupt(self.number, why.to_string());
         if length > LONGEST {
             return Err(damaged("its length is not possible"));
         }
@@ -101,7 +101,7 @@
             .take(u64::from(length))
             .read_to_end(&mut bytes);
         match read {
-            Ok(n) if n < length as usize => return Err(End::Torn),
+            Ok(n) if n < length as usize => return Err(End::Truncated),
             Ok(_) => {}
             Err(e) => return Err(damaged(&e.to_string())),
         }
@@ -145,9 +145,9 @@
         ));
     }
     let mut frames = Frames { from, number: 0 };
-    let begin: Begin = frames
+    let begin: Header = frames
         .next()
-        .map_err(|end| format!("the record does not begin: {end:?}"))?;
+        .map_err(|end| format!("the record has no header: {end:?}"))?;
     let mut controller = Controller::new(begin.now, begin.seed, begin.settings);
     let mut frame = frames.next::<(f64, Vec<Input>)>();
     loop {
@@ -171,7 +171,7 @@
 }
 
 /// The bytes that outputs are compared by.
-pub fn bytes_of(outputs: &[Output]) -> Vec<u8> {
+pub fn encode_outputs(outputs: &[Output]) -> Vec<u8> {
     // Plain data into memory cannot fail to be encoded.
     postcard::to_allocvec(outputs).unwrap_or_default()
 }
--- a/crates/control/tests/controller.rs
+++ b/crates/control/tests/controller.rs
@@ -1,6 +1,6 @@
 //! The controller against a model of what proxies hold: tables of cases, and days drawn by chance.
 
-use dahliapoint_control::record::{Begin, End, Recorder, bytes_of, replay};
+use dahliapoint_control::record::{End, Header, Recorder, encode_outputs, replay};
 use dahliapoint_control::{
     AdminState, ClassSettings, Controller, ControllerSettings, Input, LineState, LoadReport,
     Output, ReportLine, RetryPolicy, RosterEntry, Scope, Session,
@@ -575,8 +575,8 @@
         cut in 0.0..1.0_f64,
     ) {
         let mut day = Day::begun(terms());
-        let begin = Begin { now: day.now, seed: 7, settings: terms() };
-        let mut record = Recorder::begin(Vec::new(), &begin).unwrap();
+        let begin = Header { now: day.now, seed: 7, settings: terms() };
+        let mut record = Recorder::create(Vec::new(), &begin).unwrap();
         let mut bytes = Vec::new();
         let mut streams = 0;
         let mut live: BTreeMap<Session, Session> = BTreeMap::new();
@@ -597,27 +597,27 @@
                     other => other,
                 }
             }).collect();
-            record.note(day.now, &inputs).unwrap();
+            record.append(day.now, &inputs).unwrap();
             let out = day.tell(inputs);
-            bytes.extend(bytes_of(&out));
+            bytes.extend(encode_outputs(&out));
         }
         day.agrees();
         let written = record.into_inner();
         let mut again = Vec::new();
-        let (controller, end) = replay(&written[..], |_, out| again.extend(bytes_of(out))).unwrap();
-        prop_assert_eq!(end, End::Whole);
+        let (controller, end) = replay(&written[..], |_, out| again.extend(encode_outputs(out))).unwrap();
+        prop_assert_eq!(end, End::Complete);
         prop_assert!(bytes == again);
         prop_assert_eq!(controller.overview(), day.controller.overview());
         let cut = 8 + ((written.len() - 8) as f64 * cut) as usize;
         let mut part = Vec::new();
-        if let Ok((_, end)) = replay(&written[..cut], |_, out| part.extend(bytes_of(out))) {
-            prop_assert!(end == End::Torn || end == End::Whole);
+        if let Ok((_, end)) = replay(&written[..cut], |_, out| part.extend(encode_outputs(out))) {
+            prop_assert!(end == End::Truncated || end == End::Complete);
             prop_assert!(again.starts_with(&part));
         }
         let mut damaged = written.clone();
         damaged[cut.min(written.len() - 1)] ^= 0x40;
         if let Ok((_, end)) = replay(&damaged[..], |_, _| ()) {
-            prop_assert!(end != End::Whole, "damage is seen");
+            prop_assert!(end != End::Complete, "damage is seen");
         }
     }
 }
--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -6,7 +6,7 @@
 use crate::roster::{self, Watch};
 use crate::{guarding, hooking, hooks, memory, sample, status};
 use clap::{Parser, Subcommand};
-use dahliapoint_control::record::{End, bytes_of, replay};
+use dahliapoint_control::record::{End, encode_outputs, replay};
 use dahliapoint_files::forms::Form;
 use dahliapoint_import::Kind;
 use signal_hook::consts::{SIGINT, SIGTERM};
@@ -457,7 +457,7 @@
     let (mut moments, mut bytes, mut sum) = (0_u64, 0_u64, crc32fast::Hasher::new());
     let mut out = std::io::stdout().lock();
     let ended = replay(BufReader::new(opened), |now, outputs| {
-        let told = bytes_of(outputs);
+        let told = encode_outputs(outputs);
         moments += 1;
         bytes += told.len() as u64;
         sum.update(&told);
@@ -474,11 +474,11 @@
         sum.finalize()
     );
     match end {
-        End::Whole => Ok(()),
-        End::Torn => {
+        End::Complete => Ok(()),
+        End::Truncated => {
             let _ = writeln!(out, "the last moment is cut off, as after a kill");
             Ok(())
         }
-        End::Damaged(frame, why) => Err(wrong(format!("{name}: frame {frame}: {why}"))),
+        End::Corrupt(frame, why) => Err(wrong(format!("{name}: frame {frame}: {why}"))),
     }
 }
--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -5,7 +5,7 @@
 //! first, so a drain waits behind one slice of reports at the most.
 
 use crate::hooking::Hooking;
-use dahliapoint_control::record::{Begin, Recorder};
+use dahliapoint_control::record::{Header, Recorder};
 use dahliapoint_control::{
     Controller, ControllerSettings, FaultInjector, Input, LineState, LoadReport, Output,
     ReportLine, Scope, Session,
@@ -204,12 +204,12 @@
         let now = self.clock.now_ms();
         let mut recorder = None;
         if let Some(path) = record {
-            let begin = Begin {
+            let begin = Header {
                 now,
                 seed,
                 settings: terms.clone(),
             };
-            recorder = Some(Recorder::begin(
+            recorder = Some(Recorder::create(
                 BufWriter::new(File::create(path)?),
                 &begin,
             )?);
@@ -302,7 +302,9 @@
     fn decide(&self, work: &mut Work, inputs: Vec<Input>) {
         let now = self.clock.now_ms();
         if let Some(recorder) = &mut work.record
-            && let Err(e) = recorder.note(now, &inputs).and_then(|()| recorder.flush())
+            && let Err(e) = recorder
+                .append(now, &inputs)
+                .and_then(|()| recorder.flush())
         {
             // The day goes on without its record.
             error!(error = %e, "the record cannot be written; it ends here");
@@ -360,7 +362,7 @@
         if !held.is_empty()
             && let Some(recorder) = &mut work.record
             && let Err(e) = recorder
-                .note(now, &[Input::Gated(held)])
+                .append(now, &[Input::Gated(held)])
                 .and_then(|()| recorder.flush())
         {
             error!(error = %e, "the record cannot be written; it ends here");
--- a/crates/daemon/tests/hooks.rs
+++ b/crates/daemon/tests/hooks.rs
@@ -1,7 +1,7 @@
 //! Hooks in a running daemon: whatever they do, it serves; what they wish is in force, and ends. And the command
 //! line on sources.
 
-use dahliapoint_control::record::{End, bytes_of, replay};
+use dahliapoint_control::record::{End, encode_outputs, replay};
 use dahliapoint_control::{ControllerHandle, Input};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
@@ -255,10 +255,10 @@
     let file = std::fs::File::open(place.0.join("record")).unwrap();
     let mut bytes = 0;
     let (controller, end) = replay(std::io::BufReader::new(file), |_, out| {
-        bytes += bytes_of(out).len()
+        bytes += encode_outputs(out).len()
     })
     .unwrap();
-    assert_eq!(end, End::Whole);
+    assert_eq!(end, End::Complete);
     let again = controller.overview();
     let s4 = again.servers.iter().find(|s| &*s.name == "s4").unwrap();
     assert!(bytes > 0 && s4.weight == 3.0, "{again:?}");
