--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -1,11 +1,11 @@
 //! One controller: its planner, its servers and proxies by name, and what each proxy was sent.
 
 use crate::accounts::{Counters, Outstanding, Sent};
-use crate::membership::{self, Deed, Member, Patience};
+use crate::delivery::{self, Deed, Member, Patience};
 use crate::presence::{self, Presence};
 use crate::reports::{ClassView, EstimateView, Reports, report_error};
+use crate::rollout::{Channel, GuardView, Rate, Rollout};
 use crate::servers::{Servers, Slot};
-use crate::ward::{Channel, Rate, Ward, WardView};
 use crate::{
     AdminState, Input, Line, LineState, LoadReport, Message, Output, RetryPolicy, RosterEntry,
 };
@@ -56,7 +56,7 @@
     listed: bool,
     serial: u64,
     accounts: Counters,
-    ward: Ward,
+    ward: Rollout,
     /// Something that was ordered did not leave in this moment.
     held: bool,
     between: Option<FaultInjector>,
@@ -131,7 +131,7 @@
     pub policies: Vec<(String, ClassPolicy)>,
     #[serde(rename = "accounts")]
     pub counters: Counters,
-    pub guard: WardView,
+    pub guard: GuardView,
 }
 
 fn opening(terms: &ControllerSettings) -> Opening {
@@ -209,7 +209,7 @@
             listed: false,
             serial: 0,
             accounts: Counters::default(),
-            ward: Ward::of(&terms),
+            ward: Rollout::of(&terms),
             held: false,
             between: None,
             pins: BTreeMap::new(),
@@ -931,7 +931,7 @@
         let mut waiting: f64 = self.proxies.values().map(|p| p.outstanding.lines()).sum();
         for i in concerned {
             while let Some(proxy) = self.proxies.get_mut(&i) {
-                let Some(deed) = membership::next(&mut proxy.member, now, waiting, &self.patience)
+                let Some(deed) = delivery::next(&mut proxy.member, now, waiting, &self.patience)
                 else {
                     break;
                 };
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -3,20 +3,20 @@
 //!
 //! Names end here: inside are small indices, and the planner (`dahliapoint::rules`) decides. This crate
 //! keeps what the planner must not know (names, sessions, what each proxy was sent and has answered) and
-//! decides only on membership and on repeated delivery, in [`membership`]. It reads no clock and draws no
+//! decides only on membership and on repeated delivery, in [`delivery`]. It reads no clock and draws no
 //! chance: the same inputs give the same outputs, byte for byte, so a day can be written down
 //! ([`record`]) and played again.
 
 mod accounts;
 mod controller;
 mod debug_text;
-pub mod membership;
+pub mod delivery;
 mod owner;
 pub mod presence;
 pub mod record;
 mod reports;
+pub mod rollout;
 mod servers;
-pub mod ward;
 
 pub use accounts::Counters;
 pub use controller::{
@@ -70,7 +70,7 @@
     /// How often a proxy without a stream is to give a sign of life.
     pub heartbeat_interval_ms: f64,
     /// What is done about tables that are dangerous.
-    pub guard_mode: ward::Guarding,
+    pub guard_mode: rollout::GuardMode,
 }
 
 /// A class of visits.
--- a/crates/control/src/ward.rs
+++ b/crates/control/src/rollout.rs
@@ -2,8 +2,8 @@
 //! is wanted; what stands in the slots is what has left. The ward brings the second to the first by steps that
 //! the guard finds safe, and says what it holds back.
 //!
-//! How it is called, once a moment: [`Ward::learn`] after each round of reports or roster, [`Ward::settle`] with
-//! what is answered, [`Ward::shutting`] for withdrawals, then [`Ward::lines`] for each part; [`Ward::wake_at`]
+//! How it is called, once a moment: [`Rollout::learn`] after each round of reports or roster, [`Rollout::settle`] with
+//! what is answered, [`Rollout::shutting`] for withdrawals, then [`Rollout::lines`] for each part; [`Rollout::wake_at`]
 //! says when it wants another moment. Its own rules, in their order: withdrawals pass at once; a withdrawal that
 //! the planner owes for too long is made; a line for who is not ready is not opened; what can wait waits while
 //! the channel is full; the rest leaves by the guard's steps, no sooner after each other than its pace.
@@ -31,13 +31,13 @@
 
 /// What is done about dangerous tables.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Guarding {
+pub enum GuardMode {
     Off,
     /// They leave, and it is told.
-    Tell,
+    ReportOnly,
     /// They do not leave.
     #[default]
-    Hold,
+    Enforce,
 }
 
 /// What reports say of a server, visits a second: over some rounds with its error, and in the newest one alone.
@@ -52,7 +52,7 @@
 
 /// For people.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct WardView {
+pub struct GuardView {
     pub mode: String,
     pub judged: u64,
     /// Tables with a danger, by the reason's code.
@@ -114,8 +114,8 @@
 }
 
 /// See the module's head.
-pub struct Ward {
-    mode: Guarding,
+pub struct Rollout {
+    mode: GuardMode,
     guard: Guard,
     bearing: Bearing,
     loads: BTreeMap<usize, Load>,
@@ -134,7 +134,7 @@
     /// Parts with servers that have just started: looked at after each round.
     cold: BTreeSet<usize>,
     told: BTreeMap<usize, Vec<String>>,
-    view: WardView,
+    view: GuardView,
 }
 
 /// What may be done about a part now.
@@ -149,10 +149,10 @@
     pub notes: Vec<String>,
 }
 
-impl Ward {
-    pub fn of(terms: &ControllerSettings) -> Ward {
+impl Rollout {
+    pub fn of(terms: &ControllerSettings) -> Rollout {
         let limits = terms.classes.iter().map(|c| c.soft_limit_ms);
-        Ward {
+        Rollout {
             mode: terms.guard_mode,
             guard: Guard::default(),
             bearing: Bearing::new(terms.warm_up_ms),
@@ -169,24 +169,24 @@
             unfinished: BTreeMap::new(),
             cold: BTreeSet::new(),
             told: BTreeMap::new(),
-            view: WardView {
+            view: GuardView {
                 mode: match terms.guard_mode {
-                    Guarding::Off => "off",
-                    Guarding::Tell => "tell",
-                    Guarding::Hold => "hold",
+                    GuardMode::Off => "off",
+                    GuardMode::ReportOnly => "tell",
+                    GuardMode::Enforce => "hold",
                 }
                 .into(),
-                ..WardView::default()
+                ..GuardView::default()
             },
         }
     }
 
     pub fn is_off(&self) -> bool {
-        self.mode == Guarding::Off
+        self.mode == GuardMode::Off
     }
 
     fn holds(&self) -> bool {
-        self.mode == Guarding::Hold
+        self.mode == GuardMode::Enforce
     }
 
     /// When it wants another moment.
@@ -503,7 +503,7 @@
         self.told.insert(part, codes);
     }
 
-    pub fn view(&self) -> WardView {
+    pub fn view(&self) -> GuardView {
         self.view.clone()
     }
 }
--- a/crates/control/tests/controller.rs
+++ b/crates/control/tests/controller.rs
@@ -42,7 +42,7 @@
         default_retry_policy: RetryPolicy::OnProof,
         may_probe: true,
         heartbeat_interval_ms: 1_000.0,
-        guard_mode: dahliapoint_control::ward::Guarding::Hold,
+        guard_mode: dahliapoint_control::rollout::GuardMode::Enforce,
     }
 }
 
--- a/crates/control/tests/ward.rs
+++ b/crates/control/tests/rollout.rs
@@ -3,7 +3,7 @@
 //! by chance. What is looked at is what would cross the sockets: who holds what, and which server falls.
 
 use dahliapoint::Tries;
-use dahliapoint_control::ward::Guarding;
+use dahliapoint_control::rollout::GuardMode;
 use dahliapoint_control::{
     AdminState, ClassSettings, Controller, ControllerSettings, Input, LineState, LoadReport,
     Output, ReportLine, RetryPolicy, RosterEntry, Scope,
@@ -18,7 +18,7 @@
 const STEP_MS: f64 = 50.0;
 const ROUND_MS: f64 = 500.0;
 
-fn terms(guard: Guarding) -> ControllerSettings {
+fn terms(guard: GuardMode) -> ControllerSettings {
     ControllerSettings {
         service: "portal".into(),
         zones: vec!["east".into()],
@@ -136,7 +136,7 @@
 }
 
 impl Day {
-    fn begun(guard: Guarding, seed: u64) -> Day {
+    fn begun(guard: GuardMode, seed: u64) -> Day {
         let now = 1e6;
         let truth = Truth {
             state: AdminState::Ready,
@@ -385,7 +385,7 @@
     }
 
     /// A day: something happens to the fleet, the module is wrong for a while, it is calm.
-    fn whole(guard: Guarding, seed: u64) -> Day {
+    fn whole(guard: GuardMode, seed: u64) -> Day {
         let mut day = Day::begun(guard, seed);
         day.news();
         for i in 0..PROXIES {
@@ -459,10 +459,10 @@
 fn drawn_days_with_a_wrong_module_keep_the_rules() {
     let (mut bare, mut looked) = (Broken::default(), 0);
     for seed in 0..DAYS {
-        let day = Day::whole(Guarding::Hold, seed);
+        let day = Day::whole(GuardMode::Enforce, seed);
         assert_eq!(day.broken, Broken::default(), "day {seed}");
         looked += day.looked;
-        let b = Day::whole(Guarding::Off, seed).broken;
+        let b = Day::whole(GuardMode::Off, seed).broken;
         bare.empty += usize::from(b.empty > 0);
         bare.drains += usize::from(b.drains > 0);
         bare.falls += usize::from(b.falls > 0);
@@ -479,7 +479,7 @@
 #[test]
 fn what_was_held_is_let_go() {
     for seed in 0..DAYS {
-        let mut day = Day::whole(Guarding::Hold, seed);
+        let mut day = Day::whole(GuardMode::Enforce, seed);
         day.play(40_000.0);
         // A message of the planner's own may be on its way.
         for _ in 0..200 {
@@ -506,7 +506,7 @@
 /// The guard's own steps are bounded: a wanted table that cannot leave costs a message a pace, not one a moment.
 #[test]
 fn a_table_that_is_held_costs_few_messages() {
-    let mut day = Day::begun(Guarding::Hold, 5);
+    let mut day = Day::begun(GuardMode::Enforce, 5);
     day.news();
     (0..PROXIES).for_each(|i| {
         let joined = Input::Joined {
--- a/crates/daemon/src/deployment.rs
+++ b/crates/daemon/src/deployment.rs
@@ -4,7 +4,7 @@
 use crate::hooking::HooksPlace;
 use crate::importing::{Foreign, RosterForm};
 use crate::resolving::DnsPlace;
-use dahliapoint_control::ward::Guarding;
+use dahliapoint_control::rollout::GuardMode;
 use dahliapoint_control::{ClassSettings, ControllerSettings, RetryPolicy};
 use dahliapoint_files::forms::Form;
 use dahliapoint_files::reach::{Promise, Reach};
@@ -226,11 +226,11 @@
 
     let guard = at.field("guard");
     let modes = [
-        ("hold", Guarding::Hold),
-        ("tell", Guarding::Tell),
-        ("off", Guarding::Off),
+        ("hold", GuardMode::Enforce),
+        ("tell", GuardMode::ReportOnly),
+        ("off", GuardMode::Off),
     ];
-    let guard = guard.choice(&modes, Some(Guarding::Hold));
+    let guard = guard.choice(&modes, Some(GuardMode::Enforce));
 
     let log = at.field("log");
     let forms = [("text", LogForm::Text), ("json", LogForm::Json)];
