--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -10,9 +10,9 @@
 
 use crate::servers::Slot;
 use crate::{AdminState, ControllerSettings, RetryPolicy};
-use dahliapoint_guard::bearing::{Bearing, Carried};
+use dahliapoint_guard::capacity::{CapacityEstimate, ServerLoad};
 use dahliapoint_guard::steps::Step;
-use dahliapoint_guard::{Danger, Guard, Line, Reason, Server, Standing};
+use dahliapoint_guard::{self as guard, Guard, Line, Reason, Server, Violation};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -117,7 +117,7 @@
 pub struct Rollout {
     mode: GuardMode,
     guard: Guard,
-    bearing: Bearing,
+    bearing: CapacityEstimate,
     loads: BTreeMap<usize, Load>,
     cold_share: f64,
     warm_after_ms: f64,
@@ -155,7 +155,7 @@
         Rollout {
             mode: terms.guard_mode,
             guard: Guard::default(),
-            bearing: Bearing::new(terms.warm_up_ms),
+            bearing: CapacityEstimate::new(terms.warm_up_ms),
             loads: BTreeMap::new(),
             cold_share: terms.cold_capacity_share,
             warm_after_ms: terms.warm_up_ms,
@@ -197,12 +197,14 @@
     }
 
     /// A server that is merely dropped from the list may stay, where the service says so.
-    fn standing(&self, slot: &Slot) -> Standing {
+    fn standing(&self, slot: &Slot) -> guard::AdminState {
         match slot.state {
-            AdminState::Ready => Standing::Ready,
-            AdminState::Draining => Standing::Draining,
-            AdminState::Gone if self.dropped_may_stay && !slot.wants_shut => Standing::Ready,
-            AdminState::Gone => Standing::Gone,
+            AdminState::Ready => guard::AdminState::Ready,
+            AdminState::Draining => guard::AdminState::Draining,
+            AdminState::Gone if self.dropped_may_stay && !slot.wants_shut => {
+                guard::AdminState::Ready
+            }
+            AdminState::Gone => guard::AdminState::Gone,
         }
     }
 
@@ -225,19 +227,19 @@
                 rate(s).filter(sound).unwrap_or_default()
             })
             .collect();
-        let carried = |r: &Rate| Carried {
+        let carried = |r: &Rate| ServerLoad {
             per_s: r.per_s,
             error: r.error,
             failed_share: r.failed_share,
             in_time: r.mean_ms <= self.tight_ms,
         };
-        let carried: Vec<Carried> = rates.iter().map(carried).collect();
+        let carried: Vec<ServerLoad> = rates.iter().map(carried).collect();
         for ((slot, carried), rate) in slots.iter().zip(&carried).zip(&rates) {
             if let Some(part) = slot.part {
                 *loads.entry(part).or_default() += rate.per_s.max(rate.newest);
             }
             if self.age(now, slot) >= 1.0 && slot.state == AdminState::Ready {
-                self.bearing.carried(now, slot.listed_weight, carried);
+                self.bearing.record(now, slot.listed_weight, carried);
             }
         }
         for (s, slot) in slots.iter().enumerate() {
@@ -245,9 +247,10 @@
             let able = self.cold_share + (1.0 - self.cold_share) * age.clamp(0.0, 1.0);
             let listed = slot.listed_weight;
             let falls_at = match age < 1.0 {
-                true => self
-                    .bearing
-                    .falls_at(now, listed, able, self.fall_multiple, &carried[s]),
+                true => {
+                    self.bearing
+                        .overload_per_s(now, listed, able, self.fall_multiple, &carried[s])
+                }
                 false => f64::INFINITY,
             };
             if let Some(part) = slot
@@ -257,25 +260,25 @@
                 self.cold.insert(part);
             }
             let known = Server {
-                standing: self.standing(slot),
-                listed,
-                falls_at,
+                admin_state: self.standing(slot),
+                listed_weight: listed,
+                overload_per_s: falls_at,
             };
-            self.guard.server(s, slot.part, known);
+            self.guard.set_server(s, slot.part, known);
         }
         let stretch = (now / (self.warm_after_ms / LOADS as f64).max(1.0)) as u64;
         for (part, load) in loads {
             let most = self.loads.entry(part).or_default().seen(stretch, load);
-            self.guard.proxies(part, most);
+            self.guard.set_load(part, most);
         }
-        self.view.best = self.bearing.best(now);
+        self.view.best = self.bearing.best_per_weight(now);
     }
 
     /// All that proxies of a part were sent up to this serial is answered, if there is any doubt about it.
     pub fn settle(&mut self, answered: impl Fn(usize) -> u64, parts: impl Iterator<Item = usize>) {
         for part in parts {
             if self.guard.is_mixed(part) {
-                self.guard.settled(part, answered(part));
+                self.guard.record_applied(part, answered(part));
             }
         }
     }
@@ -285,7 +288,7 @@
     pub fn shutting(&mut self, now: f64, slots: &mut [Slot]) -> Vec<usize> {
         let mut changed = Vec::new();
         for (s, slot) in slots.iter_mut().enumerate() {
-            let ready = !self.holds() || self.standing(slot) == Standing::Ready;
+            let ready = !self.holds() || self.standing(slot) == guard::AdminState::Ready;
             let owes = !ready && !slot.wants_shut && !slot.shut && slot.weight > 0.0;
             let late = match owes {
                 true => now - *self.owed.entry(s).or_insert(now) >= self.late_ms,
@@ -312,7 +315,7 @@
         if self.is_off() || tries != RetryPolicy::OnFailure || repeatable {
             return tries;
         }
-        self.count(Reason::Repeats);
+        self.count(Reason::UnsafeRetry);
         match self.holds() {
             true => RetryPolicy::OnProof,
             false => tries,
@@ -365,10 +368,10 @@
             plain(&mut out);
             return out;
         }
-        let step = self.guard.step(part, &wanted);
+        let step = self.guard.next_step(part, &wanted);
         if asked {
             self.view.judged += 1;
-            let reasons: BTreeSet<Reason> = step.held.iter().map(|d| d.reason).collect();
+            let reasons: BTreeSet<Reason> = step.violations.iter().map(|d| d.reason).collect();
             reasons.into_iter().for_each(|r| self.count(r));
         }
         if !self.holds() {
@@ -385,9 +388,12 @@
         let waits = !up.is_empty() || shut().next().is_some();
         let full = full && channel.readers > 0.0 && self.guard.has_table(part) && waits;
         let early = !asked && self.unfinished.get(&part).is_some_and(|at| now < *at);
-        let urgent = step.held.iter().any(|d| d.reason < Reason::Heavy);
+        let urgent = step
+            .violations
+            .iter()
+            .any(|d| d.reason < Reason::Overweight);
         // Without anything of its own to say, the guard adds nothing to what the planner wants.
-        let quiet = full || (early && !(urgent && step.borne.is_empty()));
+        let quiet = full || (early && !(urgent && step.remaining.is_empty()));
         // Where nothing stands yet of what would be left, going down alone would empty it.
         let open = |s: &Slot| !s.shut && s.weight > 0.0;
         let left = dealt()
@@ -404,10 +410,10 @@
             self.view.steps += u64::from(!asked && !up.is_empty());
         }
         if full {
-            self.count(Reason::Channel);
+            self.count(Reason::ChannelFull);
         }
-        out.urgent = step.held.iter().any(|d| d.reason == Reason::Cold) && !asked;
-        out.held = step.short || (quiet && waits);
+        out.urgent = step.violations.iter().any(|d| d.reason == Reason::Cold) && !asked;
+        out.held = step.partial || (quiet && waits);
         match out.held {
             true => {
                 let next = match quiet && early && !full {
@@ -464,24 +470,24 @@
             open: !slots[*s].shut && slots[*s].weight > 0.0,
         };
         let lines: Vec<Line> = touched.iter().map(line).collect();
-        self.guard.sent(part, &lines, false, serial);
+        self.guard.record_sent(part, &lines, false, serial);
         if !readers {
-            self.guard.settled(part, serial);
+            self.guard.record_applied(part, serial);
         }
     }
 
     /// Says what is dangerous once, and again when it is something else.
     fn tell(&mut self, part: usize, step: &Step, slots: &[Slot], notes: &mut Vec<String>) {
-        let words = |d: &Danger, more: &str| {
+        let words = |d: &Violation, more: &str| {
             let whom = d
                 .server
                 .map_or(String::new(), |s| format!(" {}", slots[s].name));
             format!("{}{whom}{more}", d.reason.code())
         };
-        let held = step.held.iter().map(|d| (words(d, ""), d));
+        let held = step.violations.iter().map(|d| (words(d, ""), d));
         let more = " (nothing better is to be had)";
-        let borne = step.borne.iter().map(|d| (words(d, more), d));
-        let all: Vec<(String, &Danger)> = held.chain(borne).collect();
+        let borne = step.remaining.iter().map(|d| (words(d, more), d));
+        let all: Vec<(String, &Violation)> = held.chain(borne).collect();
         let codes: Vec<String> = all.iter().map(|(word, _)| word.clone()).collect();
         if codes.is_empty() {
             self.told.remove(&part);
@@ -493,7 +499,7 @@
             for (text, d) in &all {
                 let note = format!(
                     "guard: part {part}: {text}: {:.3}, borne {:.3}; {word}",
-                    d.found, d.most
+                    d.found, d.limit
                 );
                 self.view.last = Some(note.clone());
                 notes.push(note);
--- a/crates/daemon/src/guarding.rs
+++ b/crates/daemon/src/guarding.rs
@@ -1,14 +1,14 @@
 //! The guard offline: a table from a file is judged, and what would leave in its place is told.
 
-use dahliapoint_guard::{Danger, Guard, Line, Server, Standing};
+use dahliapoint_guard::{AdminState, Guard, Line, Server, Violation};
 use dahliapoint_yaml::{At, read};
 use std::fmt::Write;
 
 /// What a danger is, in words.
-fn told(d: &Danger, name: impl Fn(usize) -> String) -> String {
+fn told(d: &Violation, name: impl Fn(usize) -> String) -> String {
     let whom = d.server.map_or(String::new(), |s| format!(" {}", name(s)));
     let code = d.reason.code();
-    format!("{code}{whom}: {:.3}, borne {:.3}", d.found, d.most)
+    format!("{code}{whom}: {:.3}, borne {:.3}", d.found, d.limit)
 }
 
 /// Judges a table from a file: a fleet, what is in force, and what is wanted.
@@ -23,25 +23,25 @@
     let mut guard = Guard::default();
     let mut names: Vec<String> = Vec::new();
     let states = [
-        ("ready", Standing::Ready),
-        ("draining", Standing::Draining),
-        ("gone", Standing::Gone),
+        ("ready", AdminState::Ready),
+        ("draining", AdminState::Draining),
+        ("gone", AdminState::Gone),
     ];
     for s in at.field("servers").list() {
         names.push(s.field("name").text(None));
         let falls = s.field("falls_at");
         let now = Server {
-            standing: s.field("state").choice(&states, Some(Standing::Ready)),
-            listed: s.field("weight").number(0.0..=1e6, Some(1.0)),
-            falls_at: match falls.is_there() {
+            admin_state: s.field("state").choice(&states, Some(AdminState::Ready)),
+            listed_weight: s.field("weight").number(0.0..=1e6, Some(1.0)),
+            overload_per_s: match falls.is_there() {
                 true => falls.number(0.0..=1e9, None),
                 false => f64::INFINITY,
             },
         };
         s.close();
-        guard.server(names.len() - 1, Some(0), now);
+        guard.set_server(names.len() - 1, Some(0), now);
     }
-    guard.proxies(0, at.field("load").number(0.0..=1e9, Some(0.0)));
+    guard.set_load(0, at.field("load").number(0.0..=1e9, Some(0.0)));
     let mut lines = |field: &str| -> Vec<Line> {
         let table = at.field(field);
         let list = table.list();
@@ -65,10 +65,10 @@
     let next = lines("next");
     at.close();
     if !before.is_empty() {
-        guard.sent(0, &before, true, 1);
-        guard.settled(0, 1);
+        guard.record_sent(0, &before, true, 1);
+        guard.record_applied(0, 1);
     }
-    let found = guard.wants(0, &next, true);
+    let found = guard.check(0, &next, true);
     let mut out = String::new();
     for danger in &found {
         let _ = writeln!(out, "{}", told(danger, |s| names[s].clone()));
@@ -78,11 +78,11 @@
         return (out, true);
     }
     out.push_str("in its place leaves:\n");
-    let step = guard.step(0, &next);
-    for (server, weight) in &step.open {
+    let step = guard.next_step(0, &next);
+    for (server, weight) in &step.weights {
         let _ = writeln!(out, "  {}: {weight:.4}", names[*server]);
     }
-    for danger in &step.borne {
+    for danger in &step.remaining {
         let _ = writeln!(
             out,
             "nothing better is to be had: {}",
--- a/crates/guard/benches/judging.rs
+++ b/crates/guard/benches/judging.rs
@@ -2,7 +2,7 @@
 //! through what every proxy holds.
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use dahliapoint_guard::{Guard, Line, Server, Standing};
+use dahliapoint_guard::{AdminState, Guard, Line, Server};
 use std::hint::black_box;
 
 /// Servers in all, parts, proxies.
@@ -12,9 +12,9 @@
 
 fn server(i: usize) -> Server {
     Server {
-        standing: Standing::Ready,
-        listed: 1.0 + (i % 3) as f64 / 2.0,
-        falls_at: if i.is_multiple_of(10) {
+        admin_state: AdminState::Ready,
+        listed_weight: 1.0 + (i % 3) as f64 / 2.0,
+        overload_per_s: if i.is_multiple_of(10) {
             4.0
         } else {
             f64::INFINITY
@@ -41,11 +41,11 @@
 
 fn fleet(servers: usize, parts: usize) -> Guard {
     let mut guard = Guard::default();
-    (0..servers).for_each(|s| guard.server(s, Some(s % parts), server(s)));
+    (0..servers).for_each(|s| guard.set_server(s, Some(s % parts), server(s)));
     for part in 0..parts {
-        guard.proxies(part, 866.0 / parts as f64);
+        guard.set_load(part, 866.0 / parts as f64);
         for turn in 0..=UNDER_WAY {
-            guard.sent(part, &table(part, servers, parts, turn), true, turn);
+            guard.record_sent(part, &table(part, servers, parts, turn), true, turn);
         }
     }
     guard
@@ -71,15 +71,15 @@
         let guard = fleet(servers, parts);
         let wanted = table(0, servers, parts, 7);
         group.bench_function("a tick's changes, kept sums", |b| {
-            b.iter(|| black_box(guard.step(0, &wanted)));
+            b.iter(|| black_box(guard.next_step(0, &wanted)));
         });
         let mut flood = wanted.clone();
         flood.iter_mut().for_each(|l| l.weight = 1.0);
         group.bench_function("a dangerous table, and the step in its place", |b| {
-            b.iter(|| black_box(guard.step(0, &flood)));
+            b.iter(|| black_box(guard.next_step(0, &flood)));
         });
         group.bench_function("all judged anew", |b| {
-            b.iter(|| black_box(fleet(servers, parts).step(0, &wanted)));
+            b.iter(|| black_box(fleet(servers, parts).next_step(0, &wanted)));
         });
         let held: Vec<Vec<Line>> = (0..proxies / parts)
             .map(|p| table(0, servers, parts, p as u64 % 4))
@@ -92,8 +92,8 @@
             let mut serial = 100;
             b.iter(|| {
                 serial += 1;
-                guard.sent(0, &wanted[..4], false, serial);
-                guard.settled(0, serial);
+                guard.record_sent(0, &wanted[..4], false, serial);
+                guard.record_applied(0, serial);
             });
         });
         group.finish();
--- a/crates/guard/src/solve.rs
+++ b/crates/guard/src/caps.rs
@@ -14,7 +14,7 @@
 
 /// The weights, in the same order; nothing if no weights keep all caps (they sum up to less than 1 and nobody
 /// is left without one). Weights are not negative, at least one is positive.
-pub fn capped(wanted: &[Share]) -> Option<Vec<f64>> {
+pub fn apply_caps(wanted: &[Share]) -> Option<Vec<f64>> {
     let ratio = |s: &Share| s.weight / s.cap.max(f64::MIN_POSITIVE);
     let mut order: Vec<usize> = (0..wanted.len()).collect();
     // The same ratios keep their order: the same inputs give the same weights.
@@ -97,7 +97,7 @@
             ),
         ];
         for (name, wanted, out) in cases {
-            let found = capped(&wanted);
+            let found = apply_caps(&wanted);
             let near =
                 |a: &Vec<f64>, b: &Vec<f64>| a.iter().zip(b).all(|(a, b)| (a - b).abs() < 1e-9);
             let same = match (&found, &out) {
@@ -132,7 +132,7 @@
                 .collect();
             let slow = halved(&wanted);
             let sum: f64 = slow.iter().sum();
-            match capped(&wanted) {
+            match apply_caps(&wanted) {
                 Some(fast) => {
                     let all: f64 = fast.iter().sum();
                     for (f, w) in fast.iter().zip(&wanted) {
--- a/crates/guard/src/lib.rs
+++ b/crates/guard/src/lib.rs
@@ -11,8 +11,8 @@
 //! A judgement costs by what changed: what a part holds, its sums, and what each cold server may be brought by
 //! all tables that are in force or under way are kept, not found anew.
 
-pub mod bearing;
-pub mod solve;
+pub mod capacity;
+pub mod caps;
 pub mod steps;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -32,7 +32,7 @@
 
 /// What the roster says of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum AdminState {
     Ready,
     Draining,
     #[default]
@@ -42,15 +42,15 @@
 /// A server as it is now.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Server {
-    pub standing: Standing,
-    pub listed: f64,
+    pub admin_state: AdminState,
+    pub listed_weight: f64,
     /// Visits a second that push it over while it is cold; infinite once it is warm.
-    pub falls_at: f64,
+    pub overload_per_s: f64,
 }
 
 impl Server {
     fn is_warm(&self) -> bool {
-        self.falls_at == f64::INFINITY
+        self.overload_per_s == f64::INFINITY
     }
 }
 
@@ -66,23 +66,23 @@
     /// Only cold servers are left, and the roster has a warm one for this part.
     OnlyCold,
     /// One server has far more than its listed part.
-    Heavy,
+    Overweight,
     /// Too much moves in one step that withdraws nobody.
-    Step,
+    LargeStep,
     /// Tries that may repeat an effect were ordered for a class.
-    Repeats,
+    UnsafeRetry,
     /// The channel has no room for lines that can wait.
-    Channel,
+    ChannelFull,
 }
 
 /// What is dangerous, and about which server if it is about one.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Danger {
+pub struct Violation {
     pub reason: Reason,
     pub server: Option<usize>,
     /// What was found, and what is borne.
     pub found: f64,
-    pub most: f64,
+    pub limit: f64,
 }
 
 /// A line as wanted; nothing: it is not in the table any more. A shut one is there and not picked.
@@ -224,7 +224,7 @@
     changed: &'a [Line],
 }
 
-type Rule = fn(&Wanted) -> Vec<Danger>;
+type Rule = fn(&Wanted) -> Vec<Violation>;
 
 const RULES: [Rule; 6] = [
     nobody_is_left_empty,
@@ -235,18 +235,18 @@
     no_step_is_too_large,
 ];
 
-fn one(reason: Reason, server: Option<usize>, found: f64, most: f64) -> Vec<Danger> {
-    vec![Danger {
+fn one(reason: Reason, server: Option<usize>, found: f64, most: f64) -> Vec<Violation> {
+    vec![Violation {
         reason,
         server,
         found,
-        most,
+        limit: most,
     }]
 }
 
 /// Guards against a table that empties a pool, whatever made it. A part whose roster has no ready server may
 /// be empty: nothing better is to be had.
-fn nobody_is_left_empty(w: &Wanted) -> Vec<Danger> {
+fn nobody_is_left_empty(w: &Wanted) -> Vec<Violation> {
     let ready = w.ready();
     match w.next.lines.is_empty() && ready.count() > 0 {
         true => one(Reason::Empty, None, 0.0, 1.0),
@@ -256,9 +256,9 @@
 
 /// Guards against drains undone by a table: only lines that change are looked at, since the roster's own
 /// changes lead to withdrawals that always pass.
-fn nobody_is_sent_to_who_is_not_ready(w: &Wanted) -> Vec<Danger> {
+fn nobody_is_sent_to_who_is_not_ready(w: &Wanted) -> Vec<Violation> {
     let open = w.changed.iter().filter(|l| l.open && l.weight > 0.0);
-    let wrong = open.filter(|l| w.guard.server_of(l.server).standing != Standing::Ready);
+    let wrong = open.filter(|l| w.guard.server_of(l.server).admin_state != AdminState::Ready);
     let danger = |l: &Line| one(Reason::NotReady, Some(l.server), l.weight, 0.0);
     wrong.flat_map(danger).collect()
 }
@@ -266,11 +266,11 @@
 /// Guards against a site piled onto a server that has just started: over all parts, with the tables that are
 /// in force, under way and new, at their worst mixture. Only what grows is dangerous; a table that brings a
 /// cold server less passes even if it is too much still.
-fn no_cold_server_is_pushed_over(w: &Wanted) -> Vec<Danger> {
+fn no_cold_server_is_pushed_over(w: &Wanted) -> Vec<Violation> {
     let mut out = Vec::new();
     for server in w.next.lines.keys() {
         let s = w.guard.server_of(*server);
-        if s.is_warm() || s.standing != Standing::Ready {
+        if s.is_warm() || s.admin_state != AdminState::Ready {
             continue;
         }
         let next = w.part.load * w.next.share(*server);
@@ -280,7 +280,7 @@
         }
         let brought = w.guard.brought.get(server).copied().unwrap_or(0.0);
         let found = brought - here + next.max(here);
-        let most = COLD_MOST * s.falls_at;
+        let most = COLD_MOST * s.overload_per_s;
         if found > most {
             out.extend(one(Reason::Cold, Some(*server), found, most));
         }
@@ -289,7 +289,7 @@
 }
 
 /// Guards against a part that is left to servers which have just started while warm ones are there.
-fn somebody_is_warm(w: &Wanted) -> Vec<Danger> {
+fn somebody_is_warm(w: &Wanted) -> Vec<Violation> {
     let warm = |s: &usize| w.guard.server_of(*s).is_warm();
     let any = w.next.lines.keys().any(warm);
     let lost = !w.next.lines.is_empty() && !any && w.ready().any(|s| warm(&s));
@@ -302,15 +302,15 @@
 /// Guards against weights that are wrong by an order of magnitude. May harm where nearly all others are
 /// trimmed for good reason: so both the ratio and a large share are wanted, and a server may always have
 /// what it has had.
-fn nobody_is_piled_upon(w: &Wanted) -> Vec<Danger> {
-    let listed: f64 = w.ready().map(|s| w.guard.server_of(s).listed).sum();
+fn nobody_is_piled_upon(w: &Wanted) -> Vec<Violation> {
+    let listed: f64 = w.ready().map(|s| w.guard.server_of(s).listed_weight).sum();
     let mut out = Vec::new();
     for server in w.next.lines.keys() {
         let share = w.next.share(*server);
-        let part = w.guard.server_of(*server).listed / listed.max(SLACK);
+        let part = w.guard.server_of(*server).listed_weight / listed.max(SLACK);
         let most = (HEAVIER * part).max(HEAVY);
         if share > most + SLACK && share > w.before.share(*server) + SLACK {
-            out.extend(one(Reason::Heavy, Some(*server), share, most));
+            out.extend(one(Reason::Overweight, Some(*server), share, most));
         }
     }
     out
@@ -318,11 +318,11 @@
 
 /// Guards against a whole table thrown over at once by something that is not the fleet's own change: what
 /// leaves servers that are not ready any more is no step, nor is the first table of a part.
-fn no_step_is_too_large(w: &Wanted) -> Vec<Danger> {
+fn no_step_is_too_large(w: &Wanted) -> Vec<Violation> {
     if w.before.lines.is_empty() || w.next.lines.is_empty() {
         return Vec::new();
     }
-    let ready = |s: &usize| w.guard.server_of(*s).standing == Standing::Ready;
+    let ready = |s: &usize| w.guard.server_of(*s).admin_state == AdminState::Ready;
     let left: f64 = w
         .before
         .lines
@@ -348,7 +348,7 @@
     let lost = lost.map(|s| part(w.before, s, left) - part(w.next, s, stays));
     let moved: f64 = lost.map(|l| l.max(0.0)).sum();
     match moved > STEP + SLACK {
-        true => one(Reason::Step, None, moved, STEP),
+        true => one(Reason::LargeStep, None, moved, STEP),
         false => Vec::new(),
     }
 }
@@ -357,7 +357,7 @@
     /// The ready servers that the roster deals to this part.
     fn ready(&self) -> impl Iterator<Item = usize> + '_ {
         let members = self.part.members.iter().copied();
-        members.filter(|s| self.guard.server_of(*s).standing == Standing::Ready)
+        members.filter(|s| self.guard.server_of(*s).admin_state == AdminState::Ready)
     }
 }
 
@@ -369,10 +369,10 @@
             Reason::NotReady => "not-ready",
             Reason::Cold => "cold",
             Reason::OnlyCold => "only-cold",
-            Reason::Heavy => "heavy",
-            Reason::Step => "step",
-            Reason::Repeats => "repeats",
-            Reason::Channel => "channel",
+            Reason::Overweight => "heavy",
+            Reason::LargeStep => "step",
+            Reason::UnsafeRetry => "repeats",
+            Reason::ChannelFull => "channel",
         }
     }
 }
@@ -393,7 +393,7 @@
     }
 
     /// What is now known of a server, and which part it is dealt to.
-    pub fn server(&mut self, server: usize, part: Option<usize>, now: Server) {
+    pub fn set_server(&mut self, server: usize, part: Option<usize>, now: Server) {
         for (index, p) in &mut self.parts {
             if Some(*index) != part {
                 p.members.remove(&server);
@@ -409,7 +409,7 @@
     }
 
     /// The load that the servers of a part are brought together now.
-    pub fn proxies(&mut self, part: usize, load: f64) {
+    pub fn set_load(&mut self, part: usize, load: f64) {
         self.parts.entry(part).or_default().load = load.max(0.0);
         self.weigh_named(part);
     }
@@ -443,14 +443,14 @@
     }
 
     /// All that is dangerous about a part's next table, the gravest first; nothing: it may leave.
-    pub fn wants(&self, part: usize, changed: &[Line], whole: bool) -> Vec<Danger> {
+    pub fn check(&self, part: usize, changed: &[Line], whole: bool) -> Vec<Violation> {
         let none = Part::default();
         let held = self.parts.get(&part).unwrap_or(&none);
         let next = self.next(held, changed, whole);
         self.judge(held, &next, changed)
     }
 
-    fn judge(&self, held: &Part, next: &Table, changed: &[Line]) -> Vec<Danger> {
+    fn judge(&self, held: &Part, next: &Table, changed: &[Line]) -> Vec<Violation> {
         let nothing = Table::default();
         let wanted = Wanted {
             guard: self,
@@ -463,7 +463,7 @@
     }
 
     /// A table leaves: from now on some proxies may hold it and some what was before. Serials grow.
-    pub fn sent(&mut self, part: usize, changed: &[Line], whole: bool, serial: u64) {
+    pub fn record_sent(&mut self, part: usize, changed: &[Line], whole: bool, serial: u64) {
         let mut held = self.parts.remove(&part).unwrap_or_default();
         let next = self.next(&held, changed, whole);
         held.put(serial, next);
@@ -472,7 +472,7 @@
     }
 
     /// All proxies of a part have applied what they were sent up to this serial.
-    pub fn settled(&mut self, part: usize, serial: u64) {
+    pub fn record_applied(&mut self, part: usize, serial: u64) {
         let named = self.parts.get(&part).map(Part::named).unwrap_or_default();
         if let Some(p) = self.parts.get_mut(&part) {
             p.settle(serial);
@@ -486,8 +486,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
+    use AdminState::{Draining, Ready};
     use Reason::*;
-    use Standing::{Draining, Ready};
 
     fn line(server: usize, weight: f64) -> Line {
         Line {
@@ -502,14 +502,14 @@
         let mut guard = Guard::default();
         for s in 0..4 {
             let now = Server {
-                standing: Ready,
-                listed: 1.0,
-                falls_at: if s == 3 { 10.0 } else { f64::INFINITY },
+                admin_state: Ready,
+                listed_weight: 1.0,
+                overload_per_s: if s == 3 { 10.0 } else { f64::INFINITY },
             };
-            guard.server(s, Some(0), now);
+            guard.set_server(s, Some(0), now);
         }
-        guard.proxies(0, 100.0);
-        guard.sent(0, &[line(0, 1.0), line(1, 1.0), line(2, 1.0)], true, 1);
+        guard.set_load(0, 100.0);
+        guard.record_sent(0, &[line(0, 1.0), line(1, 1.0), line(2, 1.0)], true, 1);
         guard
     }
 
@@ -524,15 +524,19 @@
             (
                 "the cold one alone",
                 all([0.0, 0.0, 0.0, 0.001]).to_vec(),
-                &[Cold, OnlyCold, Step],
+                &[Cold, OnlyCold, LargeStep],
+            ),
+            (
+                "one has all",
+                all([1.0, 0.0, 0.0, 0.0]).to_vec(),
+                &[LargeStep],
             ),
-            ("one has all", all([1.0, 0.0, 0.0, 0.0]).to_vec(), &[Step]),
             ("two have all", all([1.0, 1.0, 0.0, 0.0]).to_vec(), &[]),
-            ("10,000 beside 1", vec![line(1, 10_000.0)], &[Step]),
+            ("10,000 beside 1", vec![line(1, 10_000.0)], &[LargeStep]),
             ("all alike", all([1.0; 4]).to_vec(), &[Cold]),
         ];
         for (name, changed, wanted) in cases {
-            let found = fleet().wants(0, &changed, false);
+            let found = fleet().check(0, &changed, false);
             let reasons: Vec<Reason> = found.iter().map(|d| d.reason).collect();
             assert_eq!(reasons, wanted, "{name}: {found:?}");
         }
@@ -543,20 +547,23 @@
         let mut guard = Guard::default();
         for s in 0..20 {
             let now = Server {
-                standing: Ready,
-                listed: 1.0,
-                falls_at: f64::INFINITY,
+                admin_state: Ready,
+                listed_weight: 1.0,
+                overload_per_s: f64::INFINITY,
             };
-            guard.server(s, Some(0), now);
+            guard.set_server(s, Some(0), now);
         }
         let lines: Vec<Line> = (0..20).map(|s| line(s, 1.0)).collect();
-        guard.sent(0, &lines, true, 1);
-        assert_eq!(guard.wants(0, &[line(3, 12.0)], false), [], "a third of it");
-        let found = guard.wants(0, &[line(3, 15.0)], false);
-        assert_eq!(found.iter().map(|d| d.reason).collect::<Vec<_>>(), [Heavy]);
-        guard.sent(0, &[line(3, 15.0)], false, 2);
+        guard.record_sent(0, &lines, true, 1);
+        assert_eq!(guard.check(0, &[line(3, 12.0)], false), [], "a third of it");
+        let found = guard.check(0, &[line(3, 15.0)], false);
+        assert_eq!(
+            found.iter().map(|d| d.reason).collect::<Vec<_>>(),
+            [Overweight]
+        );
+        guard.record_sent(0, &[line(3, 15.0)], false, 2);
         assert_eq!(
-            guard.wants(0, &[line(5, 1.1)], false),
+            guard.check(0, &[line(5, 1.1)], false),
             [],
             "what it has had it may keep"
         );
@@ -566,42 +573,42 @@
     fn mixtures_count_until_all_have_settled() {
         let mut guard = fleet();
         // Another part brings the same cold server load by an old table that some still hold.
-        guard.proxies(1, 100.0);
-        guard.sent(1, &[line(0, 0.94), line(3, 0.06)], true, 2);
-        guard.sent(1, &[line(0, 1.0)], true, 3);
-        assert_eq!(guard.wants(0, &[line(3, 0.1)], false)[0].reason, Cold);
-        guard.settled(1, 2);
-        assert_eq!(guard.wants(0, &[line(3, 0.1)], false)[0].reason, Cold);
-        guard.settled(1, 3);
-        assert_eq!(guard.wants(0, &[line(3, 0.1)], false), []);
+        guard.set_load(1, 100.0);
+        guard.record_sent(1, &[line(0, 0.94), line(3, 0.06)], true, 2);
+        guard.record_sent(1, &[line(0, 1.0)], true, 3);
+        assert_eq!(guard.check(0, &[line(3, 0.1)], false)[0].reason, Cold);
+        guard.record_applied(1, 2);
+        assert_eq!(guard.check(0, &[line(3, 0.1)], false)[0].reason, Cold);
+        guard.record_applied(1, 3);
+        assert_eq!(guard.check(0, &[line(3, 0.1)], false), []);
     }
 
     #[test]
     fn withdrawals_pass_and_drains_are_not_undone() {
         let mut guard = fleet();
         let drains = Server {
-            standing: Draining,
-            listed: 1.0,
-            falls_at: f64::INFINITY,
+            admin_state: Draining,
+            listed_weight: 1.0,
+            overload_per_s: f64::INFINITY,
         };
-        (0..2).for_each(|s| guard.server(s, Some(0), drains));
+        (0..2).for_each(|s| guard.set_server(s, Some(0), drains));
         let shut = |server| Line {
             server,
             weight: 1.0,
             open: false,
         };
         assert_eq!(
-            guard.wants(0, &[shut(0), shut(1)], false),
+            guard.check(0, &[shut(0), shut(1)], false),
             [],
             "two of three drain"
         );
-        let found = guard.wants(0, &[line(0, 1.0)], false);
+        let found = guard.check(0, &[line(0, 1.0)], false);
         assert_eq!(
             found.iter().map(|d| d.reason).collect::<Vec<_>>(),
             [NotReady]
         );
         // Nobody is ready: an empty table is all there is.
-        (2..4).for_each(|s| guard.server(s, Some(0), drains));
-        assert_eq!(guard.wants(0, &[0, 1, 2].map(shut), false), []);
+        (2..4).for_each(|s| guard.set_server(s, Some(0), drains));
+        assert_eq!(guard.check(0, &[0, 1, 2].map(shut), false), []);
     }
 }
--- a/crates/guard/src/steps.rs
+++ b/crates/guard/src/steps.rs
@@ -9,9 +9,9 @@
 //! Progress: every step that is not the wanted table itself ends at caps that grow as servers warm, or is a
 //! part of the way as large as one step may be. With the fleet unchanged the second step ends there.
 
-use crate::solve::{Share, capped};
+use crate::caps::{Share, apply_caps};
 use crate::{
-    COLD_MOST, Danger, Guard, HEAVIER, HEAVY, Line, Part, Reason, SLACK, STEP, Standing, Table,
+    AdminState, COLD_MOST, Guard, HEAVIER, HEAVY, Line, Part, Reason, SLACK, STEP, Table, Violation,
 };
 use std::collections::BTreeMap;
 
@@ -22,13 +22,13 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Step {
     /// Weights of open lines, by server; a server that is not here has none.
-    pub open: BTreeMap<usize, f64>,
+    pub weights: BTreeMap<usize, f64>,
     /// What was dangerous about the wanted table.
-    pub held: Vec<Danger>,
+    pub violations: Vec<Violation>,
     /// What is dangerous about this one too: nothing better is to be had.
-    pub borne: Vec<Danger>,
+    pub remaining: Vec<Violation>,
     /// It is not the wanted table: another step is to follow.
-    pub short: bool,
+    pub partial: bool,
 }
 
 /// What the rules change.
@@ -103,7 +103,7 @@
             .table
             .lines
             .keys()
-            .map(|s| (*s, d.guard.server_of(*s).falls_at));
+            .map(|s| (*s, d.guard.server_of(*s).overload_per_s));
         let takes: Vec<(usize, f64)> = takes.collect();
         // Nothing but cold servers; all of them may be told to bear nothing at all.
         let known = takes.iter().all(|t| t.1.is_finite()) && takes.iter().any(|t| t.1 > 0.0);
@@ -149,7 +149,7 @@
 
 impl Draft<'_> {
     fn is_ready(&self, server: usize) -> bool {
-        self.guard.server_of(server).standing == Standing::Ready
+        self.guard.server_of(server).admin_state == AdminState::Ready
     }
 
     fn set(&mut self, server: usize, weight: f64) {
@@ -172,7 +172,7 @@
                 .members
                 .iter()
                 .filter(|s| self.is_ready(**s) && kind(**s));
-            let listed = |s: &usize| (*s, self.guard.server_of(*s).listed.max(SLACK));
+            let listed = |s: &usize| (*s, self.guard.server_of(*s).listed_weight.max(SLACK));
             kept = ready.map(listed).collect();
         }
         kept.into_iter().for_each(|(s, w)| self.set(s, w));
@@ -190,14 +190,14 @@
         let brought = self.guard.brought.get(&server).copied().unwrap_or(here);
         let others = (brought - here).max(0.0);
         // A hair less, so that rounding does not make it too much.
-        let most = COLD_MOST * s.falls_at * (1.0 - SLACK);
+        let most = COLD_MOST * s.overload_per_s * (1.0 - SLACK);
         let room = (most - others).max(0.0) / self.part.load;
         // While older tables bring it too much, it may not have more by the new one.
-        let room = match others + here > COLD_MOST * s.falls_at {
+        let room = match others + here > COLD_MOST * s.overload_per_s {
             true => room.min(had),
             false => room,
         };
-        let falls = others + self.part.load * had > s.falls_at;
+        let falls = others + self.part.load * had > s.overload_per_s;
         (if falls { room } else { room.max(had) }).min(1.0)
     }
 
@@ -210,12 +210,12 @@
                 .cold_cap(*s)
                 .min(if heavy { self.heavy_cap(*s) } else { 1.0 }),
         });
-        let found = capped(&wanted.collect::<Vec<Share>>())?;
+        let found = apply_caps(&wanted.collect::<Vec<Share>>())?;
         Some(self.table.lines.keys().copied().zip(found).collect())
     }
 
     fn heavy_cap(&self, server: usize) -> f64 {
-        let part = self.guard.server_of(server).listed / self.listed.max(SLACK);
+        let part = self.guard.server_of(server).listed_weight / self.listed.max(SLACK);
         let most = (HEAVIER * part).max(HEAVY);
         most.max(self.before.share(server)).min(1.0)
     }
@@ -249,7 +249,7 @@
 
 impl Guard {
     /// What may leave now, given all lines of a part as they are wanted.
-    pub fn step(&self, part: usize, wanted: &[Line]) -> Step {
+    pub fn next_step(&self, part: usize, wanted: &[Line]) -> Step {
         let none = Part::default();
         let held = self.parts.get(&part).unwrap_or(&none);
         let nothing = Table::default();
@@ -263,18 +263,18 @@
             .filter(|l| !before.lines.contains_key(&l.server));
         let opened: Vec<Line> = opened.copied().collect();
         let mut danger = self.judge(held, &table, &opened);
-        let falls: Vec<Danger> = self.falls(held, &table);
+        let falls: Vec<Violation> = self.falls(held, &table);
         danger.extend(falls);
         if danger.is_empty() {
             let open = table.lines;
             return Step {
-                open,
+                weights: open,
                 ..Step::default()
             };
         }
         let ready = held.members.iter().map(|s| self.server_of(*s));
-        let ready = ready.filter(|s| s.standing == Standing::Ready);
-        let listed = ready.map(|s| s.listed).sum();
+        let ready = ready.filter(|s| s.admin_state == AdminState::Ready);
+        let listed = ready.map(|s| s.listed_weight).sum();
         let mut draft = Draft {
             guard: self,
             part: held,
@@ -300,20 +300,20 @@
         let mut borne = self.judge(held, &table, &opened);
         borne.extend(self.falls(held, &table));
         Step {
-            open: table.lines,
-            held: danger,
-            borne,
-            short: true,
+            weights: table.lines,
+            violations: danger,
+            remaining: borne,
+            partial: true,
         }
     }
 
     /// Cold servers that fall by what stands, if the next table leaves them that: load has grown, or others
     /// have left, since it was found safe.
-    fn falls(&self, part: &Part, next: &Table) -> Vec<Danger> {
+    fn falls(&self, part: &Part, next: &Table) -> Vec<Violation> {
         let mut out = Vec::new();
         for server in next.lines.keys() {
             let s = self.server_of(*server);
-            if s.is_warm() || s.standing != Standing::Ready {
+            if s.is_warm() || s.admin_state != AdminState::Ready {
                 continue;
             }
             let here = part.most(*server);
@@ -322,14 +322,14 @@
             let has = part.load * next.share(*server);
             let grows = has > had * (1.0 + SLACK);
             if !grows
-                && others + had > s.falls_at
-                && others + has > COLD_MOST * s.falls_at * (1.0 + SLACK)
+                && others + had > s.overload_per_s
+                && others + has > COLD_MOST * s.overload_per_s * (1.0 + SLACK)
             {
-                out.push(Danger {
+                out.push(Violation {
                     reason: Reason::Cold,
                     server: Some(*server),
                     found: others + has,
-                    most: COLD_MOST * s.falls_at,
+                    limit: COLD_MOST * s.overload_per_s,
                 });
             }
         }
@@ -343,14 +343,14 @@
         let nothing = BTreeMap::new();
         let before = newest.map_or(&nothing, |t| &t.lines);
         let mut out: Vec<(usize, f64)> = Vec::new();
-        for (s, w) in &step.open {
+        for (s, w) in &step.weights {
             let had = before.get(s).copied().unwrap_or(0.0);
-            let stir = if step.short { STIR } else { SLACK };
+            let stir = if step.partial { STIR } else { SLACK };
             if (had - w).abs() > stir * had.max(*w) || had == 0.0 {
                 out.push((*s, *w));
             }
         }
-        let gone = before.keys().filter(|s| !step.open.contains_key(s));
+        let gone = before.keys().filter(|s| !step.weights.contains_key(s));
         out.extend(gone.map(|s| (*s, 0.0)));
         out
     }
--- a/crates/guard/tests/oracle.rs
+++ b/crates/guard/tests/oracle.rs
@@ -1,7 +1,7 @@
 //! The guard against a slow, exact oracle that is written separately: it knows no sums that are kept, and
 //! goes through every mixture of the tables that proxies may hold.
 
-use dahliapoint_guard::{Guard, Line, Reason, Server, Standing};
+use dahliapoint_guard::{AdminState, Guard, Line, Reason, Server};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
@@ -73,8 +73,8 @@
     fn judge(&self, part: usize, lines: &[Line], whole: bool) -> BTreeSet<Reason> {
         let next = self.next(part, lines, whole);
         let before = self.held[part].last().cloned().unwrap_or_default();
-        let is_ready = |s: &usize| self.server(*s).standing == Standing::Ready;
-        let is_warm = |s: &usize| self.server(*s).falls_at == f64::INFINITY;
+        let is_ready = |s: &usize| self.server(*s).admin_state == AdminState::Ready;
+        let is_warm = |s: &usize| self.server(*s).overload_per_s == f64::INFINITY;
         let members = (0..SERVERS).filter(|s| s % PARTS == part && self.servers.contains_key(s));
         let ready: Vec<usize> = members.filter(is_ready).collect();
         let mut out = BTreeSet::new();
@@ -95,15 +95,15 @@
         for s in next.keys().filter(|s| !is_warm(s) && is_ready(s)) {
             let grows = self.loads[part] * share(&next, *s)
                 > self.loads[part] * share(&before, *s) * (1.0 + 1e-9);
-            if grows && self.worst(*s, &tables) > 0.8 * self.server(*s).falls_at {
+            if grows && self.worst(*s, &tables) > 0.8 * self.server(*s).overload_per_s {
                 out.insert(Reason::Cold);
             }
         }
-        let listed: f64 = ready.iter().map(|s| self.server(*s).listed).sum();
+        let listed: f64 = ready.iter().map(|s| self.server(*s).listed_weight).sum();
         for s in next.keys() {
-            let most = (6.0 * self.server(*s).listed / listed.max(1e-9)).max(0.4);
+            let most = (6.0 * self.server(*s).listed_weight / listed.max(1e-9)).max(0.4);
             if share(&next, *s) > most + 1e-9 && share(&next, *s) > share(&before, *s) + 1e-9 {
-                out.insert(Reason::Heavy);
+                out.insert(Reason::Overweight);
             }
         }
         let of_ready = |t: &Table| -> Table {
@@ -119,7 +119,7 @@
                 .map(|s| (share(&was, *s) - share(&will, *s)).max(0.0))
                 .sum();
             if moved > 0.6 + 1e-9 {
-                out.insert(Reason::Step);
+                out.insert(Reason::LargeStep);
             }
         }
         out
@@ -142,15 +142,15 @@
 
 fn event() -> impl Strategy<Value = Event> {
     let standing = prop_oneof![
-        4 => Just(Standing::Ready),
-        1 => Just(Standing::Draining),
-        1 => Just(Standing::Gone)
+        4 => Just(AdminState::Ready),
+        1 => Just(AdminState::Draining),
+        1 => Just(AdminState::Gone)
     ];
     let falls = prop_oneof![2 => Just(f64::INFINITY), 1 => Just(20.0), 1 => Just(500.0)];
     let server = (0..SERVERS, standing, 1_u8..4, falls);
     prop_oneof![
         4 => server.prop_map(|(s, standing, listed, falls_at)| {
-            Event::Server(s, Server { standing, listed: f64::from(listed), falls_at })
+            Event::Server(s, Server { admin_state: standing, listed_weight: f64::from(listed), overload_per_s: falls_at })
         }),
         1 => (0..PARTS, 0.0..200.0).prop_map(|(p, load)| Event::Load(p, load)),
         3 => (0..PARTS, lines(), any::<bool>()).prop_map(|(p, l, w)| Event::Send(p, l, w)),
@@ -164,24 +164,24 @@
     for e in events {
         match e {
             Event::Server(s, now) => {
-                guard.server(*s, Some(s % PARTS), *now);
+                guard.set_server(*s, Some(s % PARTS), *now);
                 oracle.servers.insert(*s, *now);
             }
             Event::Load(p, load) => {
-                guard.proxies(*p, *load);
+                guard.set_load(*p, *load);
                 oracle.loads[*p] = *load;
             }
             Event::Send(p, lines, whole) => {
-                let found = guard.wants(*p, lines, *whole);
+                let found = guard.check(*p, lines, *whole);
                 let found = found.into_iter().map(|d| d.reason).collect();
                 judged(found, oracle.judge(*p, lines, *whole));
                 let next = oracle.next(*p, lines, *whole);
                 serial += 1;
-                guard.sent(*p, lines, *whole, serial);
+                guard.record_sent(*p, lines, *whole, serial);
                 oracle.held[*p].push(next);
             }
             Event::Settle(p) => {
-                guard.settled(*p, serial);
+                guard.record_applied(*p, serial);
                 let newest = oracle.held[*p].pop();
                 oracle.held[*p] = newest.into_iter().collect();
             }
@@ -228,8 +228,8 @@
     println!("caught by one rule alone: {alone:?}");
     assert_eq!((table[0][1], table[1][0]), (0, 0));
     assert!(table[0][0] > 1_000 && table[1][1] > 1_000, "{table:?}");
-    use Reason::{Cold, Empty, Heavy, NotReady, OnlyCold, Step};
-    for reason in [Empty, NotReady, Cold, OnlyCold, Heavy, Step] {
+    use Reason::{Cold, Empty, LargeStep, NotReady, OnlyCold, Overweight};
+    for reason in [Empty, NotReady, Cold, OnlyCold, Overweight, LargeStep] {
         assert!(
             alone.contains_key(&reason),
             "{reason:?} catches nothing by itself: {alone:?}"
--- a/crates/guard/tests/steps.rs
+++ b/crates/guard/tests/steps.rs
@@ -2,7 +2,7 @@
 //! search over all orders in which proxies apply what they are sent, no cold server is ever pushed over.
 
 use dahliapoint_guard::steps::Step;
-use dahliapoint_guard::{Guard, Line, Reason, Server, Standing};
+use dahliapoint_guard::{AdminState, Guard, Line, Reason, Server};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
@@ -19,9 +19,9 @@
 
 fn server(falls_at: f64) -> Server {
     Server {
-        standing: Standing::Ready,
-        listed: 1.0,
-        falls_at,
+        admin_state: AdminState::Ready,
+        listed_weight: 1.0,
+        overload_per_s: falls_at,
     }
 }
 
@@ -33,7 +33,7 @@
 fn send(guard: &mut Guard, step: &Step, serial: u64) -> usize {
     let changes = guard.changes(0, step);
     let lines: Vec<Line> = changes.iter().map(|(s, w)| open(*s, *w)).collect();
-    guard.sent(0, &lines, false, serial);
+    guard.record_sent(0, &lines, false, serial);
     lines.len()
 }
 
@@ -48,14 +48,14 @@
 
 fn fleet() -> impl Strategy<Value = Fleet> {
     let standing = prop_oneof![
-        6 => Just(Standing::Ready), 1 => Just(Standing::Draining), 1 => Just(Standing::Gone)
+        6 => Just(AdminState::Ready), 1 => Just(AdminState::Draining), 1 => Just(AdminState::Gone)
     ];
     let falls =
         prop_oneof![3 => Just(f64::INFINITY), 1 => Just(10.0), 1 => Just(40.0), 1 => Just(0.0)];
     let server = (standing, 1_u8..4, falls).prop_map(|(standing, listed, falls_at)| Server {
-        standing,
-        listed: f64::from(listed),
-        falls_at,
+        admin_state: standing,
+        listed_weight: f64::from(listed),
+        overload_per_s: falls_at,
     });
     let weight = || prop_oneof![1 => Just(0.0), 1 => Just(0.1), 3 => Just(1.0), 1 => Just(2.0), 1 => Just(10_000.0)];
     let weights = move || proptest::collection::vec(weight(), SERVERS);
@@ -80,12 +80,12 @@
 fn begun(fleet: &Fleet) -> Guard {
     let mut guard = Guard::default();
     let all = fleet.servers.iter().enumerate();
-    all.for_each(|(s, now)| guard.server(s, Some(0), *now));
-    guard.proxies(0, fleet.load);
-    guard.sent(0, &table(&fleet.before), true, 1);
-    guard.settled(0, 1);
+    all.for_each(|(s, now)| guard.set_server(s, Some(0), *now));
+    guard.set_load(0, fleet.load);
+    guard.record_sent(0, &table(&fleet.before), true, 1);
+    guard.record_applied(0, 1);
     for (s, now) in &fleet.later {
-        guard.server(*s, Some(0), *now);
+        guard.set_server(*s, Some(0), *now);
     }
     guard
 }
@@ -102,22 +102,22 @@
         };
         let mut last: Option<Step> = None;
         for round in 0..4 {
-            let step = guard.step(0, &wanted);
-            let leaves = lines(&step.open);
-            let found = guard.wants(0, &leaves, true);
+            let step = guard.next_step(0, &wanted);
+            let leaves = lines(&step.weights);
+            let found = guard.check(0, &leaves, true);
             let found: BTreeSet<Reason> = found.iter().map(|d| d.reason).filter(|r| *r != Reason::NotReady).collect();
-            let borne: BTreeSet<Reason> = step.borne.iter().map(|d| d.reason).collect();
+            let borne: BTreeSet<Reason> = step.remaining.iter().map(|d| d.reason).collect();
             prop_assert!(found.is_subset(&borne), "{:?} leaves with {:?}", step, found);
             prop_assert!(!borne.contains(&Reason::Empty) && !borne.contains(&Reason::NotReady), "{:?}", step);
-            let somebody = |kind: fn(&Server) -> bool| (0..SERVERS).any(|s| now(s).standing == Standing::Ready && kind(&now(s)));
-            let warm = somebody(|s| s.falls_at == f64::INFINITY);
+            let somebody = |kind: fn(&Server) -> bool| (0..SERVERS).any(|s| now(s).admin_state == AdminState::Ready && kind(&now(s)));
+            let warm = somebody(|s| s.overload_per_s == f64::INFINITY);
             // With a warm server there is always a table that keeps all but one server's share.
             if warm {
                 prop_assert!(!borne.contains(&Reason::Cold) && !borne.contains(&Reason::OnlyCold), "{:?}", step);
             }
-            if !step.short {
+            if !step.partial {
                 let as_wanted: BTreeMap<usize, f64> = wanted.iter().filter(|l| l.open).map(|l| (l.server, l.weight)).collect();
-                prop_assert_eq!(&step.open, &as_wanted, "a safe table is touched");
+                prop_assert_eq!(&step.weights, &as_wanted, "a safe table is touched");
             }
             if let Some(last) = &last && round >= 3 {
                 let near = |a: &BTreeMap<usize, f64>, b: &BTreeMap<usize, f64>| {
@@ -125,10 +125,10 @@
                     let share = |t: &BTreeMap<usize, f64>, s: usize| t.get(&s).copied().unwrap_or(0.0) / sum(t);
                     (0..SERVERS).all(|s| (share(a, s) - share(b, s)).abs() < 0.05)
                 };
-                prop_assert!(near(&last.open, &step.open), "after {} steps still moving: {:?} then {:?}", round, last, step);
+                prop_assert!(near(&last.weights, &step.weights), "after {} steps still moving: {:?} then {:?}", round, last, step);
             }
             send(&mut guard, &step, round + 2);
-            guard.settled(0, round + 2);
+            guard.record_applied(0, round + 2);
             last = Some(step);
         }
     }
@@ -163,9 +163,9 @@
     fn begin(&self, first: &[Line]) -> World {
         let mut guard = Guard::default();
         let all = self.servers.iter().enumerate();
-        all.for_each(|(s, now)| guard.server(s, Some(0), *now));
-        guard.proxies(0, self.paces.iter().sum());
-        guard.sent(0, first, true, 0);
+        all.for_each(|(s, now)| guard.set_server(s, Some(0), *now));
+        guard.set_load(0, self.paces.iter().sum());
+        guard.record_sent(0, first, true, 0);
         let open = first.iter().filter(|l| l.open);
         World {
             guard,
@@ -209,7 +209,7 @@
                     let mut next = world.clone();
                     next.applied[p] += 1;
                     let all = next.applied.iter().min().copied().unwrap_or(0);
-                    next.guard.settled(0, all as u64);
+                    next.guard.record_applied(0, all as u64);
                     todo.push(next);
                 }
             }
@@ -220,9 +220,9 @@
             }
             let wanted = &self.wishes[world.wish];
             let step = match self.guarded {
-                true => world.guard.step(0, wanted),
+                true => world.guard.next_step(0, wanted),
                 false => Step {
-                    open: wanted
+                    weights: wanted
                         .iter()
                         .filter(|l| l.open)
                         .map(|l| (l.server, l.weight))
@@ -234,7 +234,7 @@
             let serial = next.sent.len() as u64;
             if !next.guard.changes(0, &step).is_empty() && next.sent.len() < 8 {
                 send(&mut next.guard, &step, serial);
-                next.sent.push(step.open);
+                next.sent.push(step.weights);
                 todo.push(next);
             }
         }
@@ -324,44 +324,44 @@
 #[test]
 fn what_stands_is_put_right_and_the_least_bad_is_told() {
     let mut guard = Guard::default();
-    (0..3).for_each(|s| guard.server(s, Some(0), server(f64::INFINITY)));
-    guard.server(3, Some(0), server(20.0));
-    guard.proxies(0, 100.0);
+    (0..3).for_each(|s| guard.set_server(s, Some(0), server(f64::INFINITY)));
+    guard.set_server(3, Some(0), server(20.0));
+    guard.set_load(0, 100.0);
     let all = table(&[1.0, 1.0, 1.0, 0.5]);
-    guard.sent(0, &all, true, 1);
-    guard.settled(0, 1);
+    guard.record_sent(0, &all, true, 1);
+    guard.record_applied(0, 1);
     assert_eq!(
-        guard.step(0, &all).held,
+        guard.next_step(0, &all).violations,
         [],
         "between the guard's limit and the fall nothing is stirred"
     );
     let gone = Server {
-        standing: Standing::Gone,
+        admin_state: AdminState::Gone,
         ..server(f64::INFINITY)
     };
-    guard.server(0, Some(0), gone);
-    guard.sent(0, &[open(0, 0.0)], false, 2);
-    guard.settled(0, 2);
+    guard.set_server(0, Some(0), gone);
+    guard.record_sent(0, &[open(0, 0.0)], false, 2);
+    guard.record_applied(0, 2);
     let wanted = table(&[0.0, 1.0, 1.0, 0.5]);
-    guard.proxies(0, 120.0);
-    let step = guard.step(0, &wanted);
+    guard.set_load(0, 120.0);
+    let step = guard.next_step(0, &wanted);
     assert_eq!(
-        step.held.iter().map(|d| d.reason).collect::<Vec<_>>(),
+        step.violations.iter().map(|d| d.reason).collect::<Vec<_>>(),
         [Reason::Cold]
     );
-    assert_eq!(step.borne, []);
-    let share = step.open[&3] / step.open.values().sum::<f64>();
+    assert_eq!(step.remaining, []);
+    let share = step.weights[&3] / step.weights.values().sum::<f64>();
     assert!((share - 16.0 / 120.0).abs() < 1e-9, "{share}");
-    assert_eq!(step.open[&1], 1.0, "others stay as they are wanted");
+    assert_eq!(step.weights[&1], 1.0, "others stay as they are wanted");
     // Nobody warm is left: by what each can take, and it is said that this pushes them over.
-    guard.server(1, Some(0), server(10.0));
-    guard.server(2, Some(0), server(20.0));
-    let step = guard.step(0, &table(&[0.0, 1.0, 1.0, 1.0]));
-    let reasons: Vec<Reason> = step.borne.iter().map(|d| d.reason).collect();
+    guard.set_server(1, Some(0), server(10.0));
+    guard.set_server(2, Some(0), server(20.0));
+    let step = guard.next_step(0, &table(&[0.0, 1.0, 1.0, 1.0]));
+    let reasons: Vec<Reason> = step.remaining.iter().map(|d| d.reason).collect();
     assert!(reasons.contains(&Reason::Cold), "{step:?}");
-    assert_eq!(step.open.get(&0), None);
+    assert_eq!(step.weights.get(&0), None);
     assert!(
-        (step.open[&2] / step.open[&1] - 2.0).abs() < 1e-9,
+        (step.weights[&2] / step.weights[&1] - 2.0).abs() < 1e-9,
         "{step:?}"
     );
 }
