--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -1,13 +1,15 @@
 //! One controller: its planner, its servers and proxies by name, and what each proxy was sent.
 
-use crate::accounts::{Accounts, Outstanding, Sent};
-use crate::membership::{self, Deed, Member, Patience};
+use crate::accounts::{Counters, Outstanding, Sent};
+use crate::delivery::{self, Deed, Member, Patience};
 use crate::presence::{self, Presence};
-use crate::reports::{ClassView, EstimateView, Reports, fault_of};
+use crate::reports::{ClassView, EstimateView, Reports, report_error};
+use crate::rollout::{Channel, GuardView, Rate, Rollout};
 use crate::servers::{Servers, Slot};
-use crate::ward::{Channel, Rate, Ward, WardView};
-use crate::{AdminState, Entry, FurtherTry, Input, Line, LineState, Message, Output, Report};
-use crate::{Scope, Session, Terms, Way};
+use crate::{
+    AdminState, Input, Line, LineState, LoadReport, Message, Output, RetryPolicy, RosterEntry,
+};
+use crate::{ClassPolicy, ControllerSettings, Scope, Session};
 use dahliapoint::rules::Planner;
 use dahliapoint::{
     Admission, Class, Orders, PlannerSettings, RetryPolicy, RosterEntry, RosterUpdate,
@@ -36,7 +38,7 @@
 
 /// See the crate's head for how it is called.
 pub struct Controller {
-    terms: Terms,
+    terms: ControllerSettings,
     patience: Patience,
     presence: Presence,
     planner: Planner,
@@ -49,17 +51,17 @@
     free: BTreeSet<usize>,
     zones: HashMap<String, usize>,
     classes: HashMap<String, usize>,
-    ways: Vec<Way>,
+    ways: Vec<ClassPolicy>,
     reports: Reports,
     now: f64,
     planner_alarm: f64,
     listed: bool,
     serial: u64,
-    accounts: Accounts,
-    ward: Ward,
+    accounts: Counters,
+    ward: Rollout,
     /// Something that was ordered did not leave in this moment.
     held: bool,
-    between: Option<Between>,
+    between: Option<FaultInjector>,
     /// Parts whose tables stay, and until when.
     pins: BTreeMap<usize, f64>,
     /// Tries a second by server, in the newest round of reports alone.
@@ -68,21 +70,21 @@
 
 /// A line that is about to leave.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Leaving {
+pub struct PendingLine {
     pub server: Arc<str>,
     pub weight: f64,
     pub open: bool,
     /// Its weight in the table that stands.
-    pub before: f64,
+    pub current_weight: f64,
 }
 
 /// Asked before lines of a part leave; true: the table that stands is to stay. Withdrawals, and what the guard
 /// does for servers that fall, pass all the same.
-pub type Gate<'a> = &'a mut dyn FnMut(usize, &[Leaving]) -> bool;
+pub type Gate<'a> = &'a mut dyn FnMut(usize, &[PendingLine]) -> bool;
 
 /// A hand between the planner and the guard. For tests that spoil orders on purpose: the guard's worth is what it
 /// keeps then.
-pub type Between = Box<dyn FnMut(f64, &mut Orders) + Send>;
+pub type FaultInjector = Box<dyn FnMut(f64, &mut Orders) + Send>;
 
 /// A server as an operator wants to see it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -94,11 +96,13 @@
     pub listed_weight: f64,
     pub part: Option<usize>,
     pub weight: f64,
-    pub shut: bool,
+    #[serde(rename = "shut")]
+    pub withdrawn: bool,
     /// How long ago it started, if the roster says.
     pub started_ago_ms: Option<f64>,
     /// How long ago a report last told of tries there; nothing: none has since this controller began.
-    pub met_ago_ms: Option<f64>,
+    #[serde(rename = "met_ago_ms")]
+    pub last_try_ago_ms: Option<f64>,
     pub estimate: Option<EstimateView>,
     pub by_class: Vec<ClassView>,
 }
@@ -110,8 +114,10 @@
     pub zone: String,
     pub session: Session,
     pub part: Option<usize>,
-    pub unanswered: usize,
-    pub unanswered_lines: f64,
+    #[serde(rename = "unanswered")]
+    pub unacknowledged: usize,
+    #[serde(rename = "unanswered_lines")]
+    pub unacknowledged_lines: f64,
     pub refusal: Option<String>,
     /// Its reports contradict those of all others; it reported once and does no more.
     pub contrary: bool,
@@ -123,13 +129,15 @@
 pub struct Overview {
     pub servers: Vec<ServerView>,
     pub proxies: Vec<ProxyView>,
-    pub ways: Vec<(String, Way)>,
-    pub accounts: Accounts,
-    pub guard: WardView,
+    #[serde(rename = "ways")]
+    pub policies: Vec<(String, ClassPolicy)>,
+    #[serde(rename = "accounts")]
+    pub counters: Counters,
+    pub guard: GuardView,
 }
 
-fn opening(terms: &Terms) -> PlannerSettings {
-    let limit = (terms.most_messages - terms.writes_by_joining) / terms.writes_by_message;
+fn opening(terms: &ControllerSettings) -> PlannerSettings {
+    let limit = (terms.max_messages - terms.writes_per_join) / terms.writes_per_message;
     PlannerSettings {
         zones: terms.zones.len(),
         classes: terms
@@ -140,32 +148,28 @@
                 earnings: c.earnings,
             })
             .collect(),
-        admission: match terms.shares {
+        admission: match terms.admission_control {
             true => Admission::Share,
             false => Admission::Unused,
         },
-        max_queued_lines: terms.most_waiting,
+        max_queued_lines: terms.max_queued_lines,
         lines_per_ms: terms.lines_per_s / 1000.0,
-        message_latency_ms: terms.way_ms,
-        message_overhead_lines: terms.message_lines,
-        idle_timeout_ms: terms.idle_ms,
-        initial_servers: terms.standing_lines,
-        max_messages: if terms.most_messages > 0.0 {
-            limit
-        } else {
-            0.0
-        },
-        message_window_ms: terms.message_span_ms,
-        report_interval_ms: terms.report_every_ms,
+        message_latency_ms: terms.message_latency_ms,
+        message_overhead_lines: terms.message_overhead_lines,
+        idle_timeout_ms: terms.idle_timeout_ms,
+        initial_servers: terms.initial_servers,
+        max_messages: if terms.max_messages > 0.0 { limit } else { 0.0 },
+        message_window_ms: terms.message_window_ms,
+        report_interval_ms: terms.report_interval_ms,
         report_lines_per_ms: terms.reports_per_s / 1000.0,
-        cold_capacity_share: terms.cold_share,
-        warm_up_ms: terms.warm_after_ms,
-        overload_multiple: terms.fall_multiple,
-        keep_unlisted_servers: terms.dropped_may_stay,
-        default_retry_policy: match terms.usual_tries {
-            FurtherTry::Never => RetryPolicy::Never,
-            FurtherTry::OnProof => RetryPolicy::OnProof,
-            FurtherTry::OnFailure => RetryPolicy::OnFailure,
+        cold_capacity_share: terms.cold_capacity_share,
+        warm_up_ms: terms.warm_up_ms,
+        overload_multiple: terms.overload_multiple,
+        keep_unlisted_servers: terms.keep_unlisted_servers,
+        default_retry_policy: match terms.default_retry_policy {
+            RetryPolicy::Never => RetryPolicy::Never,
+            RetryPolicy::OnProof => RetryPolicy::OnProof,
+            RetryPolicy::OnFailure => RetryPolicy::OnFailure,
         },
         may_probe: terms.may_probe,
         must_request_roster: false,
@@ -176,17 +180,17 @@
 impl Controller {
     /// A controller that has been told nothing yet. Times are milliseconds on a clock that never goes
     /// back; `seed` is where all chance comes from.
-    pub fn begun(now: f64, seed: u64, terms: Terms) -> Controller {
+    pub fn new(now: f64, seed: u64, terms: ControllerSettings) -> Controller {
         let zones = terms.zones.iter().cloned().zip(0..).collect();
         let classes = terms.classes.iter().map(|c| c.name.clone()).zip(0..);
-        let usual = Way {
-            share: 1.0,
-            tries: terms.usual_tries,
+        let usual = ClassPolicy {
+            admitted_share: 1.0,
+            retry: terms.default_retry_policy,
         };
         Controller {
             planner: Planner::new(now, seed, &opening(&terms)),
             patience: Patience::of(&terms),
-            presence: Presence::new(terms.beat_ms),
+            presence: Presence::new(terms.heartbeat_interval_ms),
             servers: Servers::default(),
             moved: Vec::new(),
             proxies: BTreeMap::new(),
@@ -198,7 +202,7 @@
             ways: vec![usual; terms.classes.len()],
             reports: Reports::new(
                 now,
-                terms.report_every_ms,
+                terms.report_interval_ms,
                 terms.zones.len(),
                 terms.classes.len(),
             ),
@@ -206,8 +210,8 @@
             planner_alarm: now,
             listed: false,
             serial: 0,
-            accounts: Accounts::default(),
-            ward: Ward::of(&terms),
+            accounts: Counters::default(),
+            ward: Rollout::of(&terms),
             held: false,
             between: None,
             pins: BTreeMap::new(),
@@ -217,11 +221,11 @@
     }
 
     /// Puts a hand between planner and guard.
-    pub fn spoiled_by(&mut self, between: Between) {
+    pub fn inject_faults(&mut self, between: FaultInjector) {
         self.between = Some(between);
     }
 
-    pub fn terms(&self) -> &Terms {
+    pub fn settings(&self) -> &ControllerSettings {
         &self.terms
     }
 
@@ -234,19 +238,19 @@
     }
 
     /// All that came at one moment, and what is to be done about it.
-    pub fn take(&mut self, now: f64, inputs: Vec<Input>) -> Vec<Output> {
-        self.take_gated(now, inputs, &mut |_, _| false)
+    pub fn handle(&mut self, now: f64, inputs: Vec<Input>) -> Vec<Output> {
+        self.handle_gated(now, inputs, &mut |_, _| false)
     }
 
     /// The same, with a gate that is asked before lines leave. To be played again the same way, what it held is
     /// written down behind the moment ([`Input::Gated`]).
-    pub fn take_gated(&mut self, now: f64, inputs: Vec<Input>, gate: Gate) -> Vec<Output> {
+    pub fn handle_gated(&mut self, now: f64, inputs: Vec<Input>, gate: Gate) -> Vec<Output> {
         let mut out = Vec::new();
         self.now = now;
         let news = |i: &Input| {
             matches!(
                 i,
-                Input::RoundEnds | Input::Roster(_) | Input::RosterChanges(_)
+                Input::RoundEnded | Input::Roster(_) | Input::RosterChanges(_)
             )
         };
         let learns = inputs.iter().any(news);
@@ -269,7 +273,7 @@
             .values()
             .filter_map(|p| p.outstanding.oldest_serial());
         let oldest = unanswered.min().unwrap_or(u64::MAX);
-        let after = self.terms.warm_after_ms * FORGET;
+        let after = self.terms.warm_up_ms * FORGET;
         for s in self.servers.forget(now, after, oldest) {
             self.reports.forget_server(s);
         }
@@ -286,17 +290,17 @@
                 session,
                 proxy,
                 zone,
-                pace,
+                visits_per_s: pace,
             } => {
                 self.joined(session, &proxy, &zone, pace, out);
                 self.presence.streamed(now, &proxy, true);
             }
             Input::Left(session) => self.leaves(now, session),
-            Input::Beat {
+            Input::Heartbeat {
                 session,
                 proxy,
                 zone,
-                pace,
+                visits_per_s: pace,
             } => {
                 let held = self.by_name.get(proxy.as_str());
                 let held = held.map(|i| self.proxies[i].session);
@@ -307,11 +311,11 @@
                     self.present(deed, out);
                 }
             }
-            Input::Goodbye(session) => self.presence.says_goodbye(session),
+            Input::Deregistered(session) => self.presence.says_goodbye(session),
             Input::Applied(session, serial) => self.applied(now, session, serial),
             Input::Refused(session, serial, why) => self.refused(now, session, serial, why, out),
             Input::Reported(proxy, report) => self.reported(now, &proxy, &report),
-            Input::RoundEnds => self.end_round(now, out),
+            Input::RoundEnded => self.end_round(now, out),
             Input::Pinned(parts) => {
                 self.pins = parts.into_iter().map(|(p, ms)| (p, now + ms)).collect();
                 self.ward.look_again(now);
@@ -319,7 +323,7 @@
             Input::Gated(_) => {}
             Input::Probed {
                 server,
-                fine,
+                healthy: fine,
                 took_ms,
             } => {
                 if let Some(s) = self.servers.find(&server) {
@@ -330,13 +334,13 @@
         }
     }
 
-    fn roster(&mut self, now: f64, entries: &[Entry], whole: bool, out: &mut Vec<Output>) {
+    fn roster(&mut self, now: f64, entries: &[RosterEntry], whole: bool, out: &mut Vec<Output>) {
         let mut listed = Vec::with_capacity(entries.len());
         let mut placed = Vec::with_capacity(entries.len());
         for entry in entries {
             let Some(zone) = self.zones.get(&entry.zone).copied() else {
                 let note = format!("roster: {}: no zone {:?}", entry.name, entry.zone);
-                out.push(Output::Note(note));
+                out.push(Output::Log(note));
                 continue;
             };
             let (server, moves) = self.servers.place(entry, zone, now);
@@ -395,7 +399,7 @@
         self.by_session.insert(session, index);
         self.by_name.insert(name.clone(), index);
         let known = pace.filter(|p| p.is_finite() && *p >= 0.0);
-        let pace = known.unwrap_or(self.terms.usual_pace) / 1000.0;
+        let pace = known.unwrap_or(self.terms.default_visits_per_s) / 1000.0;
         self.planner.proxy_joined(index, zone, pace);
         self.proxies.insert(
             index,
@@ -441,7 +445,7 @@
                 // Its stream may have taken the name over already.
                 if let Some(index) = self.by_session.get(&session).copied() {
                     let note = format!("proxy {}: leaves, {why}", self.proxies[&index].name);
-                    out.push(Output::Note(note));
+                    out.push(Output::Log(note));
                     self.by_session.remove(&session);
                     self.left(index);
                     self.close(session, why.into(), out);
@@ -449,7 +453,7 @@
             }
             presence::Deed::Doubled(name) => {
                 let why = "has a stream and beats beside it: two processes have one name";
-                out.push(Output::Note(format!("proxy {name}: {why}")));
+                out.push(Output::Log(format!("proxy {name}: {why}")));
             }
             presence::Deed::Forget(_) => {}
         }
@@ -473,12 +477,12 @@
     fn answered(&mut self, now: f64, session: Session, serial: u64) -> Option<(usize, Vec<Sent>)> {
         let index = self.by_session.get(&session).copied();
         let Some((index, proxy)) = index.and_then(|i| Some((i, self.proxies.get_mut(&i)?))) else {
-            self.accounts.odd_answers += 1;
+            self.accounts.unexpected_answers += 1;
             return None;
         };
         let sent = proxy.outstanding.answered(serial);
         if sent.is_empty() {
-            self.accounts.odd_answers += 1;
+            self.accounts.unexpected_answers += 1;
             return None;
         }
         // The rest is as old as the oldest left; but its answers queue behind this one.
@@ -514,22 +518,22 @@
             let note = format!("proxy {}: refused its table: {why}", proxy.name);
             proxy.member.refused(now, sent.iter().any(|m| m.withdraws));
             proxy.refusal = Some(why);
-            out.push(Output::Note(note));
+            out.push(Output::Log(note));
         }
     }
 
-    fn reported(&mut self, now: f64, proxy: &str, report: &Report) {
+    fn reported(&mut self, now: f64, proxy: &str, report: &LoadReport) {
         let Some(index) = self.by_name.get(proxy).copied() else {
-            self.accounts.unknown_lines += report.met.len() as u64;
+            self.accounts.unknown_lines += report.lines.len() as u64;
             return;
         };
-        if fault_of(report).is_some() {
+        if report_error(report).is_some() {
             self.accounts.refused_reports += 1;
             return;
         }
         let who = (index, self.proxies[&index].zone);
         self.reports.heard(now, index, report.window_ms);
-        for m in &report.met {
+        for m in &report.lines {
             let known = m.class < self.terms.classes.len();
             match self.servers.find(&m.server).filter(|_| known) {
                 Some(s) => {
@@ -543,7 +547,7 @@
                 None => self.accounts.unknown_lines += 1,
             }
         }
-        for (class, visits) in &report.came {
+        for (class, visits) in &report.arrivals {
             match self.classes.get(class) {
                 Some(class) => self.reports.came(index, *class, *visits, report.window_ms),
                 None => self.accounts.unknown_lines += 1,
@@ -569,7 +573,7 @@
                 ReporterChange::Resumed(p) => (p, "reports again"),
             };
             if let Some(proxy) = self.proxies.get(&p) {
-                out.push(Output::Note(format!("proxy {}: {word}", proxy.name)));
+                out.push(Output::Log(format!("proxy {}: {word}", proxy.name)));
             }
         }
         for change in round.changes {
@@ -593,7 +597,7 @@
                     format!("proxy {}: {word} all others", name.unwrap_or_default())
                 }
             };
-            out.push(Output::Note(note));
+            out.push(Output::Log(note));
         }
     }
 
@@ -610,12 +614,15 @@
         }
         for (part, class, share, tries) in orders.levels {
             let tries = match tries {
-                RetryPolicy::Never => FurtherTry::Never,
-                RetryPolicy::OnProof => FurtherTry::OnProof,
-                RetryPolicy::OnFailure => FurtherTry::OnFailure,
+                RetryPolicy::Never => RetryPolicy::Never,
+                RetryPolicy::OnProof => RetryPolicy::OnProof,
+                RetryPolicy::OnFailure => RetryPolicy::OnFailure,
+            };
+            let tries = self.ward.tries(tries, self.terms.classes[class].idempotent);
+            self.ways[class] = ClassPolicy {
+                admitted_share: share,
+                retry: tries,
             };
-            let tries = self.ward.tries(tries, self.terms.classes[class].repeatable);
-            self.ways[class] = Way { share, tries };
             touched.ways.entry(part).or_default().push(class);
         }
         for (s, shut) in orders.withdrawals {
@@ -655,7 +662,7 @@
             self.planner_alarm = self.planner_alarm.min(at);
         }
         let named = orders.notes.into_iter().map(|n| self.named(&n));
-        out.extend(named.map(Output::Note));
+        out.extend(named.map(Output::Log));
     }
 
     /// What the guard knows is brought up to date.
@@ -703,9 +710,9 @@
     ) {
         let mut parts = self.ward.due();
         parts.extend(asked);
-        let span = self.terms.message_span_ms;
-        let by_message = self.terms.writes_by_message;
-        let most = (self.terms.most_messages - self.terms.writes_by_joining) / by_message;
+        let span = self.terms.message_window_ms;
+        let by_message = self.terms.writes_per_message;
+        let most = (self.terms.max_messages - self.terms.writes_per_join) / by_message;
         let mut channels: BTreeMap<usize, Channel> = BTreeMap::new();
         let mut waiting = 0.0;
         for p in self.proxies.values().filter(|_| !parts.is_empty()) {
@@ -714,7 +721,7 @@
                 let c = channels.entry(part).or_default();
                 c.readers += 1.0;
                 let lately = p.outstanding.lately(now, span) as f64;
-                let limited = self.terms.most_messages > 0.0;
+                let limited = self.terms.max_messages > 0.0;
                 let written = if limited { lately / most.max(1.0) } else { 0.0 };
                 c.written = c.written.max(written);
             }
@@ -729,13 +736,13 @@
             let pinned = self.pins.get(&part).is_some_and(|until| now < *until);
             let stands = slots.iter().any(|s| s.part == Some(part) && s.weight > 0.0);
             if stands && !leaves.urgent && !leaves.lines.is_empty() {
-                let leaving = |(s, weight): &(usize, f64)| Leaving {
+                let leaving = |(s, weight): &(usize, f64)| PendingLine {
                     server: slots[*s].name.clone(),
                     weight: *weight,
                     open: !slots[*s].shut && *weight > 0.0,
-                    before: slots[*s].weight,
+                    current_weight: slots[*s].weight,
                 };
-                let asked: Vec<Leaving> = leaves.lines.iter().map(leaving).collect();
+                let asked: Vec<PendingLine> = leaves.lines.iter().map(leaving).collect();
                 if pinned || gate(part, &asked) {
                     self.ward.stays(now, part, slots, &mut leaves);
                 }
@@ -753,7 +760,7 @@
                 .iter()
                 .for_each(|(s, _)| touched.server(Some(part), *s));
             self.held |= leaves.held;
-            out.extend(leaves.notes.into_iter().map(Output::Note));
+            out.extend(leaves.notes.into_iter().map(Output::Log));
         }
     }
 
@@ -798,12 +805,12 @@
             let lines: Vec<Line> = touched.lines(part, &self.servers);
             let ways = touched.ways.get(&part).into_iter().flatten();
             let ways: Vec<_> = ways.map(|c| (*c, self.ways[*c])).collect();
-            let scope = Scope::Part(part);
+            let scope = Scope::Changes(part);
             let message = Message {
                 serial,
                 scope,
                 lines,
-                ways,
+                policies: ways,
             };
             writes.push((proxies, message));
         }
@@ -820,15 +827,15 @@
             let lines = servers.iter().map(|s| {
                 let slot = &self.servers.slots[*s];
                 slot.line_as(match slot.shut {
-                    true => LineState::Shut,
-                    false => LineState::Away,
+                    true => LineState::Withdrawn,
+                    false => LineState::Removed,
                 })
             });
             Message {
                 serial,
-                scope: Scope::Standing,
+                scope: Scope::Unbound,
                 lines: lines.collect(),
-                ways: Vec::new(),
+                policies: Vec::new(),
             }
         };
         writes.push((standing, shut(&touched.standing)));
@@ -844,9 +851,9 @@
         let ways = self.ways.iter().copied().enumerate();
         Message {
             serial,
-            scope: Scope::Whole(part),
+            scope: Scope::Snapshot(part),
             lines: lines.collect(),
-            ways: ways.collect(),
+            policies: ways.collect(),
         }
     }
 
@@ -855,9 +862,9 @@
         let shut = self.servers.known().filter(|(_, s)| s.shut);
         Message {
             serial,
-            scope: Scope::Standing,
-            lines: shut.map(|(_, s)| s.line_as(LineState::Shut)).collect(),
-            ways: Vec::new(),
+            scope: Scope::Unbound,
+            lines: shut.map(|(_, s)| s.line_as(LineState::Withdrawn)).collect(),
+            policies: Vec::new(),
         }
     }
 
@@ -869,8 +876,8 @@
         mark: Option<u32>,
         out: &mut Vec<Output>,
     ) {
-        let nothing = message.lines.is_empty() && message.ways.is_empty();
-        if proxies.is_empty() || nothing && !matches!(message.scope, Scope::Whole(_)) {
+        let nothing = message.lines.is_empty() && message.policies.is_empty();
+        if proxies.is_empty() || nothing && !matches!(message.scope, Scope::Snapshot(_)) {
             // The planner waits for an answer to what was held back: it is answered here.
             if let Some(mark) = mark.filter(|_| self.held) {
                 proxies
@@ -886,13 +893,13 @@
                 *named_in = (*named_in).max(message.serial);
             }
         }
-        let lines = (message.lines.len() + message.ways.len()) as f64;
+        let lines = (message.lines.len() + message.policies.len()) as f64;
         let sent = Sent {
             serial: message.serial,
             mark,
-            lines: lines + self.terms.message_lines,
+            lines: lines + self.terms.message_overhead_lines,
             at: now,
-            whole: matches!(message.scope, Scope::Whole(_)),
+            whole: matches!(message.scope, Scope::Snapshot(_)),
             withdraws: message.lines.iter().any(|l| l.state != LineState::Open),
         };
         let mut sessions = Vec::with_capacity(proxies.len());
@@ -900,12 +907,12 @@
             let Some(proxy) = self.proxies.get_mut(i) else {
                 continue;
             };
-            proxy.outstanding.wrote(sent, self.terms.message_span_ms);
+            proxy.outstanding.wrote(sent, self.terms.message_window_ms);
             proxy.member.unanswered_since.get_or_insert(now);
             sessions.push(proxy.session);
             self.accounts.messages += 1;
             self.accounts.lines += sent.lines as u64;
-            let lately = proxy.outstanding.lately(now, self.terms.message_span_ms);
+            let lately = proxy.outstanding.lately(now, self.terms.message_window_ms);
             self.accounts.most_messages = self.accounts.most_messages.max(lately);
         }
         out.push(Output::Write(sessions, Arc::new(message)));
@@ -926,7 +933,7 @@
         let mut waiting: f64 = self.proxies.values().map(|p| p.outstanding.lines()).sum();
         for i in concerned {
             while let Some(proxy) = self.proxies.get_mut(&i) {
-                let Some(deed) = membership::next(&mut proxy.member, now, waiting, &self.patience)
+                let Some(deed) = delivery::next(&mut proxy.member, now, waiting, &self.patience)
                 else {
                     break;
                 };
@@ -938,13 +945,13 @@
                         self.by_session.remove(&session);
                         self.left(i);
                         self.presence.closed(now, session);
-                        out.push(Output::Note(format!("proxy {name}: answers nothing")));
+                        out.push(Output::Log(format!("proxy {name}: answers nothing")));
                         self.close(session, "no answer to what was sent".into(), out);
                     }
                     (Deed::WithdrawAgain, Some(part)) => {
                         let mut message = self.whole(serial, part);
-                        message.scope = Scope::Part(part);
-                        message.ways.clear();
+                        message.scope = Scope::Changes(part);
+                        message.policies.clear();
                         let shut = self.servers.known();
                         let shut = shut.filter(|(_, s)| s.part == Some(part) && s.shut);
                         message.lines = shut.map(|(_, s)| s.line()).collect();
@@ -979,18 +986,20 @@
             listed_weight: s.listed_weight,
             part: s.part,
             weight: s.weight,
-            shut: s.shut,
+            withdrawn: s.shut,
             started_ago_ms: s.started.map(|(_, at)| self.now - at),
-            met_ago_ms: s.met_at.map(|at| (self.now - at).max(0.0)),
+            last_try_ago_ms: s.met_at.map(|at| (self.now - at).max(0.0)),
             estimate: None,
             by_class: Vec::new(),
         }
     }
 
     /// What is let in of each class.
-    pub fn levels(&self) -> Vec<(String, f64)> {
+    pub fn admission_levels(&self) -> Vec<(String, f64)> {
         let names = self.terms.classes.iter().map(|c| c.name.clone());
-        names.zip(self.ways.iter().map(|w| w.share)).collect()
+        names
+            .zip(self.ways.iter().map(|w| w.admitted_share))
+            .collect()
     }
 
     /// The present state, for people.
@@ -1007,16 +1016,16 @@
             zone: self.terms.zones[p.zone].clone(),
             session: p.session,
             part: p.part,
-            unanswered: p.outstanding.count(),
-            unanswered_lines: p.outstanding.lines(),
+            unacknowledged: p.outstanding.count(),
+            unacknowledged_lines: p.outstanding.lines(),
             refusal: p.refusal.clone(),
         });
         let names = self.terms.classes.iter().map(|c| c.name.clone());
         Overview {
             servers: servers.collect(),
             proxies: proxies.collect(),
-            ways: names.zip(self.ways.iter().copied()).collect(),
-            accounts: self.accounts,
+            policies: names.zip(self.ways.iter().copied()).collect(),
+            counters: self.accounts,
             guard: self.ward.view(),
         }
     }
--- a/crates/daemon/examples/newcomer.rs
+++ b/crates/daemon/examples/newcomer.rs
@@ -1,7 +1,9 @@
 //! How soon a newcomer decides well, cold and with a peer: reports tell of one server in ten that answers late; how long
 //! until every such line is at half or less of the others', and how long the learning takes.
 
-use dahliapoint_control::{AdminState, Entry, Input, MetLine, Owner, Report};
+use dahliapoint_control::{
+    AdminState, ControllerHandle, Input, LoadReport, ReportLine, RosterEntry,
+};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_memory::clock;
@@ -18,7 +20,7 @@
          listen: {{xds: '127.0.0.1:0'}}\nreports: {{every: 500ms}}\npeers: {{ask: {peers:?}, within: 2s}}\nlog: {{level: error}}\n"
     );
     let deployment = deployment::parse("d.yaml", &text).expect("a good deployment");
-    let entry = |i: usize| Entry {
+    let entry = |i: usize| RosterEntry {
         name: format!("s{i}"),
         address: format!("127.0.{}.{}:80", i / 250, i % 250 + 1),
         zone: "east".into(),
@@ -30,12 +32,12 @@
     let daemon = Daemon::start(&deployment, Source::Fixed(roster), None).expect("it starts");
     for n in 0..PROXIES {
         let proxy = format!("p{n}");
-        daemon.engine().reporter(&proxy, 7 + n, true);
-        daemon.engine().put(Input::Joined {
+        daemon.engine().report_stream(&proxy, 7 + n, true);
+        daemon.engine().send(Input::Joined {
             session: 7 + n,
             proxy,
             zone: "east".into(),
-            pace: Some(50.0),
+            visits_per_s: Some(50.0),
         });
     }
     daemon
@@ -43,17 +45,17 @@
 
 fn report(daemon: &Daemon, servers: usize) {
     for n in 0..PROXIES {
-        let met = (0..servers).map(|i| MetLine {
+        let met = (0..servers).map(|i| ReportLine {
             server: format!("s{i}"),
             tries: 5.0,
-            good_ms: 5.0 * if i % 10 == 1 { 1_500.0 } else { 20.0 },
-            ..MetLine::default()
+            success_ms: 5.0 * if i % 10 == 1 { 1_500.0 } else { 20.0 },
+            ..ReportLine::default()
         });
-        let report = Report {
+        let report = LoadReport {
             window_ms: 500.0,
             ended_ago_ms: 0.0,
-            met: met.collect(),
-            came: Vec::new(),
+            lines: met.collect(),
+            arrivals: Vec::new(),
         };
         let _ = daemon.engine().report(&format!("p{n}"), 7 + n, report);
     }
--- a/crates/memory/src/facts.rs
+++ b/crates/memory/src/facts.rs
@@ -1,7 +1,7 @@
 //! The stored state: for each server its roster entry and the weight it had. Times are wall-clock
 //! milliseconds together with the machine's uptime, which is monotonic.
 
-use dahliapoint_control::{AdminState, Entry, ServerView};
+use dahliapoint_control::{AdminState, RosterEntry, ServerView};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -136,8 +136,8 @@
     }
 
     /// The last known roster.
-    pub fn entries(&self) -> Vec<Entry> {
-        let entry = |f: &ServerFact| Entry {
+    pub fn entries(&self) -> Vec<RosterEntry> {
+        let entry = |f: &ServerFact| RosterEntry {
             name: f.name.clone(),
             address: f.address.clone(),
             zone: f.zone.clone(),
@@ -181,7 +181,7 @@
             let before = self.told.get(&*s.name);
             // A share that no visit has confirmed since the start keeps the age it was stored with:
             // passing a share on does not renew it.
-            let judged = match (s.met_ago_ms, before) {
+            let judged = match (s.last_try_ago_ms, before) {
                 (Some(ago), _) => now.before(ago),
                 (None, Some(before)) => before.judged.clone(),
                 (None, None) => now.clone(),
@@ -203,7 +203,7 @@
                     1.0
                 },
                 judged,
-                withdrawn: s.shut,
+                withdrawn: s.withdrawn,
             };
             if let Some(before) = before.filter(|b| b.state == fact.state) {
                 fact.since = before.since.clone();
--- a/crates/memory/src/restore.rs
+++ b/crates/memory/src/restore.rs
@@ -9,7 +9,7 @@
 //! of a server.
 
 use crate::facts::{Facts, ServerFact, Timestamp};
-use dahliapoint_control::{AdminState, Entry};
+use dahliapoint_control::{AdminState, RosterEntry};
 
 /// Half-life of a stored share that is not renewed, in multiples of the warm-up time.
 const HALF: f64 = 5.0;
@@ -22,7 +22,7 @@
 
 /// A server of the roster with its stored fact.
 struct Case<'a> {
-    entry: &'a Entry,
+    entry: &'a RosterEntry,
     fact: Option<&'a ServerFact>,
     /// Time since the controller was last running; `None` if unknown.
     gap_ms: Option<f64>,
@@ -135,9 +135,9 @@
 pub fn restore_roster(
     now: &Timestamp,
     facts: &Facts,
-    roster: &[Entry],
+    roster: &[RosterEntry],
     warm_ms: f64,
-) -> (Vec<Entry>, Vec<Restored>) {
+) -> (Vec<RosterEntry>, Vec<Restored>) {
     let gap_ms = now.since(&facts.alive);
     let case = |entry| Case {
         entry,
@@ -173,8 +173,8 @@
 /// replaced during the downtime, or a whole site was slow): starting with a tenth of the weight is
 /// worse than starting as listed. The most doubtful facts are dropped first. If a third of the
 /// fleet is really cold, only the planner's own rule for cold servers remains.
-fn not_too_much_at_once(roster: &[Entry], recalled: &mut [Restored]) {
-    let ready = |e: &Entry| e.state == AdminState::Ready;
+fn not_too_much_at_once(roster: &[RosterEntry], recalled: &mut [Restored]) {
+    let ready = |e: &RosterEntry| e.state == AdminState::Ready;
     let all: f64 = roster.iter().filter(|e| ready(e)).map(|e| e.weight).sum();
     let lost = |recall: &Restored, weight: f64| match recall {
         Restored::AsListed => 0.0,
@@ -215,8 +215,8 @@
         }
     }
 
-    fn entry(name: &str, state: AdminState, ago: Option<f64>) -> Entry {
-        Entry {
+    fn entry(name: &str, state: AdminState, ago: Option<f64>) -> RosterEntry {
+        RosterEntry {
             name: name.into(),
             address: "1:1".into(),
             zone: "z".into(),
@@ -241,7 +241,7 @@
     }
 
     /// Restores one server among twenty healthy ones, after a downtime that began at time 0.
-    fn one(fact: Option<ServerFact>, entry: Entry, now: Timestamp) -> Restored {
+    fn one(fact: Option<ServerFact>, entry: RosterEntry, now: Timestamp) -> Restored {
         let mut facts = Facts {
             alive: at(0.0),
             ..Facts::default()
--- a/crates/standins/src/sabotage.rs
+++ b/crates/standins/src/sabotage.rs
@@ -3,12 +3,12 @@
 //! module itself were wrong: then the guard is what keeps the rules.
 
 use dahliapoint::{Orders, RetryPolicy};
-use dahliapoint_control::{FurtherTry, Input, LineState, Message, Output, Scope};
+use dahliapoint_control::{Input, LineState, Message, Output, RetryPolicy, Scope};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::engine::{Clock, Engine};
 use dahliapoint_daemon::roster::{Look, Watch};
 use dahliapoint_grpc::{Limits, Server};
-use dahliapoint_xds::{Front, Owner, Shape};
+use dahliapoint_xds::{ControllerHandle, Front, Shape};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -43,8 +43,8 @@
     dahliapoint_daemon::cli::log(&deployment);
     let terms = deployment.terms.clone();
     let seed = deployment.seed.unwrap_or(1);
-    let engine = Engine::new(Clock::start(), seed, terms.report_every_ms);
-    let owner: Arc<dyn Owner> = Arc::new(engine.clone());
+    let engine = Engine::new(Clock::start(), seed, terms.report_interval_ms);
+    let owner: Arc<dyn ControllerHandle> = Arc::new(engine.clone());
     let shape = Shape::of(&terms, deployment.connect_ms);
     let front = Front::new(shape, owner.clone(), 1);
     let server =
@@ -68,9 +68,9 @@
             // Every probe is fine, which is a lie too.
             let owner = owner.clone();
             dahliapoint_fibers::spawn(move || {
-                owner.put(Input::Probed {
+                owner.send(Input::Probed {
                     server,
-                    fine: true,
+                    healthy: true,
                     took_ms: 1.0,
                 })
             });
@@ -97,7 +97,7 @@
                 // So late that no proxy can be excused for not having known.
                 std::thread::sleep(Duration::from_millis(250));
             }
-            engine.put(Input::Roster(entries));
+            engine.send(Input::Roster(entries));
         }
     }
 }
@@ -200,9 +200,9 @@
                 }
             }
             Wrong::RetriesAll => {
-                m.ways
+                m.policies
                     .iter_mut()
-                    .for_each(|w| w.1.tries = FurtherTry::OnFailure);
+                    .for_each(|w| w.1.retry = RetryPolicy::OnFailure);
             }
             Wrong::EmptiesTables => {
                 let late = self.begun.elapsed() > Duration::from_secs(2);
@@ -211,12 +211,14 @@
                     seen.extend(m.lines.iter().cloned());
                     if late {
                         m.lines = seen.clone();
-                        m.lines.iter_mut().for_each(|l| l.state = LineState::Away);
+                        m.lines
+                            .iter_mut()
+                            .for_each(|l| l.state = LineState::Removed);
                     }
                 }
             }
             Wrong::FloodsTheChannel => {
-                if m.scope == Scope::Standing {
+                if m.scope == Scope::Unbound {
                     return vec![Output::Write(sessions, message)];
                 }
                 // The same lines again and again, each time a little different.
