--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -11,9 +11,7 @@
 };
 use crate::{ClassPolicy, ControllerSettings, Scope, Session};
 use dahliapoint::rules::Planner;
-use dahliapoint::{
-    Admission, Class, Orders, PlannerSettings, RetryPolicy, RosterEntry, RosterUpdate,
-};
+use dahliapoint::{self as planner, Admission, Class, Orders, PlannerSettings, RosterUpdate};
 use dahliapoint_intake::coverage::ReporterChange;
 use dahliapoint_intake::trust::TrustChange;
 use serde::Serialize;
@@ -167,9 +165,9 @@
         overload_multiple: terms.overload_multiple,
         keep_unlisted_servers: terms.keep_unlisted_servers,
         default_retry_policy: match terms.default_retry_policy {
-            RetryPolicy::Never => RetryPolicy::Never,
-            RetryPolicy::OnProof => RetryPolicy::OnProof,
-            RetryPolicy::OnFailure => RetryPolicy::OnFailure,
+            RetryPolicy::Never => planner::RetryPolicy::Never,
+            RetryPolicy::OnProof => planner::RetryPolicy::OnProof,
+            RetryPolicy::OnFailure => planner::RetryPolicy::OnFailure,
         },
         may_probe: terms.may_probe,
         must_request_roster: false,
@@ -349,7 +347,7 @@
                 // The line is told anew with the next message, with the same weight.
                 self.moved.push(server);
             }
-            listed.push(RosterEntry {
+            listed.push(planner::RosterEntry {
                 server,
                 zone,
                 admin_state: match entry.state {
@@ -614,9 +612,9 @@
         }
         for (part, class, share, tries) in orders.levels {
             let tries = match tries {
-                RetryPolicy::Never => RetryPolicy::Never,
-                RetryPolicy::OnProof => RetryPolicy::OnProof,
-                RetryPolicy::OnFailure => RetryPolicy::OnFailure,
+                planner::RetryPolicy::Never => RetryPolicy::Never,
+                planner::RetryPolicy::OnProof => RetryPolicy::OnProof,
+                planner::RetryPolicy::OnFailure => RetryPolicy::OnFailure,
             };
             let tries = self.ward.tries(tries, self.terms.classes[class].idempotent);
             self.ways[class] = ClassPolicy {
--- a/crates/control/tests/rollout.rs
+++ b/crates/control/tests/rollout.rs
@@ -2,7 +2,7 @@
 //! visits load the servers, reports tell of it, servers restart, drain and go, and the module's orders are spoiled
 //! by chance. What is looked at is what would cross the sockets: who holds what, and which server falls.
 
-use dahliapoint::RetryPolicy;
+use dahliapoint as planner;
 use dahliapoint_control::rollout::GuardMode;
 use dahliapoint_control::{
     AdminState, ClassSettings, Controller, ControllerSettings, Input, LineState, LoadReport,
@@ -182,7 +182,7 @@
                 Spoil::Repeats => {
                     orders.levels = seen
                         .iter()
-                        .map(|(p, _)| (*p, 0, 1.0, RetryPolicy::OnFailure))
+                        .map(|(p, _)| (*p, 0, 1.0, planner::RetryPolicy::OnFailure))
                         .collect();
                 }
             }
--- a/crates/standins/src/sabotage.rs
+++ b/crates/standins/src/sabotage.rs
@@ -2,7 +2,7 @@
 //! with a hand in between that spoils what is ordered. Or the hand is between planner and guard, as if the
 //! module itself were wrong: then the guard is what keeps the rules.
 
-use dahliapoint::{Orders, RetryPolicy};
+use dahliapoint::{self as planner, Orders};
 use dahliapoint_control::{Input, LineState, Message, Output, RetryPolicy, Scope};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::engine::{Clock, Engine};
@@ -152,13 +152,14 @@
             Wrong::RetriesAll => {
                 let parts: BTreeSet<usize> = orders.bindings.iter().map(|b| b.1).collect();
                 for part in parts {
-                    let all = (0..self.classes).map(|c| (part, c, 1.0, RetryPolicy::OnFailure));
+                    let all =
+                        (0..self.classes).map(|c| (part, c, 1.0, planner::RetryPolicy::OnFailure));
                     orders.levels.extend(all);
                 }
                 orders
                     .levels
                     .iter_mut()
-                    .for_each(|l| l.3 = RetryPolicy::OnFailure);
+                    .for_each(|l| l.3 = planner::RetryPolicy::OnFailure);
             }
             Wrong::EmptiesTables => {
                 if now - begun > 2_000.0 {
