--- a/src/state.rs
+++ b/src/state.rs
@@ -4,109 +4,109 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Time buckets kept of the reports; the oldest is reused.
-const RING: usize = 16;
+const BUCKETS_KEPT: usize = 16;
 
 /// Totals of the tries in one time bucket, or in several.
 #[derive(Clone, Copy, Default)]
 pub struct Bucket {
     /// Number of the bucket: its time divided by the length of a bucket.
-    pub stamp: u64,
+    pub number: u64,
     pub tries: f64,
     pub failed: f64,
     /// Total duration of the tries that did not fail.
-    pub good_ms: f64,
+    pub success_ms: f64,
 }
 
 impl Bucket {
     /// The totals of both.
-    pub fn and(mut self, other: &Bucket) -> Bucket {
+    pub fn plus(mut self, other: &Bucket) -> Bucket {
         self.tries += other.tries;
         self.failed += other.failed;
-        self.good_ms += other.good_ms;
+        self.success_ms += other.success_ms;
         self
     }
 
     /// Tries that did not fail.
-    pub fn good(&self) -> f64 {
+    pub fn successes(&self) -> f64 {
         (self.tries - self.failed).max(0.0)
     }
 
     /// Share of the tries that failed.
-    pub fn share_failed(&self) -> f64 {
+    pub fn failure_share(&self) -> f64 {
         self.failed / self.tries.max(1.0)
     }
 
     /// Mean duration of the tries that did not fail; 0 without any.
     pub fn mean_ms(&self) -> f64 {
-        self.good_ms / self.good().max(1.0)
+        self.success_ms / self.successes().max(1.0)
     }
 }
 
 /// Tries that the proxies of one zone made at one server, in time buckets.
 #[derive(Clone, Copy, Default)]
-pub struct View {
+pub struct ZoneStats {
     /// Reports that reach back before this time are ignored.
-    since: f64,
+    ignored_before: f64,
     /// Time of the last report.
-    pub heard: f64,
+    pub last_report_at: f64,
     /// Number of the newest bucket that sums include: the newest that reports can have covered.
-    last: u64,
-    ring: [Bucket; RING],
+    newest_bucket: u64,
+    buckets: [Bucket; BUCKETS_KEPT],
 }
 
-impl View {
+impl ZoneStats {
     /// Empty statistics that ignore reports of the time before `now`.
-    pub fn since(now: f64) -> View {
-        let (since, heard) = (now, now);
-        View {
-            since,
-            heard,
-            ..View::default()
+    pub fn since(now: f64) -> ZoneStats {
+        let (ignored_before, last_report_at) = (now, now);
+        ZoneStats {
+            ignored_before,
+            last_report_at,
+            ..ZoneStats::default()
         }
     }
 
     /// Records a report line, spread evenly over the time that it covers. Of a line that reaches back
-    /// before `since`, only the time of its arrival is kept.
-    pub fn note(&mut self, now: f64, bucket_ms: f64, met: &TryStats) {
-        self.heard = now;
-        if now - met.window_ms < self.since {
+    /// before `ignored_before`, only the time of its arrival is kept.
+    pub fn record(&mut self, now: f64, bucket_ms: f64, met: &TryStats) {
+        self.last_report_at = now;
+        if now - met.window_ms < self.ignored_before {
             return;
         }
         let newest = (now / bucket_ms) as u64;
         let many = (met.window_ms / bucket_ms).round().max(1.0);
-        for back in 0..(many as u64).min(RING as u64).min(newest + 1) {
-            let stamp = newest - back;
-            let bucket = &mut self.ring[stamp as usize % RING];
-            if bucket.stamp != stamp {
+        for back in 0..(many as u64).min(BUCKETS_KEPT as u64).min(newest + 1) {
+            let number = newest - back;
+            let bucket = &mut self.buckets[number as usize % BUCKETS_KEPT];
+            if bucket.number != number {
                 *bucket = Bucket::default();
             }
-            bucket.stamp = stamp;
+            bucket.number = number;
             bucket.tries += met.tries / many;
             bucket.failed += met.failed / many;
-            bucket.good_ms += met.mean_ms * (met.tries - met.failed).max(0.0) / many;
+            bucket.success_ms += met.mean_ms * (met.tries - met.failed).max(0.0) / many;
         }
     }
 
     /// The totals of `many` buckets, the newest `back` ones left out.
-    pub fn sum(&self, back: u64, many: u64) -> Bucket {
-        let last = self.last.saturating_sub(back);
-        let within = |b: &&Bucket| b.stamp <= last && last - b.stamp < many;
-        let buckets = self.ring.iter().filter(within);
-        buckets.fold(Bucket::default(), Bucket::and)
+    pub fn total(&self, back: u64, many: u64) -> Bucket {
+        let last = self.newest_bucket.saturating_sub(back);
+        let within = |b: &&Bucket| b.number <= last && last - b.number < many;
+        let buckets = self.buckets.iter().filter(within);
+        buckets.fold(Bucket::default(), Bucket::plus)
     }
 }
 
 /// A server: its admin state, health, published weight and statistics.
 pub struct Server {
     /// It has been in a roster.
-    pub known: bool,
+    pub listed: bool,
     pub zone: usize,
     pub admin_state: AdminState,
     pub weight: f64,
     /// Time of its last start, if known.
-    pub started: Option<f64>,
+    pub started_at: Option<f64>,
     /// Time at which its ramp began; minus infinity if it was listed when the controller started.
-    pub entered: f64,
+    pub ramp_started_at: f64,
     /// The part of the shared table that it is in.
     pub part: Option<usize>,
     /// It is shut out of all tables.
@@ -116,94 +116,107 @@
     /// Factor on its weight: 1 if it works well, less if it was slow, 0 if it is ejected.
     pub health: f64,
     /// Time at which its health was last changed.
-    pub judged: f64,
+    pub health_changed_at: f64,
     /// How often its health has returned; each time doubles the wait for the next return.
-    pub relapses: u32,
+    pub recoveries: u32,
     /// Time of the last probe.
-    pub asked: f64,
+    pub probed_at: f64,
     /// Time of the last successful probe.
-    pub answered: f64,
+    pub probe_succeeded_at: f64,
     /// Time of the last probe that failed or was slow.
-    pub refused: f64,
+    pub probe_failed_at: f64,
     /// Weight that was last published for it.
-    pub line: f64,
+    pub published_weight: f64,
     /// Weight before the last change; visits in flight may still follow it.
-    pub line_before: f64,
+    pub previous_weight: f64,
     /// Statistics by zone of the proxies.
-    pub views: Vec<View>,
+    pub zone_stats: Vec<ZoneStats>,
     /// Totals of all zones over the recent time, updated once per input.
-    pub lately: Bucket,
+    pub recent: Bucket,
 }
 
 impl Server {
     /// A server that no roster has named yet.
     pub fn unknown(zones: usize) -> Server {
         Server {
-            known: false,
+            listed: false,
             zone: 0,
             admin_state: AdminState::Gone,
             weight: 1.0,
-            started: None,
-            entered: f64::NEG_INFINITY,
+            started_at: None,
+            ramp_started_at: f64::NEG_INFINITY,
             part: None,
             withdrawn: false,
             cold: false,
             health: 1.0,
-            judged: f64::NEG_INFINITY,
-            relapses: 0,
-            asked: f64::NEG_INFINITY,
-            answered: f64::NEG_INFINITY,
-            refused: f64::NEG_INFINITY,
-            line: 0.0,
-            line_before: 0.0,
-            views: vec![View::default(); zones],
-            lately: Bucket::default(),
+            health_changed_at: f64::NEG_INFINITY,
+            recoveries: 0,
+            probed_at: f64::NEG_INFINITY,
+            probe_succeeded_at: f64::NEG_INFINITY,
+            probe_failed_at: f64::NEG_INFINITY,
+            published_weight: 0.0,
+            previous_weight: 0.0,
+            zone_stats: vec![ZoneStats::default(); zones],
+            recent: Bucket::default(),
         }
     }
 
     /// Whether its admin state is ready.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.admin_state == AdminState::Ready
     }
 
     /// Updates the recent totals. They end at the newest bucket that a delayed report can have covered.
-    pub fn reckon(&mut self, now: f64, told: &Bounds, norms: &Norms) {
-        for v in &mut self.views {
-            v.last = ((now - (now - v.heard).min(norms.wait)) / told.bucket_ms) as u64;
+    pub fn update_recent(&mut self, now: f64, settings: &DerivedSettings, fleet: &FleetStats) {
+        for v in &mut self.zone_stats {
+            v.newest_bucket = ((now - (now - v.last_report_at).min(fleet.report_delay_ms))
+                / settings.bucket_ms) as u64;
         }
-        self.lately = self.sum(0, norms.lately);
-        let began = |at| now - at < told.warm_after_ms;
-        self.cold = self.started.is_some_and(began);
+        self.recent = self.total(0, fleet.recent_buckets);
+        let began = |at| now - at < settings.warm_up_ms;
+        self.cold = self.started_at.is_some_and(began);
     }
 
     /// The totals of all zones over `many` buckets, the newest `back` ones left out.
-    pub fn sum(&self, back: u64, many: u64) -> Bucket {
-        let sums = self.views.iter().map(|v| v.sum(back, many));
-        sums.fold(Bucket::default(), |a, b| a.and(&b))
+    pub fn total(&self, back: u64, many: u64) -> Bucket {
+        let sums = self.zone_stats.iter().map(|v| v.total(back, many));
+        sums.fold(Bucket::default(), |a, b| a.plus(&b))
     }
 
     /// The totals of all zones but one.
-    pub fn seen_from_outside(&self, zone: usize, many: u64) -> Bucket {
-        let views = self.views.iter().enumerate().filter(|(z, _)| *z != zone);
-        views.fold(Bucket::default(), |a, (_, v)| a.and(&v.sum(0, many)))
+    pub fn total_without_zone(&self, zone: usize, many: u64) -> Bucket {
+        let zone_stats = self
+            .zone_stats
+            .iter()
+            .enumerate()
+            .filter(|(z, _)| *z != zone);
+        zone_stats.fold(Bucket::default(), |a, (_, v)| a.plus(&v.total(0, many)))
     }
 
     /// Records a newly published weight.
-    pub fn write(&mut self, line: f64) {
-        self.line_before = self.line;
-        self.line = line;
+    pub fn set_published_weight(&mut self, weight: f64) {
+        self.previous_weight = self.published_weight;
+        self.published_weight = weight;
     }
 }
 
 /// Successful tries by the proxies of other zones than `zone`, and the weights that these tries
 /// followed: at the servers of that zone if `there` holds, otherwise at all other servers.
-pub fn good_across(servers: &[Server], zone: usize, there: bool, many: u64) -> (f64, f64) {
+pub fn successes_from_other_zones(
+    servers: &[Server],
+    zone: usize,
+    there: bool,
+    many: u64,
+) -> (f64, f64) {
     let asked = servers
         .iter()
-        .filter(|s| s.ready() && (s.zone == zone) == there);
+        .filter(|s| s.is_ready() && (s.zone == zone) == there);
     asked.fold((0.0, 0.0), |sum, s| {
-        let met = s.seen_from_outside(zone, many);
-        (sum.0 + met.good(), sum.1 + s.line.max(s.line_before))
+        let met = s.total_without_zone(zone, many);
+        (
+            sum.0 + met.successes(),
+            sum.1 + s.published_weight.max(s.previous_weight),
+        )
     })
 }
 
@@ -212,66 +225,69 @@
 pub struct Proxy {
     pub zone: usize,
     /// Visits per millisecond that come to it.
-    pub pace: f64,
+    pub visit_rate: f64,
     /// The same by class.
-    paces: Vec<f64>,
+    class_rates: Vec<f64>,
     /// The part of the shared table that it is bound to.
     pub part: Option<usize>,
     /// Lines that the current message contains for its binding.
-    pub sent: f64,
+    pub binding_lines: f64,
     /// Messages that it has not acknowledged, as number and lines.
-    unanswered: VecDeque<(u64, f64)>,
+    unacknowledged: VecDeque<(u64, f64)>,
     /// Times of the messages sent to it recently.
-    written: VecDeque<f64>,
+    message_times: VecDeque<f64>,
 }
 
 impl Proxy {
     /// A proxy without messages; its visits are taken to be spread evenly over the classes.
-    pub fn of(zone: usize, pace: f64, classes: usize) -> Proxy {
+    pub fn new(zone: usize, visit_rate: f64, classes: usize) -> Proxy {
         Proxy {
             zone,
-            pace,
-            paces: vec![pace / classes.max(1) as f64; classes],
+            visit_rate,
+            class_rates: vec![visit_rate / classes.max(1) as f64; classes],
             ..Proxy::default()
         }
     }
 
     /// Takes over the messages of an earlier session of the same proxy: they still count.
-    pub fn remembers(&mut self, before: Proxy) {
-        self.written = before.written;
+    pub fn restore_messages(&mut self, before: Proxy) {
+        self.message_times = before.message_times;
     }
 
     /// Updates the rate of a class as the mean of the old and the reported one.
-    pub fn came(&mut self, class: usize, pace: f64) {
-        self.paces[class] = (self.paces[class] + pace) / 2.0;
-        self.pace = self.paces.iter().sum();
+    pub fn visits_reported(&mut self, class: usize, visit_rate: f64) {
+        self.class_rates[class] = (self.class_rates[class] + visit_rate) / 2.0;
+        self.visit_rate = self.class_rates.iter().sum();
     }
 
-    /// Records a message with this number of lines, and forgets the times before `span_ms`.
-    pub fn wrote(&mut self, now: f64, span_ms: f64, number: u64, lines: f64) {
-        self.unanswered.push_back((number, lines));
-        self.written.retain(|at| now - at < span_ms);
-        self.written.push_back(now);
+    /// Records a message with this number of lines, and forgets the times before `message_window_ms`.
+    pub fn message_sent(&mut self, now: f64, message_window_ms: f64, number: u64, lines: f64) {
+        self.unacknowledged.push_back((number, lines));
+        self.message_times.retain(|at| now - at < message_window_ms);
+        self.message_times.push_back(now);
     }
 
     /// Drops the message with this mark and all before it from the unacknowledged ones. Returns the
     /// full number of the message.
-    pub fn answered(&mut self, mark: u32) -> Option<u64> {
-        let mut sent = self.unanswered.iter();
+    pub fn acknowledge(&mut self, mark: u32) -> Option<u64> {
+        let mut sent = self.unacknowledged.iter();
         let at = sent.position(|(n, _)| *n as u32 % 65536 == mark)?;
-        self.unanswered.drain(..=at).next_back().map(|(n, _)| n)
+        self.unacknowledged.drain(..=at).next_back().map(|(n, _)| n)
     }
 
     /// Lines that may still be queued for it. As the channel sends in order, messages older than
     /// `past`, which some proxy has acknowledged, have left the queue.
-    pub fn waiting(&self, past: u64) -> f64 {
-        let left = self.unanswered.iter().filter(|(n, _)| *n >= past);
+    pub fn queued_lines(&self, past: u64) -> f64 {
+        let left = self.unacknowledged.iter().filter(|(n, _)| *n >= past);
         left.map(|(_, lines)| lines).sum()
     }
 
-    /// Number of messages sent to it within `span_ms`.
-    pub fn messages(&self, now: f64, span_ms: f64) -> f64 {
-        let lately = self.written.iter().filter(|at| now - **at < span_ms);
+    /// Number of messages sent to it within `message_window_ms`.
+    pub fn recent_messages(&self, now: f64, message_window_ms: f64) -> f64 {
+        let lately = self
+            .message_times
+            .iter()
+            .filter(|at| now - **at < message_window_ms);
         lately.count() as f64
     }
 }
@@ -282,26 +298,26 @@
     /// The zone of its servers; none if it has servers of all zones.
     zone: Option<usize>,
     /// Number of proxies that are bound to it.
-    pub proxies: f64,
+    pub bound_proxies: f64,
     /// Most messages that any of these proxies was sent recently.
-    messages: f64,
+    max_messages: f64,
     /// Lines that the current message adds for each of these proxies.
-    adds: f64,
+    added_lines: f64,
 }
 
 impl Part {
     /// An empty part for servers of a zone, or of all zones.
-    pub fn of(zone: Option<usize>) -> Part {
+    pub fn new(zone: Option<usize>) -> Part {
         Part {
             zone,
-            proxies: 0.0,
-            messages: 0.0,
-            adds: 0.0,
+            bound_proxies: 0.0,
+            max_messages: 0.0,
+            added_lines: 0.0,
         }
     }
 
     /// Whether its servers are in another zone than this one.
-    pub fn away(&self, zone: usize) -> bool {
+    pub fn is_in_other_zone(&self, zone: usize) -> bool {
         self.zone.is_some_and(|z| z != zone)
     }
 }
@@ -313,60 +329,66 @@
     /// The parts of the shared table.
     pub parts: Vec<Part>,
     /// Lines that may still be queued.
-    pub waiting: f64,
+    pub queued_lines: f64,
     /// Lines that the current message adds, its fixed costs included.
-    pub adds: f64,
+    pub added_lines: f64,
     /// Those of them that are not for all proxies of a part.
-    strays: f64,
+    added_singly: f64,
     /// Fixed cost of a message to one proxy, in lines.
-    message_lines: f64,
+    message_overhead_lines: f64,
     /// The window in which messages to a proxy are counted.
-    pub span_ms: f64,
+    pub message_window_ms: f64,
     /// Number of the last message.
-    number: u64,
+    last_message: u64,
     /// Number of the newest message that any proxy has acknowledged.
-    past: u64,
+    acknowledged: u64,
 }
 
 impl Channel {
     /// A channel without parts and messages.
-    pub fn of(message_lines: f64, span_ms: f64) -> Channel {
+    pub fn new(message_overhead_lines: f64, message_window_ms: f64) -> Channel {
         Channel {
-            message_lines,
-            span_ms,
+            message_overhead_lines,
+            message_window_ms,
             ..Channel::default()
         }
     }
 
     /// A proxy has acknowledged the message with this number.
-    pub fn answered(&mut self, number: Option<u64>) {
-        self.past = self.past.max(number.unwrap_or(0));
+    pub fn acknowledge(&mut self, number: Option<u64>) {
+        self.acknowledged = self.acknowledged.max(number.unwrap_or(0));
     }
 
     /// The cost of more lines for a part, over all of its proxies: the first ones also cost each proxy
     /// the overhead of a message.
-    pub fn price(&self, part: Option<usize>, lines: f64) -> f64 {
+    pub fn cost(&self, part: Option<usize>, lines: f64) -> f64 {
         let Some(part) = part.map(|p| &self.parts[p]) else {
             return 0.0;
         };
-        let fresh = part.adds == 0.0;
-        part.proxies * (lines + if fresh { self.message_lines } else { 0.0 })
+        let fresh = part.added_lines == 0.0;
+        part.bound_proxies
+            * (lines
+                + if fresh {
+                    self.message_overhead_lines
+                } else {
+                    0.0
+                })
     }
 
     /// Adds lines for all proxies of a part, and `others` for single proxies.
     pub fn add(&mut self, part: Option<usize>, lines: f64, others: f64) {
-        self.adds += others + self.price(part, lines);
-        self.strays += others;
+        self.added_lines += others + self.cost(part, lines);
+        self.added_singly += others;
         if let Some(part) = part {
-            self.parts[part].adds += lines;
+            self.parts[part].added_lines += lines;
         }
     }
 
     /// Most messages that any proxy of a part, or of all parts, was sent recently.
-    pub fn busiest(&self, part: Option<usize>) -> f64 {
+    pub fn max_messages(&self, part: Option<usize>) -> f64 {
         let parts = self.parts.iter().enumerate();
         let named = parts.filter(|(i, _)| part.is_none_or(|p| p == *i));
-        named.map(|(_, p)| p.messages).fold(0.0, f64::max)
+        named.map(|(_, p)| p.max_messages).fold(0.0, f64::max)
     }
 
     /// For each part, the visits per millisecond that come to its proxies and the weight of its servers
@@ -375,172 +397,182 @@
         &self,
         servers: &[Server],
         proxies: impl Iterator<Item = &'a Proxy>,
-        cut: &[bool],
+        unreachable: &[bool],
     ) -> Vec<(f64, f64)> {
         let mut loads = vec![(0.0, 0.0); self.parts.len()];
         for p in proxies {
             if let Some(part) = p.part {
-                loads[part].0 += p.pace;
+                loads[part].0 += p.visit_rate;
             }
         }
-        let open = |s: &&Server| s.ready() && !s.withdrawn && !cut[s.zone];
+        let open = |s: &&Server| s.is_ready() && !s.withdrawn && !unreachable[s.zone];
         for s in servers.iter().filter(open) {
             if let Some(part) = s.part {
-                loads[part].1 += s.line;
+                loads[part].1 += s.published_weight;
             }
         }
         loads
     }
 
     /// Begins a message: counts what is queued, and what each part's proxies were sent.
-    pub fn open(&mut self, now: f64, proxies: &BTreeMap<usize, Proxy>) {
-        (self.waiting, self.adds, self.strays) = (0.0, 0.0, 0.0);
+    pub fn begin_message(&mut self, now: f64, proxies: &BTreeMap<usize, Proxy>) {
+        (self.queued_lines, self.added_lines, self.added_singly) = (0.0, 0.0, 0.0);
         for part in &mut self.parts {
-            *part = Part::of(part.zone);
+            *part = Part::new(part.zone);
         }
         for p in proxies.values() {
-            self.waiting += p.waiting(self.past);
+            self.queued_lines += p.queued_lines(self.acknowledged);
             if let Some(part) = p.part.map(|part| &mut self.parts[part]) {
-                part.proxies += 1.0;
-                part.messages = part.messages.max(p.messages(now, self.span_ms));
+                part.bound_proxies += 1.0;
+                part.max_messages = part
+                    .max_messages
+                    .max(p.recent_messages(now, self.message_window_ms));
             }
         }
     }
 
     /// Ends the message and records it for each proxy that gets lines. Returns its mark, unless it is
     /// empty.
-    pub fn close(&mut self, now: f64, proxies: &mut BTreeMap<usize, Proxy>) -> Option<u32> {
-        if self.adds == 0.0 {
+    pub fn finish_message(
+        &mut self,
+        now: f64,
+        proxies: &mut BTreeMap<usize, Proxy>,
+    ) -> Option<u32> {
+        if self.added_lines == 0.0 {
             return None;
         }
-        self.number += 1;
+        self.last_message += 1;
         let unbound = proxies.values().filter(|p| p.part.is_none()).count();
-        let bound: f64 = proxies.values().map(|p| p.sent).sum();
-        let stray = (self.strays - bound).max(0.0) / unbound.max(1) as f64;
+        let bound: f64 = proxies.values().map(|p| p.binding_lines).sum();
+        let stray = (self.added_singly - bound).max(0.0) / unbound.max(1) as f64;
         for p in proxies.values_mut() {
-            let lines = match p.part.map(|part| self.parts[part].adds) {
-                Some(adds) if adds > 0.0 => adds + self.message_lines + p.sent,
-                Some(_) => p.sent,
+            let lines = match p.part.map(|part| self.parts[part].added_lines) {
+                Some(added_lines) if added_lines > 0.0 => {
+                    added_lines + self.message_overhead_lines + p.binding_lines
+                }
+                Some(_) => p.binding_lines,
                 None => stray,
             };
             if lines > 0.0 {
-                p.wrote(now, self.span_ms, self.number, lines);
+                p.message_sent(now, self.message_window_ms, self.last_message, lines);
             }
-            p.sent = 0.0;
+            p.binding_lines = 0.0;
         }
-        Some((self.number % 65536) as u32)
+        Some((self.last_message % 65536) as u32)
     }
 }
 
 /// Totals of the reports since the last decision.
 #[derive(Default)]
-pub struct Heard {
+pub struct ReportTotals {
     /// Report lines.
     pub lines: f64,
     pub tries: f64,
     /// Sum of the tries of each line times its delay in milliseconds.
-    pub late: f64,
+    pub delayed_tries_ms: f64,
 }
 
-impl Heard {
+impl ReportTotals {
     /// Adds a line. Its delay is the time that it covers beyond one report interval.
-    pub fn note(&mut self, met: &TryStats, report_ms: f64) {
+    pub fn record(&mut self, met: &TryStats, report_interval_ms: f64) {
         self.lines += 1.0;
         self.tries += met.tries;
-        self.late += met.tries * (met.window_ms - report_ms).max(0.0);
+        self.delayed_tries_ms += met.tries * (met.window_ms - report_interval_ms).max(0.0);
     }
 }
 
 /// Statistics of the whole fleet, updated once per input.
 #[derive(Default)]
-pub struct Norms {
+pub struct FleetStats {
     /// Median over the servers: share of failed tries and mean time of successful ones.
-    pub half: (f64, f64),
+    pub median: (f64, f64),
     /// The same at the best quarter of the servers.
-    pub quarter: (f64, f64),
+    pub best_quarter: (f64, f64),
     /// Recent tries.
     pub tries: f64,
     /// Weight of the servers that had any.
-    pub used: f64,
+    pub used_weight: f64,
     /// Mean delay of report lines beyond one report interval.
-    pub wait: f64,
+    pub report_delay_ms: f64,
     /// Number of buckets that count as recent.
-    pub lately: u64,
+    pub recent_buckets: u64,
 }
 
-impl Norms {
+impl FleetStats {
     /// Tries per millisecond and unit of weight.
-    pub fn pace(&self, window_ms: f64) -> f64 {
-        self.tries / self.used.max(f64::MIN_POSITIVE) / window_ms
+    pub fn try_rate(&self, window_ms: f64) -> f64 {
+        self.tries / self.used_weight.max(f64::MIN_POSITIVE) / window_ms
     }
 
     /// Updates the statistics from the servers' recent totals.
-    pub fn weigh(&mut self, servers: &[Server]) {
-        let used = servers.iter().filter(|s| s.ready() && s.line > 0.0);
-        let tried = used.filter(|s| s.lately.tries > 0.0);
-        let good = tried.clone().filter(|s| s.lately.good() > 0.0);
-        let failing = sorted(tried.map(|s| s.lately.share_failed()).collect());
-        let times = sorted(good.map(|s| s.lately.mean_ms()).collect());
-        let norm = |part| (ranked(&failing, part), ranked(&times, part));
-        (self.half, self.quarter) = (norm(0.5), norm(0.25));
-        let met = servers.iter().filter(|s| s.lately.tries > 0.0);
-        self.tries = met.clone().map(|s| s.lately.tries).sum();
-        self.used = met.map(|s| s.weight).sum();
+    pub fn update(&mut self, servers: &[Server]) {
+        let used = servers
+            .iter()
+            .filter(|s| s.is_ready() && s.published_weight > 0.0);
+        let tried = used.filter(|s| s.recent.tries > 0.0);
+        let good = tried.clone().filter(|s| s.recent.successes() > 0.0);
+        let failing = sorted(tried.map(|s| s.recent.failure_share()).collect());
+        let times = sorted(good.map(|s| s.recent.mean_ms()).collect());
+        let norm = |part| (quantile(&failing, part), quantile(&times, part));
+        (self.median, self.best_quarter) = (norm(0.5), norm(0.25));
+        let met = servers.iter().filter(|s| s.recent.tries > 0.0);
+        self.tries = met.clone().map(|s| s.recent.tries).sum();
+        self.used_weight = met.map(|s| s.weight).sum();
     }
 }
 
 /// The settings in the form that decisions use.
-pub struct Bounds {
+pub struct DerivedSettings {
     /// Interval at which proxies report.
-    pub report_ms: f64,
+    pub report_interval_ms: f64,
     /// Report lines that can arrive in one report interval.
-    pub most_heard: f64,
+    pub max_report_lines: f64,
     /// Length of a time bucket.
     pub bucket_ms: f64,
     /// The lowest soft limit of all classes.
-    pub tight_ms: f64,
+    pub min_soft_limit_ms: f64,
     /// By class, the exponent applied to the admission level: it is higher for lower earnings, so these
     /// classes are limited most.
-    pub cheapness: Vec<f64>,
+    pub level_exponents: Vec<f64>,
     /// Lines that may be queued in the channel.
-    pub most_waiting: f64,
+    pub max_queued_lines: f64,
     /// Lines that can be in flight in the channel.
-    pub under_way: f64,
+    pub max_in_flight_lines: f64,
     /// Fixed cost of a message, in lines: the deployment's overhead and one line more.
-    pub message_lines: f64,
+    pub message_overhead_lines: f64,
     /// Messages that one proxy may be sent within the channel's window; infinite without a limit.
-    pub most_messages: f64,
+    pub max_messages: f64,
     /// Servers that a proxy picks by itself at its start.
-    pub standing_lines: f64,
+    pub initial_servers: f64,
     /// How far apart a proxy's visits to one server may be on average.
-    pub kept_ms: f64,
+    pub max_visit_gap_ms: f64,
     /// Share of its capacity that a server has at least when it has just started.
-    pub cold_share: f64,
+    pub cold_capacity_share: f64,
     /// Time from a server's start to its full capacity.
-    pub warm_after_ms: f64,
+    pub warm_up_ms: f64,
     /// Load that a cold server may be sent, as a multiple of its current capacity.
-    pub cold_excess: f64,
+    pub max_cold_load: f64,
     /// A server that is merely missing from a snapshot may stay in the tables.
-    pub dropped_may_stay: bool,
+    pub keep_unlisted_servers: bool,
     /// Servers may be probed.
     pub may_probe: bool,
     /// Admission levels limit the share of visits that is admitted.
-    pub may_refuse: bool,
+    pub may_limit_admission: bool,
     /// The deployment has a shared table.
-    pub has_tables: bool,
+    pub has_shared_table: bool,
 }
 
 /// Multiply-with-carry random number generator: value and carry.
-pub struct Chance(u32, u32);
+pub struct Rng(u32, u32);
 
-impl Chance {
+impl Rng {
     /// A generator whose numbers depend only on the seed.
-    pub fn from(seed: u64) -> Chance {
-        Chance(seed as u32 | 1, (seed >> 32) as u32 | 1)
+    pub fn new(seed: u64) -> Rng {
+        Rng(seed as u32 | 1, (seed >> 32) as u32 | 1)
     }
 
     /// The next number, from 0 to 1.
-    pub fn draw(&mut self) -> f64 {
+    pub fn next_unit(&mut self) -> f64 {
         let next = u64::from(self.0) * 4_294_957_665 + u64::from(self.1);
         (self.0, self.1) = (next as u32, (next >> 32) as u32);
         f64::from(self.0) / f64::from(u32::MAX)
@@ -553,7 +585,7 @@
 }
 
 /// The quantile `part` of sorted values; 0 without any.
-fn ranked(values: &[f64], part: f64) -> f64 {
+fn quantile(values: &[f64], part: f64) -> f64 {
     let at = (values.len() as f64 * part) as usize;
     values.get(at).copied().unwrap_or(0.0)
 }
