--- a/src/rules.rs
+++ b/src/rules.rs
@@ -11,8 +11,10 @@
 //! servers; recovery; admission levels and retries; weights and bindings; probes last, as they cost
 //! work.
 
-use crate::state::{self, Bucket, Channel, DerivedSettings, FleetStats, Part, ReportTotals, Rng};
-use crate::state::{Proxy, Server, ZoneStats};
+use crate::state::{
+    self, Bucket, Channel, DerivedSettings, FleetQuantile, FleetStats, Part, Proxy, ReportTotals,
+    Rng, Server, ZoneStats,
+};
 use crate::{
     AdminState, Admission, Orders, PlannerSettings, RetryPolicy, RosterEntry, RosterUpdate,
     ServerStatus, TryStats,
@@ -34,20 +36,21 @@
 /// Other report lines are still queued if at least this share of the lines that can come in one
 /// interval came.
 const REPORTS_FULL_SHARE: f64 = 0.9;
-/// A server fails if at least this share of its tries does, and more than the fleet's median by
-/// the outlier factor.
+/// A server fails if at least this share of its tries does, and `OUTLIER_FACTOR` times the fleet's
+/// median.
 const FAILING_SHARE: f64 = 0.3;
 /// A server is an outlier at this multiple of the fleet's value.
 const OUTLIER_FACTOR: f64 = 2.0;
-/// A server can only be slow above this share of the lowest soft limit.
+/// Answers are slow above this share of the lowest soft limit, and fast below it.
 const SLOW_LIMIT_SHARE: f64 = 0.5;
 /// If the median server is slower than the best quarter by this factor, the fleet has spare capacity
 /// and weights are reduced sooner.
 const SPREAD_FACTOR: f64 = 3.0;
-/// The fleet is strained if the value at the given quantile exceeds this share of the lowest soft
-/// limit ...
+/// The fleet is strained if the time at the given quantile exceeds this share of the lowest soft limit
+/// (a probe is slow above it, too) ...
 const STRAIN_LIMIT_SHARE: f64 = 0.4;
-/// ... or if this share of the tries fails there.
+/// ... or if more than this share of the tries fails there. A zone is unreachable if less than this share
+/// of the expected tries succeed.
 const STRAIN_FAILURE_SHARE: f64 = 0.1;
 /// The fleet is overloaded if its median time exceeds this share of the lowest soft limit.
 const OVERLOAD_LIMIT_SHARE: f64 = 0.9;
@@ -100,7 +103,9 @@
 pub struct Planner {
     now: f64,
     settings: DerivedSettings,
+    /// Servers by index; those that were never in a roster included.
     servers: Vec<Server>,
+    /// Joined proxies, by index.
     proxies: BTreeMap<usize, Proxy>,
     /// Proxies that left recently, with the time.
     departed: BTreeMap<usize, (f64, Proxy)>,
@@ -112,23 +117,55 @@
     on_trial: Vec<bool>,
     /// Share of the visits with the highest earnings that is admitted.
     admission_level: f64,
-    /// When it was last adjusted.
+    /// When the level was last adjusted.
     level_changed_at: f64,
-    /// By class: the share admitted and the retry policy as last ordered.
-    ordered_levels: Vec<(f64, RetryPolicy)>,
+    /// Levels as last ordered, by class.
+    ordered_levels: Vec<Level>,
     /// Highest rate of tries, per millisecond and unit of weight, that the fleet has served without
     /// overload.
     sustained_rate: f64,
     fleet: FleetStats,
     /// Totals of the reports since the last decision.
     reports: ReportTotals,
+    /// Time of the next regular publication of weights.
     next_tick: f64,
+    /// Time of the next decision as last ordered.
     wake_at: f64,
+    /// When to request the roster; infinite if it needn't be.
     request_roster_at: f64,
     rng: Rng,
+    /// The orders of the current decision.
     orders: Orders,
 }
 
+/// What proxies do with the visits of a class.
+#[derive(Clone, Copy, PartialEq)]
+struct Level {
+    /// Share of the visits that is admitted.
+    share: f64,
+    retry_policy: RetryPolicy,
+}
+
+/// The weight that a server should have in the shared table.
+struct TargetWeight {
+    server: usize,
+    part: usize,
+    weight: f64,
+}
+
+/// Totals of a part of the shared table that its servers' target weights depend on.
+#[derive(Clone, Default)]
+struct PartTotals {
+    /// A server of it has health and is in a reachable zone.
+    has_healthy: bool,
+    /// A server of it is warm and has a weight.
+    has_warm: bool,
+    /// Weight of its warm servers, less the share of their tries that fails.
+    warm_weight: f64,
+    /// Recent tries at its servers.
+    tries: f64,
+}
+
 /// Changes the state and adds to the orders if its condition holds; returns whether it did.
 type Rule = fn(&mut Planner) -> bool;
 /// Whether the reports speak against a server.
@@ -153,29 +190,34 @@
 ];
 
 /// Whether there are enough tries to judge a server; in a clear case half as many do.
-fn has_enough_tries(met: &Bucket, clear: bool) -> bool {
-    met.tries >= if clear { MIN_TRIES / 2.0 } else { MIN_TRIES }
+fn has_enough_tries(total: &Bucket, clear: bool) -> bool {
+    total.tries >= if clear { MIN_TRIES / 2.0 } else { MIN_TRIES }
 }
 
 impl Planner {
     /// Creates a planner at the time `now`, without servers or proxies.
     pub fn new(now: f64, seed: u64, settings: &PlannerSettings) -> Planner {
-        let limits = settings.classes.iter().map(|c| c.soft_limit_ms);
+        let soft_limits = settings.classes.iter().map(|c| c.soft_limit_ms);
         let earnings = settings.classes.iter().map(|c| c.earnings);
-        let dear = earnings.clone().fold(0.0, f64::max);
-        let capped = Some(settings.max_messages).filter(|m| *m > 0.0);
+        let highest = earnings.clone().fold(0.0, f64::max);
+        let message_limit = Some(settings.max_messages).filter(|m| *m > 0.0);
+        let message_overhead_lines = settings.message_overhead_lines + 1.0;
+        let level = Level {
+            share: 1.0,
+            retry_policy: settings.default_retry_policy,
+        };
         Planner {
             now,
             settings: DerivedSettings {
                 report_interval_ms: settings.report_interval_ms,
                 max_report_lines: settings.report_lines_per_ms * settings.report_interval_ms,
                 bucket_ms: settings.report_interval_ms.max(TICK_MS / 2.0),
-                min_soft_limit_ms: limits.fold(f64::INFINITY, f64::min),
-                level_exponents: earnings.map(|e| dear / e.max(dear / 8.0)).collect(),
+                min_soft_limit_ms: soft_limits.fold(f64::INFINITY, f64::min),
+                level_exponents: earnings.map(|e| highest / e.max(highest / 8.0)).collect(),
                 max_queued_lines: settings.max_queued_lines,
                 max_in_flight_lines: settings.lines_per_ms * settings.message_latency_ms,
-                message_overhead_lines: settings.message_overhead_lines + 1.0,
-                max_messages: capped.unwrap_or(f64::INFINITY),
+                message_overhead_lines,
+                max_messages: message_limit.unwrap_or(f64::INFINITY),
                 initial_servers: settings.initial_servers,
                 max_visit_gap_ms: settings.idle_timeout_ms * IDLE_TIMEOUT_SHARE,
                 cold_capacity_share: settings.cold_capacity_share,
@@ -186,10 +228,7 @@
                 may_limit_admission: settings.admission == Admission::Share,
                 has_shared_table: !settings.sharded,
             },
-            channel: Channel::new(
-                settings.message_overhead_lines + 1.0,
-                settings.message_window_ms,
-            ),
+            channel: Channel::new(message_overhead_lines, settings.message_window_ms),
             servers: Vec::new(),
             proxies: BTreeMap::new(),
             departed: BTreeMap::new(),
@@ -197,7 +236,7 @@
             on_trial: vec![false; settings.zones],
             admission_level: 1.0,
             level_changed_at: now,
-            ordered_levels: vec![(1.0, settings.default_retry_policy); settings.classes.len()],
+            ordered_levels: vec![level; settings.classes.len()],
             sustained_rate: 0.0,
             fleet: FleetStats::default(),
             reports: ReportTotals::default(),
@@ -216,55 +255,59 @@
     // ---- events ----
 
     /// A list of roster entries arrived.
-    pub fn roster_changed(&mut self, now: f64, extent: RosterUpdate, roster: &[RosterEntry]) {
+    pub fn roster_changed(&mut self, now: f64, update: RosterUpdate, roster: &[RosterEntry]) {
         self.now = now;
-        let named = |s| extent == RosterUpdate::Changes || roster.iter().any(|l| l.server == s);
-        for s in (0..self.servers.len()).filter(|s| !named(*s)) {
+        let is_listed =
+            |s| update == RosterUpdate::Changes || roster.iter().any(|entry| entry.server == s);
+        for s in (0..self.servers.len()).filter(|s| !is_listed(*s)) {
             self.mark_gone(s);
         }
-        for l in roster {
-            self.apply_entry(l, extent == RosterUpdate::Restored);
+        for entry in roster {
+            self.apply_entry(entry, update == RosterUpdate::Restored);
         }
     }
 
     /// Marks a server as gone. Where unlisted servers may stay, one that is ready and has some health
     /// does, so that a wrong roster doesn't withdraw working servers.
     fn mark_gone(&mut self, s: usize) {
-        let may_stay = self.settings.keep_unlisted_servers;
-        let server = self.servers.get_mut(s);
-        if let Some(s) = server.filter(|s| !(may_stay && s.is_ready() && s.health > 0.0)) {
-            s.admin_state = AdminState::Gone;
+        let keep_unlisted = self.settings.keep_unlisted_servers;
+        let Some(server) = self.servers.get_mut(s) else {
+            return;
+        };
+        if !(keep_unlisted && server.is_ready() && server.health > 0.0) {
+            server.admin_state = AdminState::Gone;
         }
     }
 
     /// Applies one roster entry.
-    fn apply_entry(&mut self, l: &RosterEntry, at_start: bool) {
-        if l.admin_state == AdminState::Gone {
-            return self.mark_gone(l.server);
+    fn apply_entry(&mut self, entry: &RosterEntry, restored: bool) {
+        if entry.admin_state == AdminState::Gone {
+            return self.mark_gone(entry.server);
         }
         let (now, zones) = (self.now, self.unreachable.len());
-        while self.servers.len() <= l.server {
+        while self.servers.len() <= entry.server {
             self.servers.push(Server::unknown(zones));
         }
-        let server = &mut self.servers[l.server];
-        let fresh = l
-            .started_ms
-            .filter(|at| now - at < self.settings.warm_up_ms);
-        let returned = !server.is_ready() && l.admin_state == AdminState::Ready;
-        let restarted = fresh.is_some() && l.started_ms != server.started_at;
-        server.zone = l.zone;
-        server.weight = if l.weight > 0.0 { l.weight } else { 1.0 };
-        server.started_at = l.started_ms;
-        server.admin_state = l.admin_state;
-        if at_start && !server.listed {
+        let warm_up_ms = self.settings.warm_up_ms;
+        let server = &mut self.servers[entry.server];
+        let recent_start = entry.started_ms.filter(|at| now - at < warm_up_ms);
+        let returned = !server.is_ready() && entry.admin_state == AdminState::Ready;
+        let restarted = recent_start.is_some() && entry.started_ms != server.started_at;
+        server.zone = entry.zone;
+        server.weight = if entry.weight > 0.0 {
+            entry.weight
+        } else {
+            1.0
+        };
+        server.started_at = entry.started_ms;
+        server.admin_state = entry.admin_state;
+        if restored && !server.listed {
             // Listed when the controller started: no ramp, unless the server itself started recently.
-            server.ramp_started_at = fresh.unwrap_or(f64::NEG_INFINITY);
+            server.ramp_started_at = recent_start.unwrap_or(f64::NEG_INFINITY);
         } else if restarted || returned {
-            (
-                server.ramp_started_at,
-                server.health,
-                server.health_changed_at,
-            ) = (now, 1.0, now);
+            server.ramp_started_at = now;
+            server.health = 1.0;
+            server.health_changed_at = now;
             server.zone_stats = vec![ZoneStats::since(now); zones];
         }
         server.listed = true;
@@ -275,14 +318,15 @@
         self.request_roster_at = now + TICK_MS;
     }
 
-    /// A proxy joined; `visit_rate` is its rate of visits per millisecond. Messages sent to it before it left
-    /// still count, as message limits apply to a proxy and not to one of its streams.
+    /// A proxy joined; `visit_rate` is the number of visits per millisecond that come to it. Messages
+    /// sent to it before it left still count, as message limits apply to a proxy and not to one of its
+    /// streams.
     pub fn proxy_joined(&mut self, proxy: usize, zone: usize, visit_rate: f64) {
-        let mut fresh = Proxy::new(zone, visit_rate, self.ordered_levels.len());
+        let mut joined = Proxy::new(zone, visit_rate, self.ordered_levels.len());
         if let Some((_, before)) = self.departed.remove(&proxy) {
-            fresh.restore_messages(before);
+            joined.restore_messages(before);
         }
-        self.proxies.insert(proxy, fresh);
+        self.proxies.insert(proxy, joined);
     }
 
     /// A proxy left.
@@ -301,16 +345,16 @@
     /// A proxy acknowledged the message with this mark and all before it.
     pub fn orders_applied(&mut self, proxy: usize, mark: u32) {
         let proxy = self.proxies.get_mut(&proxy);
-        self.channel
-            .acknowledge(proxy.and_then(|p| p.acknowledge(mark)));
+        let message = proxy.and_then(|p| p.acknowledge(mark));
+        self.channel.acknowledge(message);
     }
 
     /// A report of tries at a server arrived.
-    pub fn tries_reported(&mut self, now: f64, met: &TryStats) {
-        let server = self.servers.get_mut(met.server);
-        if let Some(server) = server.filter(|_| met.tries > 0.0) {
-            server.zone_stats[met.zone].record(now, self.settings.bucket_ms, met);
-            self.reports.record(met, self.settings.report_interval_ms);
+    pub fn tries_reported(&mut self, now: f64, stats: &TryStats) {
+        let server = self.servers.get_mut(stats.server);
+        if let Some(server) = server.filter(|_| stats.tries > 0.0) {
+            server.zone_stats[stats.zone].record(now, self.settings.bucket_ms, stats);
+            self.reports.record(stats, self.settings.report_interval_ms);
         }
     }
 
@@ -318,19 +362,21 @@
     pub fn visits_reported(&mut self, proxy: usize, class: usize, visits: f64, window_ms: f64) {
         self.reports.lines += 1.0;
         if let Some(p) = self.proxies.get_mut(&proxy) {
-            p.visits_reported(
-                class,
-                visits / window_ms.max(self.settings.report_interval_ms),
-            );
+            let window_ms = window_ms.max(self.settings.report_interval_ms);
+            p.visits_reported(class, visits / window_ms);
         }
     }
 
     /// A probe of a server ended after `took_ms`.
-    pub fn probe_answered(&mut self, now: f64, server: usize, fine: bool, took_ms: f64) {
-        let slow = !fine || took_ms > self.settings.min_soft_limit_ms * STRAIN_LIMIT_SHARE;
+    pub fn probe_answered(&mut self, now: f64, server: usize, healthy: bool, took_ms: f64) {
+        let slow = took_ms > self.settings.min_soft_limit_ms * STRAIN_LIMIT_SHARE;
         if let Some(s) = self.servers.get_mut(server) {
-            s.probe_succeeded_at = if fine { now } else { s.probe_succeeded_at };
-            s.probe_failed_at = if slow { now } else { s.probe_failed_at };
+            if healthy {
+                s.probe_succeeded_at = now;
+            }
+            if !healthy || slow {
+                s.probe_failed_at = now;
+            }
         }
     }
 
@@ -353,22 +399,25 @@
     fn split_table(&mut self) -> bool {
         let proxies = self.proxies.len() as f64;
         let servers = self.ready_servers().count() as f64;
-        let parted = !self.channel.parts.is_empty() || !self.settings.has_shared_table;
-        if parted || proxies * servers == 0.0 {
+        let done = !self.channel.parts.is_empty() || !self.settings.has_shared_table;
+        if done || proxies * servers == 0.0 {
             return false;
         }
-        let pace = self.proxies.values().map(|p| p.visit_rate).sum::<f64>() / proxies;
-        let kept = (pace * self.settings.max_visit_gap_ms)
-            .max(self.settings.initial_servers * INITIAL_SERVERS_SHARE);
-        let many = if pace > 0.0 { servers / kept } else { 1.0 };
+        let visit_rate = self.proxies.values().map(|p| p.visit_rate).sum::<f64>() / proxies;
+        let connected = visit_rate * self.settings.max_visit_gap_ms;
+        let part_size = connected.max(self.settings.initial_servers * INITIAL_SERVERS_SHARE);
+        let part_count = if visit_rate > 0.0 {
+            servers / part_size
+        } else {
+            1.0
+        };
         for zone in 0..self.unreachable.len() {
-            let near = self.ready_servers().filter(|s| s.zone == zone).count() as f64;
-            let parts = (many * near / servers).ceil() as usize;
-            self.channel
-                .parts
-                .extend(vec![Part::new(Some(zone)); parts]);
+            let in_zone = self.ready_servers().filter(|s| s.zone == zone).count() as f64;
+            let zone_parts = (part_count * in_zone / servers).ceil() as usize;
+            let zone_parts = vec![Part::new(Some(zone)); zone_parts];
+            self.channel.parts.extend(zone_parts);
         }
-        if many < 1.5 {
+        if part_count < 1.5 {
             self.channel.parts = vec![Part::new(None)];
         }
         true
@@ -380,23 +429,23 @@
             return false;
         };
         let (zone, parts) = (self.servers[s].zone, &self.channel.parts);
-        let there = |part: &usize| {
-            let dealt = self
-                .ready_servers()
-                .filter(|o| o.part == Some(*part))
-                .count();
-            (parts[*part].is_in_other_zone(zone), dealt)
+        let preference = |part: &usize| {
+            let assigned = self.ready_servers().filter(|o| o.part == Some(*part));
+            (parts[*part].is_in_other_zone(zone), assigned.count())
         };
-        self.servers[s].part = (0..parts.len()).min_by_key(there);
+        self.servers[s].part = (0..parts.len()).min_by_key(preference);
         !self.channel.parts.is_empty()
     }
 
     /// Withdraws a server that is draining or gone, at once and from all tables, unless no ready
     /// server has a weight yet.
     fn withdraw_unready_server(&mut self) -> bool {
-        let ready = self.ready_servers().next().is_some() && !self.proxies.is_empty();
-        let bare = ready && !self.ready_servers().any(|s| s.published_weight > 0.0);
-        let due = |s: &Server| s.listed && !s.is_ready() && !s.withdrawn && !bare;
+        let expects_weight = self.ready_servers().next().is_some() && !self.proxies.is_empty();
+        let no_weight = !self.ready_servers().any(|s| s.published_weight > 0.0);
+        if expects_weight && no_weight {
+            return false;
+        }
+        let due = |s: &Server| s.listed && !s.is_ready() && !s.withdrawn;
         let found = self.find_server(|s| due(s) && self.may_send(1.0, self.messages_of_part(s)));
         found.is_some_and(|s| self.set_withdrawn(s, true, 1.0))
     }
@@ -404,8 +453,8 @@
     /// Allows a withdrawn server that is ready again.
     fn allow_ready_server(&mut self) -> bool {
         // A cold server must have a low weight first.
-        let low = |s: &Server| !s.cold || s.published_weight <= s.weight * self.capacity_share(s);
-        let due = |s: &Server| s.is_ready() && s.withdrawn && low(s);
+        let is_low = |s: &Server| s.published_weight <= s.weight * self.capacity_share(s);
+        let due = |s: &Server| s.is_ready() && s.withdrawn && (!s.cold || is_low(s));
         let found =
             self.find_server(|s| due(s) && self.may_send(MESSAGE_SHARE, self.messages_of_part(s)));
         found.is_some_and(|s| self.set_withdrawn(s, false, URGENT_QUEUE_SHARE))
@@ -416,28 +465,24 @@
     /// fault: the servers leave the table together, keep their health and return together. Also covers
     /// a zone without power. Does harm if a zone without proxies has few servers and all of them fail.
     fn detect_unreachable_zone(&mut self) -> bool {
-        let off = |zone: &usize| {
-            let good = |there| {
-                state::successes_from_other_zones(
-                    &self.servers,
-                    *zone,
-                    there,
-                    self.fleet.recent_buckets - 1,
-                )
-            };
-            let (there, here) = (good(true), good(false));
-            let expected = here.0 * there.1 / here.1.max(f64::MIN_POSITIVE);
-            let missed = expected >= MIN_TRIES && there.0 < expected * STRAIN_FAILURE_SHARE;
-            let apart = !self.unreachable[*zone] && !self.zone_has_proxies(*zone);
-            let (far, parted) = (self.on_trial[*zone], self.channel.parts.len() > 1);
-            apart
-                && if far {
-                    missed && self.zone_has_tries(*zone)
-                } else {
-                    missed || parted
-                }
+        let is_cut_off = |zone: &usize| {
+            if self.unreachable[*zone] || self.zone_has_proxies(*zone) {
+                return false;
+            }
+            let buckets = self.fleet.recent_buckets - 1;
+            let inside = state::remote_successes(&self.servers, *zone, true, buckets);
+            let outside = state::remote_successes(&self.servers, *zone, false, buckets);
+            let expected =
+                outside.successes * inside.weight / outside.weight.max(f64::MIN_POSITIVE);
+            let unanswered =
+                expected >= MIN_TRIES && inside.successes < expected * STRAIN_FAILURE_SHARE;
+            if self.on_trial[*zone] {
+                unanswered && self.zone_has_tries(*zone)
+            } else {
+                unanswered || self.channel.parts.len() > 1
+            }
         };
-        let Some(zone) = (0..self.unreachable.len()).find(off) else {
+        let Some(zone) = (0..self.unreachable.len()).find(is_cut_off) else {
             return false;
         };
         self.reset_zone(zone, true, "is cut off");
@@ -446,31 +491,31 @@
 
     /// Uses an unreachable zone again, without a ramp, when one of its proxies has joined or one of its
     /// servers has answered a probe. Neither ever happens where probes are not allowed and proxies join
-    /// the controller of their own zone. There the zone is tried with visits: at once if no other zone
-    /// has a warm server, or after the time of a ramp if the others are strained. Prevents overload of
+    /// the controller of their own zone. There the zone is tried with visits: at once if no reachable
+    /// zone has a warm server, or after the time of a ramp if these are strained. Prevents overload of
     /// one zone next to idle ones, and all proxies of a lost zone falling on its first servers to
     /// return. Does harm while the partition lasts.
     fn reopen_zone(&mut self) -> bool {
-        let answer = |s: &Server| s.is_ready() && s.probe_succeeded_at > s.health_changed_at;
-        let answers = |zone| self.find_server(|s| s.zone == zone && answer(s)).is_some();
-        let warm = |s: &Server| s.is_ready() && !s.cold && !self.unreachable[s.zone];
-        let (none, strained) = (
-            self.find_server(warm).is_none(),
-            self.strained(self.fleet.median, STRAIN_LIMIT_SHARE),
-        );
-        let lately = |s: &Server| self.now - s.health_changed_at < RAMP_TICKS * TICK_MS;
-        let long = |zone| self.find_server(|s| s.zone == zone && lately(s)).is_none();
-        let needed = |zone: usize| {
+        let answers = |s: &Server| s.is_ready() && s.probe_succeeded_at > s.health_changed_at;
+        let has_answer = |zone| self.find_server(|s| s.zone == zone && answers(s)).is_some();
+        let is_reached = |zone| self.zone_has_proxies(zone) || has_answer(zone);
+        let is_usable = |s: &Server| s.is_ready() && !s.cold && !self.unreachable[s.zone];
+        let none_usable = self.find_server(is_usable).is_none();
+        let strained = self.is_strained(self.fleet.median, STRAIN_LIMIT_SHARE);
+        let changed = |s: &Server| self.now - s.health_changed_at < RAMP_TICKS * TICK_MS;
+        let waited = |zone| self.find_server(|s| s.zone == zone && changed(s)).is_none();
+        let is_needed = |zone: usize| {
             // At once only if the zone wasn't tried this way before.
-            let unasked = none && !self.on_trial[zone];
-            !self.settings.may_probe && (unasked || (none || strained) && long(zone))
+            let first_trial = none_usable && !self.on_trial[zone];
+            let later_trial = (none_usable || strained) && waited(zone);
+            !self.settings.may_probe && (first_trial || later_trial)
         };
-        let known = |zone| self.zone_has_proxies(zone) || answers(zone);
-        let mended = |zone: &usize| self.unreachable[*zone] && (known(*zone) || needed(*zone));
-        let Some(zone) = (0..self.unreachable.len()).find(mended) else {
+        let reopens =
+            |zone: &usize| self.unreachable[*zone] && (is_reached(*zone) || is_needed(*zone));
+        let Some(zone) = (0..self.unreachable.len()).find(reopens) else {
             return false;
         };
-        self.on_trial[zone] = !known(zone);
+        self.on_trial[zone] = !is_reached(zone);
         self.next_tick = self.now;
         self.reset_zone(zone, false, "is reached again");
         true
@@ -486,41 +531,44 @@
     /// Reduces the weight of a server that is slower than the fleet, or listed with too high a weight,
     /// by one step at a time. Does harm if costly visits hit one server by chance.
     fn reduce_slow_server(&mut self) -> bool {
-        let slow: Verdict = |p, s| s.health > MIN_REDUCED_HEALTH && p.is_slow(s, OUTLIER_FACTOR);
-        self.penalize(slow, HEALTH_STEP, self.fleet.best_quarter, "slow")
+        let is_slow: Verdict = |p, s| s.health > MIN_REDUCED_HEALTH && p.is_slow(s, OUTLIER_FACTOR);
+        self.penalize(is_slow, HEALTH_STEP, self.fleet.best_quarter, "slow")
     }
 
     /// Lets health return: an ejected server starts a ramp once it has answered a probe (which alone
     /// proves little), a reduced one gains one step. Each needs a time that doubles with every earlier
     /// return, so that a flapping server doesn't regain its weight.
     fn restore_health(&mut self) -> bool {
-        let (now, ask) = (self.now, self.settings.may_probe);
-        let hurry = self.strained(self.fleet.median, STRAIN_LIMIT_SHARE);
-        let ticks = if hurry {
+        let now = self.now;
+        let needs_probe = self.settings.may_probe;
+        let strained = self.is_strained(self.fleet.median, STRAIN_LIMIT_SHARE);
+        let ticks = if strained {
             EJECTION_TICKS / 4.0
         } else {
             EJECTION_TICKS
         };
-        let out = TICK_MS * ticks * (1.0 + 0.1 * self.rng.next_unit());
-        let longer = |s: &Server| f64::from(1 << s.recoveries.min(MAX_EJECTION_DOUBLINGS));
-        let fit = |s: &Server| match s.health == 0.0 {
-            true => {
-                now - s.health_changed_at > out * longer(s)
-                    && (!ask || s.probe_succeeded_at > s.health_changed_at)
-            }
-            _ => {
-                now - s.health_changed_at > RAMP_TICKS * TICK_MS * longer(s)
-                    && !self.is_slow(s, OUTLIER_FACTOR / 2.0)
+        let ejection_ms = TICK_MS * ticks * (1.0 + 0.1 * self.rng.next_unit());
+        let backoff = |s: &Server| f64::from(1 << s.recoveries.min(MAX_EJECTION_DOUBLINGS));
+        let is_due = |s: &Server| {
+            let unchanged_ms = now - s.health_changed_at;
+            if s.health == 0.0 {
+                let answered = s.probe_succeeded_at > s.health_changed_at;
+                unchanged_ms > ejection_ms * backoff(s) && (!needs_probe || answered)
+            } else {
+                let step_ms = RAMP_TICKS * TICK_MS * backoff(s);
+                unchanged_ms > step_ms && !self.is_slow(s, OUTLIER_FACTOR / 2.0)
             }
         };
-        let Some(s) = self.find_server(|s| s.is_ready() && s.health < 1.0 && fit(s)) else {
+        let found = self.find_server(|s| s.is_ready() && s.health < 1.0 && is_due(s));
+        let Some(server) = found.map(|s| &mut self.servers[s]) else {
             return false;
         };
-        let server = &mut self.servers[s];
         if server.health == 0.0 {
-            (server.health, server.ramp_started_at) = (1.0, now);
+            server.health = 1.0;
+            server.ramp_started_at = now;
         }
-        (server.health, server.health_changed_at) = ((server.health / HEALTH_STEP).min(1.0), now);
+        server.health = (server.health / HEALTH_STEP).min(1.0);
+        server.health_changed_at = now;
         server.recoveries += 1;
         true
     }
@@ -530,32 +578,40 @@
     /// classes with the lowest earnings.
     fn set_admission_and_retries(&mut self) -> bool {
         if self.settings.may_limit_admission && self.now - self.level_changed_at >= TICK_MS {
-            let tried = self.fleet.try_rate(self.recent_window_ms())
-                >= BACKLOG_RATE_SHARE * self.sustained_rate;
-            let heavy = tried && self.strained(self.fleet.median, OVERLOAD_LIMIT_SHARE);
-            let (down, up) = (self.admission_level * 0.8, self.admission_level + 0.1);
-            let level = if heavy { down } else { up };
-            (self.admission_level, self.level_changed_at) = (level.clamp(0.1, 1.0), self.now);
-        }
-        let share = |cheap: &f64| (self.admission_level.powf(*cheap), RetryPolicy::OnProof);
-        let ways: Vec<_> = self.settings.level_exponents.iter().map(share).collect();
+            let try_rate = self.fleet.try_rate(self.recent_window_ms());
+            let is_loaded = try_rate >= BACKLOG_RATE_SHARE * self.sustained_rate;
+            let overloaded = is_loaded && self.is_strained(self.fleet.median, OVERLOAD_LIMIT_SHARE);
+            let level = if overloaded {
+                self.admission_level * 0.8
+            } else {
+                self.admission_level + 0.1
+            };
+            self.admission_level = level.clamp(0.1, 1.0);
+            self.level_changed_at = self.now;
+        }
+        let class_level = |exponent: &f64| Level {
+            share: self.admission_level.powf(*exponent),
+            retry_policy: RetryPolicy::OnProof,
+        };
+        let exponents = self.settings.level_exponents.iter();
+        let levels: Vec<_> = exponents.map(class_level).collect();
         let parts = self.channel.parts.len();
-        let price = |part| self.channel.cost(Some(part), ways.len() as f64);
-        let room = self.fits_queue(QUEUE_SHARE, (0..parts).map(price).sum());
-        if ways == self.ordered_levels
+        let part_cost = |part| self.channel.cost(Some(part), levels.len() as f64);
+        if levels == self.ordered_levels
             || parts == 0
-            || !room
+            || !self.fits_queue(QUEUE_SHARE, (0..parts).map(part_cost).sum())
             || !self.may_send(MESSAGE_SHARE, self.channel.max_messages(None))
         {
             return false;
         }
-        for (class, way) in ways.iter().enumerate() {
-            for part in (0..parts).filter(|_| self.ordered_levels[class] != *way) {
+        for (class, level) in levels.iter().enumerate() {
+            for part in (0..parts).filter(|_| self.ordered_levels[class] != *level) {
                 self.channel.add(Some(part), 1.0, 0.0);
-                self.orders.levels.push((part, class, way.0, way.1));
+                let order = (part, class, level.share, level.retry_policy);
+                self.orders.levels.push(order);
             }
         }
-        self.ordered_levels = ways;
+        self.ordered_levels = levels;
         true
     }
 
@@ -563,56 +619,61 @@
     /// failing servers, and lines of an empty part are published at once. Lines are written as far as
     /// the limits of the channel allow, the largest drops first; the others wait.
     fn publish_weights(&mut self) -> bool {
-        let due = self.now >= self.next_tick;
-        if due {
+        let on_tick = self.now >= self.next_tick;
+        if on_tick {
             self.next_tick = self.now + TICK_MS;
         }
         let targets = self.target_weights();
-        let held = |s: usize| self.servers[s].published_weight;
-        let mut stay = vec![false; self.channel.parts.len()];
-        for (s, part, t) in &targets {
-            stay[*part] |= *t > 0.0 && held(*s) > 0.0;
-        }
-        let bare: Vec<_> = (0..stay.len())
-            .map(|p| self.has_no_weight(Some(p)))
-            .collect();
-        let off = |(s, part, t): &(usize, usize, f64)| {
-            let changed = (t - held(*s)).abs() > WEIGHT_TOLERANCE * held(*s);
-            let shut = self.servers[*s].withdrawn && !self.servers[*s].is_ready();
-            let urgent = bare[*part] || stay[*part] && *t < held(*s) * URGENT_DROP_SHARE && !shut;
-            (changed || (*t == 0.0) != (held(*s) == 0.0)) && (due || urgent)
+        let published = |t: &TargetWeight| self.servers[t.server].published_weight;
+        // Parts in which a server has a weight and keeps one.
+        let mut keeps_weight = vec![false; self.channel.parts.len()];
+        for t in &targets {
+            keeps_weight[t.part] |= t.weight > 0.0 && published(t) > 0.0;
+        }
+        let parts = 0..self.channel.parts.len();
+        let is_empty: Vec<_> = parts.map(|part| self.part_is_empty(part)).collect();
+        let is_due = |t: &TargetWeight| {
+            let server = &self.servers[t.server];
+            let shut_out = server.withdrawn && !server.is_ready();
+            let drops = t.weight < published(t) * URGENT_DROP_SHARE && !shut_out;
+            let urgent = is_empty[t.part] || keeps_weight[t.part] && drops;
+            let differs = (t.weight - published(t)).abs() > WEIGHT_TOLERANCE * published(t);
+            let changed = differs || (t.weight == 0.0) != (published(t) == 0.0);
+            changed && (on_tick || urgent)
         };
-        let mut lines: Vec<_> = targets.into_iter().filter(off).collect();
-        let rise = |(s, _, t): &(usize, usize, f64)| {
-            let fall = *t < held(*s);
-            if fall {
-                t / held(*s)
+        let mut due: Vec<_> = targets.into_iter().filter(is_due).collect();
+        // Drops sort below 1, the largest first; rises sort above it.
+        let rank = |t: &TargetWeight| {
+            if t.weight < published(t) {
+                t.weight / published(t)
             } else {
-                1.0 + held(*s) / t
+                1.0 + published(t) / t.weight
             }
         };
-        lines.sort_by(|a, b| rise(a).total_cmp(&rise(b)));
+        due.sort_by(|a, b| rank(a).total_cmp(&rank(b)));
         let mut wrote = false;
-        for (s, part, t) in lines {
-            let low = t < self.servers[s].published_weight * URGENT_DROP_SHARE;
-            let (share, messages) = if low {
+        for t in due {
+            let urgent = t.weight < self.servers[t.server].published_weight * URGENT_DROP_SHARE;
+            let (queue_share, message_share) = if urgent {
                 (URGENT_QUEUE_SHARE, URGENT_MESSAGE_SHARE)
             } else {
                 (QUEUE_SHARE, MESSAGE_SHARE)
             };
-            if !self.fits_queue(share, self.channel.cost(Some(part), 1.0)) {
+            if !self.fits_queue(queue_share, self.channel.cost(Some(t.part), 1.0)) {
                 break;
             }
-            if !self.may_send(messages, self.channel.max_messages(Some(part))) {
+            if !self.may_send(message_share, self.channel.max_messages(Some(t.part))) {
                 continue;
             }
             wrote = true;
-            self.channel.add(Some(part), 1.0, 0.0);
-            self.servers[s].set_published_weight(t);
-            self.orders.lines.retain(|(_, other, _)| *other != s);
-            self.orders.lines.push((part, s, t));
+            self.channel.add(Some(t.part), 1.0, 0.0);
+            self.servers[t.server].set_published_weight(t.weight);
+            self.orders
+                .lines
+                .retain(|(_, server, _)| *server != t.server);
+            self.orders.lines.push((t.part, t.server, t.weight));
         }
-        wrote || due
+        wrote || on_tick
     }
 
     /// Binds a new proxy to the part with the least load, preferably of its own zone; until then the
@@ -621,57 +682,61 @@
     /// for the time of a ramp, since they keep their tables and their visits return. Without that, the
     /// parts of a zone that is being cut off would seem idle while its proxies leave.
     fn bind_proxy(&mut self) -> bool {
-        let (now, ramp) = (self.now, RAMP_TICKS * TICK_MS);
-        let kept = ramp.max(self.channel.message_window_ms);
-        self.departed.retain(|_, (at, _)| now - *at < kept);
-        let lately = self.departed.values().filter(|(at, _)| now - at < ramp);
-        let all = self.proxies.values().chain(lately.map(|(_, p)| p));
-        let loads = self.channel.loads(&self.servers, all, &self.unreachable);
-        let cost = |p: &Proxy, part: usize, more: f64| {
-            let is_in_other_zone = self.channel.parts[part].is_in_other_zone(p.zone);
-            (loads[part].0 + more) / loads[part].1
-                * if is_in_other_zone {
-                    OTHER_ZONE_FACTOR
-                } else {
-                    1.0
-                }
+        let (now, ramp_ms) = (self.now, RAMP_TICKS * TICK_MS);
+        let kept_ms = ramp_ms.max(self.channel.message_window_ms);
+        self.departed
+            .retain(|_, (left_at, _)| now - *left_at < kept_ms);
+        let departed = self.departed.values();
+        let departed = departed.filter(|(left_at, _)| now - left_at < ramp_ms);
+        let proxies = self.proxies.values().chain(departed.map(|(_, p)| p));
+        let loads = self
+            .channel
+            .loads(&self.servers, proxies, &self.unreachable);
+        // Visits per weight of a part to which `more` visits are added, as the proxy rates it.
+        let load = |p: &Proxy, part: usize, more: f64| {
+            let is_remote = self.channel.parts[part].is_in_other_zone(p.zone);
+            let factor = if is_remote { OTHER_ZONE_FACTOR } else { 1.0 };
+            (loads[part].visit_rate + more) / loads[part].weight * factor
         };
-        let least = |p: &Proxy| {
-            let open = (0..loads.len()).filter(|part| loads[*part].1 > 0.0);
-            open.min_by(|a, b| cost(p, *a, p.visit_rate).total_cmp(&cost(p, *b, p.visit_rate)))
+        let least_loaded = |p: &Proxy| {
+            let parts = (0..loads.len()).filter(|part| loads[*part].weight > 0.0);
+            parts.min_by(|a, b| load(p, *a, p.visit_rate).total_cmp(&load(p, *b, p.visit_rate)))
         };
-        let uneven = |p: &Proxy, from: usize, times: f64| {
-            let better = |to| cost(p, from, 0.0) > times * cost(p, to, p.visit_rate);
-            loads[from].1 == 0.0 || p.visit_rate > 0.0 && least(p).is_some_and(better)
+        let is_overloaded = |p: &Proxy, part: usize, factor: f64| {
+            let is_better = |to| load(p, part, 0.0) > factor * load(p, to, p.visit_rate);
+            let can_improve = || p.visit_rate > 0.0 && least_loaded(p).is_some_and(is_better);
+            loads[part].weight == 0.0 || can_improve()
         };
-        let waiting = self.proxies.iter().find(|(_, p)| p.part.is_none());
         // The limit counts the proxy's own messages; urgent moves may use more of it.
         let moves = |p: &Proxy| {
-            let from = p.part.filter(|from| uneven(p, *from, REBALANCE_FACTOR));
-            from.is_some_and(|from| {
-                let share = if uneven(p, from, URGENT_REBALANCE_FACTOR) {
+            let overloaded = p
+                .part
+                .filter(|part| is_overloaded(p, *part, REBALANCE_FACTOR));
+            overloaded.is_some_and(|part| {
+                let share = if is_overloaded(p, part, URGENT_REBALANCE_FACTOR) {
                     URGENT_MESSAGE_SHARE
                 } else {
                     MESSAGE_SHARE
                 };
-                self.may_send(
-                    share,
-                    p.recent_messages(now, self.channel.message_window_ms),
-                )
+                let sent = p.recent_messages(now, self.channel.message_window_ms);
+                self.may_send(share, sent)
             })
         };
-        let found = waiting.or_else(|| self.proxies.iter().find(|(_, p)| moves(p)));
-        let Some((i, to)) = found.and_then(|(i, p)| Some((*i, least(p)?))) else {
+        let unbound = self.proxies.iter().find(|(_, p)| p.part.is_none());
+        let found = unbound.or_else(|| self.proxies.iter().find(|(_, p)| moves(p)));
+        let Some((i, part)) = found.and_then(|(i, p)| Some((*i, least_loaded(p)?))) else {
             return false;
         };
-        let price = self.part_lines(to) + self.settings.message_overhead_lines;
-        if self.orders.bindings.iter().any(|b| b.0 == i) || !self.fits_queue(QUEUE_SHARE, price) {
+        let lines = self.part_lines(part) + self.settings.message_overhead_lines;
+        let is_bound = self.orders.bindings.iter().any(|(proxy, _)| *proxy == i);
+        if is_bound || !self.fits_queue(QUEUE_SHARE, lines) {
             return false;
         }
-        self.channel.add(None, 0.0, price);
-        self.orders.bindings.push((i, to));
+        self.channel.add(None, 0.0, lines);
+        self.orders.bindings.push((i, part));
         if let Some(proxy) = self.proxies.get_mut(&i) {
-            (proxy.part, proxy.binding_lines) = (Some(to), price);
+            proxy.part = Some(part);
+            proxy.binding_lines = lines;
         }
         true
     }
@@ -679,10 +744,11 @@
     /// Probes a server that is ejected, cold or in an unreachable zone: it gets few visits or none, and
     /// the absence of failures doesn't show that it works.
     fn probe_uncertain_server(&mut self) -> bool {
-        let doubtful =
-            |s: &Server| s.is_ready() && (s.health == 0.0 || s.cold || self.unreachable[s.zone]);
-        let due = |s: &Server| doubtful(s) && self.now - s.probed_at >= TICK_MS / 2.0;
-        let Some(s) = self.find_server(|s| self.settings.may_probe && due(s)) else {
+        let is_uncertain = |s: &Server| s.health == 0.0 || s.cold || self.unreachable[s.zone];
+        let is_due = |s: &Server| self.now - s.probed_at >= TICK_MS / 2.0;
+        let may_probe = self.settings.may_probe;
+        let found = self.find_server(|s| may_probe && s.is_ready() && is_uncertain(s) && is_due(s));
+        let Some(s) = found else {
             return false;
         };
         self.servers[s].probed_at = self.now;
@@ -702,10 +768,17 @@
         self.servers.iter().filter(|s| s.is_ready())
     }
 
+    /// All servers that are in a part of the table, with its index.
+    fn assigned_servers(&self) -> impl Iterator<Item = (&Server, usize)> {
+        self.servers
+            .iter()
+            .filter_map(|s| s.part.map(|part| (s, part)))
+    }
+
     /// Whether servers of a zone have been tried recently.
     fn zone_has_tries(&self, zone: usize) -> bool {
-        let there = self.ready_servers().filter(|s| s.zone == zone);
-        there.map(|s| s.recent.tries).sum::<f64>() >= MIN_TRIES
+        let servers = self.ready_servers().filter(|s| s.zone == zone);
+        servers.map(|s| s.recent.tries).sum::<f64>() >= MIN_TRIES
     }
 
     /// Whether a proxy of a zone is joined.
@@ -714,24 +787,27 @@
     }
 
     /// Whether a part has ready servers, but none with a published weight.
-    fn has_no_weight(&self, part: Option<usize>) -> bool {
-        let mut there = self.ready_servers().filter(|s| s.part == part).peekable();
-        part.is_some() && there.peek().is_some() && !there.any(|s| s.published_weight > 0.0)
+    fn part_is_empty(&self, part: usize) -> bool {
+        let servers = self.ready_servers().filter(|s| s.part == Some(part));
+        let mut servers = servers.peekable();
+        servers.peek().is_some() && !servers.any(|s| s.published_weight > 0.0)
     }
 
-    /// Withdraws a server (`out`) or allows it again, if the channel has room. Proxies that are not
-    /// bound yet hold a few lines of their own, this server's perhaps, and get a share of the messages.
-    fn set_withdrawn(&mut self, s: usize, out: bool, share: f64) -> bool {
+    /// Withdraws a server or allows it again, if its lines fit into a share of the queue. Proxies that
+    /// are not bound yet hold a few servers of their own, this one perhaps, and get a share of the cost.
+    fn set_withdrawn(&mut self, s: usize, withdrawn: bool, queue_share: f64) -> bool {
         let part = self.servers[s].part;
-        let strays = self.proxies.values().filter(|p| p.part.is_none()).count() as f64;
-        let drawn = self.settings.initial_servers / self.servers.len() as f64;
-        let others = strays * drawn.min(1.0) * (1.0 + self.settings.message_overhead_lines);
-        if !self.fits_queue(share, others + self.channel.cost(part, 1.0)) {
+        let unbound = self.proxies.values().filter(|p| p.part.is_none());
+        let unbound = unbound.count() as f64;
+        let held_share = self.settings.initial_servers / self.servers.len() as f64;
+        let message_lines = 1.0 + self.settings.message_overhead_lines;
+        let unbound_lines = unbound * held_share.min(1.0) * message_lines;
+        if !self.fits_queue(queue_share, unbound_lines + self.channel.cost(part, 1.0)) {
             return false;
         }
-        self.channel.add(part, 1.0, others);
-        self.servers[s].withdrawn = out;
-        self.orders.withdrawals.push((s, out));
+        self.channel.add(part, 1.0, unbound_lines);
+        self.servers[s].withdrawn = withdrawn;
+        self.orders.withdrawals.push((s, withdrawn));
         true
     }
 
@@ -740,202 +816,244 @@
     fn update_fleet_stats(&mut self) {
         let reports = std::mem::take(&mut self.reports);
         if reports.tries > 0.0 {
-            let full = reports.lines >= self.settings.max_report_lines * REPORTS_FULL_SHARE;
-            self.fleet.report_delay_ms = if full {
+            let others_queued =
+                reports.lines >= self.settings.max_report_lines * REPORTS_FULL_SHARE;
+            self.fleet.report_delay_ms = if others_queued {
                 reports.delayed_tries_ms / reports.tries
             } else {
                 0.0
             };
         }
-        let waits = (self.fleet.report_delay_ms / self.settings.bucket_ms).ceil();
-        self.fleet.recent_buckets = RECENT_BUCKETS.max(waits as u64 + 1);
+        let delay_buckets = (self.fleet.report_delay_ms / self.settings.bucket_ms).ceil();
+        self.fleet.recent_buckets = RECENT_BUCKETS.max(delay_buckets as u64 + 1);
         for s in &mut self.servers {
             s.update_recent(self.now, &self.settings, &self.fleet);
         }
         self.fleet.update(&self.servers);
-        if self.fleet.used_weight > 0.0 && !self.strained(self.fleet.median, OVERLOAD_LIMIT_SHARE) {
-            self.sustained_rate = self
-                .sustained_rate
-                .max(self.fleet.try_rate(self.recent_window_ms()));
+        let overloaded = self.is_strained(self.fleet.median, OVERLOAD_LIMIT_SHARE);
+        if self.fleet.used_weight > 0.0 && !overloaded {
+            let try_rate = self.fleet.try_rate(self.recent_window_ms());
+            self.sustained_rate = self.sustained_rate.max(try_rate);
         }
     }
 
-    /// Whether the fleet as a whole is slow or failing, so that others can't take over the load of one
-    /// server. `norm` is the fleet's share of failures and mean time.
-    fn strained(&self, norm: (f64, f64), limit: f64) -> bool {
-        norm.0 > STRAIN_FAILURE_SHARE || norm.1 > self.settings.min_soft_limit_ms * limit
+    /// Whether the fleet as a whole is slow or failing at a quantile, so that others can't take over
+    /// the load of one server.
+    fn is_strained(&self, quantile: FleetQuantile, limit_share: f64) -> bool {
+        quantile.failure_share > STRAIN_FAILURE_SHARE
+            || quantile.mean_ms > self.settings.min_soft_limit_ms * limit_share
     }
 
     /// Whether a server fails for every zone that has tried it often enough; failures in one zone only
     /// point to a link. A server whose successful tries were slow is overloaded rather than broken:
     /// without it, the others would be overloaded next.
     fn is_failing(&self, s: &Server) -> bool {
-        let least = FAILING_SHARE.max(self.fleet.median.0 * OUTLIER_FACTOR);
-        let bad = |b: &Bucket| b.failure_share() >= least;
-        let zone_stats = s
-            .zone_stats
-            .iter()
-            .map(|v| v.total(0, self.fleet.recent_buckets));
-        let mut tried = zone_stats.filter(|b| b.tries >= MIN_TRIES / 2.0);
-        let (all, long) = (
-            s.recent,
-            s.total(0, RECENT_BUCKETS * self.fleet.recent_buckets),
-        );
-        let broken =
-            long.mean_ms().max(all.mean_ms()) <= self.settings.min_soft_limit_ms * SLOW_LIMIT_SHARE;
-        let silent = all.successes() == 0.0 && self.fleet.median.0 <= STRAIN_FAILURE_SHARE;
-        broken && has_enough_tries(&all, silent) && bad(&all) && tried.all(|b| bad(&b))
+        let buckets = self.fleet.recent_buckets;
+        let min_share = FAILING_SHARE.max(self.fleet.median.failure_share * OUTLIER_FACTOR);
+        let fails = |total: &Bucket| total.failure_share() >= min_share;
+        let zones = s.zone_stats.iter().map(|zone| zone.total(0, buckets));
+        let mut tried = zones.filter(|total| total.tries >= MIN_TRIES / 2.0);
+        let longer = s.total(0, RECENT_BUCKETS * buckets);
+        let fast_ms = self.settings.min_soft_limit_ms * SLOW_LIMIT_SHARE;
+        let was_fast = longer.mean_ms().max(s.recent.mean_ms()) <= fast_ms;
+        let clear =
+            s.recent.successes() == 0.0 && self.fleet.median.failure_share <= STRAIN_FAILURE_SHARE;
+        was_fast
+            && has_enough_tries(&s.recent, clear)
+            && fails(&s.recent)
+            && tried.all(|total| fails(&total))
     }
 
     /// Whether a server was slow or didn't answer in each of the last buckets, so that one costly visit
-    /// doesn't count. `times` is the multiple of the best quarter's time that counts as slow.
-    fn is_slow(&self, s: &Server, times: f64) -> bool {
-        let bar = (times * self.fleet.best_quarter.1)
-            .max(self.settings.min_soft_limit_ms * SLOW_LIMIT_SHARE);
-        let mut each = (1..=RECENT_BUCKETS).map(|back| s.total(back, 1));
-        let late = |b: Bucket| b.mean_ms() > bar || b.successes() == 0.0 && b.tries > 0.0;
-        let clear = s.recent.mean_ms() > bar * OUTLIER_FACTOR;
-        has_enough_tries(&s.recent, clear) && each.all(late)
+    /// doesn't count. `factor` is the multiple of the best quarter's time that counts as slow.
+    fn is_slow(&self, s: &Server, factor: f64) -> bool {
+        let fast_ms = self.settings.min_soft_limit_ms * SLOW_LIMIT_SHARE;
+        let limit_ms = (factor * self.fleet.best_quarter.mean_ms).max(fast_ms);
+        let is_late = |total: Bucket| {
+            total.mean_ms() > limit_ms || total.successes() == 0.0 && total.tries > 0.0
+        };
+        let clear = s.recent.mean_ms() > limit_ms * OUTLIER_FACTOR;
+        let mut buckets = (1..=RECENT_BUCKETS).map(|back| s.total(back, 1));
+        has_enough_tries(&s.recent, clear) && buckets.all(is_late)
     }
 
-    /// Multiplies the health of the first server that `bad` holds for by `keep`. The total loss is
+    /// Multiplies the health of the first server that `is_bad` holds for by `keep`. The total loss is
     /// limited, as failures of most of the fleet are not the fault of each server; the limit doesn't
     /// apply to reductions in a fleet without strain, which only redistribute the load. In a strained
     /// fleet, only servers without any successful try are affected.
-    fn penalize(&mut self, bad: Verdict, keep: f64, norm: (f64, f64), word: &str) -> bool {
-        let strained = self.strained(norm, STRAIN_LIMIT_SHARE);
-        let apart = self.fleet.median.1 > SPREAD_FACTOR * self.fleet.best_quarter.1;
-        let wait = if apart {
+    fn penalize(
+        &mut self,
+        is_bad: Verdict,
+        keep: f64,
+        quantile: FleetQuantile,
+        word: &str,
+    ) -> bool {
+        let strained = self.is_strained(quantile, STRAIN_LIMIT_SHARE);
+        let has_spare = self.fleet.median.mean_ms > SPREAD_FACTOR * self.fleet.best_quarter.mean_ms;
+        let delay_ms = if has_spare {
             0.0
         } else {
             self.fleet.report_delay_ms
         };
-        let window = self.settings.bucket_ms * self.fleet.recent_buckets as f64 + wait;
-        let left = |s: &Server| s.weight * (MAX_EJECTED_SHARE - 1.0 + s.health);
-        let room: f64 = self.ready_servers().map(left).sum();
-        let guilty = |s: &Server| {
-            let shares = keep > 0.0 && !strained;
-            let fits = shares || s.weight * s.health * (1.0 - keep) <= room;
-            let settled = self.now - s.health_changed_at > window || s.health == 1.0;
-            let asked = s
-                .part
-                .is_some_and(|p| self.channel.parts[p].bound_proxies > 0.0);
-            let used = asked
+        let settling_ms = self.settings.bucket_ms * self.fleet.recent_buckets as f64 + delay_ms;
+        let allowed = |s: &Server| s.weight * (MAX_EJECTED_SHARE - 1.0 + s.health);
+        let allowed_loss: f64 = self.ready_servers().map(allowed).sum();
+        let is_affected = |s: &Server| {
+            let redistributes = keep > 0.0 && !strained;
+            let fits = redistributes || s.weight * s.health * (1.0 - keep) <= allowed_loss;
+            let settled = self.now - s.health_changed_at > settling_ms || s.health == 1.0;
+            let has_proxies = |part: usize| self.channel.parts[part].bound_proxies > 0.0;
+            let is_used = s.part.is_some_and(has_proxies)
                 && s.is_ready()
                 && s.published_weight > 0.0
                 && s.health > 0.0
                 && !self.unreachable[s.zone];
-            let needed = strained && s.recent.successes() > 0.0;
-            used && fits && settled && !needed && bad(self, s)
+            let is_needed = strained && s.recent.successes() > 0.0;
+            is_used && fits && settled && !is_needed && is_bad(self, s)
         };
-        let Some(s) = self.find_server(guilty) else {
+        let Some(s) = self.find_server(is_affected) else {
             return false;
         };
-        let health = self.servers[s].health * keep;
-        (self.servers[s].health, self.servers[s].health_changed_at) = (health, self.now);
-        let note = format!("server {s} is {word}: health {health:.2}");
+        let server = &mut self.servers[s];
+        server.health *= keep;
+        server.health_changed_at = self.now;
+        let note = format!("server {s} is {word}: health {:.2}", server.health);
         self.orders.notes.push(note);
         true
     }
 
     /// Marks a zone as unreachable or reachable and resets the health and statistics of its servers,
     /// since what was reported of them was due to the link.
-    fn reset_zone(&mut self, zone: usize, cut: bool, word: &str) {
-        self.unreachable[zone] = cut;
+    fn reset_zone(&mut self, zone: usize, unreachable: bool, words: &str) {
+        self.unreachable[zone] = unreachable;
         for s in self.servers.iter_mut().filter(|s| s.zone == zone) {
-            (s.health, s.health_changed_at) = (1.0, self.now);
+            s.health = 1.0;
+            s.health_changed_at = self.now;
             s.zone_stats.fill(ZoneStats::since(self.now));
         }
-        self.orders.notes.push(format!("zone {zone} {word}"));
+        self.orders.notes.push(format!("zone {zone} {words}"));
     }
 
-    /// The weight that each server should have, as (server, part, weight): listed weight times ramp
-    /// times health, limited for cold servers. In a part where no weight would remain, health and
-    /// unreachable zones are ignored.
-    fn target_weights(&self) -> Vec<(usize, usize, f64)> {
-        let ramp = |s: &Server| {
-            let gone = (self.now - s.ramp_started_at) / (RAMP_TICKS * TICK_MS);
-            (RAMP_START_SHARE + (1.0 - RAMP_START_SHARE) * gone).min(1.0)
-        };
-        let whole = |s: &Server| {
-            if s.is_ready() {
-                s.weight * ramp(s)
+    /// The weight that each server should have: listed weight times ramp times health, limited for cold
+    /// servers. In a part where no weight would remain, health and unreachable zones are ignored.
+    fn target_weights(&self) -> Vec<TargetWeight> {
+        let parts = self.part_totals();
+        let has_warm = parts.iter().any(|part| part.has_warm);
+        let target = |(server, s): (usize, &Server)| {
+            let part = s.part?;
+            let weight = self.uncapped_weight(s, &parts[part]);
+            let weight = if s.cold && has_warm {
+                weight.min(self.max_cold_weight(s, &parts[part]))
             } else {
-                0.0
-            }
+                weight
+            };
+            Some(TargetWeight {
+                server,
+                part,
+                weight,
+            })
         };
-        let cut = |s: &Server| self.unreachable[s.zone];
-        let judged = |s: &Server| if cut(s) { 0.0 } else { whole(s) * s.health };
-        let mut some = vec![false; self.channel.parts.len()];
-        let dealt = || self.servers.iter().filter_map(|s| s.part.map(|p| (s, p)));
-        dealt().for_each(|(s, p)| some[p] |= judged(s) > 0.0);
-        let line = |s: &Server, p: usize| if some[p] { judged(s) } else { whole(s) };
-        // Proxies avoid servers that fail, so only the share that warm servers answer counts.
-        let (mut warm, mut tries) = (vec![0.0; some.len()], vec![0.0; some.len()]);
-        let mut any = vec![false; some.len()];
-        for (s, p) in dealt() {
-            tries[p] += s.recent.tries;
+        self.servers.iter().enumerate().filter_map(target).collect()
+    }
+
+    /// Totals of each part of the shared table.
+    fn part_totals(&self) -> Vec<PartTotals> {
+        let mut parts = vec![PartTotals::default(); self.channel.parts.len()];
+        for (s, part) in self.assigned_servers() {
+            parts[part].has_healthy |= self.healthy_weight(s) > 0.0;
+        }
+        for (s, part) in self.assigned_servers() {
+            let part = &mut parts[part];
+            part.tries += s.recent.tries;
             if !s.cold {
-                warm[p] += line(s, p) * (1.0 - s.recent.failure_share());
-                any[p] |= line(s, p) > 0.0;
+                let weight = self.uncapped_weight(s, part);
+                // Proxies avoid servers that fail, so only the share that warm servers answer counts.
+                part.warm_weight += weight * (1.0 - s.recent.failure_share());
+                part.has_warm |= weight > 0.0;
             }
         }
-        let over = self.strained(self.fleet.median, OVERLOAD_LIMIT_SHARE);
-        let caution = if over {
-            COLD_LOAD_OVERLOAD_DIVISOR
+        parts
+    }
+
+    /// Listed weight times ramp; 0 unless the server is ready.
+    fn ramped_weight(&self, s: &Server) -> f64 {
+        let ramp_done = (self.now - s.ramp_started_at) / (RAMP_TICKS * TICK_MS);
+        let ramp = (RAMP_START_SHARE + (1.0 - RAMP_START_SHARE) * ramp_done).min(1.0);
+        if s.is_ready() { s.weight * ramp } else { 0.0 }
+    }
+
+    /// Listed weight times ramp times health; 0 in an unreachable zone.
+    fn healthy_weight(&self, s: &Server) -> f64 {
+        if self.unreachable[s.zone] {
+            0.0
+        } else {
+            self.ramped_weight(s) * s.health
+        }
+    }
+
+    /// The weight of a server without the limit for cold ones.
+    fn uncapped_weight(&self, s: &Server, part: &PartTotals) -> f64 {
+        if part.has_healthy {
+            self.healthy_weight(s)
         } else {
-            1.0
+            self.ramped_weight(s)
+        }
+    }
+
+    /// The highest weight that a cold server may have, so that its load stays within its capacity.
+    fn max_cold_weight(&self, s: &Server, part: &PartTotals) -> f64 {
+        // Reports are delayed, but a slow probe shows at once that the server is sent too much.
+        if self.now - s.probe_failed_at < EJECTION_TICKS * TICK_MS {
+            return 0.0;
+        }
+        let max_share =
+            self.cold_load_factor(part) * self.capacity_share(s) * self.settings.max_cold_load;
+        // If hardly any other server answers, any weight at all would attract all visits.
+        let max_share = if max_share < RAMP_START_SHARE / 2.0 {
+            0.0
+        } else {
+            max_share
         };
-        let room = |p: usize| {
-            // Without a known load, the fleet is assumed to be far above its capacity.
-            let known = self.sustained_rate > 0.0 && tries[p] > 0.0;
-            // Without warm servers, the load of the part depends only on the proxies bound to it.
-            let some = warm[p] * self.sustained_rate / (tries[p] / self.recent_window_ms());
-            let room = if any[p] { some } else { 1.0 };
-            if known {
-                room / caution
-            } else {
-                COLD_LOAD_UNKNOWN_FACTOR / caution
-            }
+        // While the server gets few tries and answers fast, its weight may grow.
+        let max_rate =
+            self.sustained_rate * s.weight * self.capacity_share(s) * self.settings.max_cold_load;
+        let has_few_tries = s.recent.tries / self.recent_window_ms() < max_rate / 3.0;
+        let fast_ms = self.settings.min_soft_limit_ms * SLOW_LIMIT_SHARE;
+        let is_fast = s.recent.successes() > 0.0 && s.recent.mean_ms() < fast_ms;
+        let growth = if has_few_tries && is_fast {
+            COLD_GROWTH_FACTOR
+        } else {
+            0.0
         };
-        let capped = |s: &Server, p: usize| {
-            let part = room(p) * self.capacity_share(s) * self.settings.max_cold_load;
-            // If hardly any other server answers, any weight at all would attract all visits.
-            let part = if part < RAMP_START_SHARE / 2.0 {
-                0.0
-            } else {
-                part
-            };
-            // While the server gets few tries and answers fast, its weight may grow.
-            let able = self.sustained_rate
-                * s.weight
-                * self.capacity_share(s)
-                * self.settings.max_cold_load;
-            let little = s.recent.tries / self.recent_window_ms() < able / 3.0;
-            let fast = s.recent.successes() > 0.0
-                && s.recent.mean_ms() < self.settings.min_soft_limit_ms * SLOW_LIMIT_SHARE;
-            let grown = if little && fast {
-                COLD_GROWTH_FACTOR
-            } else {
-                0.0
-            };
-            let most = (grown * s.published_weight).max(part * s.weight);
-            // Reports are delayed, but a slow probe shows at once that the server is sent too much.
-            let full = self.now - s.probe_failed_at < EJECTION_TICKS * TICK_MS;
-            let most = if full { 0.0 } else { most };
-            let budget = s.cold && any.contains(&true);
-            line(s, p).min(if budget { most } else { f64::INFINITY })
+        (growth * s.published_weight).max(max_share * s.weight)
+    }
+
+    /// Factor on the load that a cold server of a part may get: how many times its current load the
+    /// part's warm servers could take.
+    fn cold_load_factor(&self, part: &PartTotals) -> f64 {
+        // Without a known load, the fleet is assumed to be far above its capacity.
+        let is_known = self.sustained_rate > 0.0 && part.tries > 0.0;
+        let factor = if !is_known {
+            COLD_LOAD_UNKNOWN_FACTOR
+        } else if part.has_warm {
+            part.warm_weight * self.sustained_rate / (part.tries / self.recent_window_ms())
+        } else {
+            // Without warm servers, the load of the part depends only on the proxies bound to it.
+            1.0
         };
-        let dealt = self.servers.iter().enumerate();
-        let line = |(i, s): (usize, &Server)| s.part.map(|p| (i, p, capped(s, p)));
-        dealt.filter_map(line).collect()
+        if self.is_strained(self.fleet.median, OVERLOAD_LIMIT_SHARE) {
+            factor / COLD_LOAD_OVERLOAD_DIVISOR
+        } else {
+            factor
+        }
     }
 
     /// Minimum share of its capacity that a server has at this time after its start.
     fn capacity_share(&self, s: &Server) -> f64 {
-        let age = s.started_at.map_or(f64::INFINITY, |at| self.now - at);
-        let warm = (age / self.settings.warm_up_ms).min(1.0);
-        self.settings.cold_capacity_share + (1.0 - self.settings.cold_capacity_share) * warm
+        let age_ms = s.started_at.map_or(f64::INFINITY, |at| self.now - at);
+        let warm_share = (age_ms / self.settings.warm_up_ms).min(1.0);
+        let cold_share = self.settings.cold_capacity_share;
+        cold_share + (1.0 - cold_share) * warm_share
     }
 
     /// Length of the recent time. Its newest bucket is still filling, unless reports are delayed.
@@ -946,23 +1064,18 @@
 
     /// Number of lines that a binding to a part sends: weights, withdrawals and levels.
     fn part_lines(&self, part: usize) -> f64 {
-        let kept = self.servers.iter().filter(|s| s.part == Some(part));
-        let lines = kept
-            .filter(|s| s.published_weight > 0.0 || s.withdrawn)
-            .count();
-        (lines + self.ordered_levels.len()) as f64
-    }
-
-    /// Whether lines that cost `price` fit into a share of the channel's queue. All lines that no proxy
-    /// has acknowledged may still be queued, except those that can be in flight. Ordinary lines leave
-    /// room for urgent ones, even in case nothing is in flight.
-    fn fits_queue(&self, share: f64, price: f64) -> bool {
-        let lines = self.channel.queued_lines + self.channel.added_lines + price;
-        let queued = lines
-            - self
-                .settings
-                .max_in_flight_lines
-                .min(self.channel.queued_lines);
+        let servers = self.servers.iter().filter(|s| s.part == Some(part));
+        let lines = servers.filter(|s| s.published_weight > 0.0 || s.withdrawn);
+        (lines.count() + self.ordered_levels.len()) as f64
+    }
+
+    /// Whether more lines fit into a share of the channel's queue. All lines that no proxy has
+    /// acknowledged may still be queued, except those that can be in flight. Ordinary lines leave room
+    /// for urgent ones, even in case nothing is in flight.
+    fn fits_queue(&self, share: f64, more: f64) -> bool {
+        let unacknowledged = self.channel.queued_lines;
+        let lines = unacknowledged + self.channel.added_lines + more;
+        let queued = lines - self.settings.max_in_flight_lines.min(unacknowledged);
         queued.max(lines * share / share.max(URGENT_QUEUE_SHARE))
             <= self.settings.max_queued_lines * share
     }
@@ -973,10 +1086,10 @@
             .map_or(0.0, |part| self.channel.max_messages(Some(part)))
     }
 
-    /// Whether a proxy that was sent `written` messages recently may be sent another one, within a share
-    /// of its limit. For a part, `written` is that of its proxy with the most; other parts don't wait.
-    fn may_send(&self, share: f64, written: f64) -> bool {
-        written < (self.settings.max_messages - 1.0) * share
+    /// Whether a proxy that was sent this many messages recently may be sent another one, within a share
+    /// of its limit. For a part, the proxy with the most messages counts; other parts don't wait for it.
+    fn may_send(&self, share: f64, recent_messages: f64) -> bool {
+        recent_messages < (self.settings.max_messages - 1.0) * share
     }
 
     /// The status of each server, by index, for logs.
--- a/src/state.rs
+++ b/src/state.rs
@@ -18,7 +18,7 @@
 }
 
 impl Bucket {
-    /// The totals of both.
+    /// The sum of two totals.
     pub fn plus(mut self, other: &Bucket) -> Bucket {
         self.tries += other.tries;
         self.failed += other.failed;
@@ -57,41 +57,40 @@
 impl ZoneStats {
     /// Empty statistics that ignore reports of the time before `now`.
     pub fn since(now: f64) -> ZoneStats {
-        let (ignored_before, last_report_at) = (now, now);
         ZoneStats {
-            ignored_before,
-            last_report_at,
+            ignored_before: now,
+            last_report_at: now,
             ..ZoneStats::default()
         }
     }
 
     /// Records a report line, spread evenly over the time that it covers. Of a line that reaches back
     /// before `ignored_before`, only the time of its arrival is kept.
-    pub fn record(&mut self, now: f64, bucket_ms: f64, met: &TryStats) {
+    pub fn record(&mut self, now: f64, bucket_ms: f64, stats: &TryStats) {
         self.last_report_at = now;
-        if now - met.window_ms < self.ignored_before {
+        if now - stats.window_ms < self.ignored_before {
             return;
         }
         let newest = (now / bucket_ms) as u64;
-        let many = (met.window_ms / bucket_ms).round().max(1.0);
-        for back in 0..(many as u64).min(BUCKETS_KEPT as u64).min(newest + 1) {
+        let count = (stats.window_ms / bucket_ms).round().max(1.0);
+        for back in 0..(count as u64).min(BUCKETS_KEPT as u64).min(newest + 1) {
             let number = newest - back;
             let bucket = &mut self.buckets[number as usize % BUCKETS_KEPT];
             if bucket.number != number {
                 *bucket = Bucket::default();
             }
             bucket.number = number;
-            bucket.tries += met.tries / many;
-            bucket.failed += met.failed / many;
-            bucket.success_ms += met.mean_ms * (met.tries - met.failed).max(0.0) / many;
+            bucket.tries += stats.tries / count;
+            bucket.failed += stats.failed / count;
+            bucket.success_ms += stats.mean_ms * (stats.tries - stats.failed).max(0.0) / count;
         }
     }
 
-    /// The totals of `many` buckets, the newest `back` ones left out.
-    pub fn total(&self, back: u64, many: u64) -> Bucket {
-        let last = self.newest_bucket.saturating_sub(back);
-        let within = |b: &&Bucket| b.number <= last && last - b.number < many;
-        let buckets = self.buckets.iter().filter(within);
+    /// The totals of `count` buckets, the newest `skipped` ones left out.
+    pub fn total(&self, skipped: u64, count: u64) -> Bucket {
+        let newest = self.newest_bucket.saturating_sub(skipped);
+        let is_included = |b: &&Bucket| b.number <= newest && newest - b.number < count;
+        let buckets = self.buckets.iter().filter(is_included);
         buckets.fold(Bucket::default(), Bucket::plus)
     }
 }
@@ -168,29 +167,28 @@
 
     /// Updates the recent totals. They end at the newest bucket that a delayed report can have covered.
     pub fn update_recent(&mut self, now: f64, settings: &DerivedSettings, fleet: &FleetStats) {
-        for v in &mut self.zone_stats {
-            v.newest_bucket = ((now - (now - v.last_report_at).min(fleet.report_delay_ms))
-                / settings.bucket_ms) as u64;
+        for zone in &mut self.zone_stats {
+            let delay_ms = (now - zone.last_report_at).min(fleet.report_delay_ms);
+            zone.newest_bucket = ((now - delay_ms) / settings.bucket_ms) as u64;
         }
         self.recent = self.total(0, fleet.recent_buckets);
-        let began = |at| now - at < settings.warm_up_ms;
-        self.cold = self.started_at.is_some_and(began);
+        let is_cold = |started_at| now - started_at < settings.warm_up_ms;
+        self.cold = self.started_at.is_some_and(is_cold);
     }
 
-    /// The totals of all zones over `many` buckets, the newest `back` ones left out.
-    pub fn total(&self, back: u64, many: u64) -> Bucket {
-        let sums = self.zone_stats.iter().map(|v| v.total(back, many));
-        sums.fold(Bucket::default(), |a, b| a.plus(&b))
+    /// The totals of all zones over `count` buckets, the newest `skipped` ones left out.
+    pub fn total(&self, skipped: u64, count: u64) -> Bucket {
+        let zones = self.zone_stats.iter();
+        let totals = zones.map(|zone| zone.total(skipped, count));
+        totals.fold(Bucket::default(), |sum, total| sum.plus(&total))
     }
 
-    /// The totals of all zones but one.
-    pub fn total_without_zone(&self, zone: usize, many: u64) -> Bucket {
-        let zone_stats = self
-            .zone_stats
-            .iter()
-            .enumerate()
-            .filter(|(z, _)| *z != zone);
-        zone_stats.fold(Bucket::default(), |a, (_, v)| a.plus(&v.total(0, many)))
+    /// The totals of all zones but one over the newest `count` buckets.
+    fn total_without_zone(&self, zone: usize, count: u64) -> Bucket {
+        let zones = self.zone_stats.iter().enumerate();
+        let others = zones.filter(|(z, _)| *z != zone);
+        let totals = others.map(|(_, other)| other.total(0, count));
+        totals.fold(Bucket::default(), |sum, total| sum.plus(&total))
     }
 
     /// Records a newly published weight.
@@ -200,24 +198,30 @@
     }
 }
 
-/// Successful tries by the proxies of other zones than `zone`, and the weights that these tries
-/// followed: at the servers of that zone if `there` holds, otherwise at all other servers.
-pub fn successes_from_other_zones(
+/// Successful tries by proxies of other zones than a given one.
+#[derive(Default)]
+pub struct RemoteSuccesses {
+    pub successes: f64,
+    /// Weight of the servers that the tries were made at.
+    pub weight: f64,
+}
+
+/// Successful tries by the proxies of all zones but `zone` over the newest `count` buckets, at the ready
+/// servers of that zone (`inside`) or at all others.
+pub fn remote_successes(
     servers: &[Server],
     zone: usize,
-    there: bool,
-    many: u64,
-) -> (f64, f64) {
-    let asked = servers
-        .iter()
-        .filter(|s| s.is_ready() && (s.zone == zone) == there);
-    asked.fold((0.0, 0.0), |sum, s| {
-        let met = s.total_without_zone(zone, many);
-        (
-            sum.0 + met.successes(),
-            sum.1 + s.published_weight.max(s.previous_weight),
-        )
-    })
+    inside: bool,
+    count: u64,
+) -> RemoteSuccesses {
+    let mut sum = RemoteSuccesses::default();
+    for s in servers {
+        if s.is_ready() && (s.zone == zone) == inside {
+            sum.successes += s.total_without_zone(zone, count).successes();
+            sum.weight += s.published_weight.max(s.previous_weight);
+        }
+    }
+    sum
 }
 
 /// A joined proxy and the messages sent to it.
@@ -232,12 +236,18 @@
     pub part: Option<usize>,
     /// Lines that the current message contains for its binding.
     pub binding_lines: f64,
-    /// Messages that it has not acknowledged, as number and lines.
-    unacknowledged: VecDeque<(u64, f64)>,
+    /// Messages that it has not acknowledged, in the order of sending.
+    unacknowledged: VecDeque<SentMessage>,
     /// Times of the messages sent to it recently.
     message_times: VecDeque<f64>,
 }
 
+/// A message to one proxy.
+struct SentMessage {
+    number: u64,
+    lines: f64,
+}
+
 impl Proxy {
     /// A proxy without messages; its visits are taken to be spread evenly over the classes.
     pub fn new(zone: usize, visit_rate: f64, classes: usize) -> Proxy {
@@ -260,9 +270,9 @@
         self.visit_rate = self.class_rates.iter().sum();
     }
 
-    /// Records a message with this number of lines, and forgets the times before `message_window_ms`.
+    /// Records a message, and forgets the times of those that were sent before the message window.
     pub fn message_sent(&mut self, now: f64, message_window_ms: f64, number: u64, lines: f64) {
-        self.unacknowledged.push_back((number, lines));
+        self.unacknowledged.push_back(SentMessage { number, lines });
         self.message_times.retain(|at| now - at < message_window_ms);
         self.message_times.push_back(now);
     }
@@ -270,25 +280,26 @@
     /// Drops the message with this mark and all before it from the unacknowledged ones. Returns the
     /// full number of the message.
     pub fn acknowledge(&mut self, mark: u32) -> Option<u64> {
-        let mut sent = self.unacknowledged.iter();
-        let at = sent.position(|(n, _)| *n as u32 % 65536 == mark)?;
-        self.unacknowledged.drain(..=at).next_back().map(|(n, _)| n)
+        let mut messages = self.unacknowledged.iter();
+        let at = messages.position(|m| m.number as u32 % 65536 == mark)?;
+        self.unacknowledged
+            .drain(..=at)
+            .next_back()
+            .map(|m| m.number)
     }
 
-    /// Lines that may still be queued for it. As the channel sends in order, messages older than
-    /// `past`, which some proxy has acknowledged, have left the queue.
-    pub fn queued_lines(&self, past: u64) -> f64 {
-        let left = self.unacknowledged.iter().filter(|(n, _)| *n >= past);
-        left.map(|(_, lines)| lines).sum()
+    /// Lines that may still be queued for it. As the channel sends in order, messages older than the
+    /// newest that any proxy has acknowledged have left the queue.
+    pub fn queued_lines(&self, acknowledged: u64) -> f64 {
+        let messages = self.unacknowledged.iter();
+        let queued = messages.filter(|m| m.number >= acknowledged);
+        queued.map(|m| m.lines).sum()
     }
 
-    /// Number of messages sent to it within `message_window_ms`.
+    /// Number of messages that it was sent within the message window.
     pub fn recent_messages(&self, now: f64, message_window_ms: f64) -> f64 {
-        let lately = self
-            .message_times
-            .iter()
-            .filter(|at| now - **at < message_window_ms);
-        lately.count() as f64
+        let times = self.message_times.iter();
+        times.filter(|at| now - **at < message_window_ms).count() as f64
     }
 }
 
@@ -322,6 +333,15 @@
     }
 }
 
+/// The visits that come to a part of the shared table, and the weight that serves them.
+#[derive(Clone, Default)]
+pub struct PartLoad {
+    /// Visits per millisecond that come to the proxies bound to it.
+    pub visit_rate: f64,
+    /// Weight of its servers.
+    pub weight: f64,
+}
+
 /// The channel to the proxies: the lines queued in it and the message that is being built. Each proxy
 /// concerned gets its own lines of a message, at the same cost as a message of its own.
 #[derive(Default)]
@@ -365,20 +385,18 @@
         let Some(part) = part.map(|p| &self.parts[p]) else {
             return 0.0;
         };
-        let fresh = part.added_lines == 0.0;
-        part.bound_proxies
-            * (lines
-                + if fresh {
-                    self.message_overhead_lines
-                } else {
-                    0.0
-                })
-    }
-
-    /// Adds lines for all proxies of a part, and `others` for single proxies.
-    pub fn add(&mut self, part: Option<usize>, lines: f64, others: f64) {
-        self.added_lines += others + self.cost(part, lines);
-        self.added_singly += others;
+        let overhead_lines = if part.added_lines == 0.0 {
+            self.message_overhead_lines
+        } else {
+            0.0
+        };
+        part.bound_proxies * (lines + overhead_lines)
+    }
+
+    /// Adds lines for all proxies of a part, and `single_lines` for single proxies.
+    pub fn add(&mut self, part: Option<usize>, lines: f64, single_lines: f64) {
+        self.added_lines += single_lines + self.cost(part, lines);
+        self.added_singly += single_lines;
         if let Some(part) = part {
             self.parts[part].added_lines += lines;
         }
@@ -387,28 +405,27 @@
     /// Most messages that any proxy of a part, or of all parts, was sent recently.
     pub fn max_messages(&self, part: Option<usize>) -> f64 {
         let parts = self.parts.iter().enumerate();
-        let named = parts.filter(|(i, _)| part.is_none_or(|p| p == *i));
-        named.map(|(_, p)| p.max_messages).fold(0.0, f64::max)
+        let selected = parts.filter(|(i, _)| part.is_none_or(|part| part == *i));
+        selected.map(|(_, p)| p.max_messages).fold(0.0, f64::max)
     }
 
-    /// For each part, the visits per millisecond that come to its proxies and the weight of its servers
-    /// in reachable zones.
+    /// The load of each part. Servers that are withdrawn or in unreachable zones don't count.
     pub fn loads<'a>(
         &self,
         servers: &[Server],
         proxies: impl Iterator<Item = &'a Proxy>,
         unreachable: &[bool],
-    ) -> Vec<(f64, f64)> {
-        let mut loads = vec![(0.0, 0.0); self.parts.len()];
+    ) -> Vec<PartLoad> {
+        let mut loads = vec![PartLoad::default(); self.parts.len()];
         for p in proxies {
             if let Some(part) = p.part {
-                loads[part].0 += p.visit_rate;
+                loads[part].visit_rate += p.visit_rate;
             }
         }
-        let open = |s: &&Server| s.is_ready() && !s.withdrawn && !unreachable[s.zone];
-        for s in servers.iter().filter(open) {
+        let is_open = |s: &&Server| s.is_ready() && !s.withdrawn && !unreachable[s.zone];
+        for s in servers.iter().filter(is_open) {
             if let Some(part) = s.part {
-                loads[part].1 += s.published_weight;
+                loads[part].weight += s.published_weight;
             }
         }
         loads
@@ -416,7 +433,9 @@
 
     /// Begins a message: counts what is queued, and what each part's proxies were sent.
     pub fn begin_message(&mut self, now: f64, proxies: &BTreeMap<usize, Proxy>) {
-        (self.queued_lines, self.added_lines, self.added_singly) = (0.0, 0.0, 0.0);
+        self.queued_lines = 0.0;
+        self.added_lines = 0.0;
+        self.added_singly = 0.0;
         for part in &mut self.parts {
             *part = Part::new(part.zone);
         }
@@ -424,9 +443,8 @@
             self.queued_lines += p.queued_lines(self.acknowledged);
             if let Some(part) = p.part.map(|part| &mut self.parts[part]) {
                 part.bound_proxies += 1.0;
-                part.max_messages = part
-                    .max_messages
-                    .max(p.recent_messages(now, self.message_window_ms));
+                let messages = p.recent_messages(now, self.message_window_ms);
+                part.max_messages = part.max_messages.max(messages);
             }
         }
     }
@@ -443,15 +461,15 @@
         }
         self.last_message += 1;
         let unbound = proxies.values().filter(|p| p.part.is_none()).count();
-        let bound: f64 = proxies.values().map(|p| p.binding_lines).sum();
-        let stray = (self.added_singly - bound).max(0.0) / unbound.max(1) as f64;
+        let binding_lines: f64 = proxies.values().map(|p| p.binding_lines).sum();
+        let unbound_lines = (self.added_singly - binding_lines).max(0.0) / unbound.max(1) as f64;
         for p in proxies.values_mut() {
             let lines = match p.part.map(|part| self.parts[part].added_lines) {
-                Some(added_lines) if added_lines > 0.0 => {
-                    added_lines + self.message_overhead_lines + p.binding_lines
+                Some(part_lines) if part_lines > 0.0 => {
+                    part_lines + self.message_overhead_lines + p.binding_lines
                 }
                 Some(_) => p.binding_lines,
-                None => stray,
+                None => unbound_lines,
             };
             if lines > 0.0 {
                 p.message_sent(now, self.message_window_ms, self.last_message, lines);
@@ -474,20 +492,29 @@
 
 impl ReportTotals {
     /// Adds a line. Its delay is the time that it covers beyond one report interval.
-    pub fn record(&mut self, met: &TryStats, report_interval_ms: f64) {
+    pub fn record(&mut self, stats: &TryStats, report_interval_ms: f64) {
         self.lines += 1.0;
-        self.tries += met.tries;
-        self.delayed_tries_ms += met.tries * (met.window_ms - report_interval_ms).max(0.0);
+        self.tries += stats.tries;
+        self.delayed_tries_ms += stats.tries * (stats.window_ms - report_interval_ms).max(0.0);
     }
 }
 
+/// Values at one quantile of the servers, each sorted by itself.
+#[derive(Clone, Copy, Default)]
+pub struct FleetQuantile {
+    /// Share of a server's tries that failed.
+    pub failure_share: f64,
+    /// Mean duration of a server's successful tries.
+    pub mean_ms: f64,
+}
+
 /// Statistics of the whole fleet, updated once per input.
 #[derive(Default)]
 pub struct FleetStats {
-    /// Median over the servers: share of failed tries and mean time of successful ones.
-    pub median: (f64, f64),
-    /// The same at the best quarter of the servers.
-    pub best_quarter: (f64, f64),
+    /// The median of the servers.
+    pub median: FleetQuantile,
+    /// The best quarter of the servers is better than this.
+    pub best_quarter: FleetQuantile,
     /// Recent tries.
     pub tries: f64,
     /// Weight of the servers that had any.
@@ -510,14 +537,18 @@
             .iter()
             .filter(|s| s.is_ready() && s.published_weight > 0.0);
         let tried = used.filter(|s| s.recent.tries > 0.0);
-        let good = tried.clone().filter(|s| s.recent.successes() > 0.0);
-        let failing = sorted(tried.map(|s| s.recent.failure_share()).collect());
-        let times = sorted(good.map(|s| s.recent.mean_ms()).collect());
-        let norm = |part| (quantile(&failing, part), quantile(&times, part));
-        (self.median, self.best_quarter) = (norm(0.5), norm(0.25));
-        let met = servers.iter().filter(|s| s.recent.tries > 0.0);
-        self.tries = met.clone().map(|s| s.recent.tries).sum();
-        self.used_weight = met.map(|s| s.weight).sum();
+        let answering = tried.clone().filter(|s| s.recent.successes() > 0.0);
+        let failure_shares = sorted(tried.map(|s| s.recent.failure_share()).collect());
+        let times_ms = sorted(answering.map(|s| s.recent.mean_ms()).collect());
+        let at = |share| FleetQuantile {
+            failure_share: quantile(&failure_shares, share),
+            mean_ms: quantile(&times_ms, share),
+        };
+        self.median = at(0.5);
+        self.best_quarter = at(0.25);
+        let tried = servers.iter().filter(|s| s.recent.tries > 0.0);
+        self.tries = tried.clone().map(|s| s.recent.tries).sum();
+        self.used_weight = tried.map(|s| s.weight).sum();
     }
 }
 
@@ -584,8 +615,8 @@
     values
 }
 
-/// The quantile `part` of sorted values; 0 without any.
-fn quantile(values: &[f64], part: f64) -> f64 {
-    let at = (values.len() as f64 * part) as usize;
-    values.get(at).copied().unwrap_or(0.0)
+/// The value that this share of the sorted values lie below; 0 without any.
+fn quantile(sorted: &[f64], share: f64) -> f64 {
+    let at = (sorted.len() as f64 * share) as usize;
+    sorted.get(at).copied().unwrap_or(0.0)
 }
