--- a/crates/opening/src/lib.rs
+++ b/crates/opening/src/lib.rs
@@ -6,97 +6,108 @@
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
 
-fn ms(ns: u64) -> f64 {
-    ns as f64 / 1e6
-}
+/// Most classes that the platform's bit masks of classes can represent.
+const MAX_CLASSES: usize = 32;
 
-/// The settings object with the field names of the platform. Fields that no decision uses are ignored.
+/// The settings object. The platform's own names are given as `rename`; fields that no decision uses
+/// are ignored.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-struct Told {
-    lanes: Vec<Lane>,
+#[serde(expecting = "an object")]
+struct SettingsObject {
+    #[serde(rename = "lanes")]
+    classes: Vec<ClassObject>,
     zones: Vec<String>,
-    rules: Bounds,
-    specifics: Facts,
-    limits: Allowed,
-    #[serde(default)]
+    #[serde(rename = "rules")]
+    servers: ServersObject,
+    #[serde(rename = "specifics")]
+    deployment: DeploymentObject,
+    limits: LimitsObject,
+    #[serde(default, rename = "registryMode")]
     registry_mode: String,
-    #[serde(default, deserialize_with = "time")]
-    tick_ns: f64,
+    #[serde(default, rename = "tickNs", deserialize_with = "ms_from_ns")]
+    batch_window_ms: f64,
 }
 
+/// A class of visits.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-struct Lane {
+#[serde(expecting = "an object")]
+struct ClassObject {
     #[serde(default)]
     name: String,
-    #[serde(deserialize_with = "time")]
-    aim_ns: f64,
-    #[serde(deserialize_with = "positive")]
-    credit: f64,
+    #[serde(rename = "aimNs", deserialize_with = "ms_from_ns")]
+    soft_limit_ms: f64,
+    #[serde(rename = "credit", deserialize_with = "non_negative")]
+    earnings: f64,
 }
 
+/// How servers start, break down and leave.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-struct Bounds {
-    #[serde(deserialize_with = "positive")]
-    cold_from: f64,
-    #[serde(deserialize_with = "positive")]
-    fall_multiple: f64,
-    #[serde(deserialize_with = "time")]
-    ramp_time_ns: f64,
-    #[serde(default)]
-    soft_removal: bool,
+#[serde(expecting = "an object")]
+struct ServersObject {
+    #[serde(rename = "coldFrom", deserialize_with = "non_negative")]
+    cold_capacity_share: f64,
+    #[serde(rename = "fallMultiple", deserialize_with = "non_negative")]
+    overload_multiple: f64,
+    #[serde(rename = "rampTimeNs", deserialize_with = "ms_from_ns")]
+    warm_up_ms: f64,
+    #[serde(default, rename = "softRemoval")]
+    keep_unlisted_servers: bool,
 }
 
+/// Proxies, channel and reports of the deployment.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-struct Facts {
-    #[serde(default)]
-    admit: String,
-    #[serde(default)]
-    base_mode: u64,
-    #[serde(deserialize_with = "positive")]
-    most_waiting: f64,
-    #[serde(deserialize_with = "positive")]
-    egress_per_s: f64,
-    #[serde(deserialize_with = "time")]
-    push_delay_ns: f64,
-    #[serde(deserialize_with = "positive")]
-    overhead: f64,
-    #[serde(default, deserialize_with = "positive")]
-    standing: f64,
-    #[serde(default, deserialize_with = "positive")]
-    messages_most: f64,
-    #[serde(default, deserialize_with = "time")]
-    reload_span_ns: f64,
-    #[serde(deserialize_with = "time")]
-    report_every_ns: f64,
-    #[serde(deserialize_with = "positive")]
-    ingest_rate: f64,
+#[serde(expecting = "an object")]
+struct DeploymentObject {
+    #[serde(default, rename = "admit")]
+    admission: String,
+    #[serde(default, rename = "baseMode")]
+    retry_mode: u64,
+    #[serde(rename = "mostWaiting", deserialize_with = "non_negative")]
+    max_queued_lines: f64,
+    #[serde(rename = "egressPerS", deserialize_with = "non_negative")]
+    lines_per_s: f64,
+    #[serde(rename = "pushDelayNs", deserialize_with = "ms_from_ns")]
+    message_latency_ms: f64,
+    #[serde(rename = "overhead", deserialize_with = "non_negative")]
+    message_overhead_lines: f64,
+    #[serde(default, rename = "standing", deserialize_with = "non_negative")]
+    initial_servers: f64,
+    #[serde(default, rename = "messagesMost", deserialize_with = "non_negative")]
+    max_messages: f64,
+    #[serde(default, rename = "reloadSpanNs", deserialize_with = "ms_from_ns")]
+    message_window_ms: f64,
+    #[serde(rename = "reportEveryNs", deserialize_with = "ms_from_ns")]
+    report_interval_ms: f64,
+    #[serde(rename = "ingestRate", deserialize_with = "non_negative")]
+    report_lines_per_s: f64,
     #[serde(default)]
     shards: u64,
     #[serde(default)]
     proxies: usize,
 }
 
+/// What the planner may do, and what proxies do with their connections.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-struct Allowed {
-    #[serde(default)]
-    probing: bool,
-    #[serde(deserialize_with = "time")]
-    conn_idle_ns: f64,
+#[serde(expecting = "an object")]
+struct LimitsObject {
+    #[serde(default, rename = "probing")]
+    may_probe: bool,
+    #[serde(rename = "connIdleNs", deserialize_with = "ms_from_ns")]
+    idle_timeout_ms: f64,
 }
 
-fn time<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
-    u64::deserialize(from).map(ms)
+/// Reads a whole number of nanoseconds as milliseconds.
+fn ms_from_ns<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
+    u64::deserialize(from).map(|ns| ns as f64 / 1e6)
 }
 
-fn positive<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
+/// Reads a number that is not negative.
+fn non_negative<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
     let value = f64::deserialize(from)?;
     if value < 0.0 {
-        return Err(D::Error::custom("a number from 0 up is wanted"));
+        return Err(D::Error::custom(format!(
+            "{value} is negative, expected a number from 0 up"
+        )));
     }
     Ok(value)
 }
@@ -112,7 +123,7 @@
     pub classes: Vec<String>,
     /// Number of proxies; their indices start at 0.
     pub proxy_count: usize,
-    /// Events that arrive within this time are handled as one input (ms).
+    /// Events that arrive within this time are handled as one input.
     pub batch_window_ms: f64,
 }
 
@@ -121,51 +132,54 @@
 /// # Errors
 /// Names the field that is missing or invalid, and what is expected of it.
 pub fn parse_deployment(settings: &Value) -> Result<Deployment, String> {
-    let told: Told = serde_path_to_error::deserialize(settings)
+    let settings: SettingsObject = serde_path_to_error::deserialize(settings)
         .map_err(|e| format!("field \"settings.{}\": {}", e.path(), e.inner()))?;
-    if told.lanes.len() > 32 {
-        return Err("field \"settings.lanes\" has more classes than a mask can name".into());
+    if settings.classes.len() > MAX_CLASSES {
+        return Err(format!(
+            "field \"settings.lanes\" has {} classes, at most {MAX_CLASSES} are supported",
+            settings.classes.len()
+        ));
     }
-    let class = |lane: &Lane| Class {
-        soft_limit_ms: lane.aim_ns,
-        earnings: lane.credit,
+    let class = |class: &ClassObject| Class {
+        soft_limit_ms: class.soft_limit_ms,
+        earnings: class.earnings,
     };
-    let (facts, bounds) = (&told.specifics, &told.rules);
+    let (deployment, servers) = (&settings.deployment, &settings.servers);
     let planner_settings = PlannerSettings {
-        zones: told.zones.len(),
-        classes: told.lanes.iter().map(class).collect(),
-        admission: match facts.admit.as_str() {
+        zones: settings.zones.len(),
+        classes: settings.classes.iter().map(class).collect(),
+        admission: match deployment.admission.as_str() {
             "fraction" => Admission::Share,
             _ => Admission::Unused,
         },
-        max_queued_lines: facts.most_waiting,
-        lines_per_ms: facts.egress_per_s / 1000.0,
-        message_latency_ms: facts.push_delay_ns,
-        message_overhead_lines: facts.overhead,
-        idle_timeout_ms: told.limits.conn_idle_ns,
-        initial_servers: facts.standing,
-        max_messages: facts.messages_most,
-        message_window_ms: facts.reload_span_ns,
-        report_interval_ms: facts.report_every_ns,
-        report_lines_per_ms: facts.ingest_rate / 1000.0,
-        cold_capacity_share: bounds.cold_from,
-        warm_up_ms: bounds.ramp_time_ns,
-        overload_multiple: bounds.fall_multiple,
-        keep_unlisted_servers: bounds.soft_removal,
-        default_retry_policy: match facts.base_mode {
+        max_queued_lines: deployment.max_queued_lines,
+        lines_per_ms: deployment.lines_per_s / 1000.0,
+        message_latency_ms: deployment.message_latency_ms,
+        message_overhead_lines: deployment.message_overhead_lines,
+        idle_timeout_ms: settings.limits.idle_timeout_ms,
+        initial_servers: deployment.initial_servers,
+        max_messages: deployment.max_messages,
+        message_window_ms: deployment.message_window_ms,
+        report_interval_ms: deployment.report_interval_ms,
+        report_lines_per_ms: deployment.report_lines_per_s / 1000.0,
+        cold_capacity_share: servers.cold_capacity_share,
+        warm_up_ms: servers.warm_up_ms,
+        overload_multiple: servers.overload_multiple,
+        keep_unlisted_servers: servers.keep_unlisted_servers,
+        default_retry_policy: match deployment.retry_mode {
             0 => RetryPolicy::Never,
             1 => RetryPolicy::OnProof,
             _ => RetryPolicy::OnFailure,
         },
-        may_probe: told.limits.probing,
-        must_request_roster: told.registry_mode == "ask",
-        sharded: facts.shards > 0,
+        may_probe: settings.limits.may_probe,
+        must_request_roster: settings.registry_mode == "ask",
+        sharded: deployment.shards > 0,
     };
     Ok(Deployment {
         planner_settings,
-        classes: told.lanes.iter().map(|lane| lane.name.clone()).collect(),
-        proxy_count: facts.proxies,
-        batch_window_ms: told.tick_ns,
-        zones: told.zones,
+        classes: settings.classes.into_iter().map(|c| c.name).collect(),
+        proxy_count: deployment.proxies,
+        batch_window_ms: settings.batch_window_ms,
+        zones: settings.zones,
     })
 }
