--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -8,16 +8,24 @@
 use dahliapoint_opening::parse_deployment;
 use serde_json::{Map, Value, json};
 use std::collections::{BTreeMap, HashMap};
-use wire::{Fields, ms};
+use wire::{Fields, ListEntry, ms_from_ns, ns_from_ms};
 
 /// Id of the only timer of an instance; setting it again replaces the earlier one.
-const ALARM: u32 = 1;
+const TIMER_ID: u32 = 1;
+/// Roster lists are numbered below this.
+const LIST_IDS: u64 = 16;
+/// Proxies are numbered below this.
+const PROXY_IDS: u64 = 65536;
+/// Servers are numbered below this.
+const SERVER_IDS: u64 = 1 << 32;
+/// Marks are below this.
+const MARKS: u64 = 65536;
 
 /// All planner instances of this process. They share only the numbered roster lists.
 #[derive(Default)]
 pub struct Host {
     /// Lists of roster entries, by the number that events refer to.
-    lists: BTreeMap<u64, Vec<wire::Entry>>,
+    lists: BTreeMap<u64, Vec<ListEntry>>,
     /// Every instance that was started, by name; none if it was stopped since.
     instances: BTreeMap<String, Option<Instance>>,
 }
@@ -26,254 +34,283 @@
 struct Instance {
     planner: Planner,
     /// Ids of the servers, by index.
-    servers: Vec<u64>,
+    server_ids: Vec<u64>,
     /// Indices of the servers, by id.
-    places: HashMap<u64, usize>,
+    server_indices: HashMap<u64, usize>,
     /// Number of zones.
-    zones: u64,
+    zone_count: u64,
     /// Number of classes.
-    classes: u64,
+    class_count: u64,
 }
 
 impl Instance {
-    /// Index of the server with this id; a new id gets the next index.
-    fn place(&mut self, id: u64) -> usize {
-        let next = self.servers.len();
-        let place = *self.places.entry(id).or_insert(next);
-        if place == next {
-            self.servers.push(id);
-        }
-        place
+    /// Starts a planner with the settings of a `Born` event.
+    fn start(now: f64, fields: &Fields) -> Result<Instance, String> {
+        let settings = fields.object("settings")?;
+        let settings = parse_deployment(&settings)
+            .map_err(|e| format!("Born: {e}"))?
+            .planner_settings;
+        Ok(Instance {
+            planner: Planner::new(now, fields.whole_number("randomSeed")?, &settings),
+            server_ids: Vec::new(),
+            server_indices: HashMap::new(),
+            zone_count: settings.zones as u64,
+            class_count: settings.classes.len() as u64,
+        })
     }
-}
 
-impl Host {
-    /// Handles one batch of events, a JSON object, and returns the reply with the resulting actions.
-    ///
-    /// # Errors
-    /// Names the event and the field that are invalid.
-    pub fn handle_batch(&mut self, line: &[u8]) -> Result<String, String> {
-        let batch: Value =
-            serde_json::from_slice(line).map_err(|e| format!("not a JSON batch: {e}"))?;
-        let batch = Fields::of(&batch, "batch", "batch")?;
-        let turn = batch.whole("turn")?;
-        let said = |e: String| format!("batch {turn}: {e}");
-        let now = ms(batch.whole("atTimeNs").map_err(said)?);
-        let events = batch.array("input").map_err(said)?;
-        let mut concerned: Vec<&str> = Vec::new();
-        for (number, event) in events.iter().enumerate() {
-            let who = self
-                .take(now, event)
-                .map_err(|e| format!("batch {turn}, event {number}: {e}"))?;
-            concerned.extend(who.filter(|who| !concerned.contains(who)));
-        }
-        // All events of a batch form one input: each instance concerned decides once.
-        let mut actions = Vec::new();
-        for who in concerned {
-            if let Some(Some(i)) = self.instances.get_mut(who) {
-                let orders = i.planner.decide(now);
-                encode(who, i, orders, &mut actions);
-            }
+    /// Index of the server with this id; a new id gets the next index.
+    fn server_index(&mut self, id: u64) -> usize {
+        let next = self.server_ids.len();
+        let index = *self.server_indices.entry(id).or_insert(next);
+        if index == next {
+            self.server_ids.push(id);
         }
-        Ok(json!({"turn": turn, "actions": actions}).to_string())
+        index
     }
 
-    /// Passes an event to the instance that it names. Returns that name, unless no decision is needed.
-    fn take<'a>(&mut self, now: f64, event: &'a Value) -> Result<Option<&'a str>, String> {
-        let name = Fields::of(event, "event", "event")?.text("verb")?;
-        let f = Fields::of(event, "event", name)?;
-        if name == "Catalog" {
-            let entries = f.array("elements")?;
-            let read: Result<Vec<_>, _> = entries.iter().map(wire::Entry::of).collect();
-            self.lists.insert(f.below("sheet", 16)?, read?);
-            return Ok(None);
-        }
-        let who = f.instance("who")?;
-        if name == "Born" {
-            let settings = f.object("settings")?;
-            let opening = parse_deployment(&settings)
-                .map_err(|e| format!("Born: {e}"))?
-                .planner_settings;
-            let (zones, classes) = (opening.zones as u64, opening.classes.len() as u64);
-            let planner = Planner::new(now, f.whole("randomSeed")?, &opening);
-            let instance = Instance {
-                planner,
-                servers: Vec::new(),
-                places: HashMap::new(),
-                zones,
-                classes,
-            };
-            self.instances.insert(who.to_string(), Some(instance));
-            return Ok(Some(who));
-        }
-        if name == "Retire" {
-            self.instances.insert(who.to_string(), None);
-            return Ok(None);
-        }
-        let lists = &self.lists;
-        let Some(place) = self.instances.get_mut(who) else {
-            return Err(f.wrong("who", "an instance that was started"));
-        };
-        let Some(i) = place else {
-            return Ok(None);
-        };
+    /// Passes an event to the planner.
+    fn apply_event(
+        &mut self,
+        now: f64,
+        name: &str,
+        fields: &Fields,
+        lists: &BTreeMap<u64, Vec<ListEntry>>,
+    ) -> Result<(), String> {
         match name {
-            "Membership" => {
-                let kind = f.text("kind")?;
-                f.whole("gen")?;
-                let extent = match kind {
-                    "warm_copy" => RosterUpdate::Restored,
-                    "total" => RosterUpdate::Snapshot,
-                    "incr" => RosterUpdate::Changes,
-                    "lost" => {
-                        i.planner.roster_lost(now);
-                        return Ok(Some(who));
-                    }
-                    _ => return Err(f.wrong("kind", "a kind of list")),
-                };
-                let sheet = f.below("sheet", 16)?;
-                let entries = lists
-                    .get(&sheet)
-                    .ok_or_else(|| f.wrong("sheet", "a list"))?;
-                let mut roster = Vec::with_capacity(entries.len());
-                for entry in entries {
-                    if entry.zone >= i.zones {
-                        return Err(f.wrong("sheet", "a list of zones that the settings name"));
-                    }
-                    roster.push(RosterEntry {
-                        server: i.place(entry.id),
-                        zone: entry.zone as usize,
-                        admin_state: entry.admin_state,
-                        weight: entry.weight,
-                        started_ms: entry.started_ms,
-                    });
-                }
-                i.planner.roster_changed(now, extent, &roster);
-            }
+            "Membership" => self.apply_roster(now, fields, lists)?,
             "Connected" => {
-                let zone = f.below("campus", i.zones)? as usize;
-                f.flag("flag")?;
-                let pace = f.number("heft")? / 1000.0;
-                let proxy = f.below("agent", 65536)? as usize;
-                i.planner.proxy_joined(proxy, zone, pace);
+                let zone = fields.whole_number_below("campus", self.zone_count)? as usize;
+                fields.boolean("flag")?;
+                let visit_rate = fields.non_negative("heft")? / 1000.0;
+                let proxy = fields.whole_number_below("agent", PROXY_IDS)? as usize;
+                self.planner.proxy_joined(proxy, zone, visit_rate);
+            }
+            "DroppedOff" => {
+                let proxy = fields.whole_number_below("agent", PROXY_IDS)? as usize;
+                self.planner.proxy_left(proxy);
             }
-            "DroppedOff" => i.planner.proxy_left(f.below("agent", 65536)? as usize),
             "Acked" => {
-                f.whole("costTimeNs")?;
-                let proxy = f.below("agent", 65536)? as usize;
-                i.planner
-                    .orders_applied(proxy, f.below("gen", 65536)? as u32);
+                fields.whole_number("costTimeNs")?;
+                let proxy = fields.whole_number_below("agent", PROXY_IDS)? as usize;
+                let mark = fields.whole_number_below("gen", MARKS)? as u32;
+                self.planner.orders_applied(proxy, mark);
             }
             "UpstreamStats" => {
-                f.load("telemetry")?;
-                let met = TryStats {
-                    window_ms: ms(f.whole("windowNs")?),
-                    zone: f.below("campus", i.zones)? as usize,
-                    tries: f.whole("n")? as f64,
-                    failed: f.whole("bad")? as f64,
-                    mean_ms: ms(f.whole("costTimeNs")?),
-                    server: i.place(f.below("backend", 1 << 32)?),
+                fields.check_load_report("telemetry")?;
+                let stats = TryStats {
+                    window_ms: ms_from_ns(fields.whole_number("windowNs")?),
+                    zone: fields.whole_number_below("campus", self.zone_count)? as usize,
+                    tries: fields.whole_number("n")? as f64,
+                    failed: fields.whole_number("bad")? as f64,
+                    mean_ms: ms_from_ns(fields.whole_number("costTimeNs")?),
+                    server: self.server_index(fields.whole_number_below("backend", SERVER_IDS)?),
                 };
-                i.planner.tries_reported(now, &met);
+                self.planner.tries_reported(now, &stats);
             }
             "HealthResult" => {
-                let took_ms = ms(f.whole("costTimeNs")?);
-                f.load("telemetry")?;
-                let fine = match f.text("rc")? {
+                let took_ms = ms_from_ns(fields.whole_number("costTimeNs")?);
+                fields.check_load_report("telemetry")?;
+                let healthy = match fields.string("rc")? {
                     "ok" => true,
                     "error" | "full" | "timeout" | "connect_failed" | "reset" | "cancelled"
                     | "moot" => false,
-                    _ => return Err(f.wrong("rc", "an outcome")),
+                    _ => return Err(fields.error("rc", "an outcome")),
                 };
-                let server = i.place(f.below("backend", 1 << 32)?);
-                i.planner.probe_answered(now, server, fine, took_ms);
+                let server = self.server_index(fields.whole_number_below("backend", SERVER_IDS)?);
+                self.planner.probe_answered(now, server, healthy, took_ms);
             }
             "DeadlineHit" => {
-                f.whole("ref")?;
+                fields.whole_number("ref")?;
             }
             "Ingress" => {
-                f.whole("bad")?;
-                let class = f.below("grade", i.classes)? as usize;
-                let (visits, window) = (f.whole("n")? as f64, ms(f.whole("windowNs")?));
-                let proxy = f.below("agent", 65536)? as usize;
-                i.planner.visits_reported(proxy, class, visits, window);
+                fields.whole_number("bad")?;
+                let class = fields.whole_number_below("grade", self.class_count)? as usize;
+                let visits = fields.whole_number("n")? as f64;
+                let window_ms = ms_from_ns(fields.whole_number("windowNs")?);
+                let proxy = fields.whole_number_below("agent", PROXY_IDS)? as usize;
+                self.planner
+                    .visits_reported(proxy, class, visits, window_ms);
             }
-            // Events on shards and peers are checked, but no decision uses them.
+            // Events on shards and peers are checked, but no decision uses them yet.
             "Custody" => {
-                f.whole("table")?;
-                f.flag("flag")?;
+                fields.whole_number("table")?;
+                fields.boolean("flag")?;
             }
             "Held" => {
-                f.whole("table")?;
-                f.number("heft")?;
-                f.below("backend", 1 << 32)?;
+                fields.whole_number("table")?;
+                fields.non_negative("heft")?;
+                fields.whole_number_below("backend", SERVER_IDS)?;
             }
             "Heat" => {
                 for field in ["n", "windowNs", "table", "bad", "grade"] {
-                    f.whole(field)?;
+                    fields.whole_number(field)?;
                 }
             }
             "NeighbourSays" => {
-                f.whole("src")?;
-                f.text("bytes")?;
+                fields.whole_number("src")?;
+                fields.string("bytes")?;
             }
             _ => return Err(format!("{name}: no such event")),
         }
-        Ok(Some(who))
+        Ok(())
+    }
+
+    /// Passes a roster update to the planner, or the loss of the roster's source.
+    fn apply_roster(
+        &mut self,
+        now: f64,
+        fields: &Fields,
+        lists: &BTreeMap<u64, Vec<ListEntry>>,
+    ) -> Result<(), String> {
+        let kind = fields.string("kind")?;
+        fields.whole_number("gen")?;
+        let update = match kind {
+            "warm_copy" => RosterUpdate::Restored,
+            "total" => RosterUpdate::Snapshot,
+            "incr" => RosterUpdate::Changes,
+            "lost" => {
+                self.planner.roster_lost(now);
+                return Ok(());
+            }
+            _ => return Err(fields.error("kind", "a kind of list")),
+        };
+        let list = fields.whole_number_below("sheet", LIST_IDS)?;
+        let entries = lists
+            .get(&list)
+            .ok_or_else(|| fields.error("sheet", "a list"))?;
+        let mut roster = Vec::with_capacity(entries.len());
+        for entry in entries {
+            if entry.zone >= self.zone_count {
+                return Err(fields.error("sheet", "a list of zones that the settings name"));
+            }
+            roster.push(RosterEntry {
+                server: self.server_index(entry.id),
+                zone: entry.zone as usize,
+                admin_state: entry.admin_state,
+                weight: entry.weight,
+                started_ms: entry.started_ms,
+            });
+        }
+        self.planner.roster_changed(now, update, &roster);
+        Ok(())
+    }
+}
+
+impl Host {
+    /// Handles one batch of events, a JSON object, and returns the reply with the resulting actions.
+    ///
+    /// # Errors
+    /// Names the event and the field that are invalid.
+    pub fn handle_batch(&mut self, line: &[u8]) -> Result<String, String> {
+        let batch: Value =
+            serde_json::from_slice(line).map_err(|e| format!("not a JSON batch: {e}"))?;
+        let batch = Fields::new(&batch, "batch", "batch")?;
+        let turn = batch.whole_number("turn")?;
+        let in_batch = |e: String| format!("batch {turn}: {e}");
+        let now = ms_from_ns(batch.whole_number("atTimeNs").map_err(in_batch)?);
+        let events = batch.array("input").map_err(in_batch)?;
+        let mut concerned: Vec<&str> = Vec::new();
+        for (number, event) in events.iter().enumerate() {
+            let instance = self
+                .apply_event(now, event)
+                .map_err(|e| format!("batch {turn}, event {number}: {e}"))?;
+            concerned.extend(instance.filter(|name| !concerned.contains(name)));
+        }
+        // All events of a batch form one input: each instance concerned decides once.
+        let mut actions = Vec::new();
+        for name in concerned {
+            if let Some(Some(instance)) = self.instances.get_mut(name) {
+                let orders = instance.planner.decide(now);
+                encode_orders(name, instance, orders, &mut actions);
+            }
+        }
+        Ok(json!({"turn": turn, "actions": actions}).to_string())
+    }
+
+    /// Applies an event. Returns the name of the instance that it concerns, unless no decision is needed.
+    fn apply_event<'a>(&mut self, now: f64, event: &'a Value) -> Result<Option<&'a str>, String> {
+        let event_name = Fields::new(event, "event", "event")?.string("verb")?;
+        let fields = Fields::new(event, "event", event_name)?;
+        if event_name == "Catalog" {
+            let entries = fields.array("elements")?;
+            let entries: Result<Vec<_>, _> = entries.iter().map(ListEntry::new).collect();
+            let list = fields.whole_number_below("sheet", LIST_IDS)?;
+            self.lists.insert(list, entries?);
+            return Ok(None);
+        }
+        let name = fields.instance_name("who")?;
+        if event_name == "Born" {
+            let instance = Instance::start(now, &fields)?;
+            self.instances.insert(name.to_string(), Some(instance));
+            return Ok(Some(name));
+        }
+        if event_name == "Retire" {
+            self.instances.insert(name.to_string(), None);
+            return Ok(None);
+        }
+        let Some(instance) = self.instances.get_mut(name) else {
+            return Err(fields.error("who", "an instance that was started"));
+        };
+        let Some(instance) = instance else {
+            return Ok(None);
+        };
+        instance.apply_event(now, event_name, &fields, &self.lists)?;
+        Ok(Some(name))
     }
 }
 
 /// Encodes orders as actions, in the order of the fields of [`Orders`].
-fn encode(who: &str, i: &Instance, orders: Orders, out: &mut Vec<Value>) {
-    let mut put = |verb: &str, fields: Value| {
+fn encode_orders(name: &str, instance: &Instance, orders: Orders, actions: &mut Vec<Value>) {
+    let mut push = |verb: &str, fields: Value| {
         let mut action = Map::new();
         action.insert("verb".into(), verb.into());
-        action.insert("who".into(), who.into());
+        action.insert("who".into(), name.into());
         if let Value::Object(fields) = fields {
             action.extend(fields);
         }
-        out.push(Value::Object(action));
+        actions.push(Value::Object(action));
     };
-    for (table, server, weight) in orders.lines {
-        let backend = i.servers[server];
-        put(
+    let server_id = |server: usize| instance.server_ids[server];
+    for (part, server, weight) in orders.lines {
+        push(
             "PutLine",
-            json!({"heft": weight, "table": table, "backend": backend}),
+            json!({"heft": weight, "table": part, "backend": server_id(server)}),
         );
     }
-    for (table, class, share, tries) in orders.levels {
-        let way = wire::way_of(tries);
-        let mask = 1u64 << class;
-        put(
+    for (part, class, share, policy) in orders.levels {
+        let retry_mode = wire::retry_mode(policy);
+        let class_mask = 1u64 << class;
+        push(
             "Throttle",
-            json!({"onFailure": way, "level": share, "table": table, "mask": mask}),
+            json!({"onFailure": retry_mode, "level": share, "table": part, "mask": class_mask}),
         );
     }
-    for (server, out_of_all) in orders.withdrawals {
-        put(
+    for (server, withdrawn) in orders.withdrawals {
+        push(
             "Mask",
-            json!({"backend": i.servers[server], "flag": out_of_all}),
+            json!({"backend": server_id(server), "flag": withdrawn}),
         );
     }
-    for (proxy, table) in orders.bindings {
-        put(
+    for (proxy, part) in orders.bindings {
+        push(
             "UseTable",
-            json!({"mask": 0, "table": table, "agent": proxy}),
+            json!({"mask": 0, "table": part, "agent": proxy}),
         );
     }
     if let Some(mark) = orders.mark {
-        put("Mark", json!({"gen": mark, "flag": false}));
+        push("Mark", json!({"gen": mark, "flag": false}));
     }
     for server in orders.probes {
-        put("HealthCheck", json!({"backend": i.servers[server]}));
+        push("HealthCheck", json!({"backend": server_id(server)}));
     }
     if orders.request_roster {
-        put("StreamChanges", json!({"flag": true}));
+        push("StreamChanges", json!({"flag": true}));
     }
     if let Some(at) = orders.wake_at {
-        put("Sleep", json!({"atNs": wire::ns(at), "ref": ALARM}));
+        push("Sleep", json!({"atNs": ns_from_ms(at), "ref": TIMER_ID}));
     }
     for text in orders.notes {
-        put("WriteLog", json!({"text": text}));
+        push("WriteLog", json!({"text": text}));
     }
 }
