--- a/src/rules.rs
+++ b/src/rules.rs
@@ -29,7 +29,8 @@
 const RAMP_START_SHARE: f64 = 0.1;
 /// A weight is published again when it is off by more than this share.
 const WEIGHT_TOLERANCE: f64 = 0.02;
-/// Time buckets that count as recent. A server is slow if it was slow in each of as many.
+/// Number of time buckets that count as recent, if reports are not delayed. A server is slow if it was
+/// slow in each of this many buckets.
 const RECENT_BUCKETS: u64 = 3;
 /// Recent tries that it takes to judge a server.
 const MIN_TRIES: f64 = 8.0;
@@ -66,9 +67,9 @@
 /// A cold server is sent at most this share of the load that it breaks down at.
 const COLD_LOAD_SHARE: f64 = 0.4;
 /// Factor on that limit until the load of the fleet is known.
-const COLD_LOAD_UNKNOWN_FACTOR: f64 = 0.25;
+const COLD_UNKNOWN_LOAD_FACTOR: f64 = 0.25;
 /// Divisor of that limit while the fleet is overloaded.
-const COLD_LOAD_OVERLOAD_DIVISOR: f64 = 3.0;
+const COLD_OVERLOAD_DIVISOR: f64 = 3.0;
 /// Growth of a cold server's weight per publication while it answers fast and gets few tries.
 const COLD_GROWTH_FACTOR: f64 = 1.5;
 /// Time that a server stays ejected; a quarter of it in a strained fleet. A cold server whose probe
@@ -78,7 +79,7 @@
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 
 /// A part of the table is so small that a proxy's visits to one server are this share of the idle
-/// timeout apart on average.
+/// timeout apart on average: connections then stay open.
 const IDLE_TIMEOUT_SHARE: f64 = 0.15;
 /// A part has at least this share of the number of servers that a proxy picks by itself at its start.
 const INITIAL_SERVERS_SHARE: f64 = 0.5;
@@ -103,7 +104,7 @@
 pub struct Planner {
     now: f64,
     settings: DerivedSettings,
-    /// Servers by index; those that were never in a roster included.
+    /// Servers by index; an index that no roster has named yet has a placeholder.
     servers: Vec<Server>,
     /// Joined proxies, by index.
     proxies: BTreeMap<usize, Proxy>,
@@ -1034,7 +1035,7 @@
         // Without a known load, the fleet is assumed to be far above its capacity.
         let is_known = self.sustained_rate > 0.0 && part.tries > 0.0;
         let factor = if !is_known {
-            COLD_LOAD_UNKNOWN_FACTOR
+            COLD_UNKNOWN_LOAD_FACTOR
         } else if part.has_warm {
             part.warm_weight * self.sustained_rate / (part.tries / self.recent_window_ms())
         } else {
@@ -1042,7 +1043,7 @@
             1.0
         };
         if self.is_strained(self.fleet.median, OVERLOAD_LIMIT_SHARE) {
-            factor / COLD_LOAD_OVERLOAD_DIVISOR
+            factor / COLD_OVERLOAD_DIVISOR
         } else {
             factor
         }
