--- a/src/state.rs
+++ b/src/state.rs
@@ -116,7 +116,7 @@
     pub health: f64,
     /// Time at which its health was last changed.
     pub health_changed_at: f64,
-    /// How often its health has returned; each time doubles the wait for the next return.
+    /// How often its health has returned; each time doubles the wait for the next return, up to a limit.
     pub recoveries: u32,
     /// Time of the last probe.
     pub probed_at: f64,
