--- a/crates/platform/src/chunked.rs
+++ b/crates/platform/src/chunked.rs
@@ -5,17 +5,17 @@
 pub struct InvalidChunk;
 
 /// Limit of a chunk's size line, which may carry extensions.
-const MOST_HEAD: usize = 256;
+const MAX_SIZE_LINE_BYTES: usize = 256;
 
 #[derive(Default)]
 enum State {
     /// Reading a chunk's size line.
     #[default]
-    Head,
+    SizeLine,
     /// Reading chunk data, of which so many bytes remain.
     Data(u64),
     /// Reading the line end after a chunk's data.
-    Tail,
+    DataEnd,
     /// The last chunk has been read.
     Ended,
 }
@@ -24,7 +24,8 @@
 #[derive(Default)]
 pub struct ChunkedDecoder {
     state: State,
-    head: Vec<u8>,
+    /// The start of an incomplete line.
+    line: Vec<u8>,
 }
 
 impl ChunkedDecoder {
@@ -36,25 +37,25 @@
         while !bytes.is_empty() {
             match &mut self.state {
                 State::Ended => return Ok(false),
-                State::Data(left) => {
-                    let n = (*left).min(bytes.len() as u64) as usize;
-                    out.extend_from_slice(&bytes[..n]);
-                    bytes = &bytes[n..];
-                    *left -= n as u64;
-                    if *left == 0 {
-                        self.state = State::Tail;
+                State::Data(remaining) => {
+                    let count = (*remaining).min(bytes.len() as u64) as usize;
+                    out.extend_from_slice(&bytes[..count]);
+                    bytes = &bytes[count..];
+                    *remaining -= count as u64;
+                    if *remaining == 0 {
+                        self.state = State::DataEnd;
                     }
                 }
-                State::Head | State::Tail => {
+                State::SizeLine | State::DataEnd => {
                     let end = bytes.iter().position(|b| *b == b'\n');
-                    let n = end.map_or(bytes.len(), |at| at + 1);
-                    self.head.extend_from_slice(&bytes[..n]);
-                    bytes = &bytes[n..];
-                    if self.head.len() > MOST_HEAD {
+                    let count = end.map_or(bytes.len(), |at| at + 1);
+                    self.line.extend_from_slice(&bytes[..count]);
+                    bytes = &bytes[count..];
+                    if self.line.len() > MAX_SIZE_LINE_BYTES {
                         return Err(InvalidChunk);
                     }
                     if end.is_some() {
-                        self.line()?;
+                        self.end_line()?;
                     }
                 }
             }
@@ -62,16 +63,17 @@
         Ok(!matches!(self.state, State::Ended))
     }
 
-    fn line(&mut self) -> Result<(), InvalidChunk> {
-        let text = std::str::from_utf8(&self.head).map_err(|_| InvalidChunk)?;
+    /// Interprets the complete line in `self.line`.
+    fn end_line(&mut self) -> Result<(), InvalidChunk> {
+        let text = std::str::from_utf8(&self.line).map_err(|_| InvalidChunk)?;
         let text = text.trim_end_matches(['\r', '\n']);
         self.state = match self.state {
-            State::Tail if text.is_empty() => State::Head,
-            State::Tail => return Err(InvalidChunk),
+            State::DataEnd if text.is_empty() => State::SizeLine,
+            State::DataEnd => return Err(InvalidChunk),
             _ => {
                 let size = text.split(';').next().unwrap_or("").trim();
-                let plain = !size.is_empty() && size.bytes().all(|b| b.is_ascii_hexdigit());
-                let size = Some(size).filter(|_| plain);
+                let is_hex = !size.is_empty() && size.bytes().all(|b| b.is_ascii_hexdigit());
+                let size = Some(size).filter(|_| is_hex);
                 let size = size.and_then(|s| u64::from_str_radix(s, 16).ok());
                 match size.ok_or(InvalidChunk)? {
                     0 => State::Ended,
@@ -79,7 +81,7 @@
                 }
             }
         };
-        self.head.clear();
+        self.line.clear();
         Ok(())
     }
 }
