--- a/crates/platform/src/fields.rs
+++ b/crates/platform/src/fields.rs
@@ -29,9 +29,10 @@
 pub struct Fields<'a>(&'a str);
 
 impl<'a> Fields<'a> {
+    /// Returns the first value of the field.
     fn get(&self, name: &'static str) -> Result<&'a str, LineError> {
-        let mut pairs = self.0.split(' ').filter_map(|word| word.split_once('='));
-        let found = pairs.find(|(field, _)| *field == name);
+        let mut fields = self.0.split(' ').filter_map(|word| word.split_once('='));
+        let found = fields.find(|(field, _)| *field == name);
         found
             .map(|(_, value)| value)
             .ok_or(LineError::InvalidField(name))
@@ -55,20 +56,22 @@
             .map_err(|_| LineError::InvalidField(name))
     }
 
-    /// Returns the field as a finite number from 0 to `most`.
-    pub fn number(&self, name: &'static str, most: f64) -> Result<f64, LineError> {
+    /// Returns the field as a finite number from 0 to `max`.
+    pub fn number(&self, name: &'static str, max: f64) -> Result<f64, LineError> {
         let value: f64 = self
             .get(name)?
             .parse()
             .map_err(|_| LineError::InvalidField(name))?;
-        let fits = value.is_finite() && (0.0..=most).contains(&value);
-        fits.then_some(value).ok_or(LineError::InvalidField(name))
+        let is_valid = value.is_finite() && (0.0..=max).contains(&value);
+        is_valid
+            .then_some(value)
+            .ok_or(LineError::InvalidField(name))
     }
 
     /// Returns the index of the field's value in `known`.
     pub fn index_in(&self, name: &'static str, known: &[String]) -> Result<usize, LineError> {
         let text = self.text(name)?;
-        let at = known.iter().position(|k| k == text);
-        at.ok_or(LineError::InvalidField(name))
+        let index = known.iter().position(|k| k == text);
+        index.ok_or(LineError::InvalidField(name))
     }
 }
