--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -32,7 +32,7 @@
 
 /// A list as it is sent; its entries are parsed one by one.
 #[derive(Deserialize)]
-struct Told {
+struct RawEndpointList {
     index: u64,
     snapshot: bool,
     endpoints: Vec<Value>,
@@ -43,8 +43,8 @@
 /// # Errors
 /// Returns the reason when the input is not a list.
 pub fn parse(line: &[u8], zones: &[String]) -> Result<EndpointList, String> {
-    let told: Told = serde_json::from_slice(line).map_err(|e| e.to_string())?;
-    Ok(list(told, zones))
+    let raw: RawEndpointList = serde_json::from_slice(line).map_err(|e| e.to_string())?;
+    Ok(parse_entries(raw, zones))
 }
 
 /// Like [`parse`], from a JSON value.
@@ -52,20 +52,20 @@
 /// # Errors
 /// Returns the reason when the value is not a list.
 pub fn parse_value(value: Value, zones: &[String]) -> Result<EndpointList, String> {
-    let told: Told = serde_json::from_value(value).map_err(|e| e.to_string())?;
-    Ok(list(told, zones))
+    let raw: RawEndpointList = serde_json::from_value(value).map_err(|e| e.to_string())?;
+    Ok(parse_entries(raw, zones))
 }
 
-fn list(told: Told, zones: &[String]) -> EndpointList {
+fn parse_entries(raw: RawEndpointList, zones: &[String]) -> EndpointList {
     let mut out = EndpointList {
-        index: told.index,
-        is_snapshot: told.snapshot,
-        endpoints: Vec::with_capacity(told.endpoints.len()),
+        index: raw.index,
+        is_snapshot: raw.snapshot,
+        endpoints: Vec::with_capacity(raw.endpoints.len()),
         rejected: Vec::new(),
     };
-    for value in &told.endpoints {
-        match entry(value, zones) {
-            Ok(entry) => out.endpoints.push(entry),
+    for value in &raw.endpoints {
+        match parse_entry(value, zones) {
+            Ok(endpoint) => out.endpoints.push(endpoint),
             Err(field) => {
                 let name = value["name"].as_str().unwrap_or("an entry without a name");
                 out.rejected.push(format!("{name}: {field}"));
@@ -75,7 +75,8 @@
     out
 }
 
-fn entry(value: &Value, zones: &[String]) -> Result<Endpoint, &'static str> {
+/// Parses one entry, or returns the name of its invalid field.
+fn parse_entry(value: &Value, zones: &[String]) -> Result<Endpoint, &'static str> {
     let text = |field: &'static str| value[field].as_str().ok_or(field);
     let name = text("name")?;
     // Names are written into relay commands, so they must not contain separators.
@@ -92,8 +93,8 @@
     let zone = zones.iter().position(|z| z == zone).ok_or("zone")?;
     let number = |field: &'static str| {
         let value = value[field].as_f64().ok_or(field)?;
-        let fits = value.is_finite() && value >= 0.0;
-        fits.then_some(value).ok_or(field)
+        let is_valid = value.is_finite() && value >= 0.0;
+        is_valid.then_some(value).ok_or(field)
     };
     Ok(Endpoint {
         name: name.to_string(),
