--- a/crates/platform/src/relay.rs
+++ b/crates/platform/src/relay.rs
@@ -40,37 +40,41 @@
 
 impl Command {
     /// Appends the command to a call's text.
-    pub fn write(&self, names: &dyn NameLookup, to: &mut String) {
+    pub fn write(&self, names: &dyn NameLookup, out: &mut String) {
         // Writing to a `String` cannot fail.
         let _ = match self {
             Command::Share {
                 table,
                 server,
                 weight,
-            } => write!(to, "share,{table},{},{weight}", names.server(*server)),
+            } => write!(out, "share,{table},{},{weight}", names.server(*server)),
             Command::Admit {
                 table,
                 class,
                 share,
                 tries,
             } => {
-                let way = match tries {
+                let retry_code = match tries {
                     RetryPolicy::Never => 0,
                     RetryPolicy::OnProof => 1,
                     RetryPolicy::OnFailure => 2,
                 };
-                write!(to, "admit,{table},{},{share},{way}", names.class(*class))
+                write!(
+                    out,
+                    "admit,{table},{},{share},{retry_code}",
+                    names.class(*class)
+                )
             }
             Command::Withdraw {
                 server,
                 withdrawn: true,
-            } => write!(to, "withdraw,{}", names.server(*server)),
+            } => write!(out, "withdraw,{}", names.server(*server)),
             Command::Withdraw {
                 server,
                 withdrawn: false,
-            } => write!(to, "restore,{}", names.server(*server)),
-            Command::Bind { proxy, table } => write!(to, "bind,{proxy},{table},*"),
-            Command::Mark(mark) => write!(to, "mark,{mark},0"),
+            } => write!(out, "restore,{}", names.server(*server)),
+            Command::Bind { proxy, table } => write!(out, "bind,{proxy},{table},*"),
+            Command::Mark(mark) => write!(out, "mark,{mark},0"),
         };
     }
 }
@@ -93,9 +97,9 @@
     let Ok(text) = std::str::from_utf8(line) else {
         return Reply::Unreadable;
     };
-    let mut words = text.split(' ');
-    match (words.next(), words.next(), words.next()) {
-        (Some("OK"), Some(n), None) => n.parse().map_or(Reply::Unreadable, Reply::Accepted),
+    let mut parts = text.split(' ');
+    match (parts.next(), parts.next(), parts.next()) {
+        (Some("OK"), Some(count), None) => count.parse().map_or(Reply::Unreadable, Reply::Accepted),
         _ if text.split([' ', '=', ':']).any(|w| w == "too_many_calls") => Reply::TooManyCalls,
         _ if text.split([' ', '=', ':']).any(|w| w == "bad_request") => Reply::BadRequest,
         _ => Reply::Unreadable,
@@ -125,27 +129,27 @@
 }
 
 /// Parses a line of the event stream. Returns `None` when it is malformed or names an unknown zone or proxy.
-pub fn parse_event(line: &[u8], zones: &[String], proxies: usize) -> Option<RelayEvent> {
+pub fn parse_event(line: &[u8], zones: &[String], proxy_count: usize) -> Option<RelayEvent> {
     let text = std::str::from_utf8(line).ok()?;
-    let mut words = text.split(' ');
-    match words.next()? {
+    let mut parts = text.split(' ');
+    match parts.next()? {
         "OK" => return Some(RelayEvent::Started),
         "*" => {}
         _ => return None,
     }
-    let Some(kind) = words.next() else {
+    let Some(kind) = parts.next() else {
         return Some(RelayEvent::Heartbeat);
     };
-    let proxy: usize = words.next()?.parse().ok()?;
-    if proxy >= proxies {
+    let proxy: usize = parts.next()?.parse().ok()?;
+    if proxy >= proxy_count {
         return None;
     }
     match kind {
         "hello" => {
-            let zone = words.next()?;
+            let zone = parts.next()?;
             let zone = zones.iter().position(|z| z == zone)?;
-            let visits_per_s: f64 = words.next()?.parse().ok()?;
-            let fresh = match words.next()? {
+            let visits_per_s: f64 = parts.next()?.parse().ok()?;
+            let fresh = match parts.next()? {
                 "1" => true,
                 "0" => false,
                 _ => return None,
@@ -159,7 +163,7 @@
         }
         "bye" => Some(RelayEvent::Bye { proxy }),
         "ack" => {
-            let mark: u32 = words.next()?.parse().ok()?;
+            let mark: u32 = parts.next()?.parse().ok()?;
             (mark < 65536).then_some(RelayEvent::Ack { proxy, mark })
         }
         _ => None,
