--- a/crates/platform/src/chunked/tests.rs
+++ b/crates/platform/src/chunked/tests.rs
@@ -5,7 +5,8 @@
     let bytes = b"5\r\n{\"a\":\r\n3;x=y\r\n1}\n\r\n1\r\n\n\r\n0\r\n\r\n";
     for first in 0..bytes.len() {
         for second in first..bytes.len() {
-            let (mut decoder, mut out, mut continues) = (ChunkedDecoder::default(), Vec::new(), true);
+            let (mut decoder, mut out, mut continues) =
+                (ChunkedDecoder::default(), Vec::new(), true);
             for piece in [&bytes[..first], &bytes[first..second], &bytes[second..]] {
                 continues = decoder.push(piece, &mut out).unwrap();
             }
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -509,11 +509,11 @@
         weight,
     });
     let levels = orders.levels.into_iter();
-    let levels = levels.map(|(table, class, share, tries)| Command::Admit {
+    let levels = levels.map(|(table, class, share, retry_policy)| Command::Admit {
         table,
         class,
         share,
-        tries,
+        retry_policy,
     });
     let shuts = orders.withdrawals.into_iter();
     let shuts = shuts.map(|(server, withdrawn)| Command::Withdraw { server, withdrawn });
--- a/crates/platform/src/relay.rs
+++ b/crates/platform/src/relay.rs
@@ -20,7 +20,7 @@
         table: usize,
         class: usize,
         share: f64,
-        tries: RetryPolicy,
+        retry_policy: RetryPolicy,
     },
     /// Withdraws a server at every proxy, or restores it.
     Withdraw { server: usize, withdrawn: bool },
@@ -52,9 +52,9 @@
                 table,
                 class,
                 share,
-                tries,
+                retry_policy,
             } => {
-                let retry_code = match tries {
+                let retry_code = match retry_policy {
                     RetryPolicy::Never => 0,
                     RetryPolicy::OnProof => 1,
                     RetryPolicy::OnFailure => 2,
