--- a/crates/platform/src/slots.rs
+++ b/crates/platform/src/slots.rs
@@ -23,7 +23,7 @@
     pub weight: f64,
     /// The table that holds its line, once one was ordered. Kept when the index is reused.
     pub table: Option<usize>,
-    /// Since when it has been gone and without weight.
+    /// Since when it has been gone and without weight (ms).
     pub idle_since: Option<f64>,
     /// Number of earlier servers at this index; tells late probe results of these apart.
     pub generation: u32,
@@ -32,77 +32,81 @@
     /// Its last start by the local clock (ms); `None` means long ago.
     pub started_at_ms: Option<f64>,
     /// Its last start as listed (ms).
-    since_ms: f64,
+    listed_started_at_ms: f64,
 }
 
-/// All servers by index, and their indices by name.
+/// All servers by index and by name.
 #[derive(Default)]
 pub struct ServerSlots {
     /// Every slot ever used, by index.
     pub all: Vec<ServerSlot>,
+    /// The indices by server name.
     by_name: HashMap<String, usize>,
     /// Indices free for reuse, by zone.
     free: BTreeMap<usize, Vec<usize>>,
 }
 
 impl ServerSlots {
-    /// Returns the index of a server.
+    /// Returns the index of the server with this name.
     pub fn find(&self, name: &str) -> Option<usize> {
         self.by_name.get(name).copied()
     }
 
     /// Stores the listed state of a server, under a new index if it has none, and returns the index.
-    pub fn upsert(&mut self, entry: &Endpoint, now: f64) -> usize {
-        let index = match self.by_name.get(&entry.name) {
+    pub fn upsert(&mut self, endpoint: &Endpoint, now: f64) -> usize {
+        let index = match self.by_name.get(&endpoint.name) {
             Some(index) => *index,
-            None => self.fresh(entry),
+            None => self.allocate(endpoint),
         };
-        let place = &mut self.all[index];
-        place.address = entry.address.or(place.address);
-        place.zone = entry.zone;
-        place.admin_state = entry.admin_state;
-        if entry.started_at_ms != place.since_ms {
-            place.since_ms = entry.started_at_ms;
+        let slot = &mut self.all[index];
+        slot.address = endpoint.address.or(slot.address);
+        slot.zone = endpoint.zone;
+        slot.admin_state = endpoint.admin_state;
+        if endpoint.started_at_ms != slot.listed_started_at_ms {
+            slot.listed_started_at_ms = endpoint.started_at_ms;
             // A start in the future counts as now: the clocks differ or one was set. Computed once per
             // listed value, so that the same list received again reports no new start.
-            place.started_at_ms = (entry.started_at_ms > 0.0).then(|| entry.started_at_ms.min(now));
+            slot.started_at_ms =
+                (endpoint.started_at_ms > 0.0).then(|| endpoint.started_at_ms.min(now));
         }
-        place.settle(now);
+        slot.update_idle(now);
         index
     }
 
-    fn fresh(&mut self, entry: &Endpoint) -> usize {
-        let used = self.free.get_mut(&entry.zone).and_then(Vec::pop);
-        let index = used.unwrap_or(self.all.len());
-        self.by_name.insert(entry.name.clone(), index);
-        let generation = self.all.get(index).map_or(0, |p| p.generation + 1);
-        let place = ServerSlot {
-            name: entry.name.clone(),
-            address: entry.address,
-            zone: entry.zone,
-            admin_state: entry.admin_state,
+    /// Assigns an index to a new server, a free one of its zone if there is one.
+    fn allocate(&mut self, endpoint: &Endpoint) -> usize {
+        let reused = self.free.get_mut(&endpoint.zone).and_then(Vec::pop);
+        let index = reused.unwrap_or(self.all.len());
+        self.by_name.insert(endpoint.name.clone(), index);
+        let generation = self.all.get(index).map_or(0, |slot| slot.generation + 1);
+        let new = ServerSlot {
+            name: endpoint.name.clone(),
+            address: endpoint.address,
+            zone: endpoint.zone,
+            admin_state: endpoint.admin_state,
             weight: 0.0,
-            table: self.all.get(index).and_then(|p| p.table),
+            table: self.all.get(index).and_then(|slot| slot.table),
             idle_since: None,
             generation,
             probe_pending: false,
             started_at_ms: None,
-            since_ms: 0.0,
+            listed_started_at_ms: 0.0,
         };
         match self.all.get_mut(index) {
-            Some(slot) => *slot = place,
-            None => self.all.push(place),
+            Some(slot) => *slot = new,
+            None => self.all.push(new),
         }
         index
     }
 
     /// Marks every server that a full list does not contain as gone.
     pub fn mark_unlisted_gone(&mut self, listed: &[usize], now: f64) {
-        let mut there = vec![false; self.all.len()];
-        listed.iter().for_each(|i| there[*i] = true);
-        for (place, _) in self.all.iter_mut().zip(&there).filter(|(_, t)| !**t) {
-            place.admin_state = AdminState::Gone;
-            place.settle(now);
+        let mut is_listed = vec![false; self.all.len()];
+        listed.iter().for_each(|index| is_listed[*index] = true);
+        let slots = self.all.iter_mut().zip(&is_listed);
+        for (slot, _) in slots.filter(|(_, listed)| !**listed) {
+            slot.admin_state = AdminState::Gone;
+            slot.update_idle(now);
         }
     }
 
@@ -110,33 +114,34 @@
     pub fn record_weight(&mut self, index: usize, table: usize, weight: f64, now: f64) {
         self.all[index].table = Some(table);
         self.all[index].weight = weight;
-        self.all[index].settle(now);
+        self.all[index].update_idle(now);
     }
 
-    /// Frees the indices that nothing refers to any more and returns their number. `ordered` are the
+    /// Frees the indices that nothing refers to any more and returns their number. `pending` are the
     /// servers named by queued commands.
-    pub fn release_idle(&mut self, now: f64, ordered: &BTreeSet<usize>) -> usize {
-        let mut gone = 0;
-        for (index, place) in self.all.iter().enumerate() {
-            let quiet = place
+    pub fn release_idle(&mut self, now: f64, pending: &BTreeSet<usize>) -> usize {
+        let mut released = 0;
+        for (index, slot) in self.all.iter().enumerate() {
+            let idle_long_enough = slot
                 .idle_since
                 .is_some_and(|at| now - at >= INDEX_REUSE_DELAY_MS);
-            if quiet
-                && !place.probe_pending
-                && !ordered.contains(&index)
-                && self.by_name.get(&place.name) == Some(&index)
+            if idle_long_enough
+                && !slot.probe_pending
+                && !pending.contains(&index)
+                && self.by_name.get(&slot.name) == Some(&index)
             {
-                self.by_name.remove(&place.name);
-                self.free.entry(place.zone).or_default().push(index);
-                gone += 1;
+                self.by_name.remove(&slot.name);
+                self.free.entry(slot.zone).or_default().push(index);
+                released += 1;
             }
         }
-        gone
+        released
     }
 }
 
 impl ServerSlot {
-    fn settle(&mut self, now: f64) {
+    /// Updates `idle_since` after a change of the state or the weight.
+    fn update_idle(&mut self, now: f64) {
         let idle = self.admin_state == AdminState::Gone && self.weight == 0.0;
         self.idle_since = match idle {
             true => self.idle_since.or(Some(now)),
