--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -333,7 +333,9 @@
                 ..
             } => self.joined.hello(
                 follower,
-                (proxy, zone, visits_per_s / 1000.0),
+                proxy,
+                zone,
+                visits_per_s / 1000.0,
                 now,
                 &mut changes,
             ),
--- a/crates/platform/src/membership.rs
+++ b/crates/platform/src/membership.rs
@@ -26,7 +26,7 @@
 /// known state may be lag; an older one is a change.
 pub const MAX_FOLLOWER_LAG_MS: f64 = 1500.0;
 
-/// A join or leave of a proxy.
+/// A change of the set of joined proxies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum MembershipChange {
     Joined {
@@ -39,70 +39,71 @@
     },
 }
 
-/// What is known of a proxy from all followers.
+/// The state of a proxy as merged from all followers.
 #[derive(Clone, Copy, Default)]
-struct Count {
+struct ProxyState {
     /// Number of joins and leaves; odd while the proxy is joined.
-    turns: u64,
-    /// The number before the latest changes that followers may not all have reported yet.
-    before: u64,
+    epoch: u64,
+    /// The epoch before the latest changes, which some followers may not have reported yet.
+    quiet_epoch: u64,
     /// Time of the last change (ms).
-    changed: f64,
+    changed_at: f64,
     zone: usize,
     visits_per_ms: f64,
 }
 
-impl Count {
+impl ProxyState {
     fn is_joined(&self) -> bool {
-        self.turns % 2 == 1
+        self.epoch % 2 == 1
     }
 
     /// Whether all followers have reported the last change by now.
     fn is_quiet(&self, now: f64) -> bool {
-        now - self.changed >= MAX_FOLLOWER_LAG_MS
+        now - self.changed_at >= MAX_FOLLOWER_LAG_MS
     }
 
-    fn becomes(&mut self, turns: u64, now: f64) {
+    /// Records a change.
+    fn advance_to(&mut self, epoch: u64, now: f64) {
         if self.is_quiet(now) {
-            self.before = self.turns;
+            self.quiet_epoch = self.epoch;
         }
-        (self.turns, self.changed) = (turns, now);
+        (self.epoch, self.changed_at) = (epoch, now);
     }
 
-    /// Rule 4: the smallest count since `before` that fits the given state.
-    fn least(&self, joined: bool) -> u64 {
-        self.before + u64::from((self.before % 2 == 1) != joined)
+    /// Rule 4: the smallest number from `quiet_epoch` on that fits the given state.
+    fn smallest_epoch(&self, joined: bool) -> u64 {
+        self.quiet_epoch + u64::from((self.quiet_epoch % 2 == 1) != joined)
     }
 }
 
 /// The number of joins and leaves of a proxy that a follower has reported.
 #[derive(Clone, Copy)]
-struct Told {
-    turns: u64,
+struct ReportedEpoch {
+    epoch: u64,
     /// Whether it is estimated from a snapshot, which has no counts.
-    guessed: bool,
+    estimated: bool,
 }
 
-impl Told {
-    fn exact(turns: u64) -> Told {
-        let guessed = false;
-        Told { turns, guessed }
+impl ReportedEpoch {
+    fn exact(epoch: u64) -> ReportedEpoch {
+        let estimated = false;
+        ReportedEpoch { epoch, estimated }
     }
 
-    fn guess(turns: u64) -> Told {
-        let guessed = true;
-        Told { turns, guessed }
+    fn estimated(epoch: u64) -> ReportedEpoch {
+        let estimated = true;
+        ReportedEpoch { epoch, estimated }
     }
 
     fn is_joined(self) -> bool {
-        self.turns % 2 == 1
+        self.epoch % 2 == 1
     }
 
-    /// Rule 4: an estimate of the same state becomes exact once no follower lags behind.
-    fn settled(self, all: &Count, now: f64) -> Told {
-        let same = self.is_joined() == all.is_joined();
-        match self.guessed && same && all.is_quiet(now) {
-            true => Told::exact(all.turns),
+    /// Rule 4: an estimate that agrees with the proxy's state becomes exact once no follower lags behind.
+    fn resolved(self, state: &ProxyState, now: f64) -> ReportedEpoch {
+        let same = self.is_joined() == state.is_joined();
+        match self.estimated && same && state.is_quiet(now) {
+            true => ReportedEpoch::exact(state.epoch),
             false => self,
         }
     }
@@ -111,200 +112,210 @@
 /// One subscription to the event stream.
 struct Follower {
     /// Position in the order in which followers started.
-    order: u64,
+    sequence: u64,
     /// Whether its snapshot is complete.
-    settled: bool,
+    snapshot_complete: bool,
     /// Rules 1 and 3.
-    alone: bool,
+    authoritative: bool,
     /// Rule 2.
     linked: bool,
     /// Whether its heartbeat is overdue; it is not trusted until its next event.
     silent: bool,
     /// What it has reported, by proxy.
-    told: BTreeMap<usize, Told>,
+    reported: BTreeMap<usize, ReportedEpoch>,
 }
 
 impl Follower {
-    fn vouches(&self) -> bool {
-        (self.alone || self.linked) && !self.silent
+    /// Whether no event can be missing from its stream (rules 1 to 3).
+    fn is_trusted(&self) -> bool {
+        (self.authoritative || self.linked) && !self.silent
     }
 
     /// Returns what it has reported of a proxy, or `None` while its snapshot is incomplete. A proxy
     /// missing from a complete snapshot counts as not joined.
-    fn has_told(&self, proxy: usize) -> Option<Told> {
-        let unknown = self.settled.then_some(Told::guess(0));
-        self.told.get(&proxy).copied().or(unknown)
+    fn reported_epoch(&self, proxy: usize) -> Option<ReportedEpoch> {
+        let unknown = self
+            .snapshot_complete
+            .then_some(ReportedEpoch::estimated(0));
+        self.reported.get(&proxy).copied().or(unknown)
     }
 }
 
 /// Merges the event streams of several followers into one sequence of joins and leaves.
 #[derive(Default)]
 pub struct Membership {
-    all: BTreeMap<usize, Count>,
+    proxies: BTreeMap<usize, ProxyState>,
     followers: BTreeMap<u32, Follower>,
     /// Number of followers started so far.
-    begun: u64,
+    started_count: u64,
 }
 
 impl Membership {
     /// Whether a proxy is joined.
     pub fn is_joined(&self, proxy: usize) -> bool {
-        self.all.get(&proxy).is_some_and(Count::is_joined)
+        self.proxies.get(&proxy).is_some_and(ProxyState::is_joined)
     }
 
     /// Returns a proxy's epoch. A binding is valid only in the epoch for which it was made.
     pub fn epoch(&self, proxy: usize) -> u64 {
-        self.all.get(&proxy).map_or(0, |c| c.turns)
+        self.proxies.get(&proxy).map_or(0, |state| state.epoch)
     }
 
     /// Returns the number of joined proxies.
     pub fn count(&self) -> usize {
-        self.all.values().filter(|c| c.is_joined()).count()
+        let joined = self.proxies.values().filter(|state| state.is_joined());
+        joined.count()
     }
 
     /// Whether another follower than this one is trusted.
-    fn is_accompanied(&self, follower: u32) -> bool {
-        let mut others = self.followers.iter().filter(|(id, _)| **id != follower);
-        others.any(|(_, f)| f.vouches())
+    fn has_other_trusted(&self, id: u32) -> bool {
+        let mut others = self.followers.iter().filter(|(other, _)| **other != id);
+        others.any(|(_, follower)| follower.is_trusted())
     }
 
     /// A follower's stream starts; its snapshot comes next.
-    pub fn follower_started(&mut self, follower: u32) {
-        self.followers.remove(&follower);
-        let alone = self.followers.values().all(|f| f.silent);
-        if alone {
+    pub fn follower_started(&mut self, id: u32) {
+        self.followers.remove(&id);
+        let authoritative = self.followers.values().all(|follower| follower.silent);
+        if authoritative {
             // The silent followers' counts predate this one, so later events of theirs are ignored.
             self.followers.clear();
         }
-        self.begun += 1;
-        let fresh = Follower {
-            order: self.begun,
-            settled: false,
-            alone,
+        self.started_count += 1;
+        let new = Follower {
+            sequence: self.started_count,
+            snapshot_complete: false,
+            authoritative,
             linked: false,
             silent: false,
-            told: BTreeMap::new(),
+            reported: BTreeMap::new(),
         };
-        self.followers.insert(follower, fresh);
+        self.followers.insert(id, new);
     }
 
     /// A follower's heartbeat is overdue.
-    pub fn follower_silent(&mut self, follower: u32, now: f64, out: &mut Vec<MembershipChange>) {
-        if let Some(f) = self.followers.get_mut(&follower) {
-            f.silent = true;
-            self.succeed(now, out);
+    pub fn follower_silent(&mut self, id: u32, now: f64, out: &mut Vec<MembershipChange>) {
+        if let Some(follower) = self.followers.get_mut(&id) {
+            follower.silent = true;
+            self.apply_trust_rules(now, out);
         }
     }
 
     /// Anything arrived from a follower, so its stream has had no gap so far.
-    pub fn follower_active(&mut self, follower: u32) {
-        let Some(f) = self.followers.get_mut(&follower) else {
+    pub fn follower_active(&mut self, id: u32) {
+        let Some(follower) = self.followers.get_mut(&id) else {
             return;
         };
         // The first event after a silence may be old: it links no follower that started meanwhile.
-        let late = std::mem::replace(&mut f.silent, false);
-        if f.vouches() && !late {
-            let order = f.order;
-            let younger = self.followers.values_mut().filter(|g| g.order > order);
-            younger.for_each(|g| g.linked = true);
+        let was_silent = std::mem::replace(&mut follower.silent, false);
+        if follower.is_trusted() && !was_silent {
+            let sequence = follower.sequence;
+            let others = self.followers.values_mut();
+            let later = others.filter(|other| other.sequence > sequence);
+            later.for_each(|other| other.linked = true);
         }
     }
 
     /// A follower's stream ended.
-    pub fn follower_ended(&mut self, follower: u32, now: f64, out: &mut Vec<MembershipChange>) {
-        if self.followers.remove(&follower).is_some() {
-            self.succeed(now, out);
+    pub fn follower_ended(&mut self, id: u32, now: f64, out: &mut Vec<MembershipChange>) {
+        if self.followers.remove(&id).is_some() {
+            self.apply_trust_rules(now, out);
         }
     }
 
-    /// Applies rules 3 and 5 after a follower ended or fell silent.
-    fn succeed(&mut self, now: f64, out: &mut Vec<MembershipChange>) {
-        let heard = self.followers.iter().filter(|(_, f)| !f.silent);
-        let sound: Vec<u32> = heard
-            .clone()
-            .filter(|(_, f)| f.vouches())
-            .map(|(id, _)| *id)
-            .collect();
-        let oldest = heard.min_by_key(|(_, f)| f.order).map(|(id, _)| *id);
-        let (sole, promoted) = match (&sound[..], oldest) {
+    /// After a follower ended or fell silent: promotes the oldest one if none is trusted (rule 3), and
+    /// lets the last trusted one decide (rule 5).
+    fn apply_trust_rules(&mut self, now: f64, out: &mut Vec<MembershipChange>) {
+        let followers = self.followers.iter();
+        let active = followers.filter(|(_, follower)| !follower.silent);
+        let trusted = active.clone().filter(|(_, follower)| follower.is_trusted());
+        let trusted: Vec<u32> = trusted.map(|(id, _)| *id).collect();
+        let oldest = active.min_by_key(|(_, follower)| follower.sequence);
+        let oldest = oldest.map(|(id, _)| *id);
+        let (decider, promoted) = match (&trusted[..], oldest) {
             ([], Some(oldest)) => (oldest, true),
-            ([sole], _) => (*sole, false),
+            ([decider], _) => (*decider, false),
             _ => return,
         };
         if promoted {
-            self.followers.retain(|_, f| !f.silent);
+            self.followers.retain(|_, follower| !follower.silent);
         }
-        let Some(f) = self.followers.get_mut(&sole) else {
+        let Some(follower) = self.followers.get_mut(&decider) else {
             return;
         };
-        f.alone |= promoted;
-        for (proxy, all) in &mut self.all {
-            let Some(told) = f.has_told(*proxy).filter(|told| told.guessed || promoted) else {
+        follower.authoritative |= promoted;
+        for (proxy, state) in &mut self.proxies {
+            let proxy = *proxy;
+            let Some(reported) = follower.reported_epoch(proxy) else {
                 continue;
             };
-            let (proxy, zone, visits_per_ms) = (*proxy, all.zone, all.visits_per_ms);
-            match (told.is_joined(), all.is_joined()) {
+            if !reported.estimated && !promoted {
+                continue;
+            }
+            let left = MembershipChange::Left { proxy };
+            let joined = MembershipChange::Joined {
+                proxy,
+                zone: state.zone,
+                visits_per_ms: state.visits_per_ms,
+            };
+            match (reported.is_joined(), state.is_joined()) {
                 (true, true) if promoted => {
-                    all.becomes(all.turns + 2, now);
-                    out.push(MembershipChange::Left { proxy });
-                    out.push(MembershipChange::Joined {
-                        proxy,
-                        zone,
-                        visits_per_ms,
-                    });
+                    state.advance_to(state.epoch + 2, now);
+                    out.extend([left, joined]);
                 }
                 (true, true) | (false, false) => {}
                 (true, false) => {
-                    all.becomes(all.turns + 1, now);
-                    out.push(MembershipChange::Joined {
-                        proxy,
-                        zone,
-                        visits_per_ms,
-                    });
+                    state.advance_to(state.epoch + 1, now);
+                    out.push(joined);
                 }
                 (false, true) => {
-                    all.becomes(all.turns + 1, now);
-                    out.push(MembershipChange::Left { proxy });
+                    state.advance_to(state.epoch + 1, now);
+                    out.push(left);
                 }
             }
-            f.told.insert(proxy, Told::exact(all.turns));
+            let exact = ReportedEpoch::exact(state.epoch);
+            follower.reported.insert(proxy, exact);
         }
         // The overall counts may have changed: the other followers' counts are estimates now.
-        for (_, g) in self.followers.iter_mut().filter(|(id, _)| **id != sole) {
-            g.told.values_mut().for_each(|told| told.guessed = true);
+        for (_, other) in self.followers.iter_mut().filter(|(id, _)| **id != decider) {
+            let reported = other.reported.values_mut();
+            reported.for_each(|epoch| epoch.estimated = true);
         }
     }
 
     /// A follower reports that a proxy is joined, in its snapshot or as a join.
     pub fn hello(
         &mut self,
-        follower: u32,
-        (proxy, zone, visits_per_ms): (usize, usize, f64),
+        id: u32,
+        proxy: usize,
+        zone: usize,
+        visits_per_ms: f64,
         now: f64,
         out: &mut Vec<MembershipChange>,
     ) {
-        let accompanied = self.is_accompanied(follower);
-        let Some(f) = self.followers.get_mut(&follower) else {
+        let other_trusted = self.has_other_trusted(id);
+        let Some(follower) = self.followers.get_mut(&id) else {
             return;
         };
-        let all = self.all.entry(proxy).or_default();
-        (all.zone, all.visits_per_ms) = (zone, visits_per_ms);
-        let (joined, quiet) = (all.is_joined(), all.is_quiet(now));
-        let next = match f.has_told(proxy).map(|told| told.settled(all, now)) {
+        let state = self.proxies.entry(proxy).or_default();
+        (state.zone, state.visits_per_ms) = (zone, visits_per_ms);
+        let (joined, quiet) = (state.is_joined(), state.is_quiet(now));
+        let reported = follower.reported_epoch(proxy);
+        let next = match reported.map(|reported| reported.resolved(state, now)) {
             // Rule 1: it may have left and rejoined unseen.
-            None if f.alone && joined => Told::exact(all.turns + 2),
-            None if accompanied && !quiet => Told::guess(all.least(true)),
-            None if joined => Told::exact(all.turns),
-            None => Told::exact(all.turns + 1),
+            None if follower.authoritative && joined => ReportedEpoch::exact(state.epoch + 2),
+            None if other_trusted && !quiet => ReportedEpoch::estimated(state.smallest_epoch(true)),
+            None if joined => ReportedEpoch::exact(state.epoch),
+            None => ReportedEpoch::exact(state.epoch + 1),
             // A second join in one stream implies a leave in between.
-            Some(Told { turns, guessed }) => {
-                let turns = turns + if turns % 2 == 1 { 2 } else { 1 };
-                Told { turns, guessed }
+            Some(ReportedEpoch { epoch, estimated }) => {
+                let epoch = epoch + if epoch % 2 == 1 { 2 } else { 1 };
+                ReportedEpoch { epoch, estimated }
             }
         };
-        f.told.insert(proxy, next);
-        if next.turns > all.turns {
-            all.becomes(next.turns, now);
+        follower.reported.insert(proxy, next);
+        if next.epoch > state.epoch {
+            state.advance_to(next.epoch, now);
             if joined {
                 out.push(MembershipChange::Left { proxy });
             }
@@ -317,58 +328,59 @@
     }
 
     /// A follower reports that a proxy left.
-    pub fn bye(&mut self, follower: u32, proxy: usize, now: f64, out: &mut Vec<MembershipChange>) {
-        self.end_snapshot(follower, now, out);
-        let Some(f) = self.followers.get_mut(&follower) else {
+    pub fn bye(&mut self, id: u32, proxy: usize, now: f64, out: &mut Vec<MembershipChange>) {
+        self.end_snapshot(id, now, out);
+        let Some(follower) = self.followers.get_mut(&id) else {
             return;
         };
-        let all = self.all.entry(proxy).or_default();
-        let told = f.has_told(proxy).map(|told| told.settled(all, now));
-        let Some(Told { turns, guessed }) = told.filter(|told| told.is_joined()) else {
+        let state = self.proxies.entry(proxy).or_default();
+        let reported = follower.reported_epoch(proxy);
+        let reported = reported.map(|reported| reported.resolved(state, now));
+        let Some(mut reported) = reported.filter(|reported| reported.is_joined()) else {
             return;
         };
-        let turns = turns + 1;
-        f.told.insert(proxy, Told { turns, guessed });
-        if turns > all.turns {
-            all.becomes(turns, now);
+        reported.epoch += 1;
+        follower.reported.insert(proxy, reported);
+        if reported.epoch > state.epoch {
+            state.advance_to(reported.epoch, now);
             out.push(MembershipChange::Left { proxy });
         }
     }
 
     /// Ends a follower's snapshot, as any event but a join does: a proxy missing from it has left.
-    pub fn end_snapshot(&mut self, follower: u32, now: f64, out: &mut Vec<MembershipChange>) {
-        let accompanied = self.is_accompanied(follower);
-        let Some(f) = self.followers.get_mut(&follower) else {
+    pub fn end_snapshot(&mut self, id: u32, now: f64, out: &mut Vec<MembershipChange>) {
+        let other_trusted = self.has_other_trusted(id);
+        let Some(follower) = self.followers.get_mut(&id) else {
             return;
         };
-        if std::mem::replace(&mut f.settled, true) {
+        if std::mem::replace(&mut follower.snapshot_complete, true) {
             return;
         }
-        for (proxy, all) in &mut self.all {
-            if f.told.contains_key(proxy) {
+        for (proxy, state) in &mut self.proxies {
+            if follower.reported.contains_key(proxy) {
                 continue;
             }
-            let told = match (accompanied && !all.is_quiet(now), all.is_joined()) {
-                (true, _) => Told::guess(all.least(false)),
-                (false, false) => Told::exact(all.turns),
+            let reported = match (other_trusted && !state.is_quiet(now), state.is_joined()) {
+                (true, _) => ReportedEpoch::estimated(state.smallest_epoch(false)),
+                (false, false) => ReportedEpoch::exact(state.epoch),
                 (false, true) => {
-                    all.becomes(all.turns + 1, now);
+                    state.advance_to(state.epoch + 1, now);
                     out.push(MembershipChange::Left { proxy: *proxy });
-                    Told::exact(all.turns)
+                    ReportedEpoch::exact(state.epoch)
                 }
             };
-            f.told.insert(*proxy, told);
+            follower.reported.insert(*proxy, reported);
         }
     }
 
     /// Starts a new epoch of a joined proxy, because commands sent to it may be lost.
     pub fn renew_epoch(&mut self, proxy: usize) {
         // The followers' counts move along, so that their next events still count as changes.
-        if let Some(all) = self.all.get_mut(&proxy) {
-            (all.turns, all.before) = (all.turns + 2, all.before + 2);
-            for f in self.followers.values_mut() {
-                if let Some(told) = f.told.get_mut(&proxy) {
-                    told.turns += 2;
+        if let Some(state) = self.proxies.get_mut(&proxy) {
+            (state.epoch, state.quiet_epoch) = (state.epoch + 2, state.quiet_epoch + 2);
+            for follower in self.followers.values_mut() {
+                if let Some(reported) = follower.reported.get_mut(&proxy) {
+                    reported.epoch += 2;
                 }
             }
         }
--- a/crates/platform/tests/membership.rs
+++ b/crates/platform/tests/membership.rs
@@ -27,7 +27,7 @@
             Told::Begun(f) => joined.follower_started(f),
             Told::Silent(f) => joined.follower_silent(f, now, &mut out),
             Told::Ended(f) => joined.follower_ended(f, now, &mut out),
-            Told::Hello(f, p) => joined.hello(f, (p, 0, 0.0), now, &mut out),
+            Told::Hello(f, p) => joined.hello(f, p, 0, 0.0, now, &mut out),
             Told::Bye(f, p) => joined.bye(f, p, now, &mut out),
             Told::Beat(f) => joined.end_snapshot(f, now, &mut out),
             Told::Wait => now += 2.0 * MAX_FOLLOWER_LAG_MS,
