--- a/crates/platform/src/delivery.rs
+++ b/crates/platform/src/delivery.rs
@@ -33,19 +33,19 @@
 use std::collections::{BTreeSet, VecDeque};
 
 /// First delay before a call is sent again; it doubles with each attempt.
-const FIRST_WAIT_MS: f64 = 20.0;
+const FIRST_RETRY_DELAY_MS: f64 = 20.0;
 /// Bound of that delay.
-const LONGEST_WAIT_MS: f64 = 320.0;
+const MAX_RETRY_DELAY_MS: f64 = 320.0;
 /// An acknowledgement takes a message's latency and the time its lines wait in the channel. None is
-/// expected after this many mean latencies, plus half the time of a full channel and `BESIDE_MS`.
-const WAYS: f64 = 3.0;
+/// expected after this many mean latencies, plus half the time of a full channel and `ACK_MARGIN_MS`.
+const ACK_LATENCIES: f64 = 3.0;
 /// Fixed part of the time allowed for an acknowledgement.
-const BESIDE_MS: f64 = 300.0;
+const ACK_MARGIN_MS: f64 = 300.0;
 /// Share of the channel's capacity that may be resent at once (rule 6) within the time that a full
 /// channel takes to empty. The planner always leaves more than this free.
-const AGAIN: f64 = 0.2;
+const RESEND_SHARE: f64 = 0.2;
 /// Number of queued decisions above which superseded commands are removed (rule 9).
-const MANY: usize = 64;
+const MAX_QUEUED_DECISIONS: usize = 64;
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -58,34 +58,44 @@
     Unknown,
 }
 
-/// A proxy and the epoch in which it is bound (see [`Membership::epoch`](crate::membership::Membership::epoch)).
+/// A proxy and its epoch, as [`crate::membership::Membership::epoch`] returns it.
 pub type ProxyEpoch = (usize, u64);
 
 /// The commands of one decision that are not yet confirmed.
 #[derive(Clone, Debug)]
 struct Batch {
-    orders: Vec<Command>,
+    commands: Vec<Command>,
     /// The proxy and epoch of each binding, in the order of the bindings.
-    turns: Vec<ProxyEpoch>,
+    epochs: Vec<ProxyEpoch>,
     /// The mark sent after the last command.
     mark: Option<u32>,
     /// Whether the mark was sent with all remaining commands, so that its acknowledgement confirms them.
-    marked: bool,
+    mark_sent: bool,
     /// Whether the mark was acknowledged.
     acknowledged: bool,
     /// Lines that the decision costs in the channel.
-    lines: f64,
-    /// Failed attempts so far.
-    tries: u32,
+    cost_lines: f64,
+    /// Failed attempts since the last accepted one.
+    attempts: u32,
     /// Whether the relay refused it once (rule 8).
     refused: bool,
 }
 
 /// An unconfirmed batch that waits for its acknowledgement (rule 7).
-struct Doubt {
+struct UnconfirmedBatch {
     batch: Batch,
     /// When it counts as not carried out (ms).
-    until: f64,
+    deadline: f64,
+}
+
+/// The call under way, made from the first batch of the queue.
+#[derive(Clone, Copy)]
+struct ActiveCall {
+    number: u64,
+    /// How many commands of the batch it contains, from the first.
+    command_count: usize,
+    /// Whether it contains the batch's mark.
+    has_mark: bool,
 }
 
 /// A call to make now.
@@ -110,92 +120,93 @@
 pub struct Delivery {
     /// Batches in the order of their decisions; a call under way belongs to the first.
     queue: VecDeque<Batch>,
-    doubts: Vec<Doubt>,
-    /// The call under way: its number, how many commands of the first batch it contains, and whether it
-    /// contains the mark.
-    under_way: Option<(u64, usize, bool)>,
+    /// Batches set aside by rule 7.
+    unconfirmed: Vec<UnconfirmedBatch>,
+    active_call: Option<ActiveCall>,
     /// The number of the latest call.
-    next: u64,
+    last_number: u64,
     /// No call is made before this time (ms).
     not_before: f64,
     /// Time allowed for an acknowledgement.
-    patience_ms: f64,
+    ack_timeout_ms: f64,
     /// Lines resent recently by rule 6; they decay with time.
-    again: f64,
+    resent_lines: f64,
     /// When that number was last updated (ms).
-    again_at: f64,
+    resent_updated_at: f64,
     /// Capacity of the channel's queue, in lines.
-    most_waiting: f64,
+    max_queued_lines: f64,
+    /// Rate at which the channel sends lines.
     lines_per_ms: f64,
 }
 
 impl Delivery {
     /// Creates an empty queue from the mean latency of a message, the channel's capacity in lines and
     /// the rate at which it sends them.
-    pub fn new(way_ms: f64, most_waiting: f64, lines_per_ms: f64) -> Delivery {
-        let backlog_ms = most_waiting / lines_per_ms.max(f64::MIN_POSITIVE);
+    pub fn new(message_latency_ms: f64, max_queued_lines: f64, lines_per_ms: f64) -> Delivery {
+        let backlog_ms = max_queued_lines / lines_per_ms.max(f64::MIN_POSITIVE);
         Delivery {
             queue: VecDeque::new(),
-            doubts: Vec::new(),
-            under_way: None,
-            next: 0,
+            unconfirmed: Vec::new(),
+            active_call: None,
+            last_number: 0,
             not_before: f64::NEG_INFINITY,
-            patience_ms: way_ms * WAYS + backlog_ms / 2.0 + BESIDE_MS,
-            again: 0.0,
-            again_at: f64::NEG_INFINITY,
-            most_waiting,
+            ack_timeout_ms: message_latency_ms * ACK_LATENCIES + backlog_ms / 2.0 + ACK_MARGIN_MS,
+            resent_lines: 0.0,
+            resent_updated_at: f64::NEG_INFINITY,
+            max_queued_lines,
             lines_per_ms,
         }
     }
 
-    /// Queues the commands of a decision. `turns` are the proxies and epochs of its bindings, in their
-    /// order; `lines` is what it costs in the channel.
+    /// Queues the commands of a decision. `epochs` are the proxies and epochs of its bindings, in their
+    /// order; `cost_lines` is what it costs in the channel.
     pub fn enqueue(
         &mut self,
-        orders: Vec<Command>,
-        turns: Vec<ProxyEpoch>,
+        commands: Vec<Command>,
+        epochs: Vec<ProxyEpoch>,
         mark: Option<u32>,
-        lines: f64,
+        cost_lines: f64,
     ) {
-        if orders.is_empty() {
+        if commands.is_empty() {
             return;
         }
         self.queue.push_back(Batch {
-            orders,
-            turns,
+            commands,
+            epochs,
             mark,
-            marked: false,
+            mark_sent: false,
             acknowledged: false,
-            lines,
-            tries: 0,
+            cost_lines,
+            attempts: 0,
             refused: false,
         });
-        self.overtake_doubts();
-        if self.queue.len() > MANY {
-            self.cut_down();
+        self.drop_superseded_unconfirmed();
+        if self.queue.len() > MAX_QUEUED_DECISIONS {
+            self.drop_all_superseded();
         }
     }
 
     /// Rule 9: keeps only the last command for each key. A call under way stays as it is.
-    fn cut_down(&mut self) {
-        let fixed = usize::from(self.under_way.is_some());
+    fn drop_all_superseded(&mut self) {
+        let active = usize::from(self.active_call.is_some());
         let mut later = BTreeSet::new();
-        for batch in self.queue.iter_mut().skip(fixed).rev() {
-            batch.keep(|key, _| !later.contains(&key));
+        for batch in self.queue.iter_mut().skip(active).rev() {
+            batch.retain(|key, _| !later.contains(&key));
             later.extend(batch.keys());
         }
-        let mut place = 0;
+        let mut position = 0;
         self.queue.retain(|batch| {
-            place += 1;
-            place <= fixed || !batch.orders.is_empty()
+            position += 1;
+            position <= active || !batch.commands.is_empty()
         });
     }
 
     /// Returns the servers named by commands that may still be sent.
     pub fn referenced_servers(&self) -> BTreeSet<usize> {
-        let doubted = self.doubts.iter().map(|d| &d.batch);
-        let orders = self.queue.iter().chain(doubted).flat_map(|b| &b.orders);
-        let named = orders.filter_map(|order| match order {
+        let unconfirmed = self.unconfirmed.iter().map(|pending| &pending.batch);
+        let batches = self.queue.iter().chain(unconfirmed);
+        let commands = batches.flat_map(|batch| &batch.commands);
+        let named = commands.filter_map(|command| match command {
             Command::Share { server, .. } | Command::Withdraw { server, .. } => Some(*server),
             Command::Admit { .. } | Command::Bind { .. } | Command::Mark(_) => None,
         });
@@ -203,61 +214,63 @@
     }
 
     /// Rule 1 for unconfirmed batches, which may be resent after later decisions.
-    fn overtake_doubts(&mut self) {
-        if self.doubts.is_empty() {
+    fn drop_superseded_unconfirmed(&mut self) {
+        if self.unconfirmed.is_empty() {
             return;
         }
-        let later: BTreeSet<Key> = self.queue.iter().flat_map(Batch::keys).collect();
-        for doubt in &mut self.doubts {
-            doubt.batch.keep(|key, _| !later.contains(&key));
+        let later: BTreeSet<CommandKey> = self.queue.iter().flat_map(Batch::keys).collect();
+        for pending in &mut self.unconfirmed {
+            pending.batch.retain(|key, _| !later.contains(&key));
         }
-        self.doubts.retain(|d| !d.batch.orders.is_empty());
+        self.unconfirmed
+            .retain(|pending| !pending.batch.commands.is_empty());
     }
 
     /// Returns the number of queued decisions and of unconfirmed ones.
     pub fn pending_counts(&self) -> (usize, usize) {
-        (self.queue.len(), self.doubts.len())
+        (self.queue.len(), self.unconfirmed.len())
     }
 
     /// Rule 10: a proxy has acknowledged a mark.
     pub fn mark_acknowledged(&mut self, mark: u32) {
-        self.doubts.retain(|d| !d.batch.is_shown_by(mark));
-        let under_way = self.under_way.is_some();
-        let mut place = 0;
+        self.unconfirmed
+            .retain(|pending| !pending.batch.is_confirmed_by(mark));
+        let has_active_call = self.active_call.is_some();
+        let mut position = 0;
         self.queue.retain_mut(|batch| {
-            let shown = batch.is_shown_by(mark);
-            batch.acknowledged |= shown;
-            place += 1;
+            let confirmed = batch.is_confirmed_by(mark);
+            batch.acknowledged |= confirmed;
+            position += 1;
             // The outcome of the call under way is still to come.
-            !shown || under_way && place == 1
+            !confirmed || has_active_call && position == 1
         });
     }
 
     /// Returns when [`Delivery::next_call`] has something to do without further input (ms).
     pub fn wake_at(&self) -> Option<f64> {
-        let idle = self.under_way.is_none() && !self.queue.is_empty();
+        let idle = self.active_call.is_none() && !self.queue.is_empty();
         let send = idle.then_some(self.not_before);
-        let doubts = self.doubts.iter().map(|d| d.until);
-        doubts.chain(send).min_by(f64::total_cmp)
+        let expiry = self.unconfirmed.iter().map(|pending| pending.deadline);
+        expiry.chain(send).min_by(f64::total_cmp)
     }
 
-    /// Returns the call to make now, if there is one and none is under way. `stands` tells whether a
+    /// Returns the call to make now, if there is one and none is under way. `is_current` tells whether a
     /// proxy is still joined in the given epoch.
     pub fn next_call(
         &mut self,
         now: f64,
         names: &dyn NameLookup,
-        stands: &dyn Fn(ProxyEpoch) -> bool,
-        returned: &mut Feedback,
+        is_current: &dyn Fn(ProxyEpoch) -> bool,
+        feedback: &mut Feedback,
     ) -> Option<Call> {
-        self.settle_doubts(now, returned);
-        if self.under_way.is_some() || now < self.not_before {
+        self.expire_unconfirmed(now, feedback);
+        if self.active_call.is_some() || now < self.not_before {
             return None;
         }
         loop {
-            self.drop_overtaken(stands);
+            self.drop_superseded_in_first(is_current);
             let first = self.queue.front()?;
-            if first.orders.is_empty() {
+            if first.commands.is_empty() {
                 self.queue.pop_front();
                 continue;
             }
@@ -265,12 +278,12 @@
         }
         let first = self.queue.front()?;
         let (mut text, mut count) = (String::from("txn "), 0);
-        for order in &first.orders {
+        for command in &first.commands {
             let before = text.len();
             if count > 0 {
                 text.push(';');
             }
-            order.write(names, &mut text);
+            command.write(names, &mut text);
             // Leave room for the mark.
             if text.len() > MAX_CALL_BYTES - 32 && count > 0 {
                 text.truncate(before);
@@ -278,52 +291,59 @@
             }
             count += 1;
         }
-        let mark = first.mark.filter(|_| count == first.orders.len());
+        let mark = first.mark.filter(|_| count == first.commands.len());
         if let Some(mark) = mark {
             text.push(';');
             Command::Mark(mark).write(names, &mut text);
         }
         text.push_str("\r\n");
-        self.next += 1;
-        self.under_way = Some((self.next, count, mark.is_some()));
+        self.last_number += 1;
+        self.active_call = Some(ActiveCall {
+            number: self.last_number,
+            command_count: count,
+            has_mark: mark.is_some(),
+        });
         if let Some(first) = self.queue.front_mut() {
-            first.marked |= mark.is_some();
+            first.mark_sent |= mark.is_some();
         }
         Some(Call {
-            number: self.next,
+            number: self.last_number,
             text,
         })
     }
 
     /// Applies rule 1 to the first batch.
-    fn drop_overtaken(&mut self, stands: &dyn Fn(ProxyEpoch) -> bool) {
+    fn drop_superseded_in_first(&mut self, is_current: &dyn Fn(ProxyEpoch) -> bool) {
         let Some(mut first) = self.queue.pop_front() else {
             return;
         };
-        let later: BTreeSet<Key> = self.queue.iter().flat_map(Batch::keys).collect();
-        first.keep(|key, turn| !later.contains(&key) && turn.is_none_or(stands));
+        let later: BTreeSet<CommandKey> = self.queue.iter().flat_map(Batch::keys).collect();
+        first.retain(|key, epoch| !later.contains(&key) && epoch.is_none_or(is_current));
         self.queue.push_front(first);
     }
 
     /// Rule 7: resends what was not acknowledged in time, and returns its bindings.
-    fn settle_doubts(&mut self, now: f64, returned: &mut Feedback) {
-        let over = |d: &Doubt| d.until <= now;
-        if !self.doubts.iter().any(over) {
+    fn expire_unconfirmed(&mut self, now: f64, feedback: &mut Feedback) {
+        let is_expired = |pending: &UnconfirmedBatch| pending.deadline <= now;
+        if !self.unconfirmed.iter().any(is_expired) {
             return;
         }
-        let (ended, kept): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.doubts).into_iter().partition(over);
-        self.doubts = kept;
-        for doubt in ended.into_iter().rev() {
-            let mut batch = doubt.batch;
-            returned.lost_bindings.append(&mut batch.turns);
-            batch.orders.retain(|o| !matches!(o, Command::Bind { .. }));
-            returned.notes.push(format!(
-                "a call of unknown outcome was not carried out: {} orders go again",
-                batch.orders.len()
+        let (expired, kept): (Vec<_>, Vec<_>) = std::mem::take(&mut self.unconfirmed)
+            .into_iter()
+            .partition(is_expired);
+        self.unconfirmed = kept;
+        for pending in expired.into_iter().rev() {
+            let mut batch = pending.batch;
+            feedback.lost_bindings.append(&mut batch.epochs);
+            batch
+                .commands
+                .retain(|command| !matches!(command, Command::Bind { .. }));
+            feedback.notes.push(format!(
+                "an unconfirmed call was not carried out: {} commands are sent again",
+                batch.commands.len()
             ));
             // Ahead of later decisions, which supersede it.
-            let at = usize::from(self.under_way.is_some());
+            let at = usize::from(self.active_call.is_some());
             self.queue.insert(at.min(self.queue.len()), batch);
         }
     }
@@ -334,104 +354,103 @@
         now: f64,
         number: u64,
         outcome: CallOutcome,
-        returned: &mut Feedback,
+        feedback: &mut Feedback,
     ) {
-        let Some((under_way, count, marked)) = self.under_way else {
+        let Some(call) = self.active_call.filter(|call| call.number == number) else {
             return;
         };
-        if under_way != number {
-            return;
-        }
-        self.under_way = None;
-        let gone = (now - self.again_at) * self.lines_per_ms * AGAIN;
-        (self.again, self.again_at) = ((self.again - gone).max(0.0), now);
-        let room = self.most_waiting * AGAIN - self.again;
+        self.active_call = None;
+        let decayed = (now - self.resent_updated_at) * self.lines_per_ms * RESEND_SHARE;
+        (self.resent_lines, self.resent_updated_at) = ((self.resent_lines - decayed).max(0.0), now);
+        let resend_budget = self.max_queued_lines * RESEND_SHARE - self.resent_lines;
         let Some(first) = self.queue.front_mut() else {
             return;
         };
-        let sent = count + usize::from(marked);
+        let sent = call.command_count + usize::from(call.has_mark);
         let outcome = match outcome {
             CallOutcome::Replied(Reply::Accepted(n)) if n <= sent => outcome,
             _ if first.acknowledged => CallOutcome::Replied(Reply::Accepted(sent)),
             _ => outcome,
         };
-        let small = first.lines <= room;
-        let wait = |tries: u32| (FIRST_WAIT_MS * f64::from(1 << tries.min(8))).min(LONGEST_WAIT_MS);
-        let again = |tries: u32| match tries {
+        let is_cheap = first.cost_lines <= resend_budget;
+        let retry_delay = |attempts: u32| {
+            (FIRST_RETRY_DELAY_MS * f64::from(1 << attempts.min(8))).min(MAX_RETRY_DELAY_MS)
+        };
+        let resend_at = |attempts: u32| match attempts {
             0 => now,
-            n => now + wait(n - 1),
+            n => now + retry_delay(n - 1),
         };
         match outcome {
             CallOutcome::Replied(Reply::Accepted(n)) if n == sent => {
-                first.cut(count);
-                first.tries = 0;
-                if first.orders.is_empty() {
+                first.drop_first(call.command_count);
+                first.attempts = 0;
+                if first.commands.is_empty() {
                     self.queue.pop_front();
                 }
             }
             CallOutcome::Replied(Reply::Accepted(n)) if n < sent => {
-                let halted = first.orders.get(n).cloned();
-                returned.notes.push(format!(
-                    "the relay halted at order {n} of {sent}: {halted:?}"
+                let halted = first.commands.get(n).cloned();
+                feedback.notes.push(format!(
+                    "the relay halted at command {n} of {sent}: {halted:?}"
                 ));
                 // Halted at the mark, all commands before it were accepted.
-                first.cut((n + 1).min(count));
-                if first.orders.is_empty() {
+                first.drop_first((n + 1).min(call.command_count));
+                if first.commands.is_empty() {
                     self.queue.pop_front();
                 }
             }
             CallOutcome::Replied(Reply::TooManyCalls) => {
-                self.not_before = now + wait(first.tries);
-                first.tries += 1;
+                self.not_before = now + retry_delay(first.attempts);
+                first.attempts += 1;
             }
             CallOutcome::NotSent => {
-                self.not_before = now + wait(first.tries);
-                first.tries += 1;
+                self.not_before = now + retry_delay(first.attempts);
+                first.attempts += 1;
             }
             CallOutcome::Replied(Reply::BadRequest) if !first.refused => {
                 first.refused = true;
-                self.not_before = now + FIRST_WAIT_MS;
+                self.not_before = now + FIRST_RETRY_DELAY_MS;
             }
             CallOutcome::Replied(Reply::BadRequest) => {
-                returned.notes.push(format!(
-                    "the relay refused a call of {sent} orders twice: dropped"
+                feedback.notes.push(format!(
+                    "the relay refused a call of {sent} commands twice: dropped"
                 ));
                 self.queue.pop_front();
             }
-            CallOutcome::Replied(_) | CallOutcome::Unknown if small => {
-                self.again += first.lines;
-                self.not_before = again(first.tries);
-                first.tries += 1;
+            CallOutcome::Replied(_) | CallOutcome::Unknown if is_cheap => {
+                self.resent_lines += first.cost_lines;
+                self.not_before = resend_at(first.attempts);
+                first.attempts += 1;
             }
             CallOutcome::Replied(_) | CallOutcome::Unknown => {
                 let Some(mut batch) = self.queue.pop_front() else {
                     return;
                 };
                 // Commands that did not fit into this call stay queued.
-                let rest = batch.split(count);
-                if !rest.orders.is_empty() {
+                let rest = batch.split_off(call.command_count);
+                if !rest.commands.is_empty() {
                     // The mark stays with them and does not confirm the unconfirmed part.
                     batch.mark = None;
                     self.queue.push_front(rest);
                 }
-                let shuts = batch.take_shuts();
-                if !shuts.is_empty() {
-                    self.not_before = again(batch.tries);
+                let withdrawals = batch.take_withdrawals();
+                if !withdrawals.is_empty() {
+                    self.not_before = resend_at(batch.attempts);
                     self.queue.push_front(Batch {
-                        orders: shuts,
-                        turns: Vec::new(),
+                        commands: withdrawals,
+                        epochs: Vec::new(),
                         mark: None,
-                        marked: false,
+                        mark_sent: false,
                         acknowledged: false,
-                        lines: batch.lines,
-                        tries: batch.tries + 1,
+                        cost_lines: batch.cost_lines,
+                        attempts: batch.attempts + 1,
                         refused: false,
                     });
                 }
-                let until = now + self.patience_ms;
-                if !batch.orders.is_empty() {
-                    self.doubts.push(Doubt { batch, until });
-                    self.overtake_doubts();
+                let deadline = now + self.ack_timeout_ms;
+                if !batch.commands.is_empty() {
+                    self.unconfirmed.push(UnconfirmedBatch { batch, deadline });
+                    self.drop_superseded_unconfirmed();
                 }
             }
         }
@@ -440,80 +459,81 @@
 
 /// What a command sets: a later one with the same key supersedes it. Ordered only for use in sets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Key {
+enum CommandKey {
     Share(usize, usize),
     Admit(usize, usize),
-    Shut(usize),
+    Withdraw(usize),
     Bind(usize),
     Mark,
 }
 
-fn key(order: &Command) -> Key {
-    match order {
-        Command::Share { table, server, .. } => Key::Share(*table, *server),
-        Command::Admit { table, class, .. } => Key::Admit(*table, *class),
-        Command::Withdraw { server, .. } => Key::Shut(*server),
-        Command::Bind { proxy, .. } => Key::Bind(*proxy),
-        Command::Mark(_) => Key::Mark,
+fn command_key(command: &Command) -> CommandKey {
+    match command {
+        Command::Share { table, server, .. } => CommandKey::Share(*table, *server),
+        Command::Admit { table, class, .. } => CommandKey::Admit(*table, *class),
+        Command::Withdraw { server, .. } => CommandKey::Withdraw(*server),
+        Command::Bind { proxy, .. } => CommandKey::Bind(*proxy),
+        Command::Mark(_) => CommandKey::Mark,
     }
 }
 
 impl Batch {
     /// Whether the acknowledgement of a mark confirms this batch.
-    fn is_shown_by(&self, mark: u32) -> bool {
-        self.marked && self.mark == Some(mark)
+    fn is_confirmed_by(&self, mark: u32) -> bool {
+        self.mark_sent && self.mark == Some(mark)
     }
 
-    fn keys(&self) -> impl Iterator<Item = Key> + '_ {
-        self.orders.iter().map(key)
+    /// Returns the keys of its commands.
+    fn keys(&self) -> impl Iterator<Item = CommandKey> + '_ {
+        self.commands.iter().map(command_key)
     }
 
-    /// Keeps the commands that pass, with the epochs of the bindings among them.
-    fn keep(&mut self, pass: impl Fn(Key, Option<ProxyEpoch>) -> bool) {
-        let mut turns = std::mem::take(&mut self.turns).into_iter();
-        let kept = &mut self.turns;
-        self.orders.retain(|order| {
-            let turn = match order {
-                Command::Bind { .. } => turns.next(),
+    /// Keeps the commands that pass, with the epochs of the bindings among them. `pass` gets the epoch
+    /// for bindings only.
+    fn retain(&mut self, pass: impl Fn(CommandKey, Option<ProxyEpoch>) -> bool) {
+        let mut epochs = std::mem::take(&mut self.epochs).into_iter();
+        let kept = &mut self.epochs;
+        self.commands.retain(|command| {
+            let epoch = match command {
+                Command::Bind { .. } => epochs.next(),
                 _ => None,
             };
-            let keeps = pass(key(order), turn);
-            kept.extend(turn.filter(|_| keeps));
-            keeps
+            let passes = pass(command_key(command), epoch);
+            kept.extend(epoch.filter(|_| passes));
+            passes
         });
     }
 
     /// Drops the first `count` commands.
-    fn cut(&mut self, count: usize) {
-        let rest = self.split(count);
+    fn drop_first(&mut self, count: usize) {
+        let rest = self.split_off(count);
         *self = rest;
     }
 
     /// Splits off the commands after the first `count`. The mark is with the last part.
-    fn split(&mut self, count: usize) -> Batch {
-        let orders = self.orders.split_off(count.min(self.orders.len()));
-        let bound = |o: &&Command| matches!(o, Command::Bind { .. });
-        let turns = self
-            .turns
-            .split_off(self.orders.iter().filter(bound).count());
+    fn split_off(&mut self, count: usize) -> Batch {
+        let commands = self.commands.split_off(count.min(self.commands.len()));
+        let is_bind = |command: &&Command| matches!(command, Command::Bind { .. });
+        let bind_count = self.commands.iter().filter(is_bind).count();
+        let epochs = self.epochs.split_off(bind_count);
         Batch {
-            mark: if orders.is_empty() { None } else { self.mark },
-            marked: self.marked && !orders.is_empty(),
+            mark: if commands.is_empty() { None } else { self.mark },
+            mark_sent: self.mark_sent && !commands.is_empty(),
             acknowledged: false,
-            lines: self.lines,
-            orders,
-            turns,
-            tries: 0,
+            cost_lines: self.cost_lines,
+            commands,
+            epochs,
+            attempts: 0,
             refused: false,
         }
     }
 
     /// Takes out the withdrawals and restores.
-    fn take_shuts(&mut self) -> Vec<Command> {
-        let (shuts, rest) = std::mem::take(&mut self.orders)
+    fn take_withdrawals(&mut self) -> Vec<Command> {
+        let (withdrawals, rest) = std::mem::take(&mut self.commands)
             .into_iter()
-            .partition(|o| matches!(o, Command::Withdraw { .. }));
-        self.orders = rest;
-        shuts
+            .partition(|command| matches!(command, Command::Withdraw { .. }));
+        self.commands = rest;
+        withdrawals
     }
 }
