--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -3,7 +3,7 @@
 //! It feeds the planner and passes its decisions on. It decides nothing itself beyond the rules of
 //! [`crate::delivery`] and [`crate::membership`].
 
-use crate::delivery::{Call, CallOutcome, Delivery, Feedback};
+use crate::delivery::{Call, CallOutcome, Delivery, Feedback, ProxyEpoch};
 use crate::discovery::EndpointList;
 use crate::inbound::Report;
 use crate::membership::{Membership, MembershipChange};
@@ -74,61 +74,74 @@
     pub stale_lists: u64,
 }
 
-/// Looks up names in the slots and in the settings.
-struct NamesOf<'a>(&'a ServerSlots, &'a Deployment);
+/// Names of servers by slot and of classes by the deployment's settings.
+struct Names<'a> {
+    slots: &'a ServerSlots,
+    deployment: &'a Deployment,
+}
 
-impl NameLookup for NamesOf<'_> {
+impl NameLookup for Names<'_> {
     fn server(&self, index: usize) -> &str {
-        &self.0.all[index].name
+        &self.slots.all[index].name
     }
 
     fn class(&self, index: usize) -> &str {
-        &self.1.classes[index]
+        &self.deployment.classes[index]
     }
 }
 
+/// Full lists below the current version, a sign that discovery may have restarted its versions.
+#[derive(Clone, Copy)]
+struct LowerLists {
+    /// When the first one arrived (ms).
+    since: f64,
+    /// The watch that sent the first one.
+    first_watch: u32,
+}
+
 /// The state behind all decisions: planner, servers, membership and delivery.
 pub struct Core {
     planner: Planner,
-    told: Deployment,
-    places: ServerSlots,
-    joined: Membership,
+    deployment: Deployment,
+    slots: ServerSlots,
+    membership: Membership,
     delivery: Delivery,
     /// The table that each joined proxy is bound to.
-    tables: BTreeMap<usize, usize>,
+    bound_tables: BTreeMap<usize, usize>,
     /// Version of the newest list.
     index: u64,
     /// Lists of watches before this one are ignored, because discovery has restarted its versions since.
     first_watch: u32,
-    /// Since when, and first from which watch, full lists have been below the current version.
-    below: Option<(f64, u32)>,
+    /// Set while full lists arrive that are below the current version.
+    lower_lists: Option<LowerLists>,
     /// When the planner wants to decide again (ms).
-    alarm: Option<f64>,
+    planner_wake_at: Option<f64>,
+    /// Counts since the start.
     pub counters: Counters,
 }
 
 impl Core {
     /// Creates a core at time `now` (ms) with the last known list of servers.
-    pub fn new(now: f64, seed: u64, told: Deployment, known: &EndpointList) -> Core {
-        let opening = &told.planner_settings;
+    pub fn new(now: f64, seed: u64, deployment: Deployment, known: &EndpointList) -> Core {
+        let settings = &deployment.planner_settings;
         let mut core = Core {
-            planner: Planner::new(now, seed, opening),
-            places: ServerSlots::default(),
-            joined: Membership::default(),
+            planner: Planner::new(now, seed, settings),
+            slots: ServerSlots::default(),
+            membership: Membership::default(),
             delivery: Delivery::new(
-                opening.message_latency_ms,
-                opening.max_queued_lines,
-                opening.lines_per_ms,
+                settings.message_latency_ms,
+                settings.max_queued_lines,
+                settings.lines_per_ms,
             ),
-            tables: BTreeMap::new(),
+            bound_tables: BTreeMap::new(),
             index: known.index,
             first_watch: 0,
-            below: None,
-            alarm: Some(now),
+            lower_lists: None,
+            planner_wake_at: Some(now),
             counters: Counters::default(),
-            told,
+            deployment,
         };
-        core.listed(now, known, RosterUpdate::Restored);
+        core.apply_list(now, known, RosterUpdate::Restored);
         core
     }
 
@@ -140,21 +153,29 @@
     /// Describes the state in one line of counts and one line for each listed server (see
     /// [`dahliapoint::ServerStatus`]), for the operators' debug log.
     pub fn state_lines(&self) -> Vec<String> {
-        let (queued, doubted) = self.delivery.pending_counts();
+        let (queued, unconfirmed) = self.delivery.pending_counts();
         let mut out = vec![format!(
-            "joined {} queued {queued} doubted {doubted} reports {} of strangers {} old lists {}",
-            self.joined.count(),
+            "joined {} queued {queued} doubted {unconfirmed} reports {} of strangers {} old lists {}",
+            self.membership.count(),
             self.counters.reports,
             self.counters.unknown_subjects,
             self.counters.stale_lists
         )];
-        for (place, b) in self.places.all.iter().zip(self.planner.server_statuses()) {
-            if place.admin_state == AdminState::Gone {
+        for (slot, status) in self.slots.all.iter().zip(self.planner.server_statuses()) {
+            if slot.admin_state == AdminState::Gone {
                 continue;
             }
             out.push(format!(
                 "server {} {:?} line {:.3} health {:.2} out {} cold {} tries {:.1} failed {:.1} mean_ms {:.1}",
-                place.name, place.admin_state, b.published_weight, b.health, b.withdrawn, b.cold, b.tries, b.failed, b.mean_ms
+                slot.name,
+                slot.admin_state,
+                status.published_weight,
+                status.health,
+                status.withdrawn,
+                status.cold,
+                status.tries,
+                status.failed,
+                status.mean_ms
             ));
         }
         out
@@ -162,97 +183,102 @@
 
     /// Handles all inputs of one moment, decides, and returns what to do.
     pub fn step(&mut self, now: f64, inputs: impl IntoIterator<Item = Input>) -> Effects {
-        let (mut effects, mut returned) = (Effects::default(), Feedback::default());
-        let mut told = false;
+        let (mut effects, mut feedback) = (Effects::default(), Feedback::default());
+        let mut must_decide = false;
         for input in inputs {
-            told |= self.take(now, input, &mut returned);
+            must_decide |= self.handle_input(now, input, &mut feedback);
         }
-        if self.alarm.is_some_and(|at| at <= now) {
-            (self.alarm, told) = (None, true);
+        if self.planner_wake_at.is_some_and(|at| at <= now) {
+            (self.planner_wake_at, must_decide) = (None, true);
         }
-        if told {
+        if must_decide {
             self.decide(now, &mut effects);
         }
         // Lost bindings are new information for the planner: it decides once more, and only once.
-        effects.call = self.next_call(now, &mut returned);
-        if !returned.lost_bindings.is_empty() {
-            self.give_back(std::mem::take(&mut returned.lost_bindings));
+        effects.call = self.next_call(now, &mut feedback);
+        if !feedback.lost_bindings.is_empty() {
+            self.return_bindings(std::mem::take(&mut feedback.lost_bindings));
             self.decide(now, &mut effects);
             if effects.call.is_none() {
-                effects.call = self.next_call(now, &mut returned);
+                effects.call = self.next_call(now, &mut feedback);
             }
         }
-        effects.notes.append(&mut returned.notes);
-        let wakes = self.alarm.into_iter().chain(self.delivery.wake_at());
-        effects.wake_at = wakes.min_by(f64::total_cmp);
+        effects.notes.append(&mut feedback.notes);
+        let planner_wake_at = self.planner_wake_at.into_iter();
+        let wake_times = planner_wake_at.chain(self.delivery.wake_at());
+        effects.wake_at = wake_times.min_by(f64::total_cmp);
         effects
     }
 
-    fn next_call(&mut self, now: f64, returned: &mut Feedback) -> Option<Call> {
-        let names = NamesOf(&self.places, &self.told);
-        let joined = &self.joined;
-        let stands = |(proxy, turn)| joined.is_joined(proxy) && joined.epoch(proxy) == turn;
-        self.delivery.next_call(now, &names, &stands, returned)
+    /// Returns the call to make now, if there is one.
+    fn next_call(&mut self, now: f64, feedback: &mut Feedback) -> Option<Call> {
+        let names = Names {
+            slots: &self.slots,
+            deployment: &self.deployment,
+        };
+        let membership = &self.membership;
+        let is_current =
+            |(proxy, epoch)| membership.is_joined(proxy) && membership.epoch(proxy) == epoch;
+        self.delivery.next_call(now, &names, &is_current, feedback)
     }
 
     /// Handles one input. Returns whether the planner has anything new.
-    fn take(&mut self, now: f64, input: Input, returned: &mut Feedback) -> bool {
+    fn handle_input(&mut self, now: f64, input: Input, feedback: &mut Feedback) -> bool {
         match input {
             Input::EndpointList { watch, list } => {
-                let extent = match list.is_snapshot {
+                let update = match list.is_snapshot {
                     true => RosterUpdate::Snapshot,
                     false => RosterUpdate::Changes,
                 };
-                if !self.counts(now, watch, &list, returned) {
+                if !self.accepts_list(now, watch, &list, feedback) {
                     self.counters.stale_lists += 1;
                     return false;
                 }
-                for fault in &list.rejected {
-                    returned
-                        .notes
-                        .push(format!("list {}: left out: {fault}", list.index));
-                }
+                let rejected = list.rejected.iter();
+                let notes =
+                    rejected.map(|entry| format!("list {}: entry rejected: {entry}", list.index));
+                feedback.notes.extend(notes);
                 self.index = list.index;
-                self.listed(now, &list, extent);
+                self.apply_list(now, &list, update);
                 true
             }
-            Input::RelayEvent { follower, event } => self.news(now, follower, event),
+            Input::RelayEvent { follower, event } => self.handle_event(now, follower, event),
             Input::FollowerSilent { follower } => {
                 let mut changes = Vec::new();
-                self.joined.follower_silent(follower, now, &mut changes);
-                self.tell_joined(&changes)
+                self.membership.follower_silent(follower, now, &mut changes);
+                self.apply_changes(&changes)
             }
             Input::FollowerEnded { follower } => {
                 let mut changes = Vec::new();
-                self.joined.follower_ended(follower, now, &mut changes);
-                self.tell_joined(&changes)
+                self.membership.follower_ended(follower, now, &mut changes);
+                self.apply_changes(&changes)
             }
-            Input::Report(report) => self.report(now, &report),
+            Input::Report(report) => self.handle_report(now, &report),
             Input::ProbeAnswered {
                 probe,
                 healthy,
                 took_ms,
             } => {
-                let Some(place) = self.places.all.get_mut(probe.server) else {
+                let Some(slot) = self.slots.all.get_mut(probe.server) else {
                     return false;
                 };
-                if place.generation != probe.generation {
+                if slot.generation != probe.generation {
                     return false;
                 }
-                place.probe_pending = false;
+                slot.probe_pending = false;
                 self.planner
                     .probe_answered(now, probe.server, healthy, took_ms);
                 true
             }
             Input::ProbeNotSent(probe) => {
-                let place = self.places.all.get_mut(probe.server);
-                if let Some(place) = place.filter(|p| p.generation == probe.generation) {
-                    place.probe_pending = false;
+                let slot = self.slots.all.get_mut(probe.server);
+                if let Some(slot) = slot.filter(|slot| slot.generation == probe.generation) {
+                    slot.probe_pending = false;
                 }
                 false
             }
             Input::CallEnded { number, outcome } => {
-                self.delivery.call_ended(now, number, outcome, returned);
+                self.delivery.call_ended(now, number, outcome, feedback);
                 false
             }
         }
@@ -264,74 +290,80 @@
     /// may restart its versions. Then a watch that asks for the changes after the current version gets
     /// a full list below it, and so does a later watch once [`MAX_DISCOVERY_LAG_MS`] have passed. From
     /// then on lists of older watches are ignored.
-    fn counts(
+    fn accepts_list(
         &mut self,
         now: f64,
         watch: u32,
         list: &EndpointList,
-        returned: &mut Feedback,
+        feedback: &mut Feedback,
     ) -> bool {
         if watch < self.first_watch {
             return false;
         }
         if list.index > self.index || list.index == self.index && list.is_snapshot {
-            self.below = None;
+            self.lower_lists = None;
             return true;
         }
         if !list.is_snapshot {
             return false;
         }
-        let (since, first) = *self.below.get_or_insert((now, watch));
-        let anew = list.index < self.index && watch > first && now - since >= MAX_DISCOVERY_LAG_MS;
-        if anew {
-            (self.first_watch, self.below) = (watch, None);
+        let lower = *self.lower_lists.get_or_insert(LowerLists {
+            since: now,
+            first_watch: watch,
+        });
+        let restarted = list.index < self.index
+            && watch > lower.first_watch
+            && now - lower.since >= MAX_DISCOVERY_LAG_MS;
+        if restarted {
+            (self.first_watch, self.lower_lists) = (watch, None);
             let (old, new) = (self.index, list.index);
-            returned.notes.push(format!(
-                "discovery's versions begin anew: {new} after {old}"
+            feedback.notes.push(format!(
+                "discovery restarted its versions: {new} after {old}"
             ));
         }
-        anew
+        restarted
     }
 
     /// Applies a list to the slots and to the planner.
-    fn listed(&mut self, now: f64, list: &EndpointList, extent: RosterUpdate) {
-        self.places
-            .release_idle(now, &self.delivery.referenced_servers());
+    fn apply_list(&mut self, now: f64, list: &EndpointList, update: RosterUpdate) {
+        let referenced = self.delivery.referenced_servers();
+        self.slots.release_idle(now, &referenced);
         let mut roster = Vec::with_capacity(list.endpoints.len());
-        for entry in &list.endpoints {
+        for endpoint in &list.endpoints {
+            let is_gone = endpoint.admin_state == AdminState::Gone;
             // A server that was never known cannot leave.
-            if entry.admin_state == AdminState::Gone && self.places.find(&entry.name).is_none() {
+            if is_gone && self.slots.find(&endpoint.name).is_none() {
                 continue;
             }
-            let server = self.places.upsert(entry, now);
+            let server = self.slots.upsert(endpoint, now);
             roster.push(RosterEntry {
                 server,
-                zone: entry.zone,
-                admin_state: entry.admin_state,
-                weight: entry.weight,
-                started_ms: self.places.all[server].started_at_ms,
+                zone: endpoint.zone,
+                admin_state: endpoint.admin_state,
+                weight: endpoint.weight,
+                started_ms: self.slots.all[server].started_at_ms,
             });
         }
-        if extent != RosterUpdate::Changes {
-            let listed: Vec<usize> = roster.iter().map(|l| l.server).collect();
-            self.places.mark_unlisted_gone(&listed, now);
+        if update != RosterUpdate::Changes {
+            let listed: Vec<usize> = roster.iter().map(|entry| entry.server).collect();
+            self.slots.mark_unlisted_gone(&listed, now);
         }
-        self.planner.roster_changed(now, extent, &roster);
+        self.planner.roster_changed(now, update, &roster);
     }
 
     /// Handles an event of a follower. Returns whether the planner has anything new.
-    fn news(&mut self, now: f64, follower: u32, news: RelayEvent) -> bool {
+    fn handle_event(&mut self, now: f64, follower: u32, event: RelayEvent) -> bool {
         let mut changes = Vec::new();
-        let mut told = false;
-        self.joined.follower_active(follower);
-        match news {
-            RelayEvent::Started => self.joined.follower_started(follower),
+        let mut acknowledged = false;
+        self.membership.follower_active(follower);
+        match event {
+            RelayEvent::Started => self.membership.follower_started(follower),
             RelayEvent::Hello {
                 proxy,
                 zone,
                 visits_per_s,
                 ..
-            } => self.joined.hello(
+            } => self.membership.hello(
                 follower,
                 proxy,
                 zone,
@@ -339,22 +371,22 @@
                 now,
                 &mut changes,
             ),
-            RelayEvent::Bye { proxy } => self.joined.bye(follower, proxy, now, &mut changes),
-            RelayEvent::Heartbeat => self.joined.end_snapshot(follower, now, &mut changes),
+            RelayEvent::Bye { proxy } => self.membership.bye(follower, proxy, now, &mut changes),
+            RelayEvent::Heartbeat => self.membership.end_snapshot(follower, now, &mut changes),
             RelayEvent::Ack { proxy, mark } => {
-                self.joined.end_snapshot(follower, now, &mut changes);
-                if self.joined.is_joined(proxy) {
+                self.membership.end_snapshot(follower, now, &mut changes);
+                if self.membership.is_joined(proxy) {
                     self.planner.orders_applied(proxy, mark);
                     self.delivery.mark_acknowledged(mark);
-                    told = true;
+                    acknowledged = true;
                 }
             }
         }
-        self.tell_joined(&changes) || told
+        self.apply_changes(&changes) || acknowledged
     }
 
     /// Passes joins and leaves to the planner. Returns whether there were any.
-    fn tell_joined(&mut self, changes: &[MembershipChange]) -> bool {
+    fn apply_changes(&mut self, changes: &[MembershipChange]) -> bool {
         for change in changes {
             match change {
                 MembershipChange::Joined {
@@ -366,7 +398,7 @@
                 }
                 MembershipChange::Left { proxy } => {
                     self.planner.proxy_left(*proxy);
-                    self.tables.remove(proxy);
+                    self.bound_tables.remove(proxy);
                 }
             }
         }
@@ -374,18 +406,18 @@
     }
 
     /// Returns bindings that were not carried out to the planner, which binds again at its own pace.
-    fn give_back(&mut self, unbound: Vec<(usize, u64)>) {
-        for (proxy, turn) in unbound {
-            if self.joined.is_joined(proxy) && self.joined.epoch(proxy) == turn {
-                self.joined.renew_epoch(proxy);
+    fn return_bindings(&mut self, lost_bindings: Vec<ProxyEpoch>) {
+        for (proxy, epoch) in lost_bindings {
+            if self.membership.is_joined(proxy) && self.membership.epoch(proxy) == epoch {
+                self.membership.renew_epoch(proxy);
                 self.planner.binding_lost(proxy);
-                self.tables.remove(&proxy);
+                self.bound_tables.remove(&proxy);
             }
         }
     }
 
     /// Passes a report to the planner. Returns whether its subject is known.
-    fn report(&mut self, now: f64, report: &Report) -> bool {
+    fn handle_report(&mut self, now: f64, report: &Report) -> bool {
         self.counters.reports += 1;
         match report {
             Report::Outcomes {
@@ -396,11 +428,11 @@
                 mean_ms,
                 span_ms,
             } => {
-                let Some(server) = self.places.find(server) else {
+                let Some(server) = self.slots.find(server) else {
                     self.counters.unknown_subjects += 1;
                     return false;
                 };
-                let met = TryStats {
+                let stats = TryStats {
                     zone: *zone,
                     server,
                     tries: *tries,
@@ -408,7 +440,7 @@
                     window_ms: *span_ms,
                     mean_ms: *mean_ms,
                 };
-                self.planner.tries_reported(now, &met);
+                self.planner.tries_reported(now, &stats);
             }
             Report::Demand {
                 proxy,
@@ -416,7 +448,7 @@
                 visits,
                 span_ms,
             } => {
-                if !self.joined.is_joined(*proxy) {
+                if !self.membership.is_joined(*proxy) {
                     self.counters.unknown_subjects += 1;
                     return false;
                 }
@@ -431,43 +463,44 @@
     fn decide(&mut self, now: f64, effects: &mut Effects) {
         let orders = self.planner.decide(now);
         if let Some(at) = orders.wake_at {
-            self.alarm = Some(at);
+            self.planner_wake_at = Some(at);
         }
         for server in &orders.probes {
-            let place = &mut self.places.all[*server];
-            if let Some(address) = place.address {
-                place.probe_pending = true;
-                let asked = ProbeTarget {
+            let slot = &mut self.slots.all[*server];
+            if let Some(address) = slot.address {
+                slot.probe_pending = true;
+                let target = ProbeTarget {
                     server: *server,
-                    generation: place.generation,
+                    generation: slot.generation,
                 };
-                effects.probes.push((asked, address));
+                effects.probes.push((target, address));
             }
         }
         for (table, server, weight) in &orders.lines {
-            self.places.record_weight(*server, *table, *weight, now);
+            self.slots.record_weight(*server, *table, *weight, now);
         }
-        let named = orders.notes.iter().map(|note| self.named(note));
-        effects.notes.extend(named);
-        let joined = &self.joined;
-        let turns = orders.bindings.iter().map(|b| (b.0, joined.epoch(b.0)));
-        let turns = turns.collect();
+        let notes = orders.notes.iter().map(|note| self.with_names(note));
+        effects.notes.extend(notes);
+        let bound = orders.bindings.iter().map(|(proxy, _)| *proxy);
+        let epochs = bound.map(|proxy| (proxy, self.membership.epoch(proxy)));
+        let epochs = epochs.collect();
         let mark = orders.mark;
-        let lines = self.cost(&orders);
-        self.tables.extend(orders.bindings.iter().copied());
-        self.delivery.enqueue(in_order(orders), turns, mark, lines);
+        let cost_lines = self.cost_lines(&orders);
+        self.bound_tables.extend(orders.bindings.iter().copied());
+        let commands = into_commands(orders);
+        self.delivery.enqueue(commands, epochs, mark, cost_lines);
     }
 
     /// Replaces the index in a planner's note (`server 3 ...`, `zone 0 ...`) by the name.
-    fn named(&self, note: &str) -> String {
+    fn with_names(&self, note: &str) -> String {
         let mut words = note.splitn(3, ' ');
         let (Some(kind), Some(index), Some(rest)) = (words.next(), words.next(), words.next())
         else {
             return note.to_string();
         };
         let name = index.parse().ok().and_then(|index: usize| match kind {
-            "server" => self.places.all.get(index).map(|p| p.name.as_str()),
-            "zone" => self.told.zones.get(index).map(String::as_str),
+            "server" => self.slots.all.get(index).map(|slot| slot.name.as_str()),
+            "zone" => self.deployment.zones.get(index).map(String::as_str),
             _ => None,
         });
         name.map_or_else(|| note.to_string(), |name| format!("{kind} {name} {rest}"))
@@ -475,35 +508,36 @@
 
     /// Returns the lines that a decision costs in the channel: each proxy concerned gets one message,
     /// which consists of a fixed overhead and its lines.
-    fn cost(&self, orders: &Orders) -> f64 {
-        let head = self.told.planner_settings.message_overhead_lines + 1.0;
-        let mut changes: BTreeMap<usize, f64> = BTreeMap::new();
-        let lines = orders.lines.iter().map(|l| l.0);
-        for table in lines.chain(orders.levels.iter().map(|l| l.0)) {
-            *changes.entry(table).or_default() += 1.0;
+    fn cost_lines(&self, orders: &Orders) -> f64 {
+        let overhead = self.deployment.planner_settings.message_overhead_lines + 1.0;
+        let mut lines_by_table: BTreeMap<usize, f64> = BTreeMap::new();
+        let lines = orders.lines.iter().map(|line| line.0);
+        for table in lines.chain(orders.levels.iter().map(|level| level.0)) {
+            *lines_by_table.entry(table).or_default() += 1.0;
         }
-        let mut everywhere = 0.0;
+        let mut lines_for_all = 0.0;
         for (server, _) in &orders.withdrawals {
-            match self.places.all[*server].table {
-                Some(table) => *changes.entry(table).or_default() += 1.0,
-                None => everywhere += 1.0,
+            match self.slots.all[*server].table {
+                Some(table) => *lines_by_table.entry(table).or_default() += 1.0,
+                None => lines_for_all += 1.0,
             }
         }
-        let told = self.tables.values().map(|table| {
-            let lines = changes.get(table).unwrap_or(&0.0) + everywhere;
-            if lines > 0.0 { lines + head } else { 0.0 }
+        let updates = self.bound_tables.values().map(|table| {
+            let lines = lines_by_table.get(table).unwrap_or(&0.0) + lines_for_all;
+            if lines > 0.0 { lines + overhead } else { 0.0 }
         });
-        let whole = |table: usize| {
-            let of = self.places.all.iter().filter(|p| p.table == Some(table));
-            of.count() as f64 + self.told.classes.len() as f64 + head
+        let full_table = |table: usize| {
+            let slots = self.slots.all.iter();
+            let servers = slots.filter(|slot| slot.table == Some(table)).count();
+            servers as f64 + self.deployment.classes.len() as f64 + overhead
         };
-        let bound = orders.bindings.iter().map(|(_, table)| whole(*table));
-        told.chain(bound).sum()
+        let bindings = orders.bindings.iter().map(|(_, table)| full_table(*table));
+        updates.chain(bindings).sum()
     }
 }
 
 /// Converts a decision to commands, in the order of the fields of [`Orders`].
-fn in_order(orders: Orders) -> Vec<Command> {
+fn into_commands(orders: Orders) -> Vec<Command> {
     let lines = orders.lines.into_iter();
     let lines = lines.map(|(table, server, weight)| Command::Share {
         table,
@@ -517,9 +551,11 @@
         share,
         retry_policy,
     });
-    let shuts = orders.withdrawals.into_iter();
-    let shuts = shuts.map(|(server, withdrawn)| Command::Withdraw { server, withdrawn });
-    let binds = orders.bindings.into_iter();
-    let binds = binds.map(|(proxy, table)| Command::Bind { proxy, table });
-    lines.chain(levels).chain(shuts).chain(binds).collect()
+    let withdrawals = orders.withdrawals.into_iter();
+    let withdrawals =
+        withdrawals.map(|(server, withdrawn)| Command::Withdraw { server, withdrawn });
+    let bindings = orders.bindings.into_iter();
+    let bindings = bindings.map(|(proxy, table)| Command::Bind { proxy, table });
+    let updates = lines.chain(levels).chain(withdrawals);
+    updates.chain(bindings).collect()
 }
