--- a/crates/platform/tests/delivery.rs
+++ b/crates/platform/tests/delivery.rs
@@ -349,7 +349,11 @@
         assert_eq!(harness.call().unwrap(), "share,0,s0,1;mark,3,0");
         if sent {
             harness.end_call(CallOutcome::Unknown);
-            assert_eq!(harness.delivery.pending_counts(), (0, 1), "it is unconfirmed");
+            assert_eq!(
+                harness.delivery.pending_counts(),
+                (0, 1),
+                "it is unconfirmed"
+            );
         }
     }
 }
--- a/crates/platform/tests/shapes.rs
+++ b/crates/platform/tests/shapes.rs
@@ -12,6 +12,7 @@
 
 const START: f64 = 1.7e12;
 
+/// Settings of one customer.
 struct Shape {
     name: &'static str,
     zones: Vec<&'static str>,
@@ -20,10 +21,15 @@
     admit: &'static str,
     retries: u64,
     probing: bool,
-    /// Lines per second, lines that may wait, overhead of a message in lines.
-    channel: (f64, f64, f64),
-    messages_most: u64,
-    report_ms: u64,
+    /// Rate of the channel to the proxies.
+    lines_per_s: f64,
+    /// Lines that may wait in the channel.
+    max_queued_lines: f64,
+    /// Fixed cost of a message, in lines.
+    overhead_lines: f64,
+    /// Messages to a proxy in 10 s; 0 for no limit.
+    max_messages: u64,
+    report_interval_ms: u64,
     servers: usize,
     proxies: usize,
 }
@@ -41,9 +47,11 @@
             admit: "fraction",
             retries: 0,
             probing: true,
-            channel: (10_000.0, 10_000.0, 3.0),
-            messages_most: 25,
-            report_ms: 1000,
+            lines_per_s: 10_000.0,
+            max_queued_lines: 10_000.0,
+            overhead_lines: 3.0,
+            max_messages: 25,
+            report_interval_ms: 1000,
             servers: 20,
             proxies: 40,
         },
@@ -59,9 +67,11 @@
             admit: "none",
             retries: 1,
             probing: false,
-            channel: (4000.0, 2800.0, 6.0),
-            messages_most: 14,
-            report_ms: 2000,
+            lines_per_s: 4000.0,
+            max_queued_lines: 2800.0,
+            overhead_lines: 6.0,
+            max_messages: 14,
+            report_interval_ms: 2000,
             servers: 45,
             proxies: 60,
         },
@@ -72,9 +82,11 @@
             admit: "none",
             retries: 2,
             probing: false,
-            channel: (2000.0, 2000.0, 1.0),
-            messages_most: 0,
-            report_ms: 500,
+            lines_per_s: 2000.0,
+            max_queued_lines: 2000.0,
+            overhead_lines: 1.0,
+            max_messages: 0,
+            report_interval_ms: 500,
             servers: 3,
             proxies: 5,
         },
@@ -85,9 +97,11 @@
             admit: "fraction",
             retries: 1,
             probing: true,
-            channel: (9000.0, 9000.0, 4.0),
-            messages_most: 20,
-            report_ms: 1000,
+            lines_per_s: 9000.0,
+            max_queued_lines: 9000.0,
+            overhead_lines: 4.0,
+            max_messages: 20,
+            report_interval_ms: 1000,
             servers: 14,
             proxies: 28,
         },
@@ -107,9 +121,9 @@
             "rules": {"coldFrom": 0.2, "fallMultiple": 3.0, "fallNs": 1_500_000_000, "rampTimeNs": 12_000_000_000_u64,
                 "stopSendingWithinNs": 2_000_000_000},
             "specifics": {"admit": self.admit, "baseMode": self.retries, "bareNs": 4_000_000_000_u64, "choice": "p2c",
-                "egressPerS": self.channel.0, "mostWaiting": self.channel.1, "overhead": self.channel.2,
-                "pushDelayNs": 150_000_000, "messagesMost": self.messages_most, "reloadSpanNs": 10_000_000_000_u64,
-                "reportEveryNs": self.report_ms * 1_000_000, "ingestRate": 500.0, "proxies": self.proxies,
+                "egressPerS": self.lines_per_s, "mostWaiting": self.max_queued_lines, "overhead": self.overhead_lines,
+                "pushDelayNs": 150_000_000, "messagesMost": self.max_messages, "reloadSpanNs": 10_000_000_000_u64,
+                "reportEveryNs": self.report_interval_ms * 1_000_000, "ingestRate": 500.0, "proxies": self.proxies,
                 "shards": 0, "standing": 10, "strikes": 3, "tryAims": 0.8},
             "limits": {"connIdleNs": 15_000_000_000_u64, "probing": self.probing, "mayTell": false},
             "prices": {"crossZone": 0.1}, "goal": {"whole": 0.5}, "weightSource": "rough", "valueBy": "request",
@@ -120,15 +134,16 @@
     fn list(
         &self,
         index: u64,
-        whole: bool,
-        of: impl Iterator<Item = (usize, &'static str)>,
+        is_snapshot: bool,
+        servers: impl Iterator<Item = (usize, &'static str)>,
     ) -> EndpointList {
-        let entry = |(s, status): (usize, &str)| {
+        let endpoint = |(s, status): (usize, &str)| {
             json!({"name": format!("s-{s}"), "address": format!("127.0.0.1:{}", 9000 + s), "type": "k", "group": s / 4,
                 "zone": self.zones[s % self.zones.len()], "status": status, "weight": 1.5, "since_ms": 0})
         };
-        let entries: Vec<Value> = of.map(entry).collect();
-        let text = json!({"index": index, "snapshot": whole, "endpoints": entries}).to_string();
+        let endpoints: Vec<Value> = servers.map(endpoint).collect();
+        let text =
+            json!({"index": index, "snapshot": is_snapshot, "endpoints": endpoints}).to_string();
         let zones: Vec<String> = self.zones.iter().map(ToString::to_string).collect();
         let list = discovery::parse(text.as_bytes(), &zones).unwrap();
         assert_eq!(list.rejected, Vec::<String>::new());
@@ -138,11 +153,11 @@
 
 /// What the relay was told to do.
 #[derive(Default)]
-struct Ordered {
+struct RelayLog {
     tables: BTreeMap<usize, usize>,
-    lines: BTreeMap<String, f64>,
+    weights: BTreeMap<String, f64>,
     /// The table that holds each server's line.
-    line_in: BTreeMap<String, usize>,
+    table_of_server: BTreeMap<String, usize>,
     withdrawn: BTreeSet<String>,
     classes: BTreeSet<String>,
     probes: usize,
@@ -150,38 +165,38 @@
     messages: BTreeMap<usize, Vec<f64>>,
 }
 
-struct World {
+struct Harness {
     core: Core,
-    told: Deployment,
+    deployment: Deployment,
     now: f64,
-    wake: Option<f64>,
-    ordered: Ordered,
+    wake_at: Option<f64>,
+    relay: RelayLog,
 }
 
-impl World {
-    fn new(shape: &Shape) -> World {
-        let told = parse_deployment(&shape.settings()).unwrap();
+impl Harness {
+    fn new(shape: &Shape) -> Harness {
+        let deployment = parse_deployment(&shape.settings()).unwrap();
         let known = shape.list(1, true, (0..shape.servers).map(|s| (s, "up")));
-        World {
-            core: Core::new(START, 7, told.clone(), &known),
-            told,
+        Harness {
+            core: Core::new(START, 7, deployment.clone(), &known),
+            deployment,
             now: START,
-            wake: Some(START),
-            ordered: Ordered::default(),
+            wake_at: Some(START),
+            relay: RelayLog::default(),
         }
     }
 
-    fn tell(&mut self, inputs: Vec<Input>) {
+    fn run(&mut self, inputs: Vec<Input>) {
         let mut effects = self.core.step(self.now, inputs);
-        while let Some(call) = self.note(&effects) {
+        while let Some(call) = self.execute_call(&effects) {
             effects = self.core.step(self.now, call);
         }
-        self.wake = effects.wake_at;
+        self.wake_at = effects.wake_at;
     }
 
     /// The relay accepts the whole call, and every proxy concerned acknowledges its mark at once.
-    fn note(&mut self, effects: &Effects) -> Option<Vec<Input>> {
-        self.ordered.probes += effects.probes.len();
+    fn execute_call(&mut self, effects: &Effects) -> Option<Vec<Input>> {
+        self.relay.probes += effects.probes.len();
         let call = effects.call.as_ref()?;
         assert!(
             call.text.len() <= relay::MAX_CALL_BYTES + 8,
@@ -195,57 +210,57 @@
             .strip_suffix("\r\n")
             .unwrap();
         let (mut concerned, mut mark) = (BTreeSet::new(), None);
-        let of = |o: &Ordered, table: usize| -> Vec<usize> {
-            let bound = o.tables.iter().filter(|(_, t)| **t == table);
+        let bound_to = |relay: &RelayLog, table: usize| -> Vec<usize> {
+            let bound = relay.tables.iter().filter(|(_, t)| **t == table);
             bound.map(|(proxy, _)| *proxy).collect()
         };
-        for order in text.split(';') {
-            let words: Vec<&str> = order.split(',').collect();
-            match words[..] {
+        for command in text.split(';') {
+            let parts: Vec<&str> = command.split(',').collect();
+            match parts[..] {
                 ["share", table, server, weight] => {
                     let table = table.parse().unwrap();
-                    self.ordered
-                        .lines
+                    self.relay
+                        .weights
                         .insert(server.into(), weight.parse().unwrap());
-                    self.ordered.line_in.insert(server.into(), table);
-                    concerned.extend(of(&self.ordered, table));
+                    self.relay.table_of_server.insert(server.into(), table);
+                    concerned.extend(bound_to(&self.relay, table));
                 }
-                ["admit", table, class, share, way] => {
+                ["admit", table, class, share, retry_code] => {
                     assert!(
                         (0.0..=1.0).contains(&share.parse::<f64>().unwrap()),
-                        "{order}"
+                        "{command}"
                     );
-                    assert!(["0", "1", "2"].contains(&way), "{order}");
-                    self.ordered.classes.insert(class.into());
-                    concerned.extend(of(&self.ordered, table.parse().unwrap()));
+                    assert!(["0", "1", "2"].contains(&retry_code), "{command}");
+                    self.relay.classes.insert(class.into());
+                    concerned.extend(bound_to(&self.relay, table.parse().unwrap()));
                 }
                 ["bind", proxy, table, "*"] => {
                     let proxy = proxy.parse().unwrap();
-                    self.ordered.tables.insert(proxy, table.parse().unwrap());
+                    self.relay.tables.insert(proxy, table.parse().unwrap());
                     concerned.insert(proxy);
                 }
                 ["withdraw" | "restore", server] => {
-                    match words[0] {
-                        "withdraw" => drop(self.ordered.withdrawn.insert(server.into())),
-                        _ => drop(self.ordered.withdrawn.remove(server)),
+                    match parts[0] {
+                        "withdraw" => drop(self.relay.withdrawn.insert(server.into())),
+                        _ => drop(self.relay.withdrawn.remove(server)),
                     }
                     // Each proxy bound to a table with that server gets a line.
-                    let table = self.ordered.line_in.get(server);
-                    concerned.extend(table.map(|t| of(&self.ordered, *t)).unwrap_or_default());
+                    let table = self.relay.table_of_server.get(server);
+                    concerned.extend(
+                        table
+                            .map(|table| bound_to(&self.relay, *table))
+                            .unwrap_or_default(),
+                    );
                 }
                 ["mark", number, "0"] => mark = number.parse().ok(),
-                _ => panic!("{order}"),
+                _ => panic!("{command}"),
             }
         }
         let outcome = CallOutcome::Replied(Reply::Accepted(text.split(';').count()));
         let number = call.number;
         let mut inputs = vec![Input::CallEnded { number, outcome }];
         for proxy in concerned {
-            self.ordered
-                .messages
-                .entry(proxy)
-                .or_default()
-                .push(self.now);
+            self.relay.messages.entry(proxy).or_default().push(self.now);
             inputs.extend(mark.map(|mark| Input::RelayEvent {
                 follower: 0,
                 event: relay::RelayEvent::Ack { proxy, mark },
@@ -254,33 +269,31 @@
         Some(inputs)
     }
 
-    fn news(&mut self, lines: &[String]) {
-        let news = |line: &String| {
-            let news = relay::parse_event(line.as_bytes(), &self.told.zones, self.told.proxy_count);
-            let news = news.unwrap_or_else(|| panic!("{line}"));
-            Input::RelayEvent {
-                follower: 0,
-                event: news,
-            }
+    fn send_events(&mut self, lines: &[String]) {
+        let (zones, proxy_count) = (&self.deployment.zones, self.deployment.proxy_count);
+        let parse_event = |line: &String| {
+            let event = relay::parse_event(line.as_bytes(), zones, proxy_count);
+            let event = event.unwrap_or_else(|| panic!("{line}"));
+            Input::RelayEvent { follower: 0, event }
         };
-        let inputs = lines.iter().map(news).collect();
-        self.tell(inputs);
+        let inputs = lines.iter().map(parse_event).collect();
+        self.run(inputs);
     }
 
-    fn report(&mut self, lines: &[String]) {
-        let said = |line: &String| match inbound::parse(line.as_bytes(), &self.told) {
+    fn send_reports(&mut self, lines: &[String]) {
+        let parse_report = |line: &String| match inbound::parse(line.as_bytes(), &self.deployment) {
             Ok(Message::Report(report)) => Input::Report(report),
             other => panic!("{line}: {other:?}"),
         };
-        let inputs = lines.iter().map(said).collect();
-        self.tell(inputs);
+        let inputs = lines.iter().map(parse_report).collect();
+        self.run(inputs);
     }
 
-    fn pass(&mut self, ms: f64) {
+    fn advance(&mut self, ms: f64) {
         let end = self.now + ms;
-        while let Some(at) = self.wake.filter(|at| *at <= end) {
+        while let Some(at) = self.wake_at.filter(|at| *at <= end) {
             self.now = self.now.max(at);
-            self.tell(vec![]);
+            self.run(vec![]);
         }
         self.now = end;
     }
@@ -290,20 +303,24 @@
 fn settings_of_any_shape_are_served_by_the_same_rules() {
     for shape in shapes() {
         let case = shape.name;
-        let mut world = World::new(&shape);
-        assert_eq!(world.told.classes.len(), shape.classes.len(), "{case}");
+        let mut harness = Harness::new(&shape);
+        assert_eq!(
+            harness.deployment.classes.len(),
+            shape.classes.len(),
+            "{case}"
+        );
         let zone = |p: usize| shape.zones[p % shape.zones.len()];
         let mut joining = vec!["OK".to_string()];
         joining.extend((0..shape.proxies).map(|p| format!("* hello {p} {} 2.5 1", zone(p))));
         joining.push("*".into());
-        world.news(&joining);
-        world.pass(3000.0);
+        harness.send_events(&joining);
+        harness.advance(3000.0);
         assert_eq!(
-            world.ordered.tables.len(),
+            harness.relay.tables.len(),
             shape.proxies,
             "{case}: all are bound"
         );
-        assert_eq!(world.ordered.lines.len(), shape.servers, "{case}");
+        assert_eq!(harness.relay.weights.len(), shape.servers, "{case}");
         // Every class and zone reports; the last server fails all tries.
         for round in 0..8 {
             let mut lines = Vec::new();
@@ -313,7 +330,7 @@
                 lines.extend(shape.zones.iter().map(|zone| {
                     format!(
                         "outcomes zone={zone} server=s-{s} tries=30 failed={failed} mean_ms={mean}.5 span_ms={}.0 load=x:{round}",
-                        shape.report_ms
+                        shape.report_interval_ms
                     )
                 }));
             }
@@ -321,59 +338,62 @@
                 lines.extend((0..shape.proxies).map(|p| {
                     format!(
                         "demand proxy={p} class={class} tries=3 failed=0 span_ms={}.0",
-                        shape.report_ms
+                        shape.report_interval_ms
                     )
                 }));
             }
-            world.report(&lines);
-            world.pass(shape.report_ms as f64);
+            harness.send_reports(&lines);
+            harness.advance(shape.report_interval_ms as f64);
         }
         let worst = format!("s-{}", shape.servers - 1);
         assert_eq!(
-            world.ordered.lines[&worst], 0.0,
+            harness.relay.weights[&worst], 0.0,
             "{case}: the failing one is out"
         );
-        assert_eq!(world.ordered.lines["s-0"], 1.5, "{case}: the listed weight");
+        assert_eq!(
+            harness.relay.weights["s-0"], 1.5,
+            "{case}: the listed weight"
+        );
         // A draining server is withdrawn at once.
         let list = shape.list(2, false, [(0, "draining")].into_iter());
-        world.tell(vec![Input::EndpointList { watch: 0, list }]);
-        assert!(world.ordered.withdrawn.contains("s-0"), "{case}");
+        harness.run(vec![Input::EndpointList { watch: 0, list }]);
+        assert!(harness.relay.withdrawn.contains("s-0"), "{case}");
         // Half the servers are replaced one by one: the new ones get weight, the old ones lose theirs.
         let half = shape.servers.div_ceil(2);
         for s in 0..half {
             let changes = [(s, "removed"), (shape.servers + s, "up")];
             let list = shape.list(3 + s as u64, false, changes.into_iter());
-            world.tell(vec![Input::EndpointList { watch: 0, list }]);
-            world.pass(700.0);
+            harness.run(vec![Input::EndpointList { watch: 0, list }]);
+            harness.advance(700.0);
         }
-        world.pass(15_000.0);
+        harness.advance(15_000.0);
         for s in 0..half {
             let (old, new) = (format!("s-{s}"), format!("s-{}", shape.servers + s));
-            assert!(world.ordered.withdrawn.contains(&old), "{case}: {old}");
-            assert!(world.ordered.lines[&new] > 0.0, "{case}: {new}");
-            assert!(!world.ordered.withdrawn.contains(&new), "{case}: {new}");
+            assert!(harness.relay.withdrawn.contains(&old), "{case}: {old}");
+            assert!(harness.relay.weights[&new] > 0.0, "{case}: {new}");
+            assert!(!harness.relay.withdrawn.contains(&new), "{case}: {new}");
         }
         let known: BTreeSet<String> = shape.classes.iter().map(|c| c.0.to_string()).collect();
-        assert!(world.ordered.classes.is_subset(&known), "{case}");
+        assert!(harness.relay.classes.is_subset(&known), "{case}");
         assert!(
-            shape.probing || world.ordered.probes == 0,
+            shape.probing || harness.relay.probes == 0,
             "{case}: nothing may be probed"
         );
-        for (proxy, at) in world
-            .ordered
+        for (proxy, at) in harness
+            .relay
             .messages
             .iter()
-            .filter(|_| shape.messages_most > 0)
+            .filter(|_| shape.max_messages > 0)
         {
             let within = |from: &f64| {
                 at.iter()
                     .filter(|t| **t >= *from && **t - from < 10_000.0)
                     .count()
             };
-            let most = at.iter().map(within).max().unwrap_or(0);
+            let max = at.iter().map(within).max().unwrap_or(0);
             assert!(
-                most as u64 <= shape.messages_most,
-                "{case}: {most} messages to {proxy} in 10 s"
+                max as u64 <= shape.max_messages,
+                "{case}: {max} messages to {proxy} in 10 s"
             );
         }
     }
