--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -70,7 +70,7 @@
     pub reports: u64,
     /// Reports of an unknown server or proxy.
     pub unknown_subjects: u64,
-    /// Lists ignored because their version is too old.
+    /// Lists ignored because they are not newer than the known one.
     pub stale_lists: u64,
 }
 
--- a/crates/platform/src/membership.rs
+++ b/crates/platform/src/membership.rs
@@ -7,7 +7,8 @@
 //! change only if it is ahead of the overall count. The rules, in order:
 //!
 //! 1. **Authoritative**: a follower that starts while no other is active is authoritative. A proxy may
-//!    have left and rejoined unseen and lost its binding, so every proxy in its snapshot joins anew.
+//!    have left and rejoined unseen and lost its binding, so every proxy in its snapshot gets a new
+//!    epoch.
 //! 2. **Linked**: a follower that starts while another is trusted becomes trusted itself at the next
 //!    event of that one, since there is no gap between the two streams. Trusted followers are those
 //!    that are authoritative or linked, and not silent.
@@ -126,7 +127,7 @@
 }
 
 impl Follower {
-    /// Whether no event can be missing from its stream (rules 1 to 3).
+    /// Whether no event is missing from its stream (rules 1 to 3).
     fn is_trusted(&self) -> bool {
         (self.authoritative || self.linked) && !self.silent
     }
@@ -145,6 +146,7 @@
 #[derive(Default)]
 pub struct Membership {
     proxies: BTreeMap<usize, ProxyState>,
+    /// The streams that are open, by the caller's number.
     followers: BTreeMap<u32, Follower>,
     /// Number of followers started so far.
     started_count: u64,
--- a/crates/platform/tests/core.rs
+++ b/crates/platform/tests/core.rs
@@ -484,7 +484,7 @@
                 let list = next.unwrap().clone();
                 harness.run(vec![Input::EndpointList { watch, list }]);
             }
-            let case = format!("began at {start}, order {order:b}");
+            let case = format!("started at {start}, order {order:b}");
             assert_eq!(harness.core.discovery_index(), 8, "{case}");
             assert_eq!(harness.count("withdraw,s-1"), 1, "{case}");
             assert_eq!(harness.count("restore,s-1"), 0, "{case}");
--- a/crates/platform/tests/delivery.rs
+++ b/crates/platform/tests/delivery.rs
@@ -3,6 +3,7 @@
 use dahliapoint_platform::delivery::{CallOutcome, Delivery, Feedback};
 use dahliapoint_platform::relay::{Command, NameLookup, Reply};
 
+/// Names of three servers and two classes.
 struct TestNames;
 
 impl NameLookup for TestNames {
@@ -175,7 +176,7 @@
             assert_eq!(
                 harness.feedback.lost_bindings,
                 [(7, 1)],
-                "the planner binds anew"
+                "the planner binds again"
             );
         }
     }
@@ -377,7 +378,7 @@
     let lost: Vec<(usize, u64)> = (0..first).map(|p| (p, 1)).collect();
     assert_eq!(
         harness.feedback.lost_bindings, lost,
-        "the planner binds them anew"
+        "the planner binds them again"
     );
 }
 
--- a/crates/platform/tests/membership.rs
+++ b/crates/platform/tests/membership.rs
@@ -102,7 +102,7 @@
             both_joined_and(&[('-', 1), ('+', 1)]),
         ),
         (
-            "the second follower is not linked when the first ends: its proxies join anew",
+            "the second follower is not linked when the first ends: its proxies get a new epoch",
             vec![
                 Started(0),
                 Hello(0, 1),
@@ -137,7 +137,7 @@
             both_joined_and(&[('-', 1), ('+', 1), ('-', 2), ('+', 2)]),
         ),
         (
-            "both followers end: the proxies of the next snapshot join anew",
+            "both followers end: the proxies of the next snapshot get a new epoch",
             two_followers_and(vec![
                 Ended(0),
                 Ended(1),
@@ -312,7 +312,7 @@
                 let out = run(&steps);
                 let joined = out.last().is_some_and(|(sign, _)| *sign == '+');
                 assert_eq!(joined, last % 2 == 1, "{steps:?}");
-                // A proxy joined in the end may have rejoined unseen, so it must have joined anew.
+                // A proxy joined in the end may have rejoined unseen, so it must have a new epoch.
                 assert!(!joined || out.len() > known, "{steps:?}");
             }
         }
