--- a/crates/node/src/configuration.rs
+++ b/crates/node/src/configuration.rs
@@ -78,7 +78,7 @@
         Some(value) => discovery::parse_value(value, &deployment.zones)
             .map_err(|e| format!("field \"known\": {e}"))?,
     };
-    // The seed only feeds random jitter, so other characters are skipped rather than rejected.
+    // The seed only feeds random choices, so other characters are skipped rather than rejected.
     let digits = told.seed.bytes().filter(u8::is_ascii_hexdigit);
     let digits = digits.filter_map(|b| char::from(b).to_digit(16));
     let seed = digits.fold(0_u64, |seed, d| (seed << 4) | u64::from(d));
--- a/crates/node/src/probes.rs
+++ b/crates/node/src/probes.rs
@@ -17,7 +17,7 @@
 pub type Probe = (ProbeTarget, SocketAddr);
 
 /// Starts the workers, which run until the process ends, and returns their queue. Every queued probe
-/// leads to one `Input::Probed`, however it ends.
+/// leads to one `Input::ProbeAnswered`, however it ends.
 pub fn begin(reach: &Shared) -> Queue<Probe> {
     let probes: Queue<Probe> = Queue::bounded(WAITING);
     for _ in 0..AT_ONCE {
