--- a/crates/fibers/src/pipe.rs
+++ b/crates/fibers/src/async_stream.rs
@@ -87,12 +87,12 @@
     outbound: Shared,
 }
 
-/// Wraps a connected socket. Writing one batch of buffered bytes may take `patience`; then the
+/// Wraps a connected socket. Writing one batch of buffered bytes may take `timeout`; then the
 /// connection is closed.
 ///
 /// # Errors
 /// If the socket cannot be cloned or configured.
-pub fn async_stream(socket: TcpStream, patience: Duration) -> io::Result<AsyncStream> {
+pub fn async_stream(socket: TcpStream, timeout: Duration) -> io::Result<AsyncStream> {
     socket.set_nodelay(true)?;
     let (mut reader, mut writer) = (socket.try_clone()?, socket);
     let (inbound, outbound) = (Shared::default(), Shared::default());
@@ -120,7 +120,7 @@
             if bytes.is_empty() {
                 break;
             }
-            let end = shutdown_at(&writer, Instant::now() + patience);
+            let end = shutdown_at(&writer, Instant::now() + timeout);
             let written = end.and_then(|_end| writer.write_all(&bytes));
             if let Err(e) = written {
                 from.change(|half| (half.deaf, half.fault) = (true, Some(e.kind())));
--- a/crates/fibers/src/lib.rs
+++ b/crates/fibers/src/lib.rs
@@ -5,15 +5,15 @@
 //! calling thread, outside coroutines), so no worker thread is blocked; no lock is held across a
 //! wait. The crate holds no application logic.
 
-mod bell;
-mod pipe;
+mod async_stream;
+mod monitor;
+mod notify;
 mod queue;
 mod socket;
 mod timer;
-mod waiting;
 
-pub use bell::Notify;
-pub use pipe::{AsyncStream, async_stream};
+pub use async_stream::{AsyncStream, async_stream};
+pub use notify::Notify;
 pub use queue::{Closed, Queue, Received};
 pub use socket::{Socket, accept};
 pub use timer::{Timer, shutdown_at};
@@ -34,12 +34,12 @@
 /// path (HTTP/2 frames, protobuf, a log line) needs under 40 KiB.
 const STACK_WORDS: usize = 16 * 1024;
 
-static ONCE: Once = Once::new();
+static CONFIGURE: Once = Once::new();
 
 /// Configures `may`. Must run before any other use of `may`, because its scheduler reads the
 /// configuration when it starts.
-fn set_up() {
-    ONCE.call_once(|| {
+fn configure() {
+    CONFIGURE.call_once(|| {
         let config = may::config();
         config.set_stack_size(STACK_WORDS);
         // A single worker. With several, `may` (0.3.51) publishes a coroutine so that another worker
@@ -57,7 +57,7 @@
     F: FnOnce() -> T + Send + 'static,
     T: Send + 'static,
 {
-    set_up();
+    configure();
     // SAFETY: `may` requires that a coroutine keeps no borrow of a thread-local across a yield and
     // does not overflow its stack. Nothing in this workspace holds a thread-local guard, an entered
     // span or a lock across a wait, and the stack size covers the deepest path (`STACK_WORDS`).
@@ -69,24 +69,24 @@
 /// # Errors
 /// If the address cannot be bound.
 pub fn listen(at: SocketAddr) -> io::Result<TcpListener> {
-    set_up();
+    configure();
     TcpListener::bind(at)
 }
 
-/// Connects to an address, waiting at most `patience`.
+/// Connects to an address, waiting at most `timeout`.
 ///
 /// # Errors
 /// The error of the connection attempt, or `TimedOut`.
-pub fn dial(to: SocketAddr, patience: Duration) -> io::Result<TcpStream> {
-    set_up();
+pub fn dial(to: SocketAddr, timeout: Duration) -> io::Result<TcpStream> {
+    configure();
     // The attempt runs in a coroutine of its own, which is abandoned on a timeout.
-    let done = Queue::bounded(1);
-    let attempt = done.clone();
+    let results = Queue::bounded(1);
+    let sender = results.clone();
     spawn(move || {
-        let _ = attempt.put(TcpStream::connect(to));
+        let _ = sender.put(TcpStream::connect(to));
     });
-    let taken = done.take_all(Some(Instant::now() + patience));
-    done.close();
+    let taken = results.take_all(Some(Instant::now() + timeout));
+    results.close();
     match taken {
         Received::Items(mut connected) => match connected.pop_front() {
             Some(connected) => connected,
@@ -102,14 +102,15 @@
 }
 
 /// Parks the coroutine for a duration.
-pub fn sleep(time: Duration) {
-    let until = Some(Instant::now() + time);
-    let _ = block_on_until(std::future::pending::<()>(), until);
+pub fn sleep(duration: Duration) {
+    let deadline = Some(Instant::now() + duration);
+    let _ = block_on_until(std::future::pending::<()>(), deadline);
 }
 
-struct Unpark(Arc<Blocker>);
+/// Wakes a task by unparking the coroutine or thread that polls it.
+struct UnparkWaker(Arc<Blocker>);
 
-impl Wake for Unpark {
+impl Wake for UnparkWaker {
     fn wake(self: Arc<Self>) {
         self.0.unpark();
     }
@@ -127,7 +128,7 @@
 pub fn block_on<F: Future>(future: F) -> F::Output {
     match block_on_until(future, None) {
         Ok(out) => out,
-        Err(Elapsed) => unreachable!("without a time there is none to elapse"),
+        Err(Elapsed) => unreachable!("no deadline, so it cannot elapse"),
     }
 }
 
@@ -135,18 +136,21 @@
 ///
 /// # Errors
 /// [`Elapsed`] if the future was not ready by then.
-pub fn block_on_until<F: Future>(future: F, until: Option<Instant>) -> Result<F::Output, Elapsed> {
-    set_up();
+pub fn block_on_until<F: Future>(
+    future: F,
+    deadline: Option<Instant>,
+) -> Result<F::Output, Elapsed> {
+    configure();
     let mut future = pin!(future);
     let blocker = Blocker::current();
-    let waker = Waker::from(Arc::new(Unpark(blocker.clone())));
+    let waker = Waker::from(Arc::new(UnparkWaker(blocker.clone())));
     let mut context = Context::from_waker(&waker);
     let mut timer: Option<Timer> = None;
     loop {
         if let Poll::Ready(out) = future.as_mut().poll(&mut context) {
             return Ok(out);
         }
-        if let Some(at) = until {
+        if let Some(at) = deadline {
             if Instant::now() >= at {
                 return Err(Elapsed);
             }
@@ -166,8 +170,8 @@
     #[test]
     fn a_wait_with_an_end_has_one_in_threads_and_coroutines() {
         let wait = || {
-            let until = Instant::now() + Duration::from_millis(20);
-            block_on_until(std::future::pending::<()>(), Some(until))
+            let deadline = Instant::now() + Duration::from_millis(20);
+            block_on_until(std::future::pending::<()>(), Some(deadline))
         };
         assert_eq!(wait(), Err(Elapsed));
         assert_eq!(spawn(wait).join().unwrap(), Err(Elapsed));
--- a/crates/fibers/src/waiting.rs
+++ b/crates/fibers/src/monitor.rs
@@ -8,22 +8,22 @@
 use std::time::Instant;
 
 /// A value behind a lock and the waiters for its next change. The lock is never held across a wait.
-pub(crate) struct Watched<T> {
+pub(crate) struct Monitor<T> {
     state: Mutex<State<T>>,
 }
 
 /// The value and the parked waiters.
 pub(crate) struct State<T> {
     pub value: T,
-    waiting: VecDeque<Arc<Blocker>>,
+    waiters: VecDeque<Arc<Blocker>>,
 }
 
-impl<T> Watched<T> {
-    pub fn new(value: T) -> Watched<T> {
-        Watched {
+impl<T> Monitor<T> {
+    pub fn new(value: T) -> Monitor<T> {
+        Monitor {
             state: Mutex::new(State {
                 value,
-                waiting: VecDeque::new(),
+                waiters: VecDeque::new(),
             }),
         }
     }
@@ -34,25 +34,25 @@
     }
 
     /// Reads the value.
-    pub fn look<R>(&self, look: impl FnOnce(&T) -> R) -> R {
-        look(&self.lock().value)
+    pub fn read<R>(&self, read: impl FnOnce(&T) -> R) -> R {
+        read(&self.lock().value)
     }
 
     /// Changes the value and wakes all waiters.
-    pub fn change<R>(&self, change: impl FnOnce(&mut T) -> R) -> R {
+    pub fn update<R>(&self, update: impl FnOnce(&mut T) -> R) -> R {
         let mut state = self.lock();
-        let out = change(&mut state.value);
-        let waiting = std::mem::take(&mut state.waiting);
+        let out = update(&mut state.value);
+        let waiters = std::mem::take(&mut state.waiters);
         drop(state);
-        waiting.iter().for_each(|b| b.unpark());
+        waiters.iter().for_each(|b| b.unpark());
         out
     }
 
     /// Calls `attempt` until it returns `Some`, waiting for a change between calls; `None` at the
     /// deadline. A successful attempt counts as a change, so it wakes the other waiters.
-    pub fn until<R>(
+    pub fn wait_until<R>(
         &self,
-        until: Option<Instant>,
+        deadline: Option<Instant>,
         mut attempt: impl FnMut(&mut T) -> Option<R>,
     ) -> Option<R> {
         let mut own: Option<Arc<Blocker>> = None;
@@ -61,23 +61,23 @@
             let mut state = self.lock();
             if let Some(done) = attempt(&mut state.value) {
                 if let Some(own) = &own {
-                    state.waiting.retain(|b| !Arc::ptr_eq(b, own));
+                    state.waiters.retain(|b| !Arc::ptr_eq(b, own));
                 }
-                let waiting = std::mem::take(&mut state.waiting);
+                let waiters = std::mem::take(&mut state.waiters);
                 drop(state);
-                waiting.iter().for_each(|b| b.unpark());
+                waiters.iter().for_each(|b| b.unpark());
                 return Some(done);
             }
             let blocker = own.get_or_insert_with(Blocker::current).clone();
-            if until.is_some_and(|at| Instant::now() >= at) {
-                state.waiting.retain(|b| !Arc::ptr_eq(b, &blocker));
+            if deadline.is_some_and(|at| Instant::now() >= at) {
+                state.waiters.retain(|b| !Arc::ptr_eq(b, &blocker));
                 return None;
             }
-            if !state.waiting.iter().any(|b| Arc::ptr_eq(b, &blocker)) {
-                state.waiting.push_back(blocker.clone());
+            if !state.waiters.iter().any(|b| Arc::ptr_eq(b, &blocker)) {
+                state.waiters.push_back(blocker.clone());
             }
             drop(state);
-            if let Some(at) = until
+            if let Some(at) = deadline
                 && timer.as_ref().is_none_or(timer::Timer::has_fired)
             {
                 timer = Some(timer::unpark(at, &blocker));
--- a/crates/fibers/src/bell.rs
+++ b/crates/fibers/src/notify.rs
@@ -1,27 +1,27 @@
 //! A wake-up signal from many notifiers to one waiter.
 
-use crate::waiting::Watched;
+use crate::monitor::Monitor;
 use std::time::Instant;
 
 /// Wakes one waiter. A notification is stored until the next wait; several before it count as one.
-pub struct Notify(Watched<bool>);
+pub struct Notify(Monitor<bool>);
 
 impl Default for Notify {
     fn default() -> Notify {
-        crate::set_up();
-        Notify(Watched::new(false))
+        crate::configure();
+        Notify(Monitor::new(false))
     }
 }
 
 impl Notify {
     /// Wakes the waiter, or lets its next wait return at once.
     pub fn notify(&self) {
-        self.0.change(|rung| *rung = true);
+        self.0.update(|notified| *notified = true);
     }
 
     /// Waits for a notification until a deadline; returns whether one came.
-    pub fn wait(&self, until: Option<Instant>) -> bool {
-        let rung = |rung: &mut bool| std::mem::take(rung).then_some(());
-        self.0.until(until, rung).is_some()
+    pub fn wait(&self, deadline: Option<Instant>) -> bool {
+        let notified = |notified: &mut bool| std::mem::take(notified).then_some(());
+        self.0.wait_until(deadline, notified).is_some()
     }
 }
--- a/crates/fibers/src/queue.rs
+++ b/crates/fibers/src/queue.rs
@@ -1,6 +1,6 @@
 //! A bounded multi-producer queue for coroutines and plain threads alike.
 
-use crate::waiting::Watched;
+use crate::monitor::Monitor;
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Instant;
@@ -26,8 +26,8 @@
 }
 
 struct Shared<T> {
-    most: usize,
-    state: Watched<State<T>>,
+    capacity: usize,
+    state: Monitor<State<T>>,
 }
 
 /// A handle to a bounded queue; clones share the queue.
@@ -40,12 +40,12 @@
 }
 
 impl<T> Queue<T> {
-    /// Creates a queue that holds at most `most` items (at least one).
-    pub fn bounded(most: usize) -> Queue<T> {
-        crate::set_up();
+    /// Creates a queue that holds at most `capacity` items (at least one).
+    pub fn bounded(capacity: usize) -> Queue<T> {
+        crate::configure();
         Queue(Arc::new(Shared {
-            most: most.max(1),
-            state: Watched::new(State {
+            capacity: capacity.max(1),
+            state: Monitor::new(State {
                 items: VecDeque::new(),
                 closed: false,
             }),
@@ -58,11 +58,11 @@
     /// [`Closed`] if the queue is closed.
     pub fn put(&self, item: T) -> Result<(), Closed> {
         let mut item = Some(item);
-        let put = self.0.state.until(None, |state| {
+        let put = self.0.state.wait_until(None, |state| {
             if state.closed {
                 return Some(Err(Closed));
             }
-            if state.items.len() >= self.0.most {
+            if state.items.len() >= self.0.capacity {
                 return None;
             }
             state.items.extend(item.take());
@@ -76,8 +76,8 @@
     /// # Errors
     /// The item itself, if the queue is full or closed.
     pub fn try_put(&self, item: T) -> Result<(), T> {
-        self.0.state.change(|state| {
-            if state.closed || state.items.len() >= self.0.most {
+        self.0.state.update(|state| {
+            if state.closed || state.items.len() >= self.0.capacity {
                 return Err(item);
             }
             state.items.push_back(item);
@@ -86,8 +86,8 @@
     }
 
     /// Takes all queued items; if there are none, waits for one until a deadline.
-    pub fn take_all(&self, until: Option<Instant>) -> Received<T> {
-        let taken = self.0.state.until(until, |state| {
+    pub fn take_all(&self, deadline: Option<Instant>) -> Received<T> {
+        let taken = self.0.state.wait_until(deadline, |state| {
             if !state.items.is_empty() {
                 return Some(Received::Items(std::mem::take(&mut state.items)));
             }
@@ -98,8 +98,8 @@
 
     /// Takes the oldest item, waiting for one until a deadline. For several consumers that share the
     /// work.
-    pub fn take_one(&self, until: Option<Instant>) -> Received<T> {
-        let taken = self.0.state.until(until, |state| {
+    pub fn take_one(&self, deadline: Option<Instant>) -> Received<T> {
+        let taken = self.0.state.wait_until(deadline, |state| {
             if let Some(item) = state.items.pop_front() {
                 return Some(Received::Items([item].into()));
             }
@@ -110,17 +110,17 @@
 
     /// Closes the queue: queued items can still be taken, and no further ones are accepted.
     pub fn close(&self) {
-        self.0.state.change(|state| state.closed = true);
+        self.0.state.update(|state| state.closed = true);
     }
 
     /// Whether the queue is closed.
     pub fn is_closed(&self) -> bool {
-        self.0.state.look(|state| state.closed)
+        self.0.state.read(|state| state.closed)
     }
 
     /// The number of queued items.
     pub fn len(&self) -> usize {
-        self.0.state.look(|state| state.items.len())
+        self.0.state.read(|state| state.items.len())
     }
 
     /// Whether no items are queued.
--- a/crates/fibers/src/socket.rs
+++ b/crates/fibers/src/socket.rs
@@ -42,14 +42,14 @@
 }
 
 impl Socket {
-    /// Connects to an address, waiting at most `patience`. On a timeout the descriptor is closed at
+    /// Connects to an address, waiting at most `timeout`. On a timeout the descriptor is closed at
     /// once, even while the peer does not respond.
     ///
     /// # Errors
     /// The error of the connection attempt, or `TimedOut`.
-    pub fn dial(to: SocketAddr, patience: Duration) -> io::Result<Socket> {
-        crate::set_up();
-        let until = Instant::now() + patience;
+    pub fn dial(to: SocketAddr, timeout: Duration) -> io::Result<Socket> {
+        crate::configure();
+        let deadline = Instant::now() + timeout;
         let fresh =
             socket2::Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
         fresh.set_nonblocking(true)?;
@@ -66,7 +66,7 @@
         if begun {
             return Ok(socket);
         }
-        socket.try_until(Some(until), |stream| {
+        socket.try_until(Some(deadline), |stream| {
             if let Some(e) = stream.take_error()? {
                 return Err(e);
             }
@@ -86,7 +86,7 @@
     /// [`io::ErrorKind::TimedOut`] at the deadline or after an interruption.
     fn try_until<T>(
         &self,
-        until: Option<Instant>,
+        deadline: Option<Instant>,
         mut attempt: impl FnMut(&std::net::TcpStream) -> io::Result<T>,
     ) -> io::Result<T> {
         let mut ends: Option<timer::Timer> = None;
@@ -99,7 +99,7 @@
             if self.0.interrupted.swap(false, Ordering::AcqRel) {
                 return Err(io::ErrorKind::TimedOut.into());
             }
-            if let Some(at) = until {
+            if let Some(at) = deadline {
                 if Instant::now() >= at {
                     return Err(io::ErrorKind::TimedOut.into());
                 }
@@ -115,18 +115,18 @@
     ///
     /// # Errors
     /// `TimedOut` at the deadline or after an interruption; else the system's error.
-    pub fn read(&self, buffer: &mut [u8], until: Option<Instant>) -> io::Result<usize> {
-        self.try_until(until, |mut stream| stream.read(buffer))
+    pub fn read(&self, buffer: &mut [u8], deadline: Option<Instant>) -> io::Result<usize> {
+        self.try_until(deadline, |mut stream| stream.read(buffer))
     }
 
     /// Writes all bytes to the system's send buffer.
     ///
     /// # Errors
     /// The number of bytes written before the connection failed or the deadline passed.
-    pub fn write_all(&self, bytes: &[u8], until: Instant) -> Result<(), usize> {
+    pub fn write_all(&self, bytes: &[u8], deadline: Instant) -> Result<(), usize> {
         let mut done = 0;
         while done < bytes.len() {
-            match self.try_until(Some(until), |mut stream| stream.write(&bytes[done..])) {
+            match self.try_until(Some(deadline), |mut stream| stream.write(&bytes[done..])) {
                 Ok(0) | Err(_) => return Err(done),
                 Ok(n) => done += n,
             }
