--- a/crates/fibers/src/async_stream.rs
+++ b/crates/fibers/src/async_stream.rs
@@ -13,67 +13,68 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 /// Bytes buffered in one direction; beyond that the sender waits.
-const MOST: usize = 64 * 1024;
+const BUFFER_BYTES: usize = 64 * 1024;
 /// Bytes read from the socket at a time.
-const CHUNK: usize = 16 * 1024;
+const READ_BYTES: usize = 16 * 1024;
 
-/// The buffer of one direction.
+/// The bytes in transit in one direction.
 #[derive(Default)]
-struct Half {
+struct Buffer {
     data: BytesMut,
     /// No more data is added; what is buffered can still be taken.
     ended: bool,
     /// The receiver is gone: no data is taken any more.
-    deaf: bool,
-    fault: Option<io::ErrorKind>,
-    waiting: Vec<Waker>,
+    receiver_gone: bool,
+    error: Option<io::ErrorKind>,
+    wakers: Vec<Waker>,
 }
 
-impl Half {
+impl Buffer {
     /// Registers the task to be woken by the next change.
-    fn wait(&mut self, context: &Context<'_>) {
-        if !self.waiting.iter().any(|w| w.will_wake(context.waker())) {
-            self.waiting.push(context.waker().clone());
+    fn register(&mut self, context: &Context<'_>) {
+        if !self.wakers.iter().any(|w| w.will_wake(context.waker())) {
+            self.wakers.push(context.waker().clone());
         }
     }
 }
 
+/// A handle to a buffer; clones share it.
 #[derive(Clone, Default)]
-struct Shared(Arc<Mutex<Half>>);
+struct SharedBuffer(Arc<Mutex<Buffer>>);
 
-impl Shared {
-    fn half(&self) -> MutexGuard<'_, Half> {
+impl SharedBuffer {
+    fn lock(&self) -> MutexGuard<'_, Buffer> {
         self.0.lock().unwrap_or_else(|e| e.into_inner())
     }
 
     /// Changes the buffer and wakes its waiters after the lock is released.
-    fn change<T>(&self, change: impl FnOnce(&mut Half) -> T) -> T {
-        let mut half = self.half();
-        let out = change(&mut half);
-        let waiting = std::mem::take(&mut half.waiting);
-        drop(half);
-        waiting.into_iter().for_each(Waker::wake);
+    fn update<T>(&self, update: impl FnOnce(&mut Buffer) -> T) -> T {
+        let mut buffer = self.lock();
+        let out = update(&mut buffer);
+        let wakers = std::mem::take(&mut buffer.wakers);
+        drop(buffer);
+        wakers.into_iter().for_each(Waker::wake);
         out
     }
 
     /// Polls for free space and returns its size; `None` once the receiver is gone.
-    fn poll_room(&self, context: &Context<'_>) -> Poll<Option<usize>> {
-        let mut half = self.half();
-        if half.deaf {
+    fn poll_space(&self, context: &Context<'_>) -> Poll<Option<usize>> {
+        let mut buffer = self.lock();
+        if buffer.receiver_gone {
             Poll::Ready(None)
-        } else if half.data.len() < MOST {
-            Poll::Ready(Some(MOST - half.data.len()))
+        } else if buffer.data.len() < BUFFER_BYTES {
+            Poll::Ready(Some(BUFFER_BYTES - buffer.data.len()))
         } else {
-            half.wait(context);
+            buffer.register(context);
             Poll::Pending
         }
     }
 
     /// Polls for data or the end of data.
     fn poll_data(&self, context: &Context<'_>) -> Poll<()> {
-        let mut half = self.half();
-        if half.data.is_empty() && !half.ended {
-            half.wait(context);
+        let mut buffer = self.lock();
+        if buffer.data.is_empty() && !buffer.ended {
+            buffer.register(context);
             return Poll::Pending;
         }
         Poll::Ready(())
@@ -83,8 +84,8 @@
 /// A socket that futures read and write. After a drop, buffered data is written and then the socket
 /// is closed.
 pub struct AsyncStream {
-    inbound: Shared,
-    outbound: Shared,
+    inbound: SharedBuffer,
+    outbound: SharedBuffer,
 }
 
 /// Wraps a connected socket. Writing one batch of buffered bytes may take `timeout`; then the
@@ -95,42 +96,43 @@
 pub fn async_stream(socket: TcpStream, timeout: Duration) -> io::Result<AsyncStream> {
     socket.set_nodelay(true)?;
     let (mut reader, mut writer) = (socket.try_clone()?, socket);
-    let (inbound, outbound) = (Shared::default(), Shared::default());
-    let to = inbound.clone();
+    let (inbound, outbound) = (SharedBuffer::default(), SharedBuffer::default());
+    let received = inbound.clone();
     spawn(move || {
-        let mut chunk = vec![0; CHUNK];
-        while let Some(room) = block_on(poll_fn(|c| to.poll_room(c))) {
-            match reader.read(&mut chunk[..room.min(CHUNK)]) {
+        let mut chunk = vec![0; READ_BYTES];
+        while let Some(space) = block_on(poll_fn(|c| received.poll_space(c))) {
+            match reader.read(&mut chunk[..space.min(READ_BYTES)]) {
                 Ok(0) => break,
-                Ok(n) => to.change(|half| half.data.extend_from_slice(&chunk[..n])),
+                Ok(n) => received.update(|buffer| buffer.data.extend_from_slice(&chunk[..n])),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => {
-                    to.change(|half| half.fault = Some(e.kind()));
+                    received.update(|buffer| buffer.error = Some(e.kind()));
                     break;
                 }
             }
         }
-        to.change(|half| half.ended = true);
+        received.update(|buffer| buffer.ended = true);
     });
-    let (from, inbound_too) = (outbound.clone(), inbound.clone());
+    let (to_send, inbound_of_writer) = (outbound.clone(), inbound.clone());
     spawn(move || {
         loop {
-            block_on(poll_fn(|c| from.poll_data(c)));
-            let bytes = from.change(|half| half.data.split());
+            block_on(poll_fn(|c| to_send.poll_data(c)));
+            let bytes = to_send.update(|buffer| buffer.data.split());
             if bytes.is_empty() {
                 break;
             }
-            let end = shutdown_at(&writer, Instant::now() + timeout);
-            let written = end.and_then(|_end| writer.write_all(&bytes));
+            let timer = shutdown_at(&writer, Instant::now() + timeout);
+            let written = timer.and_then(|_timer| writer.write_all(&bytes));
             if let Err(e) = written {
-                from.change(|half| (half.deaf, half.fault) = (true, Some(e.kind())));
+                to_send
+                    .update(|buffer| (buffer.receiver_gone, buffer.error) = (true, Some(e.kind())));
                 break;
             }
         }
-        from.change(|half| half.deaf = true);
+        to_send.update(|buffer| buffer.receiver_gone = true);
         // Stops the reader as well: its read returns the end of the stream.
         let _ = writer.shutdown(Shutdown::Both);
-        inbound_too.change(|half| half.deaf = true);
+        inbound_of_writer.update(|buffer| buffer.receiver_gone = true);
     });
     Ok(AsyncStream { inbound, outbound })
 }
@@ -139,16 +141,16 @@
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-        buffer: &mut ReadBuf<'_>,
+        out: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if self.inbound.poll_data(context).is_pending() {
             return Poll::Pending;
         }
-        self.inbound.change(|half| {
-            let n = half.data.len().min(buffer.remaining());
-            buffer.put_slice(&half.data[..n]);
-            half.data.advance(n);
-            match half.fault {
+        self.inbound.update(|buffer| {
+            let n = buffer.data.len().min(out.remaining());
+            out.put_slice(&buffer.data[..n]);
+            buffer.data.advance(n);
+            match buffer.error {
                 Some(kind) if n == 0 => Poll::Ready(Err(kind.into())),
                 _ => Poll::Ready(Ok(())),
             }
@@ -162,16 +164,16 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        match self.outbound.poll_room(context) {
+        match self.outbound.poll_space(context) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(None) => {
-                let kind = self.outbound.half().fault;
+                let kind = self.outbound.lock().error;
                 Poll::Ready(Err(kind.unwrap_or(io::ErrorKind::BrokenPipe).into()))
             }
-            Poll::Ready(Some(room)) => {
-                let n = room.min(bytes.len());
+            Poll::Ready(Some(space)) => {
+                let n = space.min(bytes.len());
                 self.outbound
-                    .change(|half| half.data.extend_from_slice(&bytes[..n]));
+                    .update(|buffer| buffer.data.extend_from_slice(&bytes[..n]));
                 Poll::Ready(Ok(n))
             }
         }
@@ -182,14 +184,14 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.outbound.change(|half| half.ended = true);
+        self.outbound.update(|buffer| buffer.ended = true);
         Poll::Ready(Ok(()))
     }
 }
 
 impl Drop for AsyncStream {
     fn drop(&mut self) {
-        self.outbound.change(|half| half.ended = true);
-        self.inbound.change(|half| half.deaf = true);
+        self.outbound.update(|buffer| buffer.ended = true);
+        self.inbound.update(|buffer| buffer.receiver_gone = true);
     }
 }
--- a/crates/fibers/src/lib.rs
+++ b/crates/fibers/src/lib.rs
@@ -155,7 +155,7 @@
                 return Err(Elapsed);
             }
             if timer.as_ref().is_none_or(Timer::has_fired) {
-                timer = Some(timer::unpark(at, &blocker));
+                timer = Some(timer::unpark_at(at, &blocker));
             }
         }
         // Woken by the future, by the timer or spuriously: the next iteration checks which.
--- a/crates/fibers/src/monitor.rs
+++ b/crates/fibers/src/monitor.rs
@@ -80,7 +80,7 @@
             if let Some(at) = deadline
                 && timer.as_ref().is_none_or(timer::Timer::has_fired)
             {
-                timer = Some(timer::unpark(at, &blocker));
+                timer = Some(timer::unpark_at(at, &blocker));
             }
             let _ = blocker.park(None);
         }
--- a/crates/fibers/src/socket.rs
+++ b/crates/fibers/src/socket.rs
@@ -16,6 +16,7 @@
 #[derive(Clone)]
 pub struct Socket(Arc<Shared>);
 
+/// The descriptor and the pending interruption.
 struct Shared {
     stream: TcpStream,
     interrupted: AtomicBool,
@@ -50,23 +51,22 @@
     pub fn dial(to: SocketAddr, timeout: Duration) -> io::Result<Socket> {
         crate::configure();
         let deadline = Instant::now() + timeout;
-        let fresh =
-            socket2::Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
-        fresh.set_nonblocking(true)?;
-        fresh.set_tcp_nodelay(true)?;
-        let begun = match fresh.connect(&to.into()) {
+        let raw = socket2::Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
+        raw.set_nonblocking(true)?;
+        raw.set_tcp_nodelay(true)?;
+        let connected = match raw.connect(&to.into()) {
             Ok(()) => true,
-            Err(e) if e.raw_os_error() == Some(IN_PROGRESS) => false,
+            Err(e) if e.raw_os_error() == Some(EINPROGRESS) => false,
             Err(e) => return Err(e),
         };
         // SAFETY: the descriptor is open, is a stream socket, and has no other owner: `into_raw_fd`
         // gave up its ownership.
-        let stream = unsafe { TcpStream::from_raw_fd(fresh.into_raw_fd()) };
+        let stream = unsafe { TcpStream::from_raw_fd(raw.into_raw_fd()) };
         let socket = Socket::from(stream);
-        if begun {
+        if connected {
             return Ok(socket);
         }
-        socket.try_until(Some(deadline), |stream| {
+        socket.retry_until(Some(deadline), |stream| {
             if let Some(e) = stream.take_error()? {
                 return Err(e);
             }
@@ -84,14 +84,14 @@
     ///
     /// # Errors
     /// [`io::ErrorKind::TimedOut`] at the deadline or after an interruption.
-    fn try_until<T>(
+    fn retry_until<T>(
         &self,
         deadline: Option<Instant>,
-        mut attempt: impl FnMut(&std::net::TcpStream) -> io::Result<T>,
+        mut operation: impl FnMut(&std::net::TcpStream) -> io::Result<T>,
     ) -> io::Result<T> {
-        let mut ends: Option<timer::Timer> = None;
+        let mut timer: Option<timer::Timer> = None;
         loop {
-            match attempt(self.0.stream.inner()) {
+            match operation(self.0.stream.inner()) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
                 other => return other,
@@ -103,8 +103,8 @@
                 if Instant::now() >= at {
                     return Err(io::ErrorKind::TimedOut.into());
                 }
-                if ends.as_ref().is_none_or(timer::Timer::has_fired) {
-                    ends = Some(timer::wake(at, self.0.stream.waker()));
+                if timer.as_ref().is_none_or(timer::Timer::has_fired) {
+                    timer = Some(timer::wake_at(at, self.0.stream.waker()));
                 }
             }
             self.0.stream.wait_io();
@@ -116,7 +116,7 @@
     /// # Errors
     /// `TimedOut` at the deadline or after an interruption; else the system's error.
     pub fn read(&self, buffer: &mut [u8], deadline: Option<Instant>) -> io::Result<usize> {
-        self.try_until(deadline, |mut stream| stream.read(buffer))
+        self.retry_until(deadline, |mut stream| stream.read(buffer))
     }
 
     /// Writes all bytes to the system's send buffer.
@@ -124,11 +124,11 @@
     /// # Errors
     /// The number of bytes written before the connection failed or the deadline passed.
     pub fn write_all(&self, bytes: &[u8], deadline: Instant) -> Result<(), usize> {
-        let mut done = 0;
-        while done < bytes.len() {
-            match self.try_until(Some(deadline), |mut stream| stream.write(&bytes[done..])) {
-                Ok(0) | Err(_) => return Err(done),
-                Ok(n) => done += n,
+        let mut written = 0;
+        while written < bytes.len() {
+            match self.retry_until(Some(deadline), |mut stream| stream.write(&bytes[written..])) {
+                Ok(0) | Err(_) => return Err(written),
+                Ok(n) => written += n,
             }
         }
         Ok(())
@@ -152,5 +152,5 @@
     }
 }
 
-/// `EINPROGRESS` on Linux: a nonblocking connect has started.
-const IN_PROGRESS: i32 = 115;
+/// The error code of Linux for a nonblocking connect in progress.
+const EINPROGRESS: i32 = 115;
--- a/crates/fibers/src/timer.rs
+++ b/crates/fibers/src/timer.rs
@@ -16,37 +16,42 @@
 const SLOTS: usize = 4096;
 
 /// What a timer does when it fires.
-enum What {
+enum Action {
+    /// Unpark a coroutine or thread.
     Unpark(Arc<Blocker>),
-    Shut(std::net::TcpStream),
+    /// Shut a socket down in both directions.
+    Shutdown(std::net::TcpStream),
+    /// Wake the coroutine that waits on a socket.
     Wake(WaitIoWaker),
 }
 
 /// The action of a timer; none once it fired or was cancelled.
-type Task = Arc<Mutex<Option<What>>>;
+type PendingAction = Arc<Mutex<Option<Action>>>;
 
+/// A timer in a slot.
 struct Entry {
-    due: u64,
-    task: Task,
+    due_tick: u64,
+    pending: PendingAction,
 }
 
+/// The entries by the tick at which they are due, modulo the number of slots.
 struct Wheel {
     slots: Vec<Vec<Entry>>,
     /// Every entry due at this tick or before has been removed.
-    done: u64,
+    processed_tick: u64,
     /// Entries in all slots.
-    count: usize,
+    entry_count: usize,
     /// The tick at which the thread wakes; `u64::MAX` without entries.
-    wakes: u64,
+    wake_tick: u64,
 }
 
 /// The wheel and the thread that runs it.
 struct Timers {
     /// Tick 0.
-    begun: Instant,
+    start: Instant,
     wheel: Mutex<Wheel>,
     /// Signalled when an entry is due before the thread would wake.
-    sooner: Condvar,
+    earlier_entry: Condvar,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -58,21 +63,21 @@
     static TIMERS: OnceLock<Timers> = OnceLock::new();
     static THREAD: OnceLock<()> = OnceLock::new();
     let timers = TIMERS.get_or_init(|| Timers {
-        begun: Instant::now(),
+        start: Instant::now(),
         wheel: Mutex::new(Wheel {
             slots: (0..SLOTS).map(|_| Vec::new()).collect(),
-            done: 0,
-            count: 0,
-            wakes: u64::MAX,
+            processed_tick: 0,
+            entry_count: 0,
+            wake_tick: u64::MAX,
         }),
-        sooner: Condvar::new(),
+        earlier_entry: Condvar::new(),
     });
     THREAD.get_or_init(|| {
         let thread = std::thread::Builder::new().name("timers".into());
         // Without timers no deadline holds, so a failure to start the thread is fatal.
         thread
-            .spawn(|| timers.turn())
-            .expect("a thread for the timers");
+            .spawn(|| timers.run())
+            .expect("cannot start the timer thread");
     });
     timers
 }
@@ -80,82 +85,82 @@
 impl Timers {
     /// The first tick that is not before an instant.
     fn tick(&self, at: Instant) -> u64 {
-        let us = at.saturating_duration_since(self.begun).as_micros();
+        let us = at.saturating_duration_since(self.start).as_micros();
         us.div_ceil(1000) as u64
     }
 
     /// Adds an entry, and wakes the thread if it is due before the thread would wake.
-    fn set(&self, at: Instant, what: What) -> Timer {
-        let task: Task = Arc::new(Mutex::new(Some(what)));
+    fn schedule(&self, at: Instant, action: Action) -> Timer {
+        let pending: PendingAction = Arc::new(Mutex::new(Some(action)));
         let mut wheel = lock(&self.wheel);
-        let due = self.tick(at).max(wheel.done + 1);
-        wheel.slots[due as usize % SLOTS].push(Entry {
-            due,
-            task: task.clone(),
+        let due_tick = self.tick(at).max(wheel.processed_tick + 1);
+        wheel.slots[due_tick as usize % SLOTS].push(Entry {
+            due_tick,
+            pending: pending.clone(),
         });
-        wheel.count += 1;
-        if due < wheel.wakes {
-            wheel.wakes = due;
-            self.sooner.notify_one();
+        wheel.entry_count += 1;
+        if due_tick < wheel.wake_tick {
+            wheel.wake_tick = due_tick;
+            self.earlier_entry.notify_one();
         }
-        Timer(task)
+        Timer(pending)
     }
 
     /// The thread's loop: fires the entries that are due, then sleeps until the next used slot.
-    fn turn(&self) {
+    fn run(&self) {
         let mut wheel = lock(&self.wheel);
         loop {
-            let now = self.begun.elapsed().as_millis() as u64;
+            let now = self.start.elapsed().as_millis() as u64;
             let mut due = Vec::new();
-            let rounds = (now - wheel.done.min(now)).min(SLOTS as u64);
-            for tick in now - rounds..now {
+            let ticks = (now - wheel.processed_tick.min(now)).min(SLOTS as u64);
+            for tick in now - ticks..now {
                 let slot = &mut wheel.slots[(tick + 1) as usize % SLOTS];
-                let mut at = 0;
-                while at < slot.len() {
-                    match slot[at].due <= now {
-                        true => due.push(slot.swap_remove(at).task),
-                        false => at += 1,
+                let mut index = 0;
+                while index < slot.len() {
+                    match slot[index].due_tick <= now {
+                        true => due.push(slot.swap_remove(index).pending),
+                        false => index += 1,
                     }
                 }
             }
-            wheel.done = wheel.done.max(now);
-            wheel.count -= due.len();
+            wheel.processed_tick = wheel.processed_tick.max(now);
+            wheel.entry_count -= due.len();
             let ahead = (1..=SLOTS as u64).find(|ahead| {
-                wheel.count > 0 && !wheel.slots[(now + ahead) as usize % SLOTS].is_empty()
+                wheel.entry_count > 0 && !wheel.slots[(now + ahead) as usize % SLOTS].is_empty()
             });
-            wheel.wakes = ahead.map_or(u64::MAX, |ahead| now + ahead);
+            wheel.wake_tick = ahead.map_or(u64::MAX, |ahead| now + ahead);
             if !due.is_empty() {
                 drop(wheel);
                 due.iter().for_each(fire);
                 wheel = lock(&self.wheel);
                 continue;
             }
-            let left = match wheel.wakes {
+            let timeout = match wheel.wake_tick {
                 u64::MAX => Duration::from_secs(3600),
-                wakes => {
-                    let at = self.begun + Duration::from_millis(wakes);
+                wake_tick => {
+                    let at = self.start + Duration::from_millis(wake_tick);
                     at.saturating_duration_since(Instant::now())
                 }
             };
-            let waited = self.sooner.wait_timeout(wheel, left);
+            let waited = self.earlier_entry.wait_timeout(wheel, timeout);
             wheel = waited.unwrap_or_else(|e| e.into_inner()).0;
         }
     }
 }
 
 /// Runs a timer's action unless it was cancelled.
-fn fire(task: &Task) {
-    let what = lock(task).take();
-    match what {
-        Some(What::Unpark(blocker)) => blocker.unpark(),
-        Some(What::Shut(socket)) => drop(socket.shutdown(Shutdown::Both)),
-        Some(What::Wake(waker)) => waker.wakeup(),
+fn fire(pending: &PendingAction) {
+    let action = lock(pending).take();
+    match action {
+        Some(Action::Unpark(blocker)) => blocker.unpark(),
+        Some(Action::Shutdown(socket)) => drop(socket.shutdown(Shutdown::Both)),
+        Some(Action::Wake(waker)) => waker.wakeup(),
         None => {}
     }
 }
 
 /// A pending timer; dropping it cancels it.
-pub struct Timer(Task);
+pub struct Timer(PendingAction);
 
 impl Drop for Timer {
     fn drop(&mut self) {
@@ -171,13 +176,13 @@
 }
 
 /// Unparks a coroutine or thread at an instant.
-pub(crate) fn unpark(at: Instant, blocker: &Arc<Blocker>) -> Timer {
-    timers().set(at, What::Unpark(blocker.clone()))
+pub(crate) fn unpark_at(at: Instant, blocker: &Arc<Blocker>) -> Timer {
+    timers().schedule(at, Action::Unpark(blocker.clone()))
 }
 
 /// Wakes the coroutine that waits on a socket at an instant, leaving the socket unchanged.
-pub(crate) fn wake(at: Instant, waker: WaitIoWaker) -> Timer {
-    timers().set(at, What::Wake(waker))
+pub(crate) fn wake_at(at: Instant, waker: WaitIoWaker) -> Timer {
+    timers().schedule(at, Action::Wake(waker))
 }
 
 /// Shuts a socket down at an instant, unless the timer is dropped before. Reads and writes that are
@@ -186,6 +191,6 @@
 /// # Errors
 /// If the socket cannot be cloned, for instance at the descriptor limit.
 pub fn shutdown_at(socket: &TcpStream, at: Instant) -> io::Result<Timer> {
-    let hand = socket.inner().try_clone()?;
-    Ok(timers().set(at, What::Shut(hand)))
+    let clone = socket.inner().try_clone()?;
+    Ok(timers().schedule(at, Action::Shutdown(clone)))
 }
