--- a/crates/fibers/src/queue/tests.rs
+++ b/crates/fibers/src/queue/tests.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 #[test]
-fn what_is_put_in_by_many_comes_out_once_and_never_more_than_fits() {
+fn items_of_many_producers_arrive_once_and_within_capacity() {
     let queue = Queue::bounded(4);
     let senders: Vec<_> = (0..8)
         .map(|i| {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_closed_queue_gives_what_it_has_and_takes_no_more() {
+fn closed_queue_drains_and_accepts_nothing() {
     let queue = Queue::bounded(1);
     assert_eq!(queue.try_put(1), Ok(()));
     assert_eq!(queue.try_put(2), Err(2));
--- a/crates/fibers/src/tests.rs
+++ b/crates/fibers/src/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_wait_with_an_end_has_one_in_threads_and_coroutines() {
+fn timed_wait_ends_in_threads_and_coroutines() {
     let wait = || {
         let deadline = Instant::now() + Duration::from_millis(20);
         block_on_until(std::future::pending::<()>(), Some(deadline))
--- a/crates/fibers/tests/interrupt.rs
+++ b/crates/fibers/tests/interrupt.rs
@@ -13,11 +13,11 @@
     (accepting.join().unwrap(), peer)
 }
 
-/// Reads at most `most` bytes without a deadline.
-fn read(socket: &Socket, most: usize) -> Result<Vec<u8>, ErrorKind> {
+/// Reads at most `max_bytes` bytes without a deadline.
+fn read(socket: &Socket, max_bytes: usize) -> Result<Vec<u8>, ErrorKind> {
     let socket = socket.clone();
     let reading = spawn(move || {
-        let mut buffer = vec![0; most];
+        let mut buffer = vec![0; max_bytes];
         let read = socket.read(&mut buffer, None);
         read.map(|n| buffer[..n].to_vec()).map_err(|e| e.kind())
     });
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_interruption_ends_one_wait_and_takes_nothing_that_has_come() {
+fn interrupt_ends_one_wait_and_keeps_received_bytes() {
     let (socket, mut peer) = pair();
     // Stored while nothing waits, and consumed by the next wait.
     socket.interrupt();
@@ -48,18 +48,18 @@
 }
 
 #[test]
-fn who_ends_writing_is_read_to_the_end_and_still_reads() {
+fn half_closed_socket_is_read_to_its_end_and_still_reads() {
     let (socket, mut peer) = pair();
     let writing = {
         let socket = socket.clone();
-        let soon = std::time::Instant::now() + std::time::Duration::from_secs(60);
-        spawn(move || socket.write_all(b"last", soon))
+        let deadline = std::time::Instant::now() + std::time::Duration::from_secs(60);
+        spawn(move || socket.write_all(b"last", deadline))
     };
     assert_eq!(writing.join().unwrap(), Ok(()));
     socket.shutdown_write();
-    let mut said = String::new();
-    peer.read_to_string(&mut said).unwrap();
-    assert_eq!(said, "last");
+    let mut received = String::new();
+    peer.read_to_string(&mut received).unwrap();
+    assert_eq!(received, "last");
     peer.write_all(b"more").unwrap();
     assert_eq!(read(&socket, 9), Ok(b"more".to_vec()));
 }
