--- a/crates/node/src/configuration.rs
+++ b/crates/node/src/configuration.rs
@@ -9,7 +9,7 @@
 
 /// The checked configuration, read at the start and after each SIGHUP.
 #[derive(Debug)]
-pub struct Assignment {
+pub struct Configuration {
     pub name: String,
     /// The address on which it accepts probes and collectors.
     pub listen: SocketAddr,
@@ -51,13 +51,13 @@
 ///
 /// # Errors
 /// One line with the file, the field and the problem.
-pub fn read(path: &Path) -> Result<Assignment, String> {
+pub fn read(path: &Path) -> Result<Configuration, String> {
     let name = path.display();
     let bytes = std::fs::read(path).map_err(|e| format!("{name}: {e}"))?;
     parse(&bytes).map_err(|e| format!("{name}: {e}"))
 }
 
-fn parse(bytes: &[u8]) -> Result<Assignment, String> {
+fn parse(bytes: &[u8]) -> Result<Configuration, String> {
     let mut from = serde_json::Deserializer::from_slice(bytes);
     let told: Told = serde_path_to_error::deserialize(&mut from).map_err(|e| {
         let path = e.path().to_string();
@@ -82,7 +82,7 @@
     let digits = told.seed.bytes().filter(u8::is_ascii_hexdigit);
     let digits = digits.filter_map(|b| char::from(b).to_digit(16));
     let seed = digits.fold(0_u64, |seed, d| (seed << 4) | u64::from(d));
-    Ok(Assignment {
+    Ok(Configuration {
         name: told.name,
         listen: told.listen,
         discovery: told.discovery,
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -18,7 +18,7 @@
 //!    Closing with unread bytes would send a reset, which can discard the answer. At most
 //!    [`MOST_CLOSING`] connections at a time end this way; others are closed at once.
 
-use crate::reach::Shared;
+use crate::shared::Shared;
 use dahliapoint_fibers::{Socket, TcpListener, accept, sleep, spawn, yield_now};
 use dahliapoint_platform::core::Input;
 use dahliapoint_platform::fields::LineError;
@@ -59,7 +59,7 @@
 
 /// The open connections.
 pub struct Connections {
-    reach: Shared,
+    shared: Shared,
     /// By number in order of acceptance, so the first is the oldest.
     open: Mutex<BTreeMap<u64, Connection>>,
     most: usize,
@@ -68,9 +68,9 @@
 }
 
 /// Starts to accept connections, until the process ends.
-pub fn listen(reach: Shared, listener: TcpListener, sockets: usize) {
+pub fn listen(shared: Shared, listener: TcpListener, sockets: usize) {
     let connections = Arc::new(Connections {
-        reach,
+        shared,
         open: Mutex::new(BTreeMap::new()),
         most: sockets.saturating_sub(RESERVED).max(16),
         closing: AtomicUsize::new(0),
@@ -87,10 +87,7 @@
                 }
                 Err(e) => {
                     // Most likely out of descriptors: frees one, and yields to others.
-                    connections
-                        .reach
-                        .teller
-                        .fault("accepting", || e.to_string());
+                    connections.shared.log.fault("accepting", || e.to_string());
                     connections.evict_oldest();
                     sleep(Duration::from_millis(20));
                 }
@@ -118,7 +115,7 @@
         {
             connection.socket.interrupt();
             drop(open);
-            self.reach.teller.fault("connections", || {
+            self.shared.log.fault("connections", || {
                 "the budget is full: the oldest stranger goes".into()
             });
         }
@@ -219,7 +216,7 @@
             let mut inputs = Vec::new();
             while let Some(line) = lines.next_line() {
                 let line = line.map_err(|_| LineError::Malformed);
-                let said = line.and_then(|line| inbound::parse(line, &self.reach.deployment));
+                let said = line.and_then(|line| inbound::parse(line, &self.shared.deployment));
                 match said {
                     Ok(Message::Probe) => {
                         if socket
@@ -243,14 +240,14 @@
                     Err(LineError::InvalidField(field)) if zone.is_some() => {
                         let text = line.map_or(String::new(), start_of);
                         let told = || format!("field {field:?} is no good, left out: {text:?}");
-                        self.reach.teller.fault("report", told);
+                        self.shared.log.fault("report", told);
                     }
                     Ok(Message::Report(_)) | Err(_) => {
-                        self.reach.put(inputs);
+                        self.shared.send_inputs(inputs);
                         let text = line.map_or("a line without end".into(), start_of);
                         let told =
                             || format!("what cannot be read, or no joining before: {text:?}");
-                        self.reach.teller.fault("closed", told);
+                        self.shared.log.fault("closed", told);
                         if zone.is_none() {
                             let told =
                                 socket.write_all(b"error\r\n", Instant::now() + TAKEN_WITHIN);
@@ -265,7 +262,7 @@
                 until = Instant::now() + SILENT;
                 self.heard(number);
             }
-            self.reach.put(inputs);
+            self.shared.send_inputs(inputs);
             if !is_open && !self.is_open(number) {
                 return answered;
             }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -4,17 +4,17 @@
 //! Every input goes into one bounded queue. The main thread takes all inputs of a tick as one batch
 //! and lets the core decide once per batch. Nothing is written to disk.
 
-mod beside;
 mod configuration;
 mod connections;
-mod life;
-mod owner;
+mod event_loop;
+mod failover;
+mod lifecycle;
+mod log;
 mod probes;
-mod reach;
 mod relay;
+mod shared;
 mod shutdown;
-mod tell;
 mod watch;
 
-pub use life::run;
+pub use lifecycle::run;
 pub use shutdown::Shutdown;
--- a/crates/node/src/probes.rs
+++ b/crates/node/src/probes.rs
@@ -1,6 +1,6 @@
 //! Health probes of servers, with a limit on concurrent probes and a timeout on each.
 
-use crate::reach::Shared;
+use crate::shared::Shared;
 use dahliapoint_fibers::{Queue, Received, Socket, spawn};
 use dahliapoint_platform::core::{Input, ProbeTarget};
 use std::net::SocketAddr;
@@ -18,16 +18,16 @@
 
 /// Starts the workers, which run until the process ends, and returns their queue. Every queued probe
 /// leads to one `Input::ProbeAnswered`, however it ends.
-pub fn begin(reach: &Shared) -> Queue<Probe> {
+pub fn begin(shared: &Shared) -> Queue<Probe> {
     let probes: Queue<Probe> = Queue::bounded(WAITING);
     for _ in 0..AT_ONCE {
-        let (reach, probes) = (reach.clone(), probes.clone());
+        let (shared, probes) = (shared.clone(), probes.clone());
         spawn(move || {
             while let Some((probe, to)) = one(&probes) {
                 let began = Instant::now();
                 let healthy = ask(to, began + PATIENCE).unwrap_or(false);
                 let took_ms = began.elapsed().as_secs_f64() * 1000.0;
-                reach.put(vec![Input::ProbeAnswered {
+                shared.send_inputs(vec![Input::ProbeAnswered {
                     probe,
                     healthy,
                     took_ms,
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -5,8 +5,8 @@
 //! the old one ends once the successor has received the current state and news still in transit has
 //! had time to arrive.
 
-use crate::beside::{Beside, Due, Serves};
-use crate::reach::{Addresses, Shared};
+use crate::failover::{Action, Failover, ReadyFlag};
+use crate::shared::{Addresses, Shared};
 use dahliapoint_fibers::{Queue, Received, Socket, sleep, spawn, yield_now};
 use dahliapoint_platform::core::Input;
 use dahliapoint_platform::delivery::{Call, CallOutcome};
@@ -19,7 +19,7 @@
 /// Followers kept connected.
 const SEATS: usize = 2;
 /// The timeout of a connect.
-const DIAL: Duration = Duration::from_millis(700);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 /// The relay sends a heartbeat each second (PROTOCOL, "The relay"); after two missed ones it counts as
 /// unreachable.
 const SILENT: Duration = Duration::from_millis(2300);
@@ -32,35 +32,35 @@
 /// The relay answers within 50 ms or never (PROTOCOL, "The relay"); the rest allows for a busy machine.
 const ANSWERED_WITHIN: Duration = Duration::from_millis(200);
 /// The timeout of a write.
-pub const WRITTEN_WITHIN: Duration = Duration::from_millis(300);
+pub const WRITE_TIMEOUT: Duration = Duration::from_millis(300);
 /// The longest pause after which a call reuses the connection; the relay closes idle connections after
 /// about 10 s or less.
 const IDLE: Duration = Duration::from_millis(1000);
 
 /// Starts the followers, which run until the process ends.
-pub fn follow(reach: &Shared) {
+pub fn follow(shared: &Shared) {
     for seat in 0..SEATS {
-        let reach = reach.clone();
+        let shared = shared.clone();
         spawn(move || {
             // Staggered, so that the followers do not start at the same time.
             sleep(Duration::from_millis(150 * seat as u64));
-            follower(reach, Serves::default());
+            follower(shared, ReadyFlag::default());
         });
     }
 }
 
 /// Runs one follower and reconnects it until a successor replaces it. `settled` is set once it has
 /// received the current state.
-fn follower(reach: Shared, settled: Serves) {
+fn follower(shared: Shared, settled: ReadyFlag) {
     let mut attempt = 0;
     loop {
-        let at = reach.addresses();
-        let id = reach.next_follower();
-        let ended = match Socket::dial(at.relay, DIAL) {
+        let at = shared.addresses();
+        let id = shared.next_follower_id();
+        let ended = match Socket::dial(at.relay, CONNECT_TIMEOUT) {
             Ok(socket) => {
-                let ended = listen(&reach, &socket, at, id, &settled);
+                let ended = listen(&shared, &socket, at, id, &settled);
                 socket.shutdown();
-                reach.put(vec![Input::FollowerEnded { follower: id }]);
+                shared.send_inputs(vec![Input::FollowerEnded { follower: id }]);
                 ended
             }
             Err(e) => Ended::Broken(format!("{}: {e}", at.relay)),
@@ -71,8 +71,8 @@
                 if settled.swap(false, Ordering::AcqRel) {
                     attempt = 0;
                 }
-                reach.teller.fault("news", || why);
-                sleep(reach.wait(attempt));
+                shared.log.fault("news", || why);
+                sleep(shared.retry_delay(attempt));
                 attempt += 1;
             }
         }
@@ -88,48 +88,48 @@
 }
 
 /// Reads the news of one connection until it ends.
-fn listen(reach: &Shared, socket: &Socket, at: Addresses, id: u32, settled: &Serves) -> Ended {
+fn listen(shared: &Shared, socket: &Socket, at: Addresses, id: u32, settled: &ReadyFlag) -> Ended {
     let broken = |why: &str| Ended::Broken(format!("{}: {why}", at.relay));
     if socket
-        .write_all(b"follow\r\n", Instant::now() + WRITTEN_WITHIN)
+        .write_all(b"follow\r\n", Instant::now() + WRITE_TIMEOUT)
         .is_err()
     {
         return broken("`follow` could not be written");
     }
     let mut lines = LineBuffer::new(MOST_LINE);
-    let mut beside = Beside::of(at, SILENT, LAG);
+    let mut failover = Failover::new(at, SILENT, LAG);
     let mut buffer = [0; 8192];
     let (mut begun, mut told_silent) = (false, false);
     loop {
         // Checked before the read, so that everything read was passed on.
-        if beside.is_over() {
+        if failover.should_end() {
             return Ended::Replaced;
         }
         let read = socket.read(&mut buffer, Some(Instant::now() + LOOK));
-        match beside.due(reach, settled.load(Ordering::Acquire)) {
-            Due::Nothing => {}
-            Due::End(why) => return broken(&format!("{why}, and nothing came yet")),
-            Due::Successor(why, serves) => {
+        match failover.next_action(shared, settled.load(Ordering::Acquire)) {
+            Action::Continue => {}
+            Action::Retry(why) => return broken(&format!("{why}, and nothing came yet")),
+            Action::StartSuccessor(why, serves) => {
                 let text = format!("news: {}: {why}: another follower beside it", at.relay);
-                reach.teller.note(&text);
-                let reach = reach.clone();
-                spawn(move || follower(reach, serves));
+                shared.log.info(&text);
+                let shared = shared.clone();
+                spawn(move || follower(shared, serves));
             }
         }
         let n = match read {
             Ok(n) if n > 0 => n,
             Err(e) if e.kind() == std::io::ErrorKind::TimedOut => {
-                if beside.is_silent() && !told_silent {
+                if failover.is_silent() && !told_silent {
                     told_silent = true;
-                    reach.put(vec![Input::FollowerSilent { follower: id }]);
+                    shared.send_inputs(vec![Input::FollowerSilent { follower: id }]);
                 }
                 continue;
             }
-            Ok(_) | Err(_) if beside.has_successor() => return Ended::Replaced,
+            Ok(_) | Err(_) if failover.has_successor() => return Ended::Replaced,
             Ok(_) => return broken("ended"),
             Err(e) => return broken(&e.to_string()),
         };
-        beside.heard();
+        failover.data_received();
         told_silent = false;
         lines.push(&buffer[..n]);
         let mut inputs = Vec::new();
@@ -137,7 +137,7 @@
             let Ok(line) = line else {
                 return broken("a line without end");
             };
-            let told = &reach.deployment;
+            let told = &shared.deployment;
             match relay::parse_event(line, &told.zones, told.proxy_count) {
                 Some(RelayEvent::Started) if begun => {}
                 Some(news) => {
@@ -153,33 +153,33 @@
                 None if !begun => return broken("`follow` was not taken"),
                 None => {
                     let text = String::from_utf8_lossy(line).into_owned();
-                    reach
-                        .teller
+                    shared
+                        .log
                         .fault("news line", || format!("left out: {text:?}"));
                 }
             }
         }
-        reach.put(inputs);
+        shared.send_inputs(inputs);
         yield_now();
     }
 }
 
 /// Starts the caller, which sends the queued calls one after the other until the process ends.
-pub fn call(reach: &Shared) -> Queue<Call> {
+pub fn call(shared: &Shared) -> Queue<Call> {
     let calls: Queue<Call> = Queue::bounded(4);
-    let (reach, taken) = (reach.clone(), calls.clone());
+    let (shared, taken) = (shared.clone(), calls.clone());
     spawn(move || {
         let mut held: Option<(Socket, u64, Instant)> = None;
         while let Received::Items(some) = taken.take_all(None) {
             for call in some {
-                let at = reach.addresses();
-                let fresh = held.take().filter(|(socket, turn, used)| {
-                    *turn == at.turn && used.elapsed() < IDLE && stands(socket)
+                let at = shared.addresses();
+                let fresh = held.take().filter(|(socket, generation, used)| {
+                    *generation == at.generation && used.elapsed() < IDLE && stands(socket)
                 });
-                let (outcome, socket) = make(&reach, at, fresh.map(|(s, ..)| s), &call);
-                held = socket.map(|s| (s, at.turn, Instant::now()));
+                let (outcome, socket) = make(&shared, at, fresh.map(|(s, ..)| s), &call);
+                held = socket.map(|s| (s, at.generation, Instant::now()));
                 let number = call.number;
-                reach.put(vec![Input::CallEnded { number, outcome }]);
+                shared.send_inputs(vec![Input::CallEnded { number, outcome }]);
             }
         }
     });
@@ -195,17 +195,13 @@
 /// Sends one call on `held` or on a new connection and reads the answer. Returns the connection if it
 /// can be used again.
 fn make(
-    reach: &Shared,
+    shared: &Shared,
     at: Addresses,
     held: Option<Socket>,
     call: &Call,
 ) -> (CallOutcome, Option<Socket>) {
-    let fault = |why: String| {
-        reach
-            .teller
-            .fault("call", || format!("{}: {why}", at.relay))
-    };
-    let socket = match held.map_or_else(|| Socket::dial(at.relay, DIAL), Ok) {
+    let fault = |why: String| shared.log.fault("call", || format!("{}: {why}", at.relay));
+    let socket = match held.map_or_else(|| Socket::dial(at.relay, CONNECT_TIMEOUT), Ok) {
         Ok(socket) => socket,
         Err(e) => {
             fault(e.to_string());
@@ -213,11 +209,11 @@
         }
     };
     let bytes = call.text.as_bytes();
-    if !reach.shutdown.try_begin_write() {
+    if !shared.shutdown.try_begin_write() {
         return (CallOutcome::NotSent, None);
     }
-    let written = socket.write_all(bytes, Instant::now() + WRITTEN_WITHIN);
-    reach.shutdown.end_write();
+    let written = socket.write_all(bytes, Instant::now() + WRITE_TIMEOUT);
+    shared.shutdown.end_write();
     if let Err(done) = written {
         fault(format!("broken after {done} of {} bytes", bytes.len()));
         socket.shutdown();
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -4,8 +4,8 @@
 //! discovery may lag asks again, so that the core can tell a lagging discovery from one whose
 //! versions have restarted.
 
-use crate::beside::{Beside, Due, Serves};
-use crate::reach::{Addresses, Shared};
+use crate::failover::{Action, Failover, ReadyFlag};
+use crate::shared::{Addresses, Shared};
 use dahliapoint_fibers::{Socket, sleep, spawn, yield_now};
 use dahliapoint_platform::chunked::ChunkedDecoder;
 use dahliapoint_platform::core::{Input, MAX_DISCOVERY_LAG_MS};
@@ -15,9 +15,9 @@
 use std::time::{Duration, Instant};
 
 /// The timeout of a connect.
-const DIAL: Duration = Duration::from_millis(700);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 /// The timeout of a write.
-const WRITTEN_WITHIN: Duration = Duration::from_millis(300);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long without data a watch counts as silent. Discovery sends an empty line every 2 s while
 /// nothing changes (PROTOCOL, "Discovery").
 const SILENT: Duration = Duration::from_millis(2600);
@@ -31,20 +31,20 @@
 const MOST_LINE: usize = 1 << 20;
 
 /// Starts the watch, which runs until the process ends.
-pub fn begin(reach: &Shared) {
-    let reach = reach.clone();
-    spawn(move || watcher(reach, Serves::default()));
+pub fn begin(shared: &Shared) {
+    let shared = shared.clone();
+    spawn(move || watcher(shared, ReadyFlag::default()));
 }
 
 /// Runs one watch and reconnects it until a successor replaces it. `brought` is set once it has
 /// received data.
-fn watcher(reach: Shared, brought: Serves) {
+fn watcher(shared: Shared, brought: ReadyFlag) {
     let mut attempt = 0;
     loop {
-        let at = reach.addresses();
-        let ended = match Socket::dial(at.discovery, DIAL) {
+        let at = shared.addresses();
+        let ended = match Socket::dial(at.discovery, CONNECT_TIMEOUT) {
             Ok(socket) => {
-                let ended = watch(&reach, &socket, at, &brought);
+                let ended = watch(&shared, &socket, at, &brought);
                 socket.shutdown();
                 ended
             }
@@ -56,10 +56,10 @@
                 if brought.swap(false, Ordering::AcqRel) {
                     attempt = 0;
                 }
-                reach
-                    .teller
+                shared
+                    .log
                     .fault("discovery", || format!("{}: {why}", at.discovery));
-                sleep(reach.wait(attempt));
+                sleep(shared.retry_delay(attempt));
                 attempt += 1;
             }
         }
@@ -96,40 +96,40 @@
 }
 
 /// Requests the list and reads it and its changes until the connection ends.
-fn watch(reach: &Shared, socket: &Socket, at: Addresses, brought: &Serves) -> Ended {
-    let after = reach.index.load(Ordering::Acquire);
-    let number = reach.next_watch();
+fn watch(shared: &Shared, socket: &Socket, at: Addresses, brought: &ReadyFlag) -> Ended {
+    let after = shared.list_index.load(Ordering::Acquire);
+    let number = shared.next_watch_id();
     let ask = format!(
         "GET /api/targets?watch=1&after={after} HTTP/1.1\r\nHost: {}\r\n\r\n",
         at.discovery
     );
     if socket
-        .write_all(ask.as_bytes(), Instant::now() + WRITTEN_WITHIN)
+        .write_all(ask.as_bytes(), Instant::now() + WRITE_TIMEOUT)
         .is_err()
     {
         return Ended::Broken("the watch could not be asked for".into());
     }
-    let mut beside = Beside::of(at, SILENT, Duration::ZERO);
+    let mut failover = Failover::new(at, SILENT, Duration::ZERO);
     let mut below: Option<Instant> = None;
     let mut buffer = [0; 8192];
     let mut held: Vec<u8> = Vec::new();
     let mut body: Option<(Option<ChunkedDecoder>, LineBuffer)> = None;
     loop {
         let read = socket.read(&mut buffer, Some(Instant::now() + LOOK));
-        if beside.is_over() {
+        if failover.should_end() {
             return Ended::Replaced;
         }
-        match beside.due(reach, brought.load(Ordering::Acquire)) {
-            Due::Nothing => {}
-            Due::End(why) => return Ended::Broken(format!("{why}, and nothing came yet")),
-            Due::Successor(why, serves) => {
+        match failover.next_action(shared, brought.load(Ordering::Acquire)) {
+            Action::Continue => {}
+            Action::Retry(why) => return Ended::Broken(format!("{why}, and nothing came yet")),
+            Action::StartSuccessor(why, serves) => {
                 let text = format!(
                     "discovery: {}: {why}: a second watch beside it",
                     at.discovery
                 );
-                reach.teller.note(&text);
-                let reach = reach.clone();
-                spawn(move || watcher(reach, serves));
+                shared.log.info(&text);
+                let shared = shared.clone();
+                spawn(move || watcher(shared, serves));
             }
         }
         if below.is_some_and(|since| since.elapsed() > TOLD_WITHIN) {
@@ -138,11 +138,11 @@
         let n = match read {
             Ok(n) if n > 0 => n,
             Err(e) if e.kind() == std::io::ErrorKind::TimedOut => continue,
-            Ok(_) | Err(_) if beside.has_successor() => return Ended::Replaced,
+            Ok(_) | Err(_) if failover.has_successor() => return Ended::Replaced,
             Ok(_) => return Ended::Broken("the watch ended".into()),
             Err(e) => return Ended::Broken(e.to_string()),
         };
-        beside.heard();
+        failover.data_received();
         held.extend_from_slice(&buffer[..n]);
         if body.is_none() {
             match head(&held) {
@@ -185,7 +185,7 @@
                 brought.store(true, Ordering::Release);
                 continue;
             }
-            match discovery::parse(line, &reach.deployment.zones) {
+            match discovery::parse(line, &shared.deployment.zones) {
                 Ok(list) => {
                     brought.store(true, Ordering::Release);
                     let since = below.unwrap_or_else(Instant::now);
@@ -196,12 +196,12 @@
                 // The next watch asks for everything after the current version, which includes the
                 // content of this line.
                 Err(why) => {
-                    reach.put(inputs);
+                    shared.send_inputs(inputs);
                     return Ended::Broken(format!("a line that is no list: {why}"));
                 }
             }
         }
-        reach.put(inputs);
+        shared.send_inputs(inputs);
         if !goes_on {
             return Ended::Broken("the watch ended".into());
         }
