--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -88,10 +88,10 @@
     );
     let core = Core::new(shared.clock.now_ms(), seed, deployment, &known);
     connections::listen(shared.clone(), listener, sockets);
-    relay::follow(&shared);
+    relay::start_followers(&shared);
     watch::begin(&shared);
     let event_loop = EventLoop {
-        calls: relay::call(&shared),
+        calls: relay::start_caller(&shared),
         probes: probes::begin(&shared),
         core,
         shared: shared.clone(),
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -1,7 +1,7 @@
 //! Connections to the relay: two followers that read its news, and one caller that sends calls.
 //!
 //! No news is missed while one follower stays connected (see `platform::membership`), so there are two
-//! slots. When a follower falls silent or its address is replaced, a successor is started next to it;
+//! slots for followers. When a follower falls silent or its address is replaced, a successor is started next to it;
 //! the old one ends once the successor has received the current state and news still in transit has
 //! had time to arrive.
 
@@ -17,61 +17,61 @@
 use std::time::{Duration, Instant};
 
 /// Followers kept connected.
-const SEATS: usize = 2;
+const FOLLOWERS: usize = 2;
 /// The timeout of a connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 /// The relay sends a heartbeat each second (PROTOCOL, "The relay"); after two missed ones it counts as
 /// unreachable.
-const SILENT: Duration = Duration::from_millis(2300);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2300);
 /// How long a follower goes on once its successor is ready, for news still in transit.
-const LAG: Duration = Duration::from_millis(MAX_FOLLOWER_LAG_MS as u64);
+const FOLLOWER_OVERLAP: Duration = Duration::from_millis(MAX_FOLLOWER_LAG_MS as u64);
 /// How often a waiting follower checks for a new address and for silence.
-const LOOK: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// The longest line accepted from the relay, in bytes.
-const MOST_LINE: usize = 4096;
+const MAX_LINE_BYTES: usize = 4096;
 /// The relay answers within 50 ms or never (PROTOCOL, "The relay"); the rest allows for a busy machine.
-const ANSWERED_WITHIN: Duration = Duration::from_millis(200);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
 /// The timeout of a write.
 pub const WRITE_TIMEOUT: Duration = Duration::from_millis(300);
 /// The longest pause after which a call reuses the connection; the relay closes idle connections after
 /// about 10 s or less.
-const IDLE: Duration = Duration::from_millis(1000);
+const REUSE_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Starts the followers, which run until the process ends.
-pub fn follow(shared: &Shared) {
-    for seat in 0..SEATS {
+pub fn start_followers(shared: &Shared) {
+    for index in 0..FOLLOWERS {
         let shared = shared.clone();
         spawn(move || {
             // Staggered, so that the followers do not start at the same time.
-            sleep(Duration::from_millis(150 * seat as u64));
-            follower(shared, ReadyFlag::default());
+            sleep(Duration::from_millis(150 * index as u64));
+            run_follower(shared, ReadyFlag::default());
         });
     }
 }
 
-/// Runs one follower and reconnects it until a successor replaces it. `settled` is set once it has
+/// Runs one follower and reconnects it until a successor replaces it. `ready` is set once it has
 /// received the current state.
-fn follower(shared: Shared, settled: ReadyFlag) {
+fn run_follower(shared: Shared, ready: ReadyFlag) {
     let mut attempt = 0;
     loop {
-        let at = shared.addresses();
+        let addresses = shared.addresses();
         let id = shared.next_follower_id();
-        let ended = match Socket::dial(at.relay, CONNECT_TIMEOUT) {
+        let outcome = match Socket::dial(addresses.relay, CONNECT_TIMEOUT) {
             Ok(socket) => {
-                let ended = listen(&shared, &socket, at, id, &settled);
+                let outcome = read_news(&shared, &socket, addresses, id, &ready);
                 socket.shutdown();
                 shared.send_inputs(vec![Input::FollowerEnded { follower: id }]);
-                ended
+                outcome
             }
-            Err(e) => Ended::Broken(format!("{}: {e}", at.relay)),
+            Err(e) => Outcome::Failed(format!("{}: {e}", addresses.relay)),
         };
-        match ended {
-            Ended::Replaced => return,
-            Ended::Broken(why) => {
-                if settled.swap(false, Ordering::AcqRel) {
+        match outcome {
+            Outcome::Replaced => return,
+            Outcome::Failed(reason) => {
+                if ready.swap(false, Ordering::AcqRel) {
                     attempt = 0;
                 }
-                shared.log.fault("news", || why);
+                shared.log.fault("news", || reason);
                 sleep(shared.retry_delay(attempt));
                 attempt += 1;
             }
@@ -79,83 +79,92 @@
     }
 }
 
-/// Why a follower's connection ended.
-enum Ended {
+/// How a follower's connection ended.
+enum Outcome {
     /// A successor has taken over its slot.
     Replaced,
     /// It failed, for this reason, and is retried.
-    Broken(String),
+    Failed(String),
 }
 
 /// Reads the news of one connection until it ends.
-fn listen(shared: &Shared, socket: &Socket, at: Addresses, id: u32, settled: &ReadyFlag) -> Ended {
-    let broken = |why: &str| Ended::Broken(format!("{}: {why}", at.relay));
+fn read_news(
+    shared: &Shared,
+    socket: &Socket,
+    addresses: Addresses,
+    id: u32,
+    ready: &ReadyFlag,
+) -> Outcome {
+    let failed = |reason: &str| Outcome::Failed(format!("{}: {reason}", addresses.relay));
     if socket
         .write_all(b"follow\r\n", Instant::now() + WRITE_TIMEOUT)
         .is_err()
     {
-        return broken("`follow` could not be written");
+        return failed("cannot write `follow`");
     }
-    let mut lines = LineBuffer::new(MOST_LINE);
-    let mut failover = Failover::new(at, SILENT, LAG);
+    let mut lines = LineBuffer::new(MAX_LINE_BYTES);
+    let mut failover = Failover::new(addresses, SILENCE_TIMEOUT, FOLLOWER_OVERLAP);
     let mut buffer = [0; 8192];
-    let (mut begun, mut told_silent) = (false, false);
+    let (mut started, mut silence_reported) = (false, false);
     loop {
         // Checked before the read, so that everything read was passed on.
         if failover.should_end() {
-            return Ended::Replaced;
+            return Outcome::Replaced;
         }
-        let read = socket.read(&mut buffer, Some(Instant::now() + LOOK));
-        match failover.next_action(shared, settled.load(Ordering::Acquire)) {
+        let read = socket.read(&mut buffer, Some(Instant::now() + CHECK_INTERVAL));
+        match failover.next_action(shared, ready.load(Ordering::Acquire)) {
             Action::Continue => {}
-            Action::Retry(why) => return broken(&format!("{why}, and nothing came yet")),
-            Action::StartSuccessor(why, serves) => {
-                let text = format!("news: {}: {why}: another follower beside it", at.relay);
+            Action::Retry(reason) => return failed(&format!("{reason} before any data arrived")),
+            Action::StartSuccessor(reason, successor_ready) => {
+                let text = format!(
+                    "news: {}: {reason}: starting a second follower",
+                    addresses.relay
+                );
                 shared.log.info(&text);
                 let shared = shared.clone();
-                spawn(move || follower(shared, serves));
+                spawn(move || run_follower(shared, successor_ready));
             }
         }
         let n = match read {
             Ok(n) if n > 0 => n,
             Err(e) if e.kind() == std::io::ErrorKind::TimedOut => {
-                if failover.is_silent() && !told_silent {
-                    told_silent = true;
+                if failover.is_silent() && !silence_reported {
+                    silence_reported = true;
                     shared.send_inputs(vec![Input::FollowerSilent { follower: id }]);
                 }
                 continue;
             }
-            Ok(_) | Err(_) if failover.has_successor() => return Ended::Replaced,
-            Ok(_) => return broken("ended"),
-            Err(e) => return broken(&e.to_string()),
+            Ok(_) | Err(_) if failover.has_successor() => return Outcome::Replaced,
+            Ok(_) => return failed("ended"),
+            Err(e) => return failed(&e.to_string()),
         };
         failover.data_received();
-        told_silent = false;
+        silence_reported = false;
         lines.push(&buffer[..n]);
         let mut inputs = Vec::new();
         while let Some(line) = lines.next_line() {
             let Ok(line) = line else {
-                return broken("a line without end");
+                return failed("line too long");
             };
-            let told = &shared.deployment;
-            match relay::parse_event(line, &told.zones, told.proxy_count) {
-                Some(RelayEvent::Started) if begun => {}
-                Some(news) => {
-                    begun |= news == RelayEvent::Started;
-                    if !matches!(news, RelayEvent::Started | RelayEvent::Hello { .. }) {
-                        settled.store(true, Ordering::Release);
+            let deployment = &shared.deployment;
+            match relay::parse_event(line, &deployment.zones, deployment.proxy_count) {
+                Some(RelayEvent::Started) if started => {}
+                Some(event) => {
+                    started |= event == RelayEvent::Started;
+                    if !matches!(event, RelayEvent::Started | RelayEvent::Hello { .. }) {
+                        ready.store(true, Ordering::Release);
                     }
                     inputs.push(Input::RelayEvent {
                         follower: id,
-                        event: news,
+                        event,
                     });
                 }
-                None if !begun => return broken("`follow` was not taken"),
+                None if !started => return failed("`follow` was rejected"),
                 None => {
                     let text = String::from_utf8_lossy(line).into_owned();
                     shared
                         .log
-                        .fault("news line", || format!("left out: {text:?}"));
+                        .fault("news line", || format!("ignored: {text:?}"));
                 }
             }
         }
@@ -164,20 +173,35 @@
     }
 }
 
+/// A connection kept for the next call.
+struct IdleConnection {
+    socket: Socket,
+    /// The generation of the address that it is connected to.
+    generation: u64,
+    last_used: Instant,
+}
+
 /// Starts the caller, which sends the queued calls one after the other until the process ends.
-pub fn call(shared: &Shared) -> Queue<Call> {
+pub fn start_caller(shared: &Shared) -> Queue<Call> {
     let calls: Queue<Call> = Queue::bounded(4);
-    let (shared, taken) = (shared.clone(), calls.clone());
+    let (shared, queue) = (shared.clone(), calls.clone());
     spawn(move || {
-        let mut held: Option<(Socket, u64, Instant)> = None;
-        while let Received::Items(some) = taken.take_all(None) {
-            for call in some {
-                let at = shared.addresses();
-                let fresh = held.take().filter(|(socket, generation, used)| {
-                    *generation == at.generation && used.elapsed() < IDLE && stands(socket)
+        let mut idle: Option<IdleConnection> = None;
+        while let Received::Items(batch) = queue.take_all(None) {
+            for call in batch {
+                let addresses = shared.addresses();
+                let reusable = idle.take().filter(|connection| {
+                    connection.generation == addresses.generation
+                        && connection.last_used.elapsed() < REUSE_TIMEOUT
+                        && is_usable(&connection.socket)
+                });
+                let (outcome, socket) =
+                    send_call(&shared, addresses, reusable.map(|c| c.socket), &call);
+                idle = socket.map(|socket| IdleConnection {
+                    socket,
+                    generation: addresses.generation,
+                    last_used: Instant::now(),
                 });
-                let (outcome, socket) = make(&shared, at, fresh.map(|(s, ..)| s), &call);
-                held = socket.map(|s| (s, at.generation, Instant::now()));
                 let number = call.number;
                 shared.send_inputs(vec![Input::CallEnded { number, outcome }]);
             }
@@ -187,24 +211,28 @@
 }
 
 /// Whether an idle connection is still usable: it was not closed and no unexpected bytes arrived.
-fn stands(socket: &Socket) -> bool {
+fn is_usable(socket: &Socket) -> bool {
     let read = socket.read(&mut [0; 1], Some(Instant::now()));
     read.is_err_and(|e| e.kind() == std::io::ErrorKind::TimedOut)
 }
 
-/// Sends one call on `held` or on a new connection and reads the answer. Returns the connection if it
+/// Sends one call on `idle` or on a new connection and reads the answer. Returns the connection if it
 /// can be used again.
-fn make(
+fn send_call(
     shared: &Shared,
-    at: Addresses,
-    held: Option<Socket>,
+    addresses: Addresses,
+    idle: Option<Socket>,
     call: &Call,
 ) -> (CallOutcome, Option<Socket>) {
-    let fault = |why: String| shared.log.fault("call", || format!("{}: {why}", at.relay));
-    let socket = match held.map_or_else(|| Socket::dial(at.relay, CONNECT_TIMEOUT), Ok) {
+    let log_fault = |reason: String| {
+        shared
+            .log
+            .fault("call", || format!("{}: {reason}", addresses.relay))
+    };
+    let socket = match idle.map_or_else(|| Socket::dial(addresses.relay, CONNECT_TIMEOUT), Ok) {
         Ok(socket) => socket,
         Err(e) => {
-            fault(e.to_string());
+            log_fault(e.to_string());
             return (CallOutcome::NotSent, None);
         }
     };
@@ -212,25 +240,28 @@
     if !shared.shutdown.try_begin_write() {
         return (CallOutcome::NotSent, None);
     }
-    let written = socket.write_all(bytes, Instant::now() + WRITE_TIMEOUT);
+    let result = socket.write_all(bytes, Instant::now() + WRITE_TIMEOUT);
     shared.shutdown.end_write();
-    if let Err(done) = written {
-        fault(format!("broken after {done} of {} bytes", bytes.len()));
+    if let Err(written) = result {
+        log_fault(format!(
+            "write failed after {written} of {} bytes",
+            bytes.len()
+        ));
         socket.shutdown();
         return (CallOutcome::NotSent, None);
     }
-    let until = Instant::now() + ANSWERED_WITHIN;
-    let mut lines = LineBuffer::new(MOST_LINE);
+    let deadline = Instant::now() + ANSWER_TIMEOUT;
+    let mut lines = LineBuffer::new(MAX_LINE_BYTES);
     let mut buffer = [0; 1024];
     loop {
-        match socket.read(&mut buffer, Some(until)) {
+        match socket.read(&mut buffer, Some(deadline)) {
             Ok(n) if n > 0 => lines.push(&buffer[..n]),
-            other => {
-                let why = match other {
-                    Ok(_) => "ended without an answer".to_string(),
+            end => {
+                let reason = match end {
+                    Ok(_) => "connection closed without an answer".to_string(),
                     Err(e) => e.to_string(),
                 };
-                fault(why);
+                log_fault(reason);
                 socket.shutdown();
                 return (CallOutcome::Unknown, None);
             }
@@ -242,16 +273,16 @@
                 if answer != relay::Reply::Unreadable {
                     // Bytes after the answer would be read as the next call's answer, so the
                     // connection is not used again.
-                    let clean = lines.pending_len() == 0;
-                    return (CallOutcome::Replied(answer), clean.then_some(socket));
+                    let reusable = lines.pending_len() == 0;
+                    return (CallOutcome::Replied(answer), reusable.then_some(socket));
                 }
                 let text = String::from_utf8_lossy(line).into_owned();
-                fault(format!("answer {text:?}"));
+                log_fault(format!("unreadable answer {text:?}"));
                 socket.shutdown();
                 return (CallOutcome::Unknown, None);
             }
             Some(Err(_)) => {
-                fault("an answer without end".into());
+                log_fault("answer too long".into());
                 socket.shutdown();
                 return (CallOutcome::Unknown, None);
             }
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -20,15 +20,15 @@
 const WRITE_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long without data a watch counts as silent. Discovery sends an empty line every 2 s while
 /// nothing changes (PROTOCOL, "Discovery").
-const SILENT: Duration = Duration::from_millis(2600);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2600);
 /// How often a waiting watch checks for a new address and for silence.
-const LOOK: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// How long versions may stay below the newest known one before the watch asks again.
 const TOLD_WITHIN: Duration = Duration::from_millis(MAX_DISCOVERY_LAG_MS as u64);
 /// The largest response head, in bytes.
 const MOST_HEAD: usize = 8192;
 /// The longest line of the list, in bytes.
-const MOST_LINE: usize = 1 << 20;
+const MAX_LINE_BYTES: usize = 1 << 20;
 
 /// Starts the watch, which runs until the process ends.
 pub fn begin(shared: &Shared) {
@@ -42,23 +42,23 @@
     let mut attempt = 0;
     loop {
         let at = shared.addresses();
-        let ended = match Socket::dial(at.discovery, CONNECT_TIMEOUT) {
+        let outcome = match Socket::dial(at.discovery, CONNECT_TIMEOUT) {
             Ok(socket) => {
-                let ended = watch(&shared, &socket, at, &brought);
+                let outcome = watch(&shared, &socket, at, &brought);
                 socket.shutdown();
-                ended
+                outcome
             }
-            Err(e) => Ended::Broken(e.to_string()),
+            Err(e) => Outcome::Failed(e.to_string()),
         };
-        match ended {
-            Ended::Replaced => return,
-            Ended::Broken(why) => {
+        match outcome {
+            Outcome::Replaced => return,
+            Outcome::Failed(reason) => {
                 if brought.swap(false, Ordering::AcqRel) {
                     attempt = 0;
                 }
                 shared
                     .log
-                    .fault("discovery", || format!("{}: {why}", at.discovery));
+                    .fault("discovery", || format!("{}: {reason}", at.discovery));
                 sleep(shared.retry_delay(attempt));
                 attempt += 1;
             }
@@ -67,11 +67,11 @@
 }
 
 /// Why a watch's connection ended.
-enum Ended {
+enum Outcome {
     /// A successor has taken over.
     Replaced,
     /// It failed, for this reason, and is retried.
-    Broken(String),
+    Failed(String),
 }
 
 /// Parses a response head: its length and whether the body is chunked; `None` while incomplete.
@@ -96,7 +96,7 @@
 }
 
 /// Requests the list and reads it and its changes until the connection ends.
-fn watch(shared: &Shared, socket: &Socket, at: Addresses, brought: &ReadyFlag) -> Ended {
+fn watch(shared: &Shared, socket: &Socket, at: Addresses, brought: &ReadyFlag) -> Outcome {
     let after = shared.list_index.load(Ordering::Acquire);
     let number = shared.next_watch_id();
     let ask = format!(
@@ -107,40 +107,42 @@
         .write_all(ask.as_bytes(), Instant::now() + WRITE_TIMEOUT)
         .is_err()
     {
-        return Ended::Broken("the watch could not be asked for".into());
+        return Outcome::Failed("the watch could not be asked for".into());
     }
-    let mut failover = Failover::new(at, SILENT, Duration::ZERO);
+    let mut failover = Failover::new(at, SILENCE_TIMEOUT, Duration::ZERO);
     let mut below: Option<Instant> = None;
     let mut buffer = [0; 8192];
     let mut held: Vec<u8> = Vec::new();
     let mut body: Option<(Option<ChunkedDecoder>, LineBuffer)> = None;
     loop {
-        let read = socket.read(&mut buffer, Some(Instant::now() + LOOK));
+        let read = socket.read(&mut buffer, Some(Instant::now() + CHECK_INTERVAL));
         if failover.should_end() {
-            return Ended::Replaced;
+            return Outcome::Replaced;
         }
         match failover.next_action(shared, brought.load(Ordering::Acquire)) {
             Action::Continue => {}
-            Action::Retry(why) => return Ended::Broken(format!("{why}, and nothing came yet")),
-            Action::StartSuccessor(why, serves) => {
+            Action::Retry(reason) => {
+                return Outcome::Failed(format!("{reason}, and nothing came yet"));
+            }
+            Action::StartSuccessor(reason, successor_ready) => {
                 let text = format!(
-                    "discovery: {}: {why}: a second watch beside it",
+                    "discovery: {}: {reason}: a second watch beside it",
                     at.discovery
                 );
                 shared.log.info(&text);
                 let shared = shared.clone();
-                spawn(move || watcher(shared, serves));
+                spawn(move || watcher(shared, successor_ready));
             }
         }
         if below.is_some_and(|since| since.elapsed() > TOLD_WITHIN) {
-            return Ended::Broken("its versions lie below ours: asked again".into());
+            return Outcome::Failed("its versions lie below ours: asked again".into());
         }
         let n = match read {
             Ok(n) if n > 0 => n,
             Err(e) if e.kind() == std::io::ErrorKind::TimedOut => continue,
-            Ok(_) | Err(_) if failover.has_successor() => return Ended::Replaced,
-            Ok(_) => return Ended::Broken("the watch ended".into()),
-            Err(e) => return Ended::Broken(e.to_string()),
+            Ok(_) | Err(_) if failover.has_successor() => return Outcome::Replaced,
+            Ok(_) => return Outcome::Failed("the watch ended".into()),
+            Err(e) => return Outcome::Failed(e.to_string()),
         };
         failover.data_received();
         held.extend_from_slice(&buffer[..n]);
@@ -151,10 +153,10 @@
                     held.drain(..length);
                     body = Some((
                         chunked.then(ChunkedDecoder::default),
-                        LineBuffer::new(MOST_LINE),
+                        LineBuffer::new(MAX_LINE_BYTES),
                     ));
                 }
-                Err(why) => return Ended::Broken(why),
+                Err(reason) => return Outcome::Failed(reason),
             }
         }
         let Some((chunks, lines)) = &mut body else {
@@ -171,7 +173,7 @@
                 lines.push(&plain);
                 match goes_on {
                     Ok(goes_on) => goes_on,
-                    Err(_) => return Ended::Broken("what comes is not chunked".into()),
+                    Err(_) => return Outcome::Failed("what comes is not chunked".into()),
                 }
             }
         };
@@ -179,7 +181,7 @@
         let mut inputs = Vec::new();
         while let Some(line) = lines.next_line() {
             let Ok(line) = line else {
-                return Ended::Broken("a line without end".into());
+                return Outcome::Failed("a line without end".into());
             };
             if line.is_empty() {
                 brought.store(true, Ordering::Release);
@@ -195,15 +197,15 @@
                 }
                 // The next watch asks for everything after the current version, which includes the
                 // content of this line.
-                Err(why) => {
+                Err(reason) => {
                     shared.send_inputs(inputs);
-                    return Ended::Broken(format!("a line that is no list: {why}"));
+                    return Outcome::Failed(format!("a line that is no list: {reason}"));
                 }
             }
         }
         shared.send_inputs(inputs);
         if !goes_on {
-            return Ended::Broken("the watch ended".into());
+            return Outcome::Failed("the watch ended".into());
         }
         yield_now();
     }
