--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -89,7 +89,7 @@
     let core = Core::new(shared.clock.now_ms(), seed, deployment, &known);
     connections::listen(shared.clone(), listener, sockets);
     relay::start_followers(&shared);
-    watch::begin(&shared);
+    watch::start(&shared);
     let event_loop = EventLoop {
         calls: relay::start_caller(&shared),
         probes: probes::begin(&shared),
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -1,7 +1,7 @@
 //! The watch of the discovery list. After missed heartbeats or an address change a second watch is
 //! opened, and the first ends once the second has received data. While discovery is down, the last
 //! list stays in use. A watch that receives versions below the newest known one for longer than
-//! discovery may lag asks again, so that the core can tell a lagging discovery from one whose
+//! discovery may lag reconnects, so that the core can tell a lagging discovery from one whose
 //! versions have restarted.
 
 use crate::failover::{Action, Failover, ReadyFlag};
@@ -24,27 +24,27 @@
 /// How often a waiting watch checks for a new address and for silence.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// How long versions may stay below the newest known one before the watch asks again.
-const TOLD_WITHIN: Duration = Duration::from_millis(MAX_DISCOVERY_LAG_MS as u64);
+const MAX_LAG: Duration = Duration::from_millis(MAX_DISCOVERY_LAG_MS as u64);
 /// The largest response head, in bytes.
-const MOST_HEAD: usize = 8192;
+const MAX_HEAD_BYTES: usize = 8192;
 /// The longest line of the list, in bytes.
 const MAX_LINE_BYTES: usize = 1 << 20;
 
 /// Starts the watch, which runs until the process ends.
-pub fn begin(shared: &Shared) {
+pub fn start(shared: &Shared) {
     let shared = shared.clone();
-    spawn(move || watcher(shared, ReadyFlag::default()));
+    spawn(move || run_watch(shared, ReadyFlag::default()));
 }
 
-/// Runs one watch and reconnects it until a successor replaces it. `brought` is set once it has
+/// Runs one watch and reconnects it until a successor replaces it. `ready` is set once it has
 /// received data.
-fn watcher(shared: Shared, brought: ReadyFlag) {
+fn run_watch(shared: Shared, ready: ReadyFlag) {
     let mut attempt = 0;
     loop {
-        let at = shared.addresses();
-        let outcome = match Socket::dial(at.discovery, CONNECT_TIMEOUT) {
+        let addresses = shared.addresses();
+        let outcome = match Socket::dial(addresses.discovery, CONNECT_TIMEOUT) {
             Ok(socket) => {
-                let outcome = watch(&shared, &socket, at, &brought);
+                let outcome = read_list(&shared, &socket, addresses, &ready);
                 socket.shutdown();
                 outcome
             }
@@ -53,12 +53,12 @@
         match outcome {
             Outcome::Replaced => return,
             Outcome::Failed(reason) => {
-                if brought.swap(false, Ordering::AcqRel) {
+                if ready.swap(false, Ordering::AcqRel) {
                     attempt = 0;
                 }
                 shared
                     .log
-                    .fault("discovery", || format!("{}: {reason}", at.discovery));
+                    .fault("discovery", || format!("{}: {reason}", addresses.discovery));
                 sleep(shared.retry_delay(attempt));
                 attempt += 1;
             }
@@ -66,7 +66,7 @@
     }
 }
 
-/// Why a watch's connection ended.
+/// How a watch's connection ended.
 enum Outcome {
     /// A successor has taken over.
     Replaced,
@@ -74,68 +74,83 @@
     Failed(String),
 }
 
-/// Parses a response head: its length and whether the body is chunked; `None` while incomplete.
-fn head(bytes: &[u8]) -> Result<Option<(usize, bool)>, String> {
+/// A parsed response head.
+struct Head {
+    length: usize,
+    chunked: bool,
+}
+
+/// The decoders of a response body.
+struct Body {
+    /// None if the body is not chunked.
+    decoder: Option<ChunkedDecoder>,
+    lines: LineBuffer,
+}
+
+/// Parses a response head; `None` while it is incomplete.
+fn parse_head(bytes: &[u8]) -> Result<Option<Head>, String> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
-    let mut answer = httparse::Response::new(&mut headers);
-    match answer.parse(bytes).map_err(|e| e.to_string())? {
-        httparse::Status::Partial if bytes.len() > MOST_HEAD => Err("a head without end".into()),
+    let mut response = httparse::Response::new(&mut headers);
+    match response.parse(bytes).map_err(|e| e.to_string())? {
+        httparse::Status::Partial if bytes.len() > MAX_HEAD_BYTES => {
+            Err("response head too long".into())
+        }
         httparse::Status::Partial => Ok(None),
         httparse::Status::Complete(length) => {
-            let code = answer.code.unwrap_or(0);
+            let code = response.code.unwrap_or(0);
             if code != 200 {
-                return Err(format!("answer {code}"));
+                return Err(format!("status {code}"));
             }
-            let chunked = answer.headers.iter().any(|h| {
+            let chunked = response.headers.iter().any(|h| {
                 h.name.eq_ignore_ascii_case("transfer-encoding")
                     && h.value.to_ascii_lowercase().ends_with(b"chunked")
             });
-            Ok(Some((length, chunked)))
+            Ok(Some(Head { length, chunked }))
         }
     }
 }
 
 /// Requests the list and reads it and its changes until the connection ends.
-fn watch(shared: &Shared, socket: &Socket, at: Addresses, brought: &ReadyFlag) -> Outcome {
+fn read_list(shared: &Shared, socket: &Socket, addresses: Addresses, ready: &ReadyFlag) -> Outcome {
     let after = shared.list_index.load(Ordering::Acquire);
-    let number = shared.next_watch_id();
-    let ask = format!(
+    let watch = shared.next_watch_id();
+    let request = format!(
         "GET /api/targets?watch=1&after={after} HTTP/1.1\r\nHost: {}\r\n\r\n",
-        at.discovery
+        addresses.discovery
     );
     if socket
-        .write_all(ask.as_bytes(), Instant::now() + WRITE_TIMEOUT)
+        .write_all(request.as_bytes(), Instant::now() + WRITE_TIMEOUT)
         .is_err()
     {
-        return Outcome::Failed("the watch could not be asked for".into());
+        return Outcome::Failed("cannot write the watch request".into());
     }
-    let mut failover = Failover::new(at, SILENCE_TIMEOUT, Duration::ZERO);
-    let mut below: Option<Instant> = None;
+    let mut failover = Failover::new(addresses, SILENCE_TIMEOUT, Duration::ZERO);
+    let mut older_since: Option<Instant> = None;
     let mut buffer = [0; 8192];
-    let mut held: Vec<u8> = Vec::new();
-    let mut body: Option<(Option<ChunkedDecoder>, LineBuffer)> = None;
+    let mut received: Vec<u8> = Vec::new();
+    let mut body: Option<Body> = None;
     loop {
         let read = socket.read(&mut buffer, Some(Instant::now() + CHECK_INTERVAL));
         if failover.should_end() {
             return Outcome::Replaced;
         }
-        match failover.next_action(shared, brought.load(Ordering::Acquire)) {
+        match failover.next_action(shared, ready.load(Ordering::Acquire)) {
             Action::Continue => {}
             Action::Retry(reason) => {
-                return Outcome::Failed(format!("{reason}, and nothing came yet"));
+                return Outcome::Failed(format!("{reason} before any data arrived"));
             }
             Action::StartSuccessor(reason, successor_ready) => {
                 let text = format!(
-                    "discovery: {}: {reason}: a second watch beside it",
-                    at.discovery
+                    "discovery: {}: {reason}: starting a second watch",
+                    addresses.discovery
                 );
                 shared.log.info(&text);
                 let shared = shared.clone();
-                spawn(move || watcher(shared, successor_ready));
+                spawn(move || run_watch(shared, successor_ready));
             }
         }
-        if below.is_some_and(|since| since.elapsed() > TOLD_WITHIN) {
-            return Outcome::Failed("its versions lie below ours: asked again".into());
+        if older_since.is_some_and(|since| since.elapsed() > MAX_LAG) {
+            return Outcome::Failed("list version below the newest known one for too long".into());
         }
         let n = match read {
             Ok(n) if n > 0 => n,
@@ -145,66 +160,65 @@
             Err(e) => return Outcome::Failed(e.to_string()),
         };
         failover.data_received();
-        held.extend_from_slice(&buffer[..n]);
+        received.extend_from_slice(&buffer[..n]);
         if body.is_none() {
-            match head(&held) {
+            match parse_head(&received) {
                 Ok(None) => continue,
-                Ok(Some((length, chunked))) => {
-                    held.drain(..length);
-                    body = Some((
-                        chunked.then(ChunkedDecoder::default),
-                        LineBuffer::new(MAX_LINE_BYTES),
-                    ));
+                Ok(Some(head)) => {
+                    received.drain(..head.length);
+                    body = Some(Body {
+                        decoder: head.chunked.then(ChunkedDecoder::default),
+                        lines: LineBuffer::new(MAX_LINE_BYTES),
+                    });
                 }
                 Err(reason) => return Outcome::Failed(reason),
             }
         }
-        let Some((chunks, lines)) = &mut body else {
+        let Some(Body { decoder, lines }) = &mut body else {
             continue;
         };
-        let goes_on = match chunks {
+        let more_follows = match decoder {
             None => {
-                lines.push(&held);
+                lines.push(&received);
                 true
             }
-            Some(chunks) => {
-                let mut plain = Vec::new();
-                let goes_on = chunks.push(&held, &mut plain);
-                lines.push(&plain);
-                match goes_on {
-                    Ok(goes_on) => goes_on,
-                    Err(_) => return Outcome::Failed("what comes is not chunked".into()),
+            Some(decoder) => {
+                let mut decoded = Vec::new();
+                let more_follows = decoder.push(&received, &mut decoded);
+                lines.push(&decoded);
+                match more_follows {
+                    Ok(more_follows) => more_follows,
+                    Err(_) => return Outcome::Failed("invalid chunked encoding".into()),
                 }
             }
         };
-        held.clear();
+        received.clear();
         let mut inputs = Vec::new();
         while let Some(line) = lines.next_line() {
             let Ok(line) = line else {
-                return Outcome::Failed("a line without end".into());
+                return Outcome::Failed("line too long".into());
             };
             if line.is_empty() {
-                brought.store(true, Ordering::Release);
+                ready.store(true, Ordering::Release);
                 continue;
             }
             match discovery::parse(line, &shared.deployment.zones) {
                 Ok(list) => {
-                    brought.store(true, Ordering::Release);
-                    let since = below.unwrap_or_else(Instant::now);
-                    below = (list.index < after).then_some(since);
-                    let watch = number;
+                    ready.store(true, Ordering::Release);
+                    let since = older_since.unwrap_or_else(Instant::now);
+                    older_since = (list.index < after).then_some(since);
                     inputs.push(Input::EndpointList { watch, list });
                 }
                 // The next watch asks for everything after the current version, which includes the
                 // content of this line.
                 Err(reason) => {
                     shared.send_inputs(inputs);
-                    return Outcome::Failed(format!("a line that is no list: {reason}"));
+                    return Outcome::Failed(format!("invalid list: {reason}"));
                 }
             }
         }
         shared.send_inputs(inputs);
-        if !goes_on {
+        if !more_follows {
             return Outcome::Failed("the watch ended".into());
         }
         yield_now();
