--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -2,21 +2,21 @@
 //!
 //! A connection joins as a collector with an `agent` line. The rules, in order:
 //! 1. `probe` is answered `alive` at once, for any client and under any load.
-//! 2. A connection that has neither joined nor sent a `probe` is closed [`JOIN_WITHIN`] after it was
-//!    accepted; one that has sent a `probe`, [`KEEP_ALIVE`] after the last one. Lines received by then
-//!    are answered.
+//! 2. A connection that has neither joined nor sent a `probe` is closed [`JOIN_TIMEOUT`] after it was
+//!    accepted; one that has sent a `probe`, [`PROBE_KEEP_ALIVE`] after the last one. Lines received
+//!    by then are answered.
 //! 3. After unreadable input, a report before joining or an overlong line, the client gets `error` and
 //!    the connection is closed. A collector gets no `error`: nothing is written to it except `alive`.
 //! 4. An invalid line of a collector is skipped and counted; the lines around it are used.
 //! 5. When the connection limit is reached, the oldest connection that has not joined is closed. Bytes
 //!    it sent before are read first; if they make it join, it stays.
-//! 6. A zone has at most [`MOST_OF_A_ZONE`] collectors; a further one replaces the one silent for
+//! 6. A zone has at most [`COLLECTORS_PER_ZONE`] collectors; a further one replaces the one silent for
 //!    longest. So a silent collector blocks no new one, and a stranger does not at once replace one
 //!    that reports.
 //! 7. A client that got an answer can read it and then the end of the stream: the sending side is shut
-//!    down first, and further input is discarded for a while ([`TAKEN_WITHIN`], [`DISCARDED`]).
-//!    Closing with unread bytes would send a reset, which can discard the answer. At most
-//!    [`MOST_CLOSING`] connections at a time end this way; others are closed at once.
+//!    down first, and further input is discarded for a while ([`ANSWER_TIMEOUT`],
+//!    [`MAX_DISCARDED_BYTES`]). Closing with unread bytes would send a reset, which can discard the
+//!    answer. At most [`MAX_CLOSING`] connections at a time end this way; others are closed at once.
 
 use crate::shared::Shared;
 use dahliapoint_fibers::{Socket, TcpListener, accept, sleep, spawn, yield_now};
@@ -31,30 +31,31 @@
 use std::time::{Duration, Instant};
 
 /// The protocol allows closing a connection that has not joined within 1 s (DAYS, "Bad clients").
-const JOIN_WITHIN: Duration = Duration::from_secs(1);
+const JOIN_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long a connection that has not joined stays open after a `probe`.
-const KEEP_ALIVE: Duration = Duration::from_secs(10);
+const PROBE_KEEP_ALIVE: Duration = Duration::from_secs(10);
 /// A collector silent for this long counts as gone; collectors report each second.
-const SILENT: Duration = Duration::from_secs(60);
+const COLLECTOR_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Collectors per zone.
-const MOST_OF_A_ZONE: usize = 4;
+const COLLECTORS_PER_ZONE: usize = 4;
 /// The longest line accepted before joining, in bytes.
-const MOST_BEFORE_JOINING: usize = 4096;
+const MAX_LINE_BYTES_BEFORE_JOINING: usize = 4096;
 /// The timeout for writing an answer, and for reading what follows before the connection is closed.
-const TAKEN_WITHIN: Duration = Duration::from_millis(500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Descriptors reserved for relay, discovery, probes, the runtime and connections that are closing.
-const RESERVED: usize = 72;
+const RESERVED_DESCRIPTORS: usize = 72;
 /// Connections that may be closing gracefully at a time.
-const MOST_CLOSING: usize = 24;
+const MAX_CLOSING: usize = 24;
 /// Bytes discarded at most from a connection that is closing gracefully.
-const DISCARDED: usize = 64 * 1024;
+const MAX_DISCARDED_BYTES: usize = 64 * 1024;
 
+/// An open connection.
 struct Connection {
     socket: Socket,
     /// The zone of a collector; `None` before joining.
     zone: Option<usize>,
     /// When a collector last sent something.
-    heard: Instant,
+    last_received: Instant,
 }
 
 /// The open connections.
@@ -62,17 +63,18 @@
     shared: Shared,
     /// By number in order of acceptance, so the first is the oldest.
     open: Mutex<BTreeMap<u64, Connection>>,
-    most: usize,
+    /// The limit on open connections.
+    max_open: usize,
     /// How many are closing gracefully.
     closing: AtomicUsize,
 }
 
 /// Starts to accept connections, until the process ends.
-pub fn listen(shared: Shared, listener: TcpListener, sockets: usize) {
+pub fn start(shared: Shared, listener: TcpListener, sockets: usize) {
     let connections = Arc::new(Connections {
         shared,
         open: Mutex::new(BTreeMap::new()),
-        most: sockets.saturating_sub(RESERVED).max(16),
+        max_open: sockets.saturating_sub(RESERVED_DESCRIPTORS).max(16),
         closing: AtomicUsize::new(0),
     });
     spawn(move || {
@@ -81,7 +83,7 @@
             match accept(&listener) {
                 Ok((socket, _)) => {
                     number += 1;
-                    connections.accepted(number, socket);
+                    connections.register(number, socket);
                     // An evicted connection closes before the next one is accepted.
                     yield_now();
                 }
@@ -97,18 +99,18 @@
 }
 
 /// The start of a line, for the log.
-fn start_of(line: &[u8]) -> String {
+fn preview(line: &[u8]) -> String {
     String::from_utf8_lossy(&line[..line.len().min(120)]).into_owned()
 }
 
 impl Connections {
-    fn open(&self) -> MutexGuard<'_, BTreeMap<u64, Connection>> {
+    fn lock_open(&self) -> MutexGuard<'_, BTreeMap<u64, Connection>> {
         self.open.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Closes the oldest connection that has not joined (rule 5).
     fn evict_oldest(&self) {
-        let mut open = self.open();
+        let mut open = self.lock_open();
         let oldest = open.iter().find(|(_, c)| c.zone.is_none());
         if let Some(number) = oldest.map(|(n, _)| *n)
             && let Some(connection) = open.remove(&number)
@@ -116,26 +118,26 @@
             connection.socket.interrupt();
             drop(open);
             self.shared.log.fault("connections", || {
-                "the budget is full: the oldest stranger goes".into()
+                "connection limit reached, closing the oldest that has not joined".into()
             });
         }
     }
 
     /// Registers a connection and serves it in a coroutine of its own.
-    fn accepted(self: &Arc<Self>, number: u64, socket: Socket) {
-        if self.open().len() >= self.most {
+    fn register(self: &Arc<Self>, number: u64, socket: Socket) {
+        if self.lock_open().len() >= self.max_open {
             self.evict_oldest();
         }
         let connection = Connection {
             socket: socket.clone(),
             zone: None,
-            heard: Instant::now(),
+            last_received: Instant::now(),
         };
-        self.open().insert(number, connection);
+        self.lock_open().insert(number, connection);
         let connections = self.clone();
         spawn(move || {
             let answered = connections.serve(number, &socket);
-            connections.open().remove(&number);
+            connections.lock_open().remove(&number);
             if answered {
                 connections.close_gracefully(&socket);
             }
@@ -146,20 +148,20 @@
 
     /// Whether the connection has not been evicted.
     fn is_open(&self, number: u64) -> bool {
-        self.open().contains_key(&number)
+        self.lock_open().contains_key(&number)
     }
 
     /// Shuts down the sending side and discards input for a while (rule 7).
     fn close_gracefully(&self, socket: &Socket) {
-        if self.closing.fetch_add(1, Ordering::AcqRel) < MOST_CLOSING {
+        if self.closing.fetch_add(1, Ordering::AcqRel) < MAX_CLOSING {
             socket.shutdown_write();
-            let until = Instant::now() + TAKEN_WITHIN;
-            let (mut buffer, mut unread) = ([0; 4096], 0);
-            while unread < DISCARDED {
-                match socket.read(&mut buffer, Some(until)) {
-                    Ok(n @ 1..) => unread += n,
+            let deadline = Instant::now() + ANSWER_TIMEOUT;
+            let (mut buffer, mut discarded) = ([0; 4096], 0);
+            while discarded < MAX_DISCARDED_BYTES {
+                match socket.read(&mut buffer, Some(deadline)) {
+                    Ok(n @ 1..) => discarded += n,
                     // An earlier interruption must not end the wait.
-                    Err(e) if e.kind() == ErrorKind::TimedOut && Instant::now() < until => {}
+                    Err(e) if e.kind() == ErrorKind::TimedOut && Instant::now() < deadline => {}
                     Ok(_) | Err(_) => break,
                 }
             }
@@ -169,45 +171,47 @@
 
     /// Registers a collector, evicting another if its zone is full (rule 6). A connection that was
     /// evicted before it joined is registered again (rule 5).
-    fn joins(&self, number: u64, zone: usize, socket: &Socket) {
-        let mut open = self.open();
-        let there = open
+    fn join(&self, number: u64, zone: usize, socket: &Socket) {
+        let mut open = self.lock_open();
+        let others = open
             .iter()
             .filter(|(n, c)| c.zone == Some(zone) && **n != number);
-        if there.clone().count() >= MOST_OF_A_ZONE {
-            let silent = there.min_by_key(|(_, c)| c.heard).map(|(n, _)| *n);
-            if let Some(gone) = silent.and_then(|n| open.remove(&n)) {
-                gone.socket.interrupt();
+        if others.clone().count() >= COLLECTORS_PER_ZONE {
+            let most_silent = others.min_by_key(|(_, c)| c.last_received).map(|(n, _)| *n);
+            if let Some(evicted) = most_silent.and_then(|n| open.remove(&n)) {
+                evicted.socket.interrupt();
             }
         }
         let connection = Connection {
             socket: socket.clone(),
             zone: Some(zone),
-            heard: Instant::now(),
+            last_received: Instant::now(),
         };
         open.insert(number, connection);
     }
 
     /// Records that a collector sent something.
-    fn heard(&self, number: u64) {
-        if let Some(connection) = self.open().get_mut(&number) {
-            connection.heard = Instant::now();
+    fn record_received(&self, number: u64) {
+        if let Some(connection) = self.lock_open().get_mut(&number) {
+            connection.last_received = Instant::now();
         }
     }
 
     /// Serves a connection until it ends; returns whether an answer was written.
     fn serve(&self, number: u64, socket: &Socket) -> bool {
-        let mut lines = LineBuffer::new(MOST_BEFORE_JOINING);
+        let mut lines = LineBuffer::new(MAX_LINE_BYTES_BEFORE_JOINING);
         let (mut zone, mut answered) = (None, false);
-        let mut until = Instant::now() + JOIN_WITHIN;
+        let mut deadline = Instant::now() + JOIN_TIMEOUT;
         let mut buffer = [0; 4096];
         loop {
             // An evicted connection is read once more without waiting.
             let is_open = self.is_open(number);
-            let end = if is_open { until } else { Instant::now() };
-            let n = match socket.read(&mut buffer, Some(end)) {
+            let read_deadline = if is_open { deadline } else { Instant::now() };
+            let n = match socket.read(&mut buffer, Some(read_deadline)) {
                 Ok(n @ 1..) => n,
-                Err(e) if e.kind() == ErrorKind::TimedOut && is_open && Instant::now() < until => {
+                Err(e)
+                    if e.kind() == ErrorKind::TimedOut && is_open && Instant::now() < deadline =>
+                {
                     continue;
                 }
                 Ok(_) | Err(_) => return answered,
@@ -216,42 +220,42 @@
             let mut inputs = Vec::new();
             while let Some(line) = lines.next_line() {
                 let line = line.map_err(|_| LineError::Malformed);
-                let said = line.and_then(|line| inbound::parse(line, &self.shared.deployment));
-                match said {
+                let message = line.and_then(|line| inbound::parse(line, &self.shared.deployment));
+                match message {
                     Ok(Message::Probe) => {
                         if socket
-                            .write_all(b"alive\r\n", Instant::now() + TAKEN_WITHIN)
+                            .write_all(b"alive\r\n", Instant::now() + ANSWER_TIMEOUT)
                             .is_err()
                         {
                             return false;
                         }
                         answered = true;
                         if zone.is_none() {
-                            until = Instant::now() + KEEP_ALIVE;
+                            deadline = Instant::now() + PROBE_KEEP_ALIVE;
                         }
                     }
                     Ok(Message::Agent { zone: named }) => {
                         zone = Some(named);
-                        self.joins(number, named, socket);
+                        self.join(number, named, socket);
                     }
                     Ok(Message::Report(report)) if zone.is_some() => {
                         inputs.push(Input::Report(report))
                     }
                     Err(LineError::InvalidField(field)) if zone.is_some() => {
-                        let text = line.map_or(String::new(), start_of);
-                        let told = || format!("field {field:?} is no good, left out: {text:?}");
-                        self.shared.log.fault("report", told);
+                        let text = line.map_or(String::new(), preview);
+                        let detail = || format!("invalid field {field:?}, line ignored: {text:?}");
+                        self.shared.log.fault("report", detail);
                     }
                     Ok(Message::Report(_)) | Err(_) => {
                         self.shared.send_inputs(inputs);
-                        let text = line.map_or("a line without end".into(), start_of);
-                        let told =
-                            || format!("what cannot be read, or no joining before: {text:?}");
-                        self.shared.log.fault("closed", told);
+                        let text = line.map_or("line too long".into(), preview);
+                        let detail =
+                            || format!("unreadable line, or a report before joining: {text:?}");
+                        self.shared.log.fault("closed", detail);
                         if zone.is_none() {
-                            let told =
-                                socket.write_all(b"error\r\n", Instant::now() + TAKEN_WITHIN);
-                            answered |= told.is_ok();
+                            let written =
+                                socket.write_all(b"error\r\n", Instant::now() + ANSWER_TIMEOUT);
+                            answered |= written.is_ok();
                         }
                         return answered;
                     }
@@ -259,8 +263,8 @@
             }
             if zone.is_some() {
                 lines.set_max_len(inbound::MAX_LINE_BYTES);
-                until = Instant::now() + SILENT;
-                self.heard(number);
+                deadline = Instant::now() + COLLECTOR_IDLE_TIMEOUT;
+                self.record_received(number);
             }
             self.shared.send_inputs(inputs);
             if !is_open && !self.is_open(number) {
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -87,7 +87,7 @@
         proxies = deployment.proxy_count, sockets, "serving"
     );
     let core = Core::new(shared.clock.now_ms(), seed, deployment, &known);
-    connections::listen(shared.clone(), listener, sockets);
+    connections::start(shared.clone(), listener, sockets);
     relay::start_followers(&shared);
     watch::start(&shared);
     let event_loop = EventLoop {
