--- a/crates/node/src/configuration.rs
+++ b/crates/node/src/configuration.rs
@@ -15,9 +15,11 @@
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub relay: SocketAddr,
+    /// The seed of random choices.
     pub seed: u64,
     /// The limit on open descriptors.
     pub sockets: usize,
+    /// The checked field `settings`.
     pub deployment: Deployment,
     /// The list of servers as known before the start.
     pub known: EndpointList,
@@ -25,7 +27,7 @@
 
 /// The file as written; its other fields are ignored.
 #[derive(Deserialize)]
-struct Told {
+struct ConfigurationFile {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -37,11 +39,13 @@
     settings: Value,
 }
 
+/// Field `limits`.
 #[derive(Deserialize)]
 struct Limits {
     sockets: usize,
 }
 
+/// Field `distributor`: where the relay is.
 #[derive(Deserialize)]
 struct Relay {
     address: SocketAddr,
@@ -57,18 +61,20 @@
     parse(&bytes).map_err(|e| format!("{name}: {e}"))
 }
 
+/// Parses and checks the bytes of a file.
 fn parse(bytes: &[u8]) -> Result<Configuration, String> {
-    let mut from = serde_json::Deserializer::from_slice(bytes);
-    let told: Told = serde_path_to_error::deserialize(&mut from).map_err(|e| {
-        let path = e.path().to_string();
-        match path.as_str() {
-            "." => e.inner().to_string(),
-            _ => format!("field {path:?}: {}", e.inner()),
-        }
-    })?;
-    from.end().map_err(|e| e.to_string())?;
-    let deployment = dahliapoint_opening::parse_deployment(&told.settings)?;
-    let known = match told.known {
+    let mut deserializer = serde_json::Deserializer::from_slice(bytes);
+    let file: ConfigurationFile =
+        serde_path_to_error::deserialize(&mut deserializer).map_err(|e| {
+            let path = e.path().to_string();
+            match path.as_str() {
+                "." => e.inner().to_string(),
+                _ => format!("field {path:?}: {}", e.inner()),
+            }
+        })?;
+    deserializer.end().map_err(|e| e.to_string())?;
+    let deployment = dahliapoint_opening::parse_deployment(&file.settings)?;
+    let known = match file.known {
         None | Some(Value::Null) => EndpointList {
             index: 0,
             is_snapshot: true,
@@ -79,16 +85,16 @@
             .map_err(|e| format!("field \"known\": {e}"))?,
     };
     // The seed only feeds random choices, so other characters are skipped rather than rejected.
-    let digits = told.seed.bytes().filter(u8::is_ascii_hexdigit);
+    let digits = file.seed.bytes().filter(u8::is_ascii_hexdigit);
     let digits = digits.filter_map(|b| char::from(b).to_digit(16));
     let seed = digits.fold(0_u64, |seed, d| (seed << 4) | u64::from(d));
     Ok(Configuration {
-        name: told.name,
-        listen: told.listen,
-        discovery: told.discovery,
-        relay: told.distributor.address,
+        name: file.name,
+        listen: file.listen,
+        discovery: file.discovery,
+        relay: file.distributor.address,
         seed,
-        sockets: told.limits.sockets,
+        sockets: file.limits.sockets,
         deployment,
         known,
     })
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -92,7 +92,7 @@
     watch::start(&shared);
     let event_loop = EventLoop {
         calls: relay::start_caller(&shared),
-        probes: probes::begin(&shared),
+        probes: probes::start(&shared),
         core,
         shared: shared.clone(),
     };
