--- a/crates/node/src/failover.rs
+++ b/crates/node/src/failover.rs
@@ -19,6 +19,7 @@
 pub struct Failover {
     /// The addresses when the stream was started.
     addresses: Addresses,
+    /// How long without data the stream counts as silent.
     silent_after: Duration,
     /// How long the stream goes on once its successor is ready.
     overlap: Duration,
@@ -31,7 +32,7 @@
 }
 
 impl Failover {
-    /// For a stream that starts now at these addresses.
+    /// Creates the state of a stream that starts now at these addresses.
     pub fn new(addresses: Addresses, silent_after: Duration, overlap: Duration) -> Failover {
         Failover {
             addresses,
@@ -80,18 +81,18 @@
 
     /// Decides what to do with the stream now; `ready` is its own ready flag.
     pub fn next_action(&mut self, shared: &SharedState, ready: bool) -> Action {
-        let why = match (self.address_changed(shared), self.is_silent()) {
+        let reason = match (self.address_changed(shared), self.is_silent()) {
             (true, _) => "address changed",
             (false, true) => "silent",
             (false, false) => return Action::Continue,
         };
         match (ready, self.has_successor()) {
             (_, true) => Action::Continue,
-            (false, false) => Action::Retry(why),
+            (false, false) => Action::Retry(reason),
             (true, false) => {
                 let successor_ready = ReadyFlag::default();
                 self.successor = Some(successor_ready.clone());
-                Action::StartSuccessor(why, successor_ready)
+                Action::StartSuccessor(reason, successor_ready)
             }
         }
     }
--- a/crates/node/src/failover/tests.rs
+++ b/crates/node/src/failover/tests.rs
@@ -36,7 +36,7 @@
         // A stream that is not ready ends without a successor.
         match (expected, not_ready.next_action(&shared, false)) {
             (None, Action::Continue) => {}
-            (Some(expected), Action::Retry(why)) => assert_eq!(why, expected),
+            (Some(expected), Action::Retry(reason)) => assert_eq!(reason, expected),
             other => panic!("{other:?}"),
         }
         assert!(!not_ready.has_successor());
@@ -47,8 +47,8 @@
         );
         match (expected, action) {
             (None, Action::Continue) => {}
-            (Some(expected), Action::StartSuccessor(why, ready)) => {
-                assert_eq!(why, expected);
+            (Some(expected), Action::StartSuccessor(reason, ready)) => {
+                assert_eq!(reason, expected);
                 ready.store(true, Ordering::Release);
                 assert!(failover.should_end() && failover.has_successor());
             }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -33,7 +33,7 @@
     /// The number of the next watch.
     next_watch: AtomicU32,
     pub shutdown: Shutdown,
-    /// State of the random generator for retry jitter.
+    /// The state of the random number generator for retry jitter.
     jitter_state: AtomicU64,
     pub log: RateLimitedLog,
     pub clock: Clock,
@@ -43,6 +43,7 @@
 pub type Shared = Arc<SharedState>;
 
 impl SharedState {
+    /// Creates the state at the start of the process.
     pub fn new(
         relay: SocketAddr,
         discovery: SocketAddr,
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -9,7 +9,7 @@
 /// Bit of the state: the process is ending.
 const ENDING: u8 = 2;
 
-/// Shared by one writer and the thread that ends the process.
+/// The state of a process exit, shared by one writer and the thread that ends the process.
 #[derive(Default)]
 pub struct Shutdown {
     state: AtomicU8,
@@ -19,10 +19,10 @@
 impl Shutdown {
     /// Starts a write. Returns false if the process is ending or another write is in progress.
     pub fn try_begin_write(&self) -> bool {
-        let previous = self
+        let swapped = self
             .state
             .compare_exchange(0, WRITING, Ordering::AcqRel, Ordering::Acquire);
-        previous.is_ok()
+        swapped.is_ok()
     }
 
     /// Ends a write and wakes the thread that waits for it.
