--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,11 +1,10 @@
-//! The controller without I/O. [`Controller::take`] is told a moment and all that came at it, and says
-//! what to write, probe, close and log; [`Controller::wake_at`] says when it wants to be called again.
+//! The controller without I/O. [`Controller::handle`] takes a time and all inputs that arrived at it, and returns what
+//! to write, probe, close and log; [`Controller::wake_at`] gives the time of the next call that it needs.
 //!
-//! Names end here: inside are small indices, and the planner (`dahliapoint::rules`) decides. This crate
-//! keeps what the planner must not know (names, sessions, what each proxy was sent and has answered) and
-//! decides only on membership and on repeated delivery, in [`delivery`]. It reads no clock and draws no
-//! chance: the same inputs give the same outputs, byte for byte, so a day can be written down
-//! ([`record`]) and played again.
+//! Names end here: the planner (`dahliapoint::rules`) decides, and it works on small indices. This crate keeps what
+//! the planner does not know (names, sessions, what each proxy was sent and has answered) and decides only on dead
+//! proxies and on redelivery, in [`delivery`] and [`presence`]. It reads no clock and no entropy: the same inputs give
+//! the same outputs, byte for byte, so that a day can be recorded ([`record`]) and replayed.
 
 mod accounts;
 mod controller;
@@ -28,62 +27,75 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// One stream of a proxy, numbered by whoever holds the streams; a number is used once.
+/// Number of one stream of a proxy, assigned by the front that holds the streams; a number is never reused.
 pub type Session = u64;
 
-/// What a controller is told about the service when it begins.
+/// Settings that a controller starts with.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ControllerSettings {
     pub service: String,
     pub zones: Vec<String>,
     pub classes: Vec<ClassSettings>,
-    /// Levels: a share of the visits of a class is let in; without it proxies let everything in.
+    /// Proxies admit a share of the visits of each class, as the planner orders; without it they admit all.
     pub admission_control: bool,
-    /// The channel: lines that may wait, lines it sends a second, mean way of a message, lines that a
-    /// message costs beyond its own; messages to one proxy within a span (0: no limit).
+    /// Lines that may wait in the channel to the proxies.
     pub max_queued_lines: f64,
+    /// Lines that the channel sends in a second.
     pub lines_per_s: f64,
+    /// Mean latency of a message.
     pub message_latency_ms: f64,
+    /// Cost of a message beyond its lines, in lines.
     pub message_overhead_lines: f64,
+    /// Messages that one proxy may be sent within `message_window_ms`; 0: no limit.
     pub max_messages: f64,
     pub message_window_ms: f64,
-    /// What the fronts make of one message at most, and of a joining, in messages of the limit above.
+    /// Writes that a front makes of one message at most, counted against `max_messages`.
     pub writes_per_message: f64,
+    /// Writes that a front makes when a proxy joins, counted against `max_messages`.
     pub writes_per_join: f64,
-    /// A proxy closes a connection idle for so long, draws so many servers for itself at its start, and
-    /// is taken to have so many visits a second if it does not say.
+    /// A proxy closes a connection that was idle for this long.
     pub idle_timeout_ms: f64,
+    /// Servers that a proxy draws for itself at its start.
     pub initial_servers: f64,
+    /// Visits a second of a proxy that does not declare a rate.
     pub default_visits_per_s: f64,
+    /// Interval of the load reports of a proxy.
     pub report_interval_ms: f64,
+    /// Report lines a second that the controller takes at most.
     pub reports_per_s: f64,
-    /// The cold rule: share at the start, time until warm, multiple that pushes over.
+    /// A server that has just started has this share of its capacity ...
     pub cold_capacity_share: f64,
+    /// ... has all of it after this long ...
     pub warm_up_ms: f64,
+    /// ... and fails under a load of this multiple of what it can do.
     pub overload_multiple: f64,
-    /// The drain rule's grace.
+    /// Grace period of a drain: how long visits may still reach a draining server.
     pub drain_grace_ms: f64,
+    /// A server that is merely dropped from the roster may stay in tables.
     pub keep_unlisted_servers: bool,
-    /// How proxies try again where no order says otherwise.
+    /// Retry policy of the proxies where no order says otherwise.
     pub default_retry_policy: RetryPolicy,
+    /// The controller may ask for probes of servers.
     pub may_probe: bool,
-    /// How often a proxy without a stream is to give a sign of life.
+    /// Interval of the heartbeats of a proxy without a stream.
     pub heartbeat_interval_ms: f64,
-    /// What is done about tables that are dangerous.
+    /// What the guard does about dangerous tables.
     pub guard_mode: rollout::GuardMode,
 }
 
-/// A class of visits.
+/// Settings of a class of visits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClassSettings {
     pub name: String,
+    /// Visits of the class are wanted to be answered within this time.
     pub soft_limit_ms: f64,
+    /// Worth of a visit that is answered in time, relative to other classes.
     pub earnings: f64,
-    /// Its visits may be tried again after any failure: no effect comes twice by it.
+    /// Its visits may be retried after any failure: a second execution has no further effect.
     pub idempotent: bool,
 }
 
-/// What the roster says of a server.
+/// State of a server in the roster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdminState {
     Ready,
@@ -99,97 +111,101 @@
     pub zone: String,
     pub state: AdminState,
     pub weight: f64,
-    /// How long ago it last started, by the roster's own clock, and a stamp that is the same as long as
-    /// the start is the same: a clock that jumps makes no new start.
+    /// Milliseconds since the last start by the roster's clock, and a stamp that identifies that start, so that a
+    /// jump of the clock is not taken for a new start.
     pub started: Option<(f64, u64)>,
 }
 
-/// What a proxy met at a server with the visits of one class.
+/// Result of the tries of one proxy at one server with visits of one class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReportLine {
-    /// Name or address.
+    /// Name or address of the server.
     pub server: String,
-    /// The class, by its place in the terms.
+    /// Index of the class in [`ControllerSettings::classes`].
     pub class: usize,
     pub tries: f64,
     pub failed: f64,
-    /// Summed time of the tries that did not fail.
+    /// Summed time of the successful tries.
     pub success_ms: f64,
-    /// Variance of the tries, where this line stands for others that were not read.
+    /// Variance of `tries`, where this line is a sample that stands for lines that were not read.
     pub variance: f64,
-    /// The server's own words: how many answers carried one, and the sums of its queue and its time.
+    /// Answers that carried the server's own load, and the sums of the queue lengths and service times in them.
     pub load_samples: f64,
     pub queue_sum: f64,
     pub service_ms_sum: f64,
-    /// Visits under way at the end of the stretch.
+    /// Visits in flight at the end of the window.
     pub in_flight: f64,
 }
 
 /// A load report of one proxy.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// The stretch of time that it covers, and how long ago that ended.
+    /// Length of the window that the report covers.
     pub window_ms: f64,
+    /// Time since the end of that window.
     pub ended_ago_ms: f64,
     pub lines: Vec<ReportLine>,
-    /// Visits that came, by class.
+    /// Visits that arrived, by name of the class.
     pub arrivals: Vec<(String, f64)>,
 }
 
-/// One thing that happened.
+/// An event that the controller handles.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Input {
-    /// The whole roster. The first one is what the controller begins with.
+    /// The whole roster. The first one is the state that the controller starts from.
     Roster(Vec<RosterEntry>),
-    /// Only entries that changed; a gone one is named as such.
+    /// Only the entries that changed; a removed server is listed as gone.
     RosterChanges(Vec<RosterEntry>),
+    /// A proxy opened a stream.
     Joined {
         session: Session,
         proxy: String,
         zone: String,
-        /// Visits a second that usually come to it, if it says.
+        /// Visits a second that it usually receives, if it declares them.
         visits_per_s: Option<f64>,
     },
+    /// A stream ended.
     Left(Session),
     /// The proxy applied the message with that serial and all before it.
     Applied(Session, u64),
-    /// The proxy refused that message and keeps what it holds.
+    /// The proxy refused the message with that serial and keeps what it holds.
     Refused(Session, u64, String),
-    /// A report of the proxy of that name.
+    /// A load report of the proxy of that name.
     Reported(String, LoadReport),
-    /// All reports of a round were told: now they are judged together.
+    /// All reports of a round have been handed over and are now evaluated together.
     RoundEnded,
+    /// The result of a probe.
     Probed {
         server: String,
         healthy: bool,
         took_ms: f64,
     },
-    /// A sign of life of a proxy that has no stream; a session of it is one life.
+    /// A heartbeat of a proxy that has no stream; its session identifies one run of the proxy.
     Heartbeat {
         session: Session,
         proxy: String,
         zone: String,
         visits_per_s: Option<f64>,
     },
-    /// A proxy without a stream leaves by its own word.
+    /// A proxy without a stream says that it leaves.
     Deregistered(Session),
-    /// Parts whose tables are to stay as they are for so long, all that there are; withdrawals pass.
+    /// All parts whose tables are pinned, and for how many milliseconds; withdrawals still pass.
     Pinned(Vec<(usize, f64)>),
-    /// In records only: parts whose lines a gate held back in the moment just before.
+    /// In records only: parts whose lines the gate held back in the moment just before.
     Gated(Vec<usize>),
 }
 
-/// How a line stands in a table.
+/// State of a line in a table.
 #[derive(Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LineState {
     Open,
-    /// Withdrawn: not to be picked, whatever its weight.
+    /// In the table, but not to be picked, whatever its weight.
     Withdrawn,
-    /// Not in the table any more.
+    /// No longer in the table.
     Removed,
 }
 
-/// A line of a table.
+/// A line of a table: one server with its weight.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
     pub server: Arc<str>,
@@ -199,53 +215,56 @@
     pub state: LineState,
 }
 
-/// When proxies may try another server.
+/// When proxies may retry a visit at another server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RetryPolicy {
     Never,
+    /// Once, after proof that the first try never ran.
     OnProof,
+    /// Once, after any failure.
     OnFailure,
 }
 
-/// What is let in of a class, and when its visits are tried again.
+/// Admission and retries of one class.
 #[derive(Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ClassPolicy {
+    /// Share of its visits that proxies admit.
     #[serde(rename = "share")]
     pub admitted_share: f64,
     #[serde(rename = "tries")]
     pub retry: RetryPolicy,
 }
 
-/// What the lines of a message are about.
+/// What the lines of a message apply to.
 #[derive(Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Scope {
     /// Changes of the part that the proxy is bound to.
     Changes(usize),
-    /// All of a part: the proxy is bound to it from now on.
+    /// The whole table of a part: the proxy is bound to that part from now on.
     Snapshot(usize),
-    /// Withdrawals for a proxy that is not bound: they hold for whatever tables it has.
+    /// Withdrawals for a proxy that is not bound: they apply to whatever tables it has.
     Unbound,
 }
 
-/// One message; the proxy answers for its serial.
+/// One message; the proxy answers with its serial.
 #[derive(Clone, PartialEq, Serialize, Deserialize)]
 pub struct Message {
     pub serial: u64,
     pub scope: Scope,
     pub lines: Vec<Line>,
-    /// By class; only those that changed, all of them in a whole table.
+    /// Policies by class: those that changed, all of them in a snapshot.
     pub policies: Vec<(usize, ClassPolicy)>,
 }
 
-/// What is to be done, in this order.
+/// An action for the caller. Actions are carried out in the order in which they are returned.
 #[derive(Clone, PartialEq, Serialize, Deserialize)]
 pub enum Output {
-    /// One message for all these sessions.
+    /// Send one message to all these sessions.
     Write(Vec<Session>, Arc<Message>),
-    /// End a stream.
+    /// End a stream, with the reason.
     Close(Session, String),
-    /// Call a server and say how it went.
+    /// Probe a server and return the result as [`Input::Probed`].
     Probe { server: String, address: String },
-    /// For the operators' log.
+    /// Write a line to the operators' log.
     Log(String),
 }
