--- a/crates/control/src/accounts.rs
+++ b/crates/control/src/accounts.rs
@@ -1,23 +1,26 @@
-//! The channel's accounts: which messages a proxy was sent and has not answered, the lines in them, and
-//! how many it was written lately. Sums only; who may be written is decided elsewhere.
+//! Bookkeeping of the channel to the proxies: the unanswered messages of a proxy, the lines in them, and the messages
+//! it was sent within the window of the rate limit. Only sums are kept here; the planner decides who is written to.
 
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// A message under way.
+/// A message that was sent and is not answered yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sent {
     pub serial: u64,
-    /// The planner's mark, if this message carries one.
+    /// The planner's acknowledgement number, if this message carries one.
     pub mark: Option<u32>,
+    /// Its cost in lines.
     pub lines: f64,
+    /// When it was sent.
     pub at: f64,
-    /// It carries a whole table; it withdraws something.
+    /// It carries a whole table.
     pub whole: bool,
+    /// It withdraws or removes at least one line.
     pub withdraws: bool,
 }
 
-/// The messages of one proxy.
+/// The unanswered messages of one proxy, and when it was sent messages.
 #[derive(Clone, Debug, Default)]
 pub struct Outstanding {
     sent: VecDeque<Sent>,
@@ -25,6 +28,7 @@
 }
 
 impl Outstanding {
+    /// Records that a message was sent.
     pub fn wrote(&mut self, message: Sent, span_ms: f64) {
         self.sent.push_back(message);
         self.forget(message.at, span_ms);
@@ -37,8 +41,8 @@
         }
     }
 
-    /// An answer to one message answers all before it. A serial that is not under way (answered before,
-    /// or of another stream) answers nothing. Tells what was answered.
+    /// Takes the answer to a serial and returns what it answers: that message and all before it. A serial that is not
+    /// outstanding (answered before, or of another stream) answers nothing.
     pub fn answered(&mut self, serial: u64) -> Vec<Sent> {
         match self.sent.iter().position(|m| m.serial == serial) {
             Some(at) => self.sent.drain(..=at).collect(),
@@ -46,24 +50,27 @@
         }
     }
 
+    /// The lines in all unanswered messages.
     pub fn lines(&self) -> f64 {
         self.sent.iter().map(|m| m.lines).sum()
     }
 
+    /// The number of unanswered messages.
     pub fn count(&self) -> usize {
         self.sent.len()
     }
 
-    /// When the oldest message without an answer was written.
+    /// When the oldest unanswered message was sent.
     pub fn oldest(&self) -> Option<f64> {
         self.sent.front().map(|m| m.at)
     }
 
-    /// The oldest serial without an answer.
+    /// The serial of the oldest unanswered message.
     pub fn oldest_serial(&self) -> Option<u64> {
         self.sent.front().map(|m| m.serial)
     }
 
+    /// Messages sent within the last `span_ms`.
     pub fn lately(&self, now: f64, span_ms: f64) -> usize {
         self.written
             .iter()
@@ -72,26 +79,32 @@
     }
 }
 
-/// Sums since the start, and the present state of the channel.
+/// Counters since the start, and the present state of the channel.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counters {
+    /// Messages sent, and the lines in them.
     pub messages: u64,
     pub lines: u64,
-    /// Lines under way now, and the most there ever were.
+    /// Lines that are sent and unanswered now, and the highest value of that.
     pub waiting: f64,
     pub most_waiting: f64,
-    /// The most messages that any proxy was written within the span.
+    /// The most messages that any proxy was sent within the window of the rate limit.
     pub most_messages: usize,
+    /// Messages that a proxy refused.
     pub refused: u64,
-    /// Answers for messages that were not under way: late, doubled, or of another stream.
+    /// Answers to messages that were not outstanding: late, duplicate, or of another stream.
     #[serde(rename = "odd_answers")]
     pub unexpected_answers: u64,
+    /// Streams that the controller closed.
     pub closed: u64,
-    /// Report lines taken, for servers or classes that nobody knows, and refused as impossible.
+    /// Report lines accepted.
     pub report_lines: u64,
+    /// Report lines for unknown proxies, servers or classes.
     pub unknown_lines: u64,
+    /// Reports refused because their figures are impossible.
     pub refused_reports: u64,
-    /// Lines of stretches that ended too long ago to be news, and sums too uncertain to be told.
+    /// Report lines whose window ended too long ago for decisions.
     pub late_lines: u64,
+    /// Sums that were too uncertain for decisions.
     pub vague: u64,
 }
--- a/crates/control/src/delivery.rs
+++ b/crates/control/src/delivery.rs
@@ -1,28 +1,28 @@
-//! Decisions on membership and on delivery that failed, free of I/O: an ordered list of short rules,
-//! each a condition and an effect, gone through for each proxy until none fires.
+//! Redelivery of refused messages and eviction of proxies that do not answer, without I/O: an ordered list of rules,
+//! each a condition and an effect, applied to each proxy until none fires.
 //!
-//! How it is called: [`Member`] is what is known of a joined proxy; [`next`] tells the one thing to do
-//! about it now, if any, and notes it. Figures are ratios to the service's own.
+//! [`Member`] is the delivery state of a joined proxy; [`next`] returns the next thing to do about it, if any, and
+//! updates that state. All times are multiples of the service's own settings.
 
 use crate::ControllerSettings;
 
-/// A proxy that does not answer is given up after so many times the grace, or so many ways of a message.
+/// A proxy that does not answer is evicted after this many drain grace periods or this many message latencies,
+/// whichever is longer.
 const SILENT_GRACES: f64 = 4.0;
 const SILENT_WAYS: f64 = 30.0;
-/// The first waits before what was refused is offered again, as shares of the grace: withdrawals get
-/// several attempts within it, the rest of a table can wait. They double with each refusal, so many
-/// times at the most.
+/// Delay of the first redelivery after a refusal, as a share of the drain grace period. Withdrawals get several attempts
+/// within that period; the rest of a table can wait. The delay doubles with each refusal, at most `DOUBLINGS` times.
 const WITHDRAW_AGAIN: f64 = 0.1;
 const AGAIN: f64 = 1.0;
-/// Withdrawals never wait longer than this share of the grace: a proxy that takes messages again, after
-/// however many refusals, hears of a drain while there is time.
+/// Withdrawals never wait longer than this share of the grace period: a proxy that accepts messages again, after however
+/// many refusals, learns of a drain in time.
 const WITHDRAW_MOST: f64 = 0.25;
 const DOUBLINGS: u32 = 5;
-/// Lines that are offered again may fill the channel up to this share of what may wait: the planner's
-/// own go first.
+/// Tables are sent again only while less than this share of the lines that may wait are waiting: the planner's own
+/// messages go first.
 const ROOM: f64 = 0.5;
 
-/// The figures that the rules go by.
+/// The timeouts and the limit that the rules use.
 #[derive(Clone, Copy, Debug)]
 pub struct Patience {
     silent_ms: f64,
@@ -35,7 +35,7 @@
 impl Patience {
     pub fn of(terms: &ControllerSettings) -> Patience {
         let ways = terms.message_latency_ms * SILENT_WAYS;
-        // A full channel drains in this time; a proxy at its end must not count as silent.
+        // A full channel empties in half of this time; a proxy whose messages are last in it must not count as silent.
         let drained = 2.0 * 1000.0 * terms.max_queued_lines / terms.lines_per_s;
         Patience {
             silent_ms: (terms.drain_grace_ms * SILENT_GRACES)
@@ -49,21 +49,23 @@
     }
 }
 
-/// What is known of a joined proxy's deliveries.
+/// The delivery state of a joined proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Member {
-    /// When the oldest message without an answer was written.
+    /// Since when an answer is due.
     pub unanswered_since: Option<f64>,
-    /// Refusals in a row, and when the last one came.
+    /// Consecutive refusals.
     pub refusals: u32,
+    /// Time of the last refusal.
     pub refused_at: f64,
-    /// A refused message held withdrawals that are not yet written again.
+    /// A refused message held withdrawals that have not been sent again.
     pub owed_withdrawals: bool,
-    /// It holds an older table than it was sent.
+    /// The proxy holds an older table than the one it was sent.
     pub owed_table: bool,
 }
 
 impl Member {
+    /// Records a refusal; `withdrawals`: a refused message held withdrawals.
     pub fn refused(&mut self, now: f64, withdrawals: bool) {
         self.refusals += 1;
         self.refused_at = now;
@@ -71,7 +73,7 @@
         self.owed_table = true;
     }
 
-    /// It took a message. One that was whole settles the table.
+    /// Records that a message was applied; `whole`: it held a whole table, so that none is owed any more.
     pub fn applied(&mut self, whole: bool) {
         self.refusals = 0;
         if whole {
@@ -92,7 +94,7 @@
         self.again_at(p.again_ms, f64::INFINITY)
     }
 
-    /// When a rule could next fire, if nothing else happens.
+    /// The next time at which a rule can fire if nothing else happens.
     pub fn alarm(&self, patience: &Patience) -> Option<f64> {
         let silent = self.unanswered_since.map(|at| at + patience.silent_ms);
         let withdraw = self.owed_withdrawals.then(|| self.withdraw_at(patience));
@@ -102,11 +104,14 @@
     }
 }
 
-/// What to do about a proxy.
+/// An action on a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Deed {
+    /// Close its stream.
     GiveUp,
+    /// Send all withdrawals again.
     WithdrawAgain,
+    /// Send the whole table again.
     OfferAgain,
 }
 
@@ -114,17 +119,17 @@
 
 const RULES: [Rule; 3] = [give_up_the_silent, withdraw_again, offer_again];
 
-/// The one thing to do now about a proxy, with so many lines waiting in the channel.
+/// The next action on a proxy, if any; `waiting` is the number of lines that wait in the channel.
 pub fn next(member: &mut Member, now: f64, waiting: f64, patience: &Patience) -> Option<Deed> {
     RULES
         .iter()
         .find_map(|rule| rule(member, now, waiting, patience))
 }
 
-/// Guards against a proxy that holds its stream but answers nothing: stopped, stuck, or behind a link
-/// that swallows. Its stream is ended, so that it dials again and is told all anew, and so that what it
-/// was sent does not pile up here. Should also catch proxies that lose answers. May harm when a channel
-/// is so slow that honest answers take longer: then the patience covers two drains of a full channel.
+/// Guards against a proxy that keeps its stream open but answers nothing: stopped, stuck, or behind a link that drops
+/// packets. Closing its stream makes it reconnect and receive everything again, and unanswered messages do not pile up
+/// here. Also catches proxies that lose answers. May harm on a channel so slow that good answers take longer, so the
+/// timeout covers emptying a full channel twice.
 fn give_up_the_silent(m: &mut Member, now: f64, _: f64, p: &Patience) -> Option<Deed> {
     let silent = m.unanswered_since.is_some_and(|at| now - at >= p.silent_ms);
     silent.then(|| {
@@ -133,11 +138,10 @@
     })
 }
 
-/// Guards against a drain that is lost because something else in the same message was refused: what
-/// was withdrawn goes out again by itself, at once the first time, then with growing waits. Needs no
-/// room: withdrawals pass. The waits are bounded: before, a
-/// proxy that had refused for seconds heard of a drain too late. May harm little: a proxy that refuses all
-/// costs one small message a wait.
+/// Guards against a drain that is lost because something else in the same message was refused: the withdrawals are sent
+/// again on their own, at once the first time, then with growing delays, even while the channel is full. The delays are
+/// bounded: without the bound, a proxy that had refused for seconds learned of a drain too late. Costs little: a proxy
+/// that refuses everything gets one small message per delay.
 fn withdraw_again(m: &mut Member, now: f64, _: f64, p: &Patience) -> Option<Deed> {
     let due = m.owed_withdrawals && (m.refusals <= 1 || now >= m.withdraw_at(p));
     due.then(|| {
@@ -146,8 +150,8 @@
     })
 }
 
-/// Guards against a proxy that stays on an old table for good after one refusal: the whole table is
-/// offered again, after a wait that doubles, while the channel has room.
+/// Guards against a proxy that keeps an old table forever after one refusal: the whole table is sent again, after a
+/// delay that doubles, while the channel has room.
 fn offer_again(m: &mut Member, now: f64, waiting: f64, p: &Patience) -> Option<Deed> {
     let due = m.owed_table && now >= m.offer_at(p) && waiting < p.room;
     due.then(|| {
--- a/crates/control/src/owner.rs
+++ b/crates/control/src/owner.rs
@@ -1,20 +1,20 @@
-//! The owner of a controller, as fronts see it.
+//! The handle by which fronts reach the thread that owns the controller.
 
 use crate::{Input, LoadReport, Session};
 
-/// The owner of the controller, as a front sees it.
+/// Access to a controller that runs on another thread.
 pub trait ControllerHandle: Send + Sync + 'static {
-    /// Puts an input into its queue, waiting for room; false once it has ended.
+    /// Queues an input, waiting while the queue is full; false once the controller has ended.
     fn send(&self, input: Input) -> bool;
-    /// A stream of load reports of a proxy begins, or ends; `stream` is its own number.
+    /// A stream of load reports of a proxy begins or ends; `stream` is the number of that stream.
     fn report_stream(&self, proxy: &str, stream: Session, begins: bool);
-    /// Takes a report in, without waiting.
+    /// Hands over a report, without waiting.
     ///
     /// # Errors
-    /// Why it is not taken.
+    /// Returns why the report is not accepted.
     fn report(&self, proxy: &str, stream: Session, report: LoadReport) -> Result<(), String>;
-    /// How often proxies are to report now.
+    /// The interval at which proxies are to report at present.
     fn report_interval_ms(&self) -> f64;
-    /// The present state, for people.
+    /// The present state as JSON, for the status page.
     fn overview(&self) -> serde_json::Value;
 }
--- a/crates/control/src/record.rs
+++ b/crates/control/src/record.rs
@@ -1,18 +1,18 @@
-//! A day written down as it comes, to be played again to the same outputs, byte for byte.
+//! A record of a controller's inputs. Replaying it gives the same outputs, byte for byte.
 //!
-//! The form: eight bytes of magic with the version, then frames. A frame is its length (u32, little
-//! endian), the CRC-32 of its bytes (u32, little endian), and the bytes: the first frame holds the
-//! [`Begin`], each later one a moment and its inputs, in postcard's encoding.
+//! Format: eight bytes of magic with the version, then frames. A frame is the length of its payload (u32, little
+//! endian), the CRC-32 of the payload (u32, little endian) and the payload, in postcard's encoding. The first frame
+//! holds the [`Header`], each later one a time and the inputs that arrived at it.
 
 use crate::{Controller, ControllerSettings, Input, Output};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use std::io::{self, Read, Write};
 
 const MAGIC: &[u8; 8] = b"dahlia\x00\x03";
-/// A longer frame is taken for damage.
+/// A longer frame counts as corrupt.
 const LONGEST: u32 = 256 << 20;
 
-/// What a controller began with.
+/// The arguments that the controller was created with.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Header {
     pub now: f64,
@@ -20,7 +20,7 @@
     pub settings: ControllerSettings,
 }
 
-/// Writes a day down.
+/// Writes a record.
 pub struct Recorder<W: Write> {
     to: W,
 }
@@ -34,46 +34,50 @@
 }
 
 impl<W: Write> Recorder<W> {
-    /// Begins a record.
+    /// Creates a record: writes the magic and the header.
     ///
     /// # Errors
-    /// Those of the writer.
+    /// Returns errors of the writer.
     pub fn create(mut to: W, begin: &Header) -> io::Result<Recorder<W>> {
         to.write_all(MAGIC)?;
         frame(&mut to, begin)?;
         Ok(Recorder { to })
     }
 
-    /// Notes a moment before it is decided on.
+    /// Appends the inputs of one moment. Called before the controller handles them.
     ///
     /// # Errors
-    /// Those of the writer.
+    /// Returns errors of the writer.
     pub fn append(&mut self, now: f64, inputs: &[Input]) -> io::Result<()> {
         frame(&mut self.to, &(now, inputs))
     }
 
+    /// Flushes the writer.
+    ///
     /// # Errors
-    /// Those of the writer.
+    /// Returns errors of the writer.
     pub fn flush(&mut self) -> io::Result<()> {
         self.to.flush()
     }
 
+    /// Returns the writer.
     pub fn into_inner(self) -> W {
         self.to
     }
 }
 
-/// What was found at the end of a record.
+/// How a record ends.
 #[derive(Clone, Debug, PartialEq)]
 pub enum End {
+    /// After a whole frame.
     Complete,
-    /// The last frame was cut off: the process was killed while it wrote.
+    /// Within a frame, as when the process is killed while it writes.
     Truncated,
-    /// A frame that is not what was written; with its number, from 1.
+    /// At a corrupt frame: its number, counted from 1, and what is wrong with it.
     Corrupt(u64, String),
 }
 
-/// Reads frames until the first that is not whole.
+/// Reads frames up to the first that is not whole.
 struct Frames<R: Read> {
     from: R,
     number: u64,
@@ -94,7 +98,7 @@
         let (length, sum) = (word(0), word(4));
         let damaged = |why: &str| End::Corrupt(self.number, why.to_string());
         if length > LONGEST {
-            return Err(damaged("its length is not possible"));
+            return Err(damaged("its length is out of range"));
         }
         let mut bytes = Vec::new();
         let read = (&mut self.from)
@@ -106,12 +110,13 @@
             Err(e) => return Err(damaged(&e.to_string())),
         }
         if crc32fast::hash(&bytes) != sum {
-            return Err(damaged("its sum does not match"));
+            return Err(damaged("its checksum does not match"));
         }
         postcard::from_bytes(&bytes).map_err(|e| damaged(&e.to_string()))
     }
 }
 
+/// Reads until the buffer is full or the input ends; returns the number of bytes read.
 fn fill<R: Read>(from: &mut R, buffer: &mut [u8]) -> io::Result<usize> {
     let mut done = 0;
     while done < buffer.len() {
@@ -125,10 +130,11 @@
     Ok(done)
 }
 
-/// Plays a record again. Each moment's outputs go to `each`; tells how the record ended.
+/// Replays a record on a new controller. Calls `each` with the time and the outputs of each moment; returns the
+/// controller and how the record ends.
 ///
 /// # Errors
-/// When it is no record of this version, or does not begin.
+/// If it is not a record of this version, or its header cannot be read.
 pub fn replay<R: Read>(
     mut from: R,
     mut each: impl FnMut(f64, &[Output]),
@@ -140,7 +146,7 @@
     }
     if magic != *MAGIC {
         return Err(format!(
-            "a record of version {}; {} is read",
+            "a record of version {}; only version {} can be read",
             magic[7], MAGIC[7]
         ));
     }
@@ -155,7 +161,7 @@
             Ok(moment) => moment,
             Err(end) => return Ok((controller, end)),
         };
-        // What a gate held is written behind the moment that it was asked in.
+        // The parts that the gate held back are recorded in a frame of their own after the moment.
         let mut next = frames.next::<(f64, Vec<Input>)>();
         let mut held = Vec::new();
         if let Ok((_, behind)) = &next
@@ -170,8 +176,8 @@
     }
 }
 
-/// The bytes that outputs are compared by.
+/// Encodes outputs, so that two runs can be compared byte by byte.
 pub fn encode_outputs(outputs: &[Output]) -> Vec<u8> {
-    // Plain data into memory cannot fail to be encoded.
+    // Encoding plain data into memory cannot fail.
     postcard::to_allocvec(outputs).unwrap_or_default()
 }
--- a/crates/control/src/servers.rs
+++ b/crates/control/src/servers.rs
@@ -1,10 +1,10 @@
-//! Servers by name and by index. An index is used again only once nothing refers to it.
+//! The servers by name, address and index. An index is reused only once nothing refers to it.
 
 use crate::{AdminState, Line, LineState, RosterEntry};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// What is kept of a server beside the planner's own state.
+/// The controller's state of one server; the planner keeps its own.
 #[derive(Clone, Debug)]
 pub struct Slot {
     pub name: Arc<str>,
@@ -12,26 +12,28 @@
     pub zone: usize,
     pub state: AdminState,
     pub listed_weight: f64,
-    /// Stamp of its last start, and when that was on our clock.
+    /// Stamp of its last start, and the time of that start on the local clock.
     pub started: Option<(u64, f64)>,
-    /// Its line, as it has left: the part and the weight there.
+    /// Its line as last sent: the part, the weight, and whether it is withdrawn.
     pub part: Option<usize>,
     pub weight: f64,
     pub shut: bool,
-    /// What is ordered; what has left follows by steps that the guard finds safe.
+    /// The weight and the withdrawal that the planner wants. The line that is sent follows in steps that the guard
+    /// finds safe.
     pub wanted: f64,
     pub wants_shut: bool,
-    /// When a report last told of tries there.
+    /// When reports last showed tries at this server.
     pub met_at: Option<f64>,
-    /// A probe is out.
+    /// A probe was sent and has not returned.
     pub asked: bool,
-    /// Since when it is gone, and the last serial whose message may name it.
+    /// Since when the roster lists it as gone.
     pub gone_since: Option<f64>,
+    /// Serial of the last message that names it.
     pub named_in: u64,
 }
 
 impl Slot {
-    /// The line that stands in its part's table.
+    /// Its line in the table of its part.
     pub fn line(&self) -> Line {
         let state = match (self.weight > 0.0, self.shut) {
             (false, _) => LineState::Removed,
@@ -41,6 +43,7 @@
         self.line_as(state)
     }
 
+    /// Its line, with the given state.
     pub fn line_as(&self, state: LineState) -> Line {
         Line {
             server: self.name.clone(),
@@ -52,24 +55,25 @@
     }
 }
 
+/// All servers that have an index.
 #[derive(Default)]
 pub struct Servers {
     pub slots: Vec<Slot>,
     by_name: HashMap<Arc<str>, usize>,
     by_address: HashMap<Arc<str>, usize>,
-    /// Indices to be used again, by zone: the planner has dealt them to parts of that zone.
+    /// Indices for reuse, by zone: the planner has assigned them to parts of that zone.
     free: BTreeMap<usize, Vec<usize>>,
 }
 
 impl Servers {
-    /// The index of a name or an address.
+    /// Finds the index of a name or an address.
     pub fn find(&self, name: &str) -> Option<usize> {
         let found = self.by_name.get(name).or_else(|| self.by_address.get(name));
         found.copied()
     }
 
-    /// The index for an entry, an old one if there is one, and what it now says. Tells whether the
-    /// address has changed under a line that stands.
+    /// Takes over an entry of the roster. Returns the index of the server, an existing one if its name is known, and
+    /// whether the address of a line in a table has changed.
     pub fn place(&mut self, entry: &RosterEntry, zone: usize, now: f64) -> (usize, bool) {
         let index = match self.by_name.get(entry.name.as_str()) {
             Some(index) => *index,
@@ -94,6 +98,7 @@
         (index, moved && slot.weight > 0.0)
     }
 
+    /// Assigns an index to a new name.
     fn fresh(&mut self, entry: &RosterEntry, zone: usize) -> usize {
         let name: Arc<str> = entry.name.as_str().into();
         let used = self.free.get_mut(&zone).and_then(Vec::pop);
@@ -101,7 +106,7 @@
         self.by_name.insert(name.clone(), index);
         let address: Arc<str> = entry.address.as_str().into();
         match self.slots.get_mut(index) {
-            // The planner keeps its part, its line of 0 and its withdrawal with the index.
+            // The part, the weight of 0 and the withdrawal stay: the planner keeps them with the index.
             Some(slot) => {
                 (slot.name, slot.address) = (name, address);
                 (slot.started, slot.asked, slot.met_at) = (None, false, None);
@@ -127,7 +132,7 @@
         index
     }
 
-    /// Names that are not in the roster any more are gone; tells which were not before.
+    /// Marks all servers as gone that are not listed any more.
     pub fn gone_but(&mut self, listed: &[usize], now: f64) {
         let mut there = vec![false; self.slots.len()];
         listed.iter().for_each(|i| there[*i] = true);
@@ -137,8 +142,8 @@
         }
     }
 
-    /// Forgets gone servers whose index nothing refers to: no line, withdrawn everywhere, long enough
-    /// gone, no probe out, and every message that named them answered. Tells which.
+    /// Releases the indices that nothing refers to and returns them: the server has been gone for `after_ms`, has no
+    /// line, is withdrawn everywhere, is not being probed, and every message that named it is answered.
     pub fn forget(&mut self, now: f64, after_ms: f64, oldest_unanswered: u64) -> Vec<usize> {
         let mut forgotten = Vec::new();
         for index in 0..self.slots.len() {
@@ -159,7 +164,7 @@
         forgotten
     }
 
-    /// Indices that stand for a name.
+    /// The servers whose index currently belongs to their name.
     pub fn known(&self) -> impl Iterator<Item = (usize, &Slot)> {
         let named = |(i, s): &(usize, &Slot)| self.by_name.get(&s.name) == Some(i);
         self.slots.iter().enumerate().filter(named)
