--- a/crates/control/src/presence.rs
+++ b/crates/control/src/presence.rs
@@ -1,52 +1,57 @@
-//! Which proxies without a stream are there, free of I/O: an ordered list of short rules, each a condition
-//! and an effect, gone through for each proxy until none fires.
+//! Failure detection by heartbeats for proxies without a stream, without I/O: an ordered list of rules, each a condition
+//! and an effect, applied to each proxy until none fires.
 //!
-//! How it is called: [`Presence::beat`] for each sign of life that a front without streams has seen,
-//! [`Presence::says_goodbye`] for one that leaves by its own word, [`Presence::streamed`] whenever a stream
-//! of a proxy begins or ends, [`Presence::closed`] when a session was ended from here. [`Presence::next`]
-//! then tells one deed after the other. A stream needs no beats: it is there as long as it is open.
+//! Call [`Presence::beat`] for each heartbeat, [`Presence::says_goodbye`] when a proxy says that it leaves,
+//! [`Presence::streamed`] when a stream of a proxy begins or ends, and [`Presence::closed`] when the controller closed a
+//! session. [`Presence::next`] then returns one action after the other. A proxy with a stream needs no heartbeats: it is
+//! present as long as the stream is open.
 //!
-//! All times are ratios to how often a proxy is to beat.
+//! All times are multiples of the heartbeat interval.
 
 use crate::Session;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Beats that may be missed before a proxy counts as silent: one may be late by a slow disk, the next one
-/// by a slow reader.
+/// Intervals without a heartbeat after which a proxy counts as silent: one may be late because of a slow disk, the next
+/// one because of a slow reader.
 const SILENT: f64 = 3.5;
-/// Beats in a row after which a proxy counts as there: at once the first time, since a joining proxy is
-/// bound; sustained after it was silent, or beside a stream.
+/// Consecutive heartbeats after which a proxy counts as present: the first one for a new proxy, since a joining proxy is
+/// bound at once; more after it was silent or had a stream.
 const FIRST: u32 = 1;
 const AGAIN: u32 = 2;
-/// Each time it falls silent within so many beats of the last time doubles what it needs, up to so often.
+/// Each time it falls silent within this many intervals of the last time doubles the heartbeats that it needs, at most
+/// `DOUBLINGS` times.
 const LATELY: f64 = 60.0;
 const DOUBLINGS: u32 = 4;
-/// Beats beside a stream of the same name, from which on two processes are said to have one name.
+/// Heartbeats while a stream of the same name is open, from which on two processes are reported to share a name.
 const DOUBLED: u32 = 8;
-/// A proxy that was not heard of for so many beats is forgotten.
+/// A proxy is forgotten this many intervals after its last heartbeat.
 const FORGET: f64 = 200.0;
 
-/// A proxy that beats.
+/// State of a proxy that sends heartbeats.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Beating {
     session: Session,
     zone: String,
     pace: Option<f64>,
+    /// Time of the last heartbeat.
     last: f64,
-    /// Beats in a row.
+    /// Consecutive heartbeats.
     row: u32,
     joined: bool,
-    /// Times it fell silent lately, and when it last did.
+    /// Doublings of the heartbeats that it needs.
     fell: u32,
+    /// When it last fell silent.
     fell_at: f64,
-    /// A stream holds this name; it was said that two do.
+    /// A stream of this name is open.
     streams: bool,
+    /// It was reported that two processes share the name.
     said: bool,
+    /// It said that it leaves, and is still to be removed.
     goodbye: bool,
 }
 
-/// What to do about a proxy.
+/// An action on a proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Deed {
     Join {
@@ -55,13 +60,15 @@
         zone: String,
         pace: Option<f64>,
     },
+    /// Remove the session, for this reason.
     Leave(Session, &'static str),
-    /// Two processes have one name.
+    /// Log that two processes share this name.
     Doubled(Arc<str>),
+    /// All state of this proxy is dropped.
     Forget(Arc<str>),
 }
 
-/// See the module's head.
+/// The proxies that send heartbeats, by name. See the module documentation.
 #[derive(Clone, Debug, Default)]
 pub struct Presence {
     every_ms: f64,
@@ -79,7 +86,7 @@
     the_long_gone_are_forgotten,
 ];
 
-/// By its own word, at once: nobody need wait for its silence.
+/// A proxy that says goodbye is removed at once, without waiting until it counts as silent.
 fn who_says_goodbye_leaves(b: &mut Beating, _: &Arc<str>, _: f64, _: f64) -> Option<Deed> {
     let leaves = std::mem::take(&mut b.goodbye);
     (b.row, b.joined) = if leaves {
@@ -90,10 +97,10 @@
     leaves.then_some(Deed::Leave(b.session, "it says goodbye"))
 }
 
-/// Guards against one proxy being written on two ways: a stream is surer than a beat, so whoever moves to
-/// a stream is there at once, and its beats count for nothing while the stream is open. Should also catch
-/// a second process with the same name. May harm when the stream is a stray one: its end gives the name
-/// back after sustained beats.
+/// Guards against one proxy being sent messages on two paths: a stream is more reliable than heartbeats, so a proxy that
+/// opens a stream is present by it at once, and its heartbeats are ignored while the stream is open. Also catches a second
+/// process of the same name. May harm when the stream is a stray one: when it ends, sustained heartbeats bring the proxy
+/// back.
 fn a_stream_goes_before_beats(b: &mut Beating, _: &Arc<str>, _: f64, _: f64) -> Option<Deed> {
     let moves = b.streams && b.joined;
     if moves {
@@ -102,15 +109,16 @@
     moves.then_some(Deed::Leave(b.session, "it has a stream now"))
 }
 
+/// Guards against two processes that share a name unnoticed, one with a stream and one with heartbeats.
 fn two_of_one_name_are_told(b: &mut Beating, name: &Arc<str>, _: f64, _: f64) -> Option<Deed> {
     let doubled = b.streams && b.row >= DOUBLED && !b.said;
     b.said |= doubled;
     doubled.then(|| Deed::Doubled(name.clone()))
 }
 
-/// Guards against tables written for a proxy that is dead or cut off, whose lines would wait for ever.
-/// Should also catch one whose directory was replaced. May harm when a disk stands still for all: they
-/// leave together, and join again with the sustained beats after it.
+/// Guards against tables written for a proxy that is dead or unreachable, whose lines would wait forever. Also catches a
+/// proxy whose directory was replaced. May harm when a disk stalls for all proxies: they leave together and join again
+/// with sustained heartbeats afterwards.
 fn the_silent_leave(b: &mut Beating, _: &Arc<str>, now: f64, every: f64) -> Option<Deed> {
     let silent = b.row > 0 && now - b.last >= SILENT * every;
     if !silent {
@@ -126,8 +134,8 @@
     was.then_some(Deed::Leave(b.session, "it has fallen silent"))
 }
 
-/// A proxy is there after enough beats in a row. Flapping earns nothing: each fall within a while doubles
-/// what is enough.
+/// A proxy joins after enough consecutive heartbeats. Guards against flapping: each silence soon after the last one
+/// doubles the heartbeats that are needed.
 fn the_sustained_join(b: &mut Beating, name: &Arc<str>, _: f64, _: f64) -> Option<Deed> {
     let fresh = b.fell_at == f64::NEG_INFINITY;
     let enough = if fresh { FIRST } else { AGAIN << b.fell };
@@ -141,6 +149,7 @@
     })
 }
 
+/// Guards against state that grows with every name ever seen.
 fn the_long_gone_are_forgotten(
     b: &mut Beating,
     name: &Arc<str>,
@@ -152,7 +161,7 @@
 }
 
 impl Presence {
-    /// For proxies that beat so often.
+    /// For proxies that send heartbeats at this interval.
     pub fn new(every_ms: f64) -> Presence {
         Presence {
             every_ms,
@@ -160,8 +169,8 @@
         }
     }
 
-    /// A sign of life. A session that differs from the last one's is another life of the proxy: the old
-    /// one is over at once.
+    /// Takes a heartbeat. A session other than the last one means that the proxy was restarted: the old session is
+    /// removed at once, by the action that is returned.
     pub fn beat(
         &mut self,
         now: f64,
@@ -179,7 +188,7 @@
             row: 0,
             joined: false,
             fell: 0,
-            // A stream of that name: its beats must be sustained.
+            // A stream of that name is open: its heartbeats must be sustained.
             fell_at: if on_stream { now } else { f64::NEG_INFINITY },
             streams: on_stream,
             said: false,
@@ -197,7 +206,7 @@
         over
     }
 
-    /// It leaves by its own word.
+    /// The proxy says that it leaves.
     pub fn says_goodbye(&mut self, session: Session) {
         let mut all = self.by_name.values_mut();
         if let Some(b) = all.find(|b| b.session == session) {
@@ -206,19 +215,19 @@
         }
     }
 
-    /// A stream of that name begins, or ends.
+    /// A stream of that name begins or ends.
     pub fn streamed(&mut self, now: f64, proxy: &str, begins: bool) {
         if let Some(b) = self.by_name.get_mut(proxy) {
             (b.streams, b.said) = (begins, false);
             if !begins {
-                // From here on its beats must be sustained again.
+                // From now on its heartbeats must be sustained again.
                 b.row = 0;
                 b.fell_at = b.fell_at.max(now - LATELY * self.every_ms);
             }
         }
     }
 
-    /// A session was ended from here: it may come back as another one.
+    /// The controller closed a session; the proxy may come back with a new one.
     pub fn closed(&mut self, now: f64, session: Session) {
         let mut all = self.by_name.values_mut();
         if let Some(b) = all.find(|b| b.session == session) {
@@ -226,14 +235,14 @@
         }
     }
 
-    /// Whether a session is one that beats.
+    /// Whether a session is present by heartbeats.
     pub fn has(&self, session: Session) -> bool {
         self.by_name
             .values()
             .any(|b| b.session == session && b.joined)
     }
 
-    /// The next thing to do; nothing once all is done.
+    /// The next action; none once all are done.
     pub fn next(&mut self, now: f64) -> Option<Deed> {
         let every = self.every_ms;
         let deed = self
@@ -246,7 +255,7 @@
         deed
     }
 
-    /// When a rule could fire next, if nothing else happens.
+    /// The next time at which a rule can fire if nothing else happens.
     pub fn wake_at(&self) -> f64 {
         let at = |b: &Beating| match b.row {
             0 => b.last + FORGET * self.every_ms,
@@ -269,12 +278,13 @@
         Bye,
         Stream(bool),
         Close,
-        /// So many beats' time passes.
+        /// This many intervals pass.
         Wait(f64),
     }
     use E::*;
 
-    /// Plays events of one proxy that beats every 100 ms; its joins (+) and leaves (-).
+    /// Plays events of one proxy with an interval of 100 ms. Returns its joins (+), leaves (-), reports of a shared name
+    /// (2) and the end of its state (.).
     fn play(events: &[E]) -> String {
         let (mut p, mut now, mut on_stream) = (Presence::new(100.0), 1e6, false);
         let mut out = String::new();
@@ -379,7 +389,7 @@
 
     proptest! {
         #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(5), ..ProptestConfig::default() })]
-        /// Whatever comes: joins and leaves alternate, and nothing is joined beside a stream.
+        /// For any events, joins and leaves alternate.
         #[test]
         fn joins_and_leaves_alternate(codes in proptest::collection::vec(0_u8..9, 1..60)) {
             let events: Vec<E> = codes.iter().map(|c| match c {
--- a/crates/control/src/reports.rs
+++ b/crates/control/src/reports.rs
@@ -1,6 +1,6 @@
-//! Load reports added up over one round, by server and zone of the proxies: the planner is told a round
-//! at a time, so that nothing is judged on half of one. What is news, what is too vague and whom to believe
-//! is decided in `dahliapoint-intake`.
+//! Aggregation of load reports over one round, by server and zone of the proxies. The planner receives one round at a
+//! time, so that it never decides on half of one. `dahliapoint-intake` decides which reports are recent enough, which sums
+//! are too uncertain, and which reporters to trust.
 
 use crate::{LoadReport, ReportLine};
 use dahliapoint::Met;
@@ -10,12 +10,12 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Visits or tries that one line can honestly name; more is a fault of the reporter.
+/// Most visits or tries in one report line; more is a fault of the reporter.
 const MOST: f64 = 1e9;
-/// Time that one report can honestly cover: an hour.
+/// Longest window of one report: an hour.
 const LONGEST_MS: f64 = 3.6e6;
 
-/// What is impossible about a report, if anything is.
+/// Returns why a report is invalid, if it is.
 pub fn report_error(report: &LoadReport) -> Option<String> {
     let count = |n: f64| n.is_finite() && (0.0..=MOST).contains(&n);
     if !(report.window_ms > 0.0 && report.window_ms <= LONGEST_MS) {
@@ -57,26 +57,26 @@
     came.map(|(class, _)| format!("{class}: visits from 0 to 1e9 are wanted"))
 }
 
-/// What is estimated of a server, for people.
+/// Estimates of a server for the status page.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct EstimateView {
     pub tries_per_s: f64,
     pub failed_share: f64,
     pub mean_ms: f64,
     pub tail_ms: f64,
-    /// The true tries a second lie within this, 19 times in 20.
+    /// Half of the 95 % confidence interval of `tries_per_s`.
     pub error_per_s: f64,
     pub age_ms: f64,
-    /// Its own word does not explain what is met there.
+    /// The load that the server reports of itself does not explain what proxies measure.
     pub stale: bool,
-    /// Which share of those who tell of it is still heard.
+    /// Share of its reporters that still report.
     #[serde(rename = "heard_share")]
     pub reporting_share: f64,
-    /// Visits under way there, by the newest word of each proxy.
+    /// Visits in flight there, by the newest report of each proxy.
     pub in_flight: f64,
 }
 
-/// What is estimated of one class at a server.
+/// Estimates of one class at a server.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ClassView {
     pub class: usize,
@@ -85,19 +85,21 @@
     pub mean_ms: f64,
 }
 
-/// Estimates for people cover so many rounds.
+/// Rounds that the estimates of the status page cover.
 const SHOWN: f64 = 10.0;
 
+/// Sums of one round for a server and a zone, weighted by the trust in each reporter.
 #[derive(Clone, Copy, Default)]
 struct Sum {
     tries: f64,
     failed: f64,
     good_ms: f64,
     variance: f64,
+    /// Tries times the age of the start of their window.
     tries_back: f64,
 }
 
-/// Visits of a class that came to a proxy.
+/// Visits of a class that arrived at a proxy.
 pub struct Came {
     pub proxy: usize,
     pub class: usize,
@@ -105,32 +107,36 @@
     pub window_ms: f64,
 }
 
-/// What a round comes to.
+/// Result of a round.
 pub struct Round {
     pub met: Vec<Met>,
     pub came: Vec<Came>,
-    /// Sums that were too uncertain to be told.
+    /// Sums that were left out because they are too uncertain.
     pub vague: u64,
     pub changes: Vec<Change>,
     pub heard: Vec<Heard>,
 }
 
-/// The round that is filling, and what is known from those before.
+/// The current round, and the state that is kept over rounds.
 pub struct Reports {
     every_ms: f64,
     classes: usize,
-    /// By server and class.
+    /// By server and class: place `server * classes + class`.
     estimates: Estimates,
     belief: Belief,
     coverage: Coverage,
-    /// Proxies that reported in this round, and those that are heard again.
+    /// Proxies that reported in this round.
     reported: BTreeSet<usize>,
+    /// Proxies that report again after a silence.
     heard: Vec<Heard>,
+    /// By server and zone.
     met: BTreeMap<(usize, usize), Sum>,
+    /// By proxy and class: visits, and the time they cover.
     came: BTreeMap<(usize, usize), (f64, f64)>,
+    /// By server: sums of the report lines.
     words: BTreeMap<usize, (ReportLine, f64)>,
     views: Views,
-    /// By proxy: visits under way at each server, as last told.
+    /// By proxy: visits in flight at each server, as last reported.
     in_flight: BTreeMap<usize, BTreeMap<usize, f64>>,
 }
 
@@ -152,7 +158,7 @@
         }
     }
 
-    /// A proxy reported, with a stretch of so long.
+    /// A report of a proxy arrived, with a window of this length.
     pub fn heard(&mut self, now: f64, proxy: usize, window_ms: f64) {
         let again = self.coverage.heard(now, proxy, window_ms);
         self.heard.extend(again);
@@ -160,8 +166,8 @@
         self.in_flight.remove(&proxy);
     }
 
-    /// A line of a proxy's report. False if its stretch ended too long ago to be news: then it counts for
-    /// the estimates of that time alone.
+    /// Adds a line of a proxy's report; `who` is the proxy and its zone. Returns false if its window ended too long ago
+    /// for decisions: then it counts only for the estimates of that time.
     pub fn met(
         &mut self,
         now: f64,
@@ -217,12 +223,14 @@
         true
     }
 
+    /// Adds visits of a class that arrived at a proxy.
     pub fn came(&mut self, proxy: usize, class: usize, visits: f64, window: f64) {
         let sum = self.came.entry((proxy, class)).or_default();
         sum.0 += visits;
         sum.1 += window;
     }
 
+    /// The index of this proxy may be reused.
     pub fn forget_proxy(&mut self, proxy: usize) {
         self.came.retain(|(p, _), _| *p != proxy);
         self.views.remove(&proxy);
@@ -232,7 +240,7 @@
         self.in_flight.remove(&proxy);
     }
 
-    /// The index stands for another server from now on.
+    /// The index of this server may be reused.
     pub fn forget_server(&mut self, server: usize) {
         self.met.retain(|(s, _), _| *s != server);
         self.words.remove(&server);
@@ -245,7 +253,7 @@
         self.coverage.forget_server(server);
     }
 
-    /// Ends the round: what is told to decisions, and whose word has become doubtful or good again.
+    /// Ends the round: returns the sums for decisions, and the reporters and servers whose trust changed.
     pub fn end(&mut self, now: f64) -> Round {
         let mut vague = 0;
         let mut met = Vec::with_capacity(self.met.len());
@@ -311,19 +319,22 @@
         }
     }
 
+    /// Whether the proxy has stopped reporting.
     pub fn is_silent(&self, proxy: usize) -> bool {
         self.coverage.is_silent(proxy)
     }
 
+    /// Whether the reports of the proxy contradict those of all others.
     pub fn is_contrary(&self, proxy: usize) -> bool {
         self.belief.is_contrary(proxy)
     }
 
+    /// The places of a server in `estimates`, one for each class.
     fn places(&self, server: usize) -> std::ops::Range<usize> {
         server * self.classes..(server + 1) * self.classes
     }
 
-    /// By class, those that were met.
+    /// Estimates by class, for the classes that have any.
     pub fn class_views(&self, now: f64, server: usize) -> Vec<ClassView> {
         let span = SHOWN * self.every_ms;
         let places = self.places(server).enumerate();
@@ -339,6 +350,7 @@
         views.collect()
     }
 
+    /// Estimates over all classes, if there are any.
     pub fn view(&self, now: f64, server: usize) -> Option<EstimateView> {
         let span = SHOWN * self.every_ms;
         let e = self.estimates.of_all(now, self.places(server), span)?;
