--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -1,4 +1,4 @@
-//! One controller: its planner, its servers and proxies by name, and what each proxy was sent.
+//! The controller: the planner, the servers and proxies by name, and what each proxy was sent.
 
 use crate::accounts::{Counters, Outstanding, Sent};
 use crate::delivery::{self, Deed, Member, Patience};
@@ -18,7 +18,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// A gone server is forgotten after so many times the warming time, if nothing refers to it.
+/// The index of a gone server is released after this many warm-up times, if nothing refers to it.
 const FORGET: f64 = 10.0;
 
 /// A joined proxy.
@@ -27,64 +27,68 @@
     zone: usize,
     session: Session,
     part: Option<usize>,
-    /// Joined in this very input: an unbound one is told all that is withdrawn.
+    /// It joined in this moment: while it is not bound it is sent everything that is withdrawn.
     fresh: bool,
     outstanding: Outstanding,
     member: Member,
+    /// Why it last refused a message; none once it applied one again.
     refusal: Option<String>,
 }
 
-/// See the crate's head for how it is called.
+/// See the crate documentation for how it is called.
 pub struct Controller {
     terms: ControllerSettings,
     patience: Patience,
     presence: Presence,
     planner: Planner,
     servers: Servers,
-    /// Servers whose address changed under a line that stands.
+    /// Servers whose address changed while their line is in a table.
     moved: Vec<usize>,
     proxies: BTreeMap<usize, Proxy>,
     by_session: HashMap<Session, usize>,
     by_name: HashMap<Arc<str>, usize>,
+    /// Indices of proxies that are free for reuse.
     free: BTreeSet<usize>,
     zones: HashMap<String, usize>,
     classes: HashMap<String, usize>,
     ways: Vec<ClassPolicy>,
     reports: Reports,
     now: f64,
+    /// When the planner wants its next call.
     planner_alarm: f64,
+    /// A whole roster has arrived.
     listed: bool,
+    /// Serial of the last message.
     serial: u64,
     accounts: Counters,
     ward: Rollout,
-    /// Something that was ordered did not leave in this moment.
+    /// Something that the planner ordered was held back in this moment.
     held: bool,
     between: Option<FaultInjector>,
-    /// Parts whose tables stay, and until when.
+    /// Parts whose tables are pinned, and until when.
     pins: BTreeMap<usize, f64>,
-    /// Tries a second by server, in the newest round of reports alone.
+    /// Tries a second by server, in the newest round of reports.
     lately: BTreeMap<usize, f64>,
 }
 
-/// A line that is about to leave.
+/// A line that is about to be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PendingLine {
     pub server: Arc<str>,
     pub weight: f64,
     pub open: bool,
-    /// Its weight in the table that stands.
+    /// Its weight in the table as last sent.
     pub current_weight: f64,
 }
 
-/// Asked before lines of a part leave; true: the table that stands is to stay. Withdrawals, and what the guard
-/// does for servers that fall, pass all the same.
+/// Called before lines of a part are sent; returns true to keep the present table instead. Withdrawals, and what the
+/// guard does for cold servers that are overloaded, are sent all the same.
 pub type Gate<'a> = &'a mut dyn FnMut(usize, &[PendingLine]) -> bool;
 
-/// A hand between the planner and the guard. For tests that spoil orders on purpose: the guard's worth is what it
-/// keeps then.
+/// Changes the planner's orders before the guard sees them, for tests of the guard.
 pub type FaultInjector = Box<dyn FnMut(f64, &mut Orders) + Send>;
 
-/// A server as an operator wants to see it.
+/// A server on the status page.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ServerView {
     pub name: Arc<str>,
@@ -96,16 +100,16 @@
     pub weight: f64,
     #[serde(rename = "shut")]
     pub withdrawn: bool,
-    /// How long ago it started, if the roster says.
+    /// Time since its last start, if the roster gives it.
     pub started_ago_ms: Option<f64>,
-    /// How long ago a report last told of tries there; nothing: none has since this controller began.
+    /// Time since reports last showed tries there; none: not since this controller started.
     #[serde(rename = "met_ago_ms")]
     pub last_try_ago_ms: Option<f64>,
     pub estimate: Option<EstimateView>,
     pub by_class: Vec<ClassView>,
 }
 
-/// A proxy as an operator wants to see it.
+/// A proxy on the status page.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ProxyView {
     pub name: Arc<str>,
@@ -117,12 +121,13 @@
     #[serde(rename = "unanswered_lines")]
     pub unacknowledged_lines: f64,
     pub refusal: Option<String>,
-    /// Its reports contradict those of all others; it reported once and does no more.
+    /// Its reports contradict those of all others.
     pub contrary: bool,
+    /// It has reported before and reports no more.
     pub silent: bool,
 }
 
-/// All of it at one moment.
+/// The state of the controller for the status page.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Overview {
     pub servers: Vec<ServerView>,
@@ -134,6 +139,8 @@
     pub guard: GuardView,
 }
 
+/// Settings of the planner. A front makes up to `writes_per_message` writes of one message, so the planner may send only
+/// as many messages as fit into `max_messages` after a join.
 fn opening(terms: &ControllerSettings) -> Opening {
     let limit = (terms.max_messages - terms.writes_per_join) / terms.writes_per_message;
     Opening {
@@ -176,8 +183,8 @@
 }
 
 impl Controller {
-    /// A controller that has been told nothing yet. Times are milliseconds on a clock that never goes
-    /// back; `seed` is where all chance comes from.
+    /// Creates a controller without roster or proxies. All times are milliseconds on one monotonic clock; `seed` is the
+    /// only source of randomness.
     pub fn new(now: f64, seed: u64, terms: ControllerSettings) -> Controller {
         let zones = terms.zones.iter().cloned().zip(0..).collect();
         let classes = terms.classes.iter().map(|c| c.name.clone()).zip(0..);
@@ -218,7 +225,7 @@
         }
     }
 
-    /// Puts a hand between planner and guard.
+    /// Sets a function that changes the planner's orders.
     pub fn inject_faults(&mut self, between: FaultInjector) {
         self.between = Some(between);
     }
@@ -227,7 +234,7 @@
         &self.terms
     }
 
-    /// When it is to be called again at the latest, if nothing comes in before.
+    /// The latest time of the next call if no input arrives before.
     pub fn wake_at(&self) -> f64 {
         let members = self.proxies.values();
         let owed = members.filter_map(|p| p.member.alarm(&self.patience));
@@ -235,13 +242,13 @@
         owed.fold(alarm.min(self.ward.wake_at()), f64::min)
     }
 
-    /// All that came at one moment, and what is to be done about it.
+    /// Handles all inputs of one moment and returns the actions to take.
     pub fn handle(&mut self, now: f64, inputs: Vec<Input>) -> Vec<Output> {
         self.handle_gated(now, inputs, &mut |_, _| false)
     }
 
-    /// The same, with a gate that is asked before lines leave. To be played again the same way, what it held is
-    /// written down behind the moment ([`Input::Gated`]).
+    /// Like [`Controller::handle`], with a gate that is asked before lines are sent. For a replay, the parts that it held
+    /// back are to be recorded after the moment ([`Input::Gated`]).
     pub fn handle_gated(&mut self, now: f64, inputs: Vec<Input>, gate: Gate) -> Vec<Output> {
         let mut out = Vec::new();
         self.now = now;
@@ -344,7 +351,7 @@
             let (server, moves) = self.servers.place(entry, zone, now);
             placed.push(server);
             if moves {
-                // The line is told anew with the next message, with the same weight.
+                // The next message repeats the line with the new address and the same weight.
                 self.moved.push(server);
             }
             listed.push(Listed {
@@ -424,7 +431,7 @@
         }
     }
 
-    /// Goes through the rules of presence until none fires.
+    /// Applies the presence rules until none fires.
     fn tend_presence(&mut self, now: f64, out: &mut Vec<Output>) {
         while let Some(deed) = self.presence.next(now) {
             self.present(deed, out);
@@ -440,7 +447,7 @@
                 pace,
             } => self.joined(session, &proxy, &zone, pace, out),
             presence::Deed::Leave(session, why) => {
-                // Its stream may have taken the name over already.
+                // A stream may have taken over the name already.
                 if let Some(index) = self.by_session.get(&session).copied() {
                     let note = format!("proxy {}: leaves, {why}", self.proxies[&index].name);
                     out.push(Output::Log(note));
@@ -471,7 +478,8 @@
         }
     }
 
-    /// Takes an answer: what it answers for, with the planner told; nothing if it is odd.
+    /// Matches an answer with the messages it answers and tells the planner. Returns the proxy and these messages; none if
+    /// the answer matches nothing.
     fn answered(&mut self, now: f64, session: Session, serial: u64) -> Option<(usize, Vec<Sent>)> {
         let index = self.by_session.get(&session).copied();
         let Some((index, proxy)) = index.and_then(|i| Some((i, self.proxies.get_mut(&i)?))) else {
@@ -483,7 +491,7 @@
             self.accounts.unexpected_answers += 1;
             return None;
         }
-        // The rest is as old as the oldest left; but its answers queue behind this one.
+        // The remaining messages were sent earlier, but their answers queue behind this one: the timeout restarts.
         let oldest = proxy.outstanding.oldest();
         proxy.member.unanswered_since = oldest.map(|_| now);
         for mark in sent.iter().filter_map(|m| m.mark) {
@@ -663,7 +671,7 @@
         out.extend(named.map(Output::Log));
     }
 
-    /// What the guard knows is brought up to date.
+    /// Updates the guard: with reports and roster if `learns`, and with what the proxies have answered.
     fn guard_learns(&mut self, now: f64, learns: bool) {
         if self.ward.is_off() {
             return;
@@ -684,7 +692,7 @@
         let mut answered: BTreeMap<usize, u64> = BTreeMap::new();
         for p in self.proxies.values() {
             if let Some(part) = p.part {
-                // Who refused holds something older, nobody knows what.
+                // A proxy that refused a message holds an older table, and it is not known which.
                 let upto = match p.member.owed_table {
                     true => 0,
                     false => p.outstanding.oldest_serial().map_or(u64::MAX, |s| s - 1),
@@ -697,7 +705,7 @@
         self.ward.settle(|part| answered[&part], parts.into_iter());
     }
 
-    /// Lets leave of each part what may, and marks it as touched.
+    /// Selects the lines of each part that may be sent now and marks them as touched.
     fn leave(
         &mut self,
         now: f64,
@@ -748,7 +756,7 @@
             for (s, weight) in &leaves.lines {
                 slots[*s].weight = *weight;
             }
-            // What was ordered goes first, in the planner's order; what is no change is no line.
+            // Ordered lines go first, in the planner's order; lines without a change are not sent.
             let leaving = |s: &usize| leaves.lines.iter().any(|(l, _)| l == s);
             for (_, s, _) in ordered.iter().filter(|(p, s, _)| *p == part && leaving(s)) {
                 touched.server(Some(part), *s);
@@ -762,7 +770,7 @@
         }
     }
 
-    /// Puts names for the indices in the planner's notes: `server 3 ...`, `zone 1 ...`.
+    /// Replaces the index in a note of the planner by the name: `server 3 ...`, `zone 1 ...`.
     fn named(&self, note: &str) -> String {
         let mut words = note.splitn(3, ' ');
         let (kind, index, rest) = (words.next(), words.next(), words.next());
@@ -778,7 +786,7 @@
         }
     }
 
-    /// One message for each proxy concerned; proxies of a part share theirs.
+    /// Writes one message to each proxy concerned; proxies of a part share one.
     fn write_touched(
         &mut self,
         now: f64,
@@ -843,6 +851,7 @@
         }
     }
 
+    /// The whole table of a part.
     fn whole(&self, serial: u64, part: usize) -> Message {
         let there = self.servers.known().filter(|(_, s)| s.part == Some(part));
         let lines = there.filter(|(_, s)| s.weight > 0.0).map(|(_, s)| s.line());
@@ -855,7 +864,7 @@
         }
     }
 
-    /// All that is withdrawn, for a proxy on tables of its own.
+    /// Everything that is withdrawn, for a proxy that is not bound.
     fn all_shut(&self, serial: u64) -> Message {
         let shut = self.servers.known().filter(|(_, s)| s.shut);
         Message {
@@ -866,6 +875,7 @@
         }
     }
 
+    /// Writes one message to the given proxies, unless it would hold nothing.
     fn write(
         &mut self,
         now: f64,
@@ -876,7 +886,7 @@
     ) {
         let nothing = message.lines.is_empty() && message.policies.is_empty();
         if proxies.is_empty() || nothing && !matches!(message.scope, Scope::Snapshot(_)) {
-            // The planner waits for an answer to what was held back: it is answered here.
+            // The planner waits for an answer to orders that were held back, so it is answered here.
             if let Some(mark) = mark.filter(|_| self.held) {
                 proxies
                     .iter()
@@ -916,7 +926,7 @@
         out.push(Output::Write(sessions, Arc::new(message)));
     }
 
-    /// Goes through the membership rules for each proxy until none fires.
+    /// Applies the delivery rules to each proxy until none fires.
     fn tend_members(&mut self, now: f64, out: &mut Vec<Output>) {
         let due = |p: &Proxy| p.member != Member::default();
         let concerned: Vec<usize> = self
@@ -969,7 +979,7 @@
         }
     }
 
-    /// The servers as they stand, without what reports say of them.
+    /// The servers, without estimates.
     pub fn servers(&self) -> Vec<ServerView> {
         let servers = self.servers.known();
         servers.map(|(_, s)| self.view_of(s)).collect()
@@ -992,7 +1002,7 @@
         }
     }
 
-    /// What is let in of each class.
+    /// The admitted share of each class, by name.
     pub fn admission_levels(&self) -> Vec<(String, f64)> {
         let names = self.terms.classes.iter().map(|c| c.name.clone());
         names
@@ -1000,7 +1010,7 @@
             .collect()
     }
 
-    /// The present state, for people.
+    /// The present state, for the status page.
     pub fn overview(&self) -> Overview {
         let servers = self.servers.known().map(|(i, s)| ServerView {
             estimate: self.reports.view(self.now, i),
@@ -1029,12 +1039,16 @@
     }
 }
 
-/// What one set of orders changes.
+/// What the messages of one moment are about.
 #[derive(Default)]
 struct Touched {
+    /// Changed lines by part.
     servers: BTreeMap<usize, Vec<usize>>,
+    /// Changed classes by part.
     ways: BTreeMap<usize, Vec<usize>>,
+    /// Servers that were withdrawn or allowed again.
     standing: Vec<usize>,
+    /// Proxies that were bound to a part.
     bound: Vec<usize>,
 }
 
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -1,12 +1,12 @@
-//! The guard's place in the controller: after the planner and before any front. What the planner orders is what
-//! is wanted; what stands in the slots is what has left. The ward brings the second to the first by steps that
-//! the guard finds safe, and says what it holds back.
+//! Rolls out the planner's orders under the guard, between the planner and the fronts. The planner's orders are the target;
+//! the slots hold what was sent. The rollout brings the second to the first in steps that the guard finds safe, and logs
+//! what it holds back.
 //!
-//! How it is called, once a moment: [`Rollout::learn`] after each round of reports or roster, [`Rollout::settle`] with
+//! Call, once a moment: [`Rollout::learn`] after each round of reports or change of the roster, [`Rollout::settle`] with
 //! what is answered, [`Rollout::shutting`] for withdrawals, then [`Rollout::lines`] for each part; [`Rollout::wake_at`]
-//! says when it wants another moment. Its own rules, in their order: withdrawals pass at once; a withdrawal that
-//! the planner owes for too long is made; a line for who is not ready is not opened; what can wait waits while
-//! the channel is full; the rest leaves by the guard's steps, no sooner after each other than its pace.
+//! gives the time of the next call that it needs. Its own rules, in order: withdrawals are sent at once; a withdrawal that
+//! the planner owes for too long is made; a line for a server that is not ready is not opened; what can wait waits while
+//! the channel is full; the rest is sent in the guard's steps, no faster than their interval.
 
 use crate::servers::Slot;
 use crate::{AdminState, ControllerSettings, RetryPolicy};
@@ -16,73 +16,80 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The planner withdraws by itself well within this share of the grace.
+/// A withdrawal that is owed for longer than this share of the drain grace period is made without the planner, which
+/// normally withdraws well within it.
 const LATE: f64 = 0.25;
-/// Lines that can wait do so while more than this share is taken of what may wait, or of the messages that a
-/// proxy may be written: the planner's own pacing ends below.
+/// Lines that can wait do so while more than this share is used of the lines that may wait or of the messages that a
+/// proxy may be sent. The planner's own pacing stays below it.
 const ROOM: f64 = 0.9;
-/// Steps that no order of the planner's asks for follow each other no sooner than this share of the warming.
+/// Steps without a new order of the planner follow each other no faster than this share of the warm-up time.
 const PACE: f64 = 0.1;
 
-/// Buckets of a part's load, together one warming time.
+/// Buckets of a part's load history; together they cover one warm-up time.
 const LOADS: usize = 8;
-/// What a load has risen by over so many rounds, it rises by again.
+/// Rounds over which the rise of a load is taken; the next rise is expected to be as large.
 const RISES: usize = 5;
 
-/// What is done about dangerous tables.
+/// What the guard does about dangerous tables.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GuardMode {
+    /// Nothing: tables are not checked.
     Off,
-    /// They leave, and it is told.
+    /// They are sent, and the danger is logged.
     ReportOnly,
-    /// They do not leave.
+    /// They are not sent; the guard's steps are sent instead.
     #[default]
     Enforce,
 }
 
-/// What reports say of a server, visits a second: over some rounds with its error, and in the newest one alone.
+/// Load of a server by the reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rate {
+    /// Visits a second over some rounds, and the error of that figure.
     pub per_s: f64,
     pub error: f64,
     pub failed_share: f64,
     pub mean_ms: f64,
+    /// Visits a second in the newest round alone.
     pub newest: f64,
 }
 
-/// For people.
+/// The guard on the status page.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct GuardView {
     pub mode: String,
+    /// Ordered tables that were checked.
     pub judged: u64,
-    /// Tables with a danger, by the reason's code.
+    /// Violations found, by the code of the reason.
     pub dangerous: BTreeMap<&'static str, u64>,
-    /// Tables that left otherwise than wanted, and steps of the guard's own after them.
+    /// Ordered tables that were not sent as wanted.
     pub held: u64,
+    /// Steps that the guard sent later on its own.
     pub steps: u64,
-    /// Withdrawals that the planner owed.
+    /// Withdrawals made because the planner owed them for too long.
     pub withdrawn: u64,
-    /// By part, why the wanted table does not stand yet.
+    /// By part, why the wanted table has not been sent yet.
     pub waits: BTreeMap<usize, Vec<String>>,
+    /// The last violation that was logged.
     pub last: Option<String>,
-    /// The most that a warm server is known to have carried, visits a second for a listed weight of 1.
+    /// The highest known load of a warm server, in visits a second for a listed weight of 1.
     pub best: f64,
 }
 
-/// How full the way to a part's proxies is.
+/// How full the channel to a part's proxies is.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Channel {
-    /// Lines under way to anybody.
+    /// Lines that are sent and unanswered, over all proxies.
     pub waiting: f64,
-    /// Proxies that a line of the part goes to.
+    /// Proxies that receive the lines of the part.
     pub readers: f64,
-    /// Of the messages that a proxy may be written within the span, the share that the busiest was.
+    /// Share of the message limit that is used by the proxy with the most messages in the window.
     pub written: f64,
 }
 
-/// The load of a part, kept for as long as a server takes to warm: visits that hang at slow servers are no
-/// longer counted as tries, and come back all at once. One that rises is taken as it will be when the next table is
-/// everywhere: reports are as old as their rounds, and messages are on their way.
+/// The load of a part: its peak over one warm-up time, since visits that hang at slow servers are not counted as tries
+/// and come back all at once. A rising load is extrapolated to when the next table has reached all proxies, since reports
+/// lag by a round and messages by their latency.
 #[derive(Clone, Debug, Default)]
 struct Load {
     ring: [(u64, f64); LOADS],
@@ -90,6 +97,7 @@
 }
 
 impl Load {
+    /// Adds the load of a round and returns the load to plan for.
     fn seen(&mut self, stretch: u64, per_s: f64) -> f64 {
         let bucket = &mut self.ring[stretch as usize % LOADS];
         if bucket.0 != stretch {
@@ -107,13 +115,13 @@
         if self.rounds.len() > RISES {
             self.rounds.pop_front();
         }
-        // Of a first round nothing is known to rise.
+        // With a single round no rise is known.
         let low = self.rounds.iter().copied().fold(f64::INFINITY, f64::min);
         peak.max(per_s + (per_s - low))
     }
 }
 
-/// See the module's head.
+/// The rollout of all parts. See the module documentation.
 pub struct Rollout {
     mode: GuardMode,
     guard: Guard,
@@ -127,25 +135,27 @@
     tight_ms: f64,
     most_waiting: f64,
     dropped_may_stay: bool,
-    /// Since when a server stands open that is not ready.
+    /// Since when a line has been open for a server that is not ready.
     owed: BTreeMap<usize, f64>,
-    /// Parts whose wanted table has not left, and when the next own step may.
+    /// Parts whose wanted table has not been sent, and when the next step may follow.
     unfinished: BTreeMap<usize, f64>,
-    /// Parts with servers that have just started: looked at after each round.
+    /// Parts with lines of cold servers: checked after each round.
     cold: BTreeSet<usize>,
+    /// By part, the violations that were last logged.
     told: BTreeMap<usize, Vec<String>>,
     view: GuardView,
 }
 
-/// What may be done about a part now.
+/// What may be sent of a part now.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Leaves {
-    /// New weights by server: 0 takes the line away.
+    /// New weights by server; 0 removes the line.
     pub lines: Vec<(usize, f64)>,
-    /// Something that is wanted does not leave now.
+    /// Something that is wanted is not sent now.
     pub held: bool,
-    /// A cold server falls by what stands: no pin holds this back.
+    /// A cold server is overloaded by the present table: pins and gates do not hold this back.
     pub urgent: bool,
+    /// Lines for the operators' log.
     pub notes: Vec<String>,
 }
 
@@ -189,14 +199,15 @@
         self.mode == GuardMode::Enforce
     }
 
-    /// When it wants another moment.
+    /// The time of the next call that it needs.
     pub fn wake_at(&self) -> f64 {
         let owed = self.owed.values().map(|since| since + self.late_ms);
         let steps = self.unfinished.values().copied();
         owed.chain(steps).fold(f64::INFINITY, f64::min)
     }
 
-    /// A server that is merely dropped from the list may stay, where the service says so.
+    /// The state of a server as the guard is to see it: one that is merely dropped from the roster may stay, where the
+    /// settings allow it.
     fn standing(&self, slot: &Slot) -> guard::AdminState {
         match slot.state {
             AdminState::Ready => guard::AdminState::Ready,
@@ -208,13 +219,13 @@
         }
     }
 
+    /// Time since the last start, in warm-up times; infinite if no start is known.
     fn age(&self, now: f64, slot: &Slot) -> f64 {
         let ago = slot.started.map_or(f64::INFINITY, |(_, at)| now - at);
         ago / self.warm_after_ms.max(1.0)
     }
 
-    /// Takes in what the roster and a round of reports say of the servers; `rate` gives a server's visits a
-    /// second, their error, failed share and mean time.
+    /// Updates the guard from the roster and a round of reports; `rate` returns the load of a server.
     pub fn learn(&mut self, now: f64, slots: &[Slot], rate: impl Fn(usize) -> Option<Rate>) {
         if self.is_off() {
             return;
@@ -274,7 +285,8 @@
         self.view.best = self.bearing.best_per_weight(now);
     }
 
-    /// All that proxies of a part were sent up to this serial is answered, if there is any doubt about it.
+    /// Tells the guard the serial up to which all proxies of a part have answered, for parts in which they may hold
+    /// different tables.
     pub fn settle(&mut self, answered: impl Fn(usize) -> u64, parts: impl Iterator<Item = usize>) {
         for part in parts {
             if self.guard.is_mixed(part) {
@@ -283,8 +295,8 @@
         }
     }
 
-    /// Brings what stands shut to what is wanted: withdrawals at once, those that are owed for too long too;
-    /// nobody who is not ready is opened again. Tells which servers changed.
+    /// Withdraws at once what the planner withdraws and what it owes for too long; does not open a server again that is not
+    /// ready. Returns the servers that changed.
     pub fn shutting(&mut self, now: f64, slots: &mut [Slot]) -> Vec<usize> {
         let mut changed = Vec::new();
         for (s, slot) in slots.iter_mut().enumerate() {
@@ -310,7 +322,7 @@
         changed
     }
 
-    /// Tries that may repeat an effect are not ordered for a class that must not repeat.
+    /// Lowers a retry policy that could execute visits twice, for a class that is not idempotent.
     pub fn tries(&mut self, tries: RetryPolicy, repeatable: bool) -> RetryPolicy {
         if self.is_off() || tries != RetryPolicy::OnFailure || repeatable {
             return tries;
@@ -326,14 +338,14 @@
         *self.view.dangerous.entry(reason.code()).or_default() += 1;
     }
 
-    /// Parts to look at beside those that the planner has touched.
+    /// Parts to check besides those that the planner changed.
     pub fn due(&mut self) -> BTreeSet<usize> {
         let mut due = std::mem::take(&mut self.cold);
         due.extend(self.unfinished.keys());
         due
     }
 
-    /// What may leave of a part now. `asked`: the planner changed it at this moment.
+    /// What may be sent of a part now. `asked`: the planner changed it in this moment.
     pub fn lines(
         &mut self,
         now: f64,
@@ -356,7 +368,7 @@
             })
             .collect();
         let mut out = Leaves::default();
-        // A shut line is picked by nobody: it has the weight that is wanted of it.
+        // Nobody picks a withdrawn line, so it takes its wanted weight at once.
         let shut = || dealt().filter(|(_, s)| s.shut && s.weight != s.wanted);
         let shut_lines = || shut().map(|(i, s)| (i, s.wanted));
         let plain = |out: &mut Leaves| {
@@ -379,12 +391,12 @@
             plain(&mut out);
             return out;
         }
-        // What the part's table has that this step has not goes now; what comes or grows may have to wait.
+        // Lines that go away are sent now; lines that are new or change may have to wait.
         let changes = self.guard.changes(part, &step);
         let (down, up): (Vec<_>, Vec<_>) = changes.into_iter().partition(|(_, w)| *w == 0.0);
         let cost = channel.readers * up.len() as f64;
         let full = channel.waiting + cost > self.most_waiting * ROOM || channel.written > ROOM;
-        // A first table is not held back: nobody has one yet.
+        // The first table of a part is not held back: no proxy has one yet.
         let waits = !up.is_empty() || shut().next().is_some();
         let full = full && channel.readers > 0.0 && self.guard.has_table(part) && waits;
         let early = !asked && self.unfinished.get(&part).is_some_and(|at| now < *at);
@@ -392,9 +404,10 @@
             .violations
             .iter()
             .any(|d| d.reason < Reason::Overweight);
-        // Without anything of its own to say, the guard adds nothing to what the planner wants.
+        // New and changed lines wait while the channel is full, or until the step interval has passed, unless a server is
+        // in danger and the step is safe.
         let quiet = full || (early && !(urgent && step.remaining.is_empty()));
-        // Where nothing stands yet of what would be left, going down alone would empty it.
+        // If no line would be left, removing lines alone would empty the table.
         let open = |s: &Slot| !s.shut && s.weight > 0.0;
         let left = dealt()
             .filter(|(i, s)| open(s) && !down.iter().any(|(d, _)| d == i))
@@ -435,7 +448,7 @@
         out
     }
 
-    /// The table that stands is to stay: of what may leave only what concerns servers that are not ready does.
+    /// Keeps the present table: of the given lines only those of withdrawn servers and of servers that are not ready stay.
     pub fn stays(&mut self, now: f64, part: usize, slots: &[Slot], leaves: &mut Leaves) {
         let before = leaves.lines.len();
         leaves
@@ -447,12 +460,12 @@
         }
     }
 
-    /// Whatever waits is looked at again now.
+    /// Lets the next step of all unfinished parts follow now.
     pub fn look_again(&mut self, now: f64) {
         self.unfinished.values_mut().for_each(|at| *at = now);
     }
 
-    /// What leaves of a part, with the lines as they stand then; `readers` are those who will hold it.
+    /// Tells the guard which lines of a part are sent with a serial; `readers`: proxies are bound to the part.
     pub fn sent(
         &mut self,
         part: usize,
@@ -476,7 +489,7 @@
         }
     }
 
-    /// Says what is dangerous once, and again when it is something else.
+    /// Logs the violations of a step, unless they are the same as last time.
     fn tell(&mut self, part: usize, step: &Step, slots: &[Slot], notes: &mut Vec<String>) {
         let words = |d: &Violation, more: &str| {
             let whom = d
@@ -509,6 +522,7 @@
         self.told.insert(part, codes);
     }
 
+    /// The state of the guard for the status page.
     pub fn view(&self) -> GuardView {
         self.view.clone()
     }
