--- a/crates/guard/benches/judging.rs
+++ b/crates/guard/benches/judging.rs
@@ -1,13 +1,13 @@
-//! What the guard costs a tick: kept sums against all judged anew, and against a plain judgement that goes
-//! through what every proxy holds.
+//! Cost of the guard per tick: with kept sums, with everything computed anew, and by a reference check that goes through
+//! the table of every proxy.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use dahliapoint_guard::{AdminState, Guard, Line, Server};
 use std::hint::black_box;
 
-/// Servers in all, parts, proxies.
+/// Servers, parts, proxies.
 const SIZES: [(usize, usize, usize); 2] = [(115, 2, 361), (384, 3, 1203)];
-/// Tables of a part under way at once.
+/// Tables of a part in transit at once.
 const UNDER_WAY: u64 = 3;
 
 fn server(i: usize) -> Server {
@@ -51,7 +51,7 @@
     guard
 }
 
-/// Plain: each proxy's own table is gone through for each cold server.
+/// Reference check: goes through the table of each proxy for each cold server.
 fn plainly(tables: &[Vec<Line>], load: f64) -> usize {
     let mut over = 0;
     for server in tables[0].iter().filter(|l| l.server.is_multiple_of(10)) {
--- a/crates/guard/src/capacity.rs
+++ b/crates/guard/src/capacity.rs
@@ -1,49 +1,55 @@
-//! What servers have been seen to bear: the word that a cold server's limit is reckoned from.
+//! Estimate of what servers can carry, from what warm servers were seen to carry. The overload limit of a cold server is
+//! derived from it.
 //!
-//! How it is called: [`CapacityEstimate::carried`] for each warm server of a round of reports, with what it carried for
-//! its listed weight; [`CapacityEstimate::best`] for what the best one has carried lately. What one has carried well it
-//! can carry; how much more it could is not known, so the best of a long time stands for it: at night, when
-//! nobody carries much, the day's best still counts. A ring of fixed buckets holds the best of each stretch.
+//! Call [`CapacityEstimate::record`] for each warm server of a round of reports;
+//! [`CapacityEstimate::best_per_weight`] returns the highest load that one carried well, for a listed weight of 1. A server
+//! can carry what it has carried well; how much more it could is unknown. So the maximum over a long time counts: at night,
+//! when load is low, the maximum of the day still applies. A ring of fixed buckets holds the maximum of each stretch of
+//! time.
 
-/// Stretches that are remembered, each as long as so many warming times.
+/// Buckets of the ring.
 const STRETCHES: usize = 32;
+/// Length of a bucket, in warm-up times.
 const STRETCH: f64 = 4.0;
-/// A server that fails more than this share of its visits does not carry them.
+/// A server that fails more than this share of its visits does not carry them well.
 const FAILS: f64 = 0.1;
-/// A cold server that carries its visits well can bear so many times that: it did not fall by it.
+/// A cold server that carries its visits well can carry this multiple of them.
 const SHOWN: f64 = 1.5;
 
-/// What a round of reports says of one server, visits a second.
+/// Load of one server in a round of reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerLoad {
+    /// Visits a second.
     pub per_s: f64,
-    /// The truth lies within so many a second of it.
+    /// Error of `per_s`.
     pub error: f64,
     pub failed_share: f64,
-    /// In time: no slower than visits are wanted.
+    /// Its visits are answered within the time that is wanted.
     pub in_time: bool,
 }
 
 impl ServerLoad {
+    /// Whether the server carries this load well.
     fn well(&self) -> bool {
         self.failed_share <= FAILS && self.in_time
     }
 
-    /// No less than this was carried; a vague word says little.
+    /// Lower end of the error interval.
     fn surely(&self) -> f64 {
         (self.per_s - self.error).max(0.0)
     }
 }
 
-/// See the module's head.
+/// The highest loads that warm servers carried well. See the module documentation.
 #[derive(Clone, Debug)]
 pub struct CapacityEstimate {
     stretch_ms: f64,
-    /// The stretch that each bucket is of, and the best for a listed weight of 1 in it.
+    /// The number of the stretch that each bucket is of, and the highest load in it, for a listed weight of 1.
     ring: [(u64, f64); STRETCHES],
 }
 
 impl CapacityEstimate {
+    /// An empty estimate.
     pub fn new(warm_after_ms: f64) -> CapacityEstimate {
         CapacityEstimate {
             stretch_ms: (warm_after_ms * STRETCH).max(1.0),
@@ -51,11 +57,12 @@
         }
     }
 
+    /// The number of the stretch at that time.
     fn stretch(&self, now: f64) -> u64 {
         (now / self.stretch_ms) as u64
     }
 
-    /// What a warm server of that listed weight carried.
+    /// Records the load of a warm server of that listed weight.
     pub fn record(&mut self, now: f64, listed: f64, carried: &ServerLoad) {
         if !carried.well() || listed <= 0.0 {
             return;
@@ -68,7 +75,7 @@
         bucket.1 = bucket.1.max(carried.surely() / listed);
     }
 
-    /// The most that a warm server carried lately, for a listed weight of 1; 0: nothing is known.
+    /// The highest load in the ring, for a listed weight of 1; 0: nothing is known.
     pub fn best_per_weight(&self, now: f64) -> f64 {
         let now = self.stretch(now);
         let lately = |(at, _): &&(u64, f64)| now - at.min(&now) < STRETCHES as u64;
@@ -76,8 +83,9 @@
         lately.map(|(_, best)| *best).fold(0.0, f64::max)
     }
 
-    /// Visits a second that push a cold server over: its part of what the best warm one has carried, or more
-    /// where it shows more itself. Infinite while nothing is known: the planner's own caution stands then.
+    /// Visits a second that overload a cold server: `able` is its present share of its capacity, `multiple` the multiple of
+    /// that which overloads it, `own` its load. The limit is higher if it carries more than that itself. Infinite while
+    /// nothing is known: then only the planner's own ramp applies.
     pub fn overload_per_s(
         &self,
         now: f64,
--- a/crates/guard/src/caps.rs
+++ b/crates/guard/src/caps.rs
@@ -1,28 +1,29 @@
-//! Weights nearest to the wanted ones under which no server's share is beyond its cap.
+//! The weights nearest to the wanted ones under which no server's share exceeds its cap.
 //!
-//! Who is not capped keeps the wanted weight, so that only capped lines change; a capped one gets exactly its
-//! cap's share of the sum. The sum S solves S = U + C * S, where U is what uncapped servers want and C the caps
-//! of the others; a server is capped when its weight over its cap is more than S. Sorted by that ratio, the
-//! capped ones are a prefix, and S falls with each server that is capped until the next ratio is no more than it.
+//! Servers that are not capped keep the wanted weight, so that only capped lines change; a capped server gets exactly its
+//! cap's share of the sum. The sum S solves S = U + C * S, where U is what uncapped servers want and C the caps of the
+//! others; a server is capped if its weight divided by its cap exceeds S. Sorted by that ratio, the capped servers are a
+//! prefix, and S falls with each server that is capped, until the next ratio is no more than S.
 
-/// A server's wanted weight, and the most that its share may be (1 or more: no cap).
+/// The wanted weight of a server, and the cap on its share (1 or more: no cap).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Share {
     pub weight: f64,
     pub cap: f64,
 }
 
-/// The weights, in the same order; nothing if no weights keep all caps (they sum up to less than 1 and nobody
-/// is left without one). Weights are not negative, at least one is positive.
+/// Returns the weights in the same order; none if no weights keep all caps (the caps sum up to less than 1 and every server
+/// has one). Weights must not be negative, and at least one must be positive.
 pub fn apply_caps(wanted: &[Share]) -> Option<Vec<f64>> {
     let ratio = |s: &Share| s.weight / s.cap.max(f64::MIN_POSITIVE);
     let mut order: Vec<usize> = (0..wanted.len()).collect();
-    // The same ratios keep their order: the same inputs give the same weights.
+    // Equal ratios are ordered by index, so that the same inputs give the same weights.
     order.sort_by(|a, b| {
         let by = ratio(&wanted[*b]).total_cmp(&ratio(&wanted[*a]));
         by.then(a.cmp(b))
     });
-    // What is free once so many are capped, summed from the small end: no difference of nearly equal sums.
+    // `free[n]`: the weight that is not capped if the first n are, summed from the smallest ratio, since a difference of
+    // nearly equal sums would lose precision.
     let mut free = vec![0.0; order.len() + 1];
     for (i, at) in order.iter().enumerate().rev() {
         free[i] = free[i + 1] + wanted[*at].weight;
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Plain and slow: the sum is found by halving.
+    /// A slow reference implementation: finds the sum by bisection.
     fn halved(wanted: &[Share]) -> Vec<f64> {
         let sum = |s: f64| wanted.iter().map(|w| w.weight.min(w.cap * s)).sum::<f64>();
         let (mut low, mut high) = (0.0, wanted.iter().map(|w| w.weight).sum::<f64>());
@@ -138,7 +139,7 @@
                     for (f, w) in fast.iter().zip(&wanted) {
                         prop_assert!(*f <= w.weight + 1e-9 && *f <= w.cap * all + 1e-9, "{:?} {:?}", wanted, fast);
                     }
-                    // Where the caps sum up to exactly 1 many sums solve it, and halving finds the least.
+                    // If the caps sum up to exactly 1, many sums solve it, and bisection finds the smallest.
                     let caps: f64 = wanted.iter().filter(|w| w.weight > 0.0).map(|w| w.cap).sum();
                     let off = caps > 1.0 + 1e-9 && fast.iter().zip(&slow).any(|(a, b)| (a - b).abs() > 1e-6 * all.max(1.0));
                     prop_assert!(!off, "{:?}: {:?} {:?}", wanted, fast, slow);
--- a/crates/guard/src/lib.rs
+++ b/crates/guard/src/lib.rs
@@ -1,15 +1,14 @@
-//! Judges every table before it leaves, free of I/O, clock and chance.
+//! Checks every table before it is sent, without I/O, clock or randomness.
 //!
-//! How it is called: [`Guard::server`] whenever something about a server changes, [`Guard::proxies`] when
-//! a part's load changes, [`Guard::wants`] with the lines that a part's next table changes: it answers with all
-//! that is dangerous about them. [`Guard::step`] with the whole wanted table answers with what may leave now,
-//! and what is held back for which reason ([`steps`]). [`Guard::sent`] when a table leaves, with its serial,
-//! [`Guard::settled`] when all proxies of the part have answered up to a serial. Names end before its door:
-//! servers and parts are small indices; loads are visits a second; all figures are ratios to what the caller
-//! tells.
+//! Call [`Guard::set_server`] when something about a server changes and [`Guard::set_load`] when the load of a part
+//! changes. [`Guard::check`] takes the lines that the next table of a part changes and returns all rules that it violates.
+//! [`Guard::next_step`] takes the whole wanted table and returns what may be sent now and what it violates ([`steps`]).
+//! Call [`Guard::record_sent`] when a table is sent, with its serial, and [`Guard::record_applied`] when all proxies of
+//! the part have answered up to a serial. Servers and parts are small indices; loads are visits a second; all limits are
+//! ratios of the caller's figures.
 //!
-//! A judgement costs by what changed: what a part holds, its sums, and what each cold server may be brought by
-//! all tables that are in force or under way are kept, not found anew.
+//! The cost of a check depends on what changes: the tables of a part, their sums, and the load that all tables in force
+//! or in transit can bring to each cold server are kept and not computed anew.
 
 pub mod capacity;
 pub mod caps;
@@ -17,20 +16,21 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A cold server may be brought this share of what pushes it over: tables are one cause of load, bursts and
-/// proxies' own choices are others.
+/// Share of its overload limit that tables may bring to a cold server: bursts and the proxies' own choices bring load
+/// too.
 const COLD_MOST: f64 = 0.8;
-/// One server's share of a table beyond so many times its share of the listed weight, and beyond so much.
+/// A server's share of a table may be this multiple of its share of the listed weight ...
 const HEAVIER: f64 = 6.0;
+/// ... or this share of the table, whichever is larger.
 const HEAVY: f64 = 0.4;
-/// One step may move so much of the share from servers that are ready to others.
+/// Share of a table that one step may move away from ready servers.
 const STEP: f64 = 0.6;
-/// Shares that differ by less are the same.
+/// Shares that differ by no more than this are equal.
 const SLACK: f64 = 1e-9;
-/// Tables of a part that are told apart while they are under way; older ones are kept as the worst of them.
+/// Tables of a part in transit that are kept separately; older ones are merged into their maximum.
 const APART: usize = 8;
 
-/// What the roster says of a server.
+/// State of a server in the roster.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AdminState {
     Ready,
@@ -39,12 +39,12 @@
     Gone,
 }
 
-/// A server as it is now.
+/// The present state of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Server {
     pub admin_state: AdminState,
     pub listed_weight: f64,
-    /// Visits a second that push it over while it is cold; infinite once it is warm.
+    /// Visits a second that overload it while it is cold; infinite once it is warm.
     pub overload_per_s: f64,
 }
 
@@ -54,38 +54,40 @@
     }
 }
 
-/// Why a table is dangerous; the order is that of the rules, the gravest first.
+/// The rule that a table violates, in the order of the rules, the gravest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
-    /// No ready server is left to pick, and the roster has one for this part.
+    /// No line is open, although the roster has a ready server for this part.
     Empty,
     /// A line is open for a server that is draining or gone.
     NotReady,
-    /// A cold server could be brought more than it can take, by some mixture of old and new tables.
+    /// Some mixture of old and new tables could bring a cold server more than it can take.
     Cold,
-    /// Only cold servers are left, and the roster has a warm one for this part.
+    /// Only cold servers are open, although the roster has a warm one for this part.
     OnlyCold,
-    /// One server has far more than its listed part.
+    /// A server's share is far above its share of the listed weight.
     Overweight,
-    /// Too much moves in one step that withdraws nobody.
+    /// Too much moves away from ready servers in one step.
     LargeStep,
-    /// Tries that may repeat an effect were ordered for a class.
+    /// Retries that could execute a visit twice were ordered for a class that is not idempotent.
     UnsafeRetry,
     /// The channel has no room for lines that can wait.
     ChannelFull,
 }
 
-/// What is dangerous, and about which server if it is about one.
+/// A violated rule, and the server if it is about one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Violation {
     pub reason: Reason,
     pub server: Option<usize>,
-    /// What was found, and what is borne.
+    /// The value that was found.
     pub found: f64,
+    /// The value that is allowed.
     pub limit: f64,
 }
 
-/// A line as wanted; nothing: it is not in the table any more. A shut one is there and not picked.
+/// A line of a wanted table. A line with a weight of 0 is not in the table; a line that is not open is in it, but not
+/// picked.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
     pub server: usize,
@@ -93,7 +95,7 @@
     pub open: bool,
 }
 
-/// A table: open weights by server, and their sum.
+/// A table: the weights of open lines by server, and their sum.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Table {
     lines: BTreeMap<usize, f64>,
@@ -113,7 +115,7 @@
         }
     }
 
-    /// The sum anew: what rounding adds up over many changes is gone.
+    /// Computes the sum anew, so that rounding errors do not add up over many changes.
     fn tidied(mut self) -> Table {
         self.sum = self.lines.values().sum();
         self
@@ -135,24 +137,25 @@
     }
 }
 
+/// Shares of a table by server.
 type Shares = BTreeMap<usize, f64>;
 
-/// A table that some proxies may hold still, or the worst of several: for each server the largest share.
+/// A table that some proxies may still hold, or the maximum of several: for each server the largest share.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Older {
     serial: u64,
     shares: Shares,
 }
 
-/// A part of the shared table: the newest table, those before it that some proxy may hold, and the load that
-/// its servers are brought together.
+/// A part of the shared table: the newest table, the older ones that some proxies may still hold, and the load that its
+/// proxies bring to its servers together.
 #[derive(Clone, Debug, Default)]
 struct Part {
     newest: Option<Table>,
     serial: u64,
     older: VecDeque<Older>,
     load: f64,
-    /// Servers that the roster deals to it.
+    /// Servers that are assigned to the part.
     members: BTreeSet<usize>,
 }
 
@@ -161,16 +164,16 @@
         self.newest.as_ref().map_or(0.0, |t| t.share(server))
     }
 
-    /// The most of its load that any mixture of the tables that may be held brings a server: proxies apply at
-    /// different moments, and the worst mixture is that all hold the table that brings it most.
+    /// The highest load that any mixture of the tables in transit brings to a server. Proxies apply tables at different
+    /// times; in the worst mixture all of them hold the table that brings it most.
     fn most(&self, server: usize) -> f64 {
         let older = self.older.iter();
         let older = older.map(|o| o.shares.get(&server).copied().unwrap_or(0.0));
         self.load * older.fold(self.share(server), f64::max)
     }
 
-    /// The newest table is one of the older ones from now on. Where there are many, the two oldest become
-    /// one: what it says of a server is the worse of both, so nothing is judged milder.
+    /// Makes a table the newest; the previous one joins the older ones. If there are too many of these, the two oldest
+    /// are merged by their maximum, so that the check never becomes more lenient.
     fn put(&mut self, serial: u64, table: Table) {
         if let Some(before) = self.newest.replace(table) {
             let shares = before.shares();
@@ -188,8 +191,7 @@
         }
     }
 
-    /// All that its proxies were sent up to this serial is answered: what is older than the newest of it is
-    /// held by nobody.
+    /// All proxies have answered up to this serial: no proxy holds a table older than the newest one up to it.
     fn settle(&mut self, serial: u64) {
         if self.serial <= serial {
             self.older.clear();
@@ -199,6 +201,7 @@
         }
     }
 
+    /// The servers in any table that may be held.
     fn named(&self) -> BTreeSet<usize> {
         let newest = self.newest.iter().flat_map(|t| t.lines.keys());
         let older = self.older.iter().flat_map(|o| o.shares.keys());
@@ -206,16 +209,16 @@
     }
 }
 
-/// See the crate's head.
+/// The guard over all parts. See the crate documentation.
 #[derive(Clone, Debug, Default)]
 pub struct Guard {
     servers: BTreeMap<usize, Server>,
     parts: BTreeMap<usize, Part>,
-    /// What all parts together may bring a server, kept for those that are cold.
+    /// The highest load that all parts together can bring to a server, kept for cold servers.
     brought: BTreeMap<usize, f64>,
 }
 
-/// What a rule looks at: the part, its next table, and the one before.
+/// The arguments of a rule: a part, its present table, its next one, and the lines that change.
 struct Wanted<'a> {
     guard: &'a Guard,
     part: &'a Part,
@@ -235,6 +238,7 @@
     no_step_is_too_large,
 ];
 
+/// A single violation.
 fn one(reason: Reason, server: Option<usize>, found: f64, most: f64) -> Vec<Violation> {
     vec![Violation {
         reason,
@@ -244,8 +248,7 @@
     }]
 }
 
-/// Guards against a table that empties a pool, whatever made it. A part whose roster has no ready server may
-/// be empty: nothing better is to be had.
+/// Guards against a table that empties a part, whatever made it. A part without a ready server may be empty.
 fn nobody_is_left_empty(w: &Wanted) -> Vec<Violation> {
     let ready = w.ready();
     match w.next.lines.is_empty() && ready.count() > 0 {
@@ -254,8 +257,8 @@
     }
 }
 
-/// Guards against drains undone by a table: only lines that change are looked at, since the roster's own
-/// changes lead to withdrawals that always pass.
+/// Guards against tables that undo a drain. Only changed lines are checked, since changes of the roster lead to
+/// withdrawals, which always pass.
 fn nobody_is_sent_to_who_is_not_ready(w: &Wanted) -> Vec<Violation> {
     let open = w.changed.iter().filter(|l| l.open && l.weight > 0.0);
     let wrong = open.filter(|l| w.guard.server_of(l.server).admin_state != AdminState::Ready);
@@ -263,9 +266,9 @@
     wrong.flat_map(danger).collect()
 }
 
-/// Guards against a site piled onto a server that has just started: over all parts, with the tables that are
-/// in force, under way and new, at their worst mixture. Only what grows is dangerous; a table that brings a
-/// cold server less passes even if it is too much still.
+/// Guards against overloading a server that has just started: over all parts, with the worst mixture of the tables in
+/// force, in transit and new. Only growth is a violation: a table that brings a cold server less load passes, even if that
+/// is still too much.
 fn no_cold_server_is_pushed_over(w: &Wanted) -> Vec<Violation> {
     let mut out = Vec::new();
     for server in w.next.lines.keys() {
@@ -288,7 +291,7 @@
     out
 }
 
-/// Guards against a part that is left to servers which have just started while warm ones are there.
+/// Guards against leaving a part to cold servers while it has a warm one.
 fn somebody_is_warm(w: &Wanted) -> Vec<Violation> {
     let warm = |s: &usize| w.guard.server_of(*s).is_warm();
     let any = w.next.lines.keys().any(warm);
@@ -299,9 +302,8 @@
     }
 }
 
-/// Guards against weights that are wrong by an order of magnitude. May harm where nearly all others are
-/// trimmed for good reason: so both the ratio and a large share are wanted, and a server may always have
-/// what it has had.
+/// Guards against weights that are wrong by an order of magnitude. It could harm where nearly all other servers are
+/// reduced for good reason, so it needs both a large ratio and a large share, and a server may always keep its share.
 fn nobody_is_piled_upon(w: &Wanted) -> Vec<Violation> {
     let listed: f64 = w.ready().map(|s| w.guard.server_of(s).listed_weight).sum();
     let mut out = Vec::new();
@@ -316,8 +318,8 @@
     out
 }
 
-/// Guards against a whole table thrown over at once by something that is not the fleet's own change: what
-/// leaves servers that are not ready any more is no step, nor is the first table of a part.
+/// Guards against replacing a whole table at once without a change of the fleet: shares that leave servers which are no
+/// longer ready do not count, and the first table of a part passes.
 fn no_step_is_too_large(w: &Wanted) -> Vec<Violation> {
     if w.before.lines.is_empty() || w.next.lines.is_empty() {
         return Vec::new();
@@ -354,7 +356,7 @@
 }
 
 impl Wanted<'_> {
-    /// The ready servers that the roster deals to this part.
+    /// The ready servers of this part.
     fn ready(&self) -> impl Iterator<Item = usize> + '_ {
         let members = self.part.members.iter().copied();
         members.filter(|s| self.guard.server_of(*s).admin_state == AdminState::Ready)
@@ -362,7 +364,7 @@
 }
 
 impl Reason {
-    /// Its code, for logs and people.
+    /// Its code in logs and on the status page.
     pub fn code(self) -> &'static str {
         match self {
             Reason::Empty => "empty",
@@ -378,7 +380,7 @@
 }
 
 impl Guard {
-    /// Whether a part has a table.
+    /// Whether a table of the part has been sent.
     pub fn has_table(&self, part: usize) -> bool {
         self.parts.get(&part).is_some_and(|p| p.newest.is_some())
     }
@@ -392,7 +394,7 @@
         self.servers.get(&server).copied().unwrap_or_default()
     }
 
-    /// What is now known of a server, and which part it is dealt to.
+    /// Sets the present state of a server and the part it is assigned to.
     pub fn set_server(&mut self, server: usize, part: Option<usize>, now: Server) {
         for (index, p) in &mut self.parts {
             if Some(*index) != part {
@@ -408,12 +410,13 @@
         }
     }
 
-    /// The load that the servers of a part are brought together now.
+    /// Sets the load that the proxies of a part bring to its servers together, in visits a second.
     pub fn set_load(&mut self, part: usize, load: f64) {
         self.parts.entry(part).or_default().load = load.max(0.0);
         self.weigh_named(part);
     }
 
+    /// Updates `brought` for the cold servers in the tables of a part.
     fn weigh_named(&mut self, part: usize) {
         let named = self.parts.get(&part).map(Part::named);
         let cold = |s: &usize| !self.server_of(*s).is_warm();
@@ -421,7 +424,7 @@
         cold.into_iter().for_each(|s| self.weigh(s));
     }
 
-    /// What all parts may bring a server; kept for cold ones alone.
+    /// Updates `brought` for a server.
     fn weigh(&mut self, server: usize) {
         match self.server_of(server).is_warm() {
             true => self.brought.remove(&server),
@@ -432,7 +435,7 @@
         };
     }
 
-    /// A part's next table: what it has now with these lines changed, or these alone.
+    /// The next table of a part: the newest one with these lines changed, or, if `whole`, these lines alone.
     fn next(&self, part: &Part, changed: &[Line], whole: bool) -> Table {
         let mut next = match whole {
             true => Table::default(),
@@ -442,7 +445,7 @@
         next.tidied()
     }
 
-    /// All that is dangerous about a part's next table, the gravest first; nothing: it may leave.
+    /// All violations of the next table of a part, the gravest first; none: it may be sent.
     pub fn check(&self, part: usize, changed: &[Line], whole: bool) -> Vec<Violation> {
         let none = Part::default();
         let held = self.parts.get(&part).unwrap_or(&none);
@@ -450,6 +453,7 @@
         self.judge(held, &next, changed)
     }
 
+    /// Applies all rules.
     fn judge(&self, held: &Part, next: &Table, changed: &[Line]) -> Vec<Violation> {
         let nothing = Table::default();
         let wanted = Wanted {
@@ -462,7 +466,7 @@
         RULES.iter().flat_map(|rule| rule(&wanted)).collect()
     }
 
-    /// A table leaves: from now on some proxies may hold it and some what was before. Serials grow.
+    /// Records that a table is sent: from now on some proxies may hold it and some an older one. Serials grow.
     pub fn record_sent(&mut self, part: usize, changed: &[Line], whole: bool, serial: u64) {
         let mut held = self.parts.remove(&part).unwrap_or_default();
         let next = self.next(&held, changed, whole);
@@ -471,7 +475,7 @@
         self.weigh_named(part);
     }
 
-    /// All proxies of a part have applied what they were sent up to this serial.
+    /// Records that all proxies of a part have applied what they were sent up to this serial.
     pub fn record_applied(&mut self, part: usize, serial: u64) {
         let named = self.parts.get(&part).map(Part::named).unwrap_or_default();
         if let Some(p) = self.parts.get_mut(&part) {
@@ -497,7 +501,7 @@
         }
     }
 
-    /// Four servers of one part: three warm, the fourth cold, falling over at 10 visits a second; load 100.
+    /// Four servers in one part: three warm, the fourth cold and overloaded at 10 visits a second; load 100.
     fn fleet() -> Guard {
         let mut guard = Guard::default();
         for s in 0..4 {
@@ -572,7 +576,7 @@
     #[test]
     fn mixtures_count_until_all_have_settled() {
         let mut guard = fleet();
-        // Another part brings the same cold server load by an old table that some still hold.
+        // Another part brings load to the same cold server by an old table that some proxies still hold.
         guard.set_load(1, 100.0);
         guard.record_sent(1, &[line(0, 0.94), line(3, 0.06)], true, 2);
         guard.record_sent(1, &[line(0, 1.0)], true, 3);
@@ -607,7 +611,7 @@
             found.iter().map(|d| d.reason).collect::<Vec<_>>(),
             [NotReady]
         );
-        // Nobody is ready: an empty table is all there is.
+        // No server is ready: the table may be empty.
         (2..4).for_each(|s| guard.set_server(s, Some(0), drains));
         assert_eq!(guard.check(0, &[0, 1, 2].map(shut), false), []);
     }
--- a/crates/guard/src/steps.rs
+++ b/crates/guard/src/steps.rs
@@ -1,13 +1,13 @@
-//! From the wanted table to the one that may leave now: an ordered list of short rules, each a condition and an
-//! effect on a draft, gone through once from the top; then what is left is judged again.
+//! The table that may be sent now on the way to the wanted one: an ordered list of rules, each a condition and an effect
+//! on a draft, applied once from the top; then the result is checked again.
 //!
-//! How it is called: [`Guard::step`] with all lines of a part as they are wanted. The draft begins as these. If
-//! no rule has anything to say, they leave as they are: a safe table is never touched. The order of the rules is
-//! that of what is given up last: nobody is left empty, then who may be picked at all, then the cold, then
-//! one server's share, last the size of the step. What no draft can mend is told as [`Step::borne`].
+//! [`Guard::next_step`] takes all lines of a part as they are wanted. The draft starts as these lines; if they violate
+//! nothing, they are returned unchanged. The order of the rules is that of what is given up last: a part is never empty,
+//! then who may be picked at all, then cold servers, then the share of one server, last the size of the step. Violations
+//! that no draft avoids are returned as [`Step::remaining`].
 //!
-//! Progress: every step that is not the wanted table itself ends at caps that grow as servers warm, or is a
-//! part of the way as large as one step may be. With the fleet unchanged the second step ends there.
+//! Progress: every step that is not the wanted table ends at caps that grow as servers warm up, or goes as far as one step
+//! may move. While the fleet does not change, the second step reaches these caps.
 
 use crate::caps::{Share, apply_caps};
 use crate::{
@@ -15,23 +15,23 @@
 };
 use std::collections::BTreeMap;
 
-/// A line that a step would move by less than this share of itself stays: small corrections cost messages.
+/// A line that a step would change by no more than this share of its weight stays: small corrections cost messages.
 const STIR: f64 = 0.02;
 
-/// What may leave now.
+/// The table that may be sent now.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Step {
-    /// Weights of open lines, by server; a server that is not here has none.
+    /// Weights of the open lines by server; a server that is not listed has none.
     pub weights: BTreeMap<usize, f64>,
-    /// What was dangerous about the wanted table.
+    /// What the wanted table violates.
     pub violations: Vec<Violation>,
-    /// What is dangerous about this one too: nothing better is to be had.
+    /// What this table violates too, since no better one exists.
     pub remaining: Vec<Violation>,
-    /// It is not the wanted table: another step is to follow.
+    /// It is not the wanted table yet: another step is to follow.
     pub partial: bool,
 }
 
-/// What the rules change.
+/// The table that the rules work on.
 struct Draft<'a> {
     guard: &'a Guard,
     part: &'a Part,
@@ -51,7 +51,7 @@
     the_way_is_cut,
 ];
 
-/// Guards against drains undone. Whatever is wanted, a line for a server that is not ready does not leave.
+/// Guards against undoing a drain: whatever is wanted, lines for servers that are not ready are removed.
 fn who_is_not_ready_goes(d: &mut Draft) {
     let wrong: Vec<usize> = d
         .table
@@ -63,15 +63,16 @@
     wrong.into_iter().for_each(|s| d.set(s, 0.0));
 }
 
-/// Guards against an empty pool: what stands and is ready stays; else all that is ready, as it is listed.
+/// Guards against an empty table: the present lines of ready servers stay; if there are none, all ready servers get their
+/// listed weights.
 fn somebody_stays(d: &mut Draft) {
     if d.table.lines.is_empty() {
         d.keep(|_| true);
     }
 }
 
-/// Guards against a pool of servers that have just started while warm ones are there: these stay as they
-/// stand, else as they are listed.
+/// Guards against leaving a part to cold servers while it has warm ones: the present lines of warm servers stay; if there
+/// are none, warm servers get their listed weights.
 fn somebody_warm_stays(d: &mut Draft) {
     if !d
         .table
@@ -83,10 +84,10 @@
     }
 }
 
-/// Guards against servers that have just started being pushed over, and against one server that is piled upon.
-/// Only capped lines change. Where no weights keep all caps, what stands stays beside it; if that is not enough,
-/// caps on one server's share are set aside: they guard against a mistake, and no server falls by them alone.
-/// Where the cold have to carry all, each gets its part of it by what it can take.
+/// Guards against overloading cold servers and against too large a share of one server. Only capped lines change. If no
+/// weights keep all caps, the present lines stay in addition; if that is not enough, the caps on the share of one server
+/// are dropped, since they guard against mistakes and no server fails without them. If cold servers must carry all load,
+/// it is shared in proportion to what each can take.
 fn shares_are_capped(d: &mut Draft) {
     let mut found = d.capped(true);
     if found.is_none() {
@@ -105,22 +106,22 @@
             .keys()
             .map(|s| (*s, d.guard.server_of(*s).overload_per_s));
         let takes: Vec<(usize, f64)> = takes.collect();
-        // Nothing but cold servers; all of them may be told to bear nothing at all.
+        // Only cold servers are left; their limits may all be 0.
         let known = takes.iter().all(|t| t.1.is_finite()) && takes.iter().any(|t| t.1 > 0.0);
         if known { takes } else { Vec::new() }
     });
     lines.into_iter().for_each(|(s, w)| d.set(s, w));
 }
 
-/// Guards against a whole table thrown over at once: as much of the way as one step may move. The tables before
-/// and after keep the caps, so what lies between them does; where the one before does not, the whole way is gone
-/// at once: a large step is less bad than a server that falls.
+/// Guards against replacing a whole table at once: the step goes as far as one step may move. The present table and the
+/// draft keep the caps, and so does any mixture of them. If the present table breaks a cap, the whole step is made: a
+/// large step is better than an overloaded server.
 fn the_way_is_cut(d: &mut Draft) {
     let moved = d.moved();
     if moved <= STEP + SLACK {
         return;
     }
-    // A hair less, so that rounding does not make it too large.
+    // Slightly less than allowed, so that rounding does not exceed the limit.
     let way = (STEP - SLACK) / moved;
     let ready = |s: &usize| d.is_ready(*s);
     let left: f64 = d
@@ -161,7 +162,7 @@
         });
     }
 
-    /// Adds lines of ready servers of that kind: as they stand, else as they are listed.
+    /// Adds lines of the ready servers that `kind` selects: the present lines or, if there are none, listed weights.
     fn keep(&mut self, kind: impl Fn(usize) -> bool) {
         let stands = self.before.lines.iter().map(|(s, w)| (*s, *w));
         let stands = stands.filter(|(s, _)| self.is_ready(*s) && kind(*s));
@@ -178,8 +179,8 @@
         kept.into_iter().for_each(|(s, w)| self.set(s, w));
     }
 
-    /// The most that a cold server's share may be: what all other parts may bring it, and older tables of this
-    /// one, is taken off first. A share that it has already may stay, unless what stands pushes it over.
+    /// The highest share that a cold server may have: what all other parts may bring to it is subtracted first. A share that
+    /// it already has may stay, unless the present tables overload it.
     fn cold_cap(&self, server: usize) -> f64 {
         let s = self.guard.server_of(server);
         if s.is_warm() || self.part.load <= 0.0 {
@@ -189,10 +190,10 @@
         let here = self.part.most(server);
         let brought = self.guard.brought.get(&server).copied().unwrap_or(here);
         let others = (brought - here).max(0.0);
-        // A hair less, so that rounding does not make it too much.
+        // Slightly less than allowed, so that rounding does not exceed the limit.
         let most = COLD_MOST * s.overload_per_s * (1.0 - SLACK);
         let room = (most - others).max(0.0) / self.part.load;
-        // While older tables bring it too much, it may not have more by the new one.
+        // While older tables bring it too much, the new one must not bring it more than the present one.
         let room = match others + here > COLD_MOST * s.overload_per_s {
             true => room.min(had),
             false => room,
@@ -201,7 +202,7 @@
         (if falls { room } else { room.max(had) }).min(1.0)
     }
 
-    /// The draft's lines under their caps, if any weights keep them.
+    /// The weights of the draft under their caps, if any weights keep them; `heavy`: with caps on the share of one server.
     fn capped(&self, heavy: bool) -> Option<Vec<(usize, f64)>> {
         let lines = self.table.lines.iter();
         let wanted = lines.map(|(s, weight)| Share {
@@ -214,13 +215,14 @@
         Some(self.table.lines.keys().copied().zip(found).collect())
     }
 
+    /// The highest share that one server may have.
     fn heavy_cap(&self, server: usize) -> f64 {
         let part = self.guard.server_of(server).listed_weight / self.listed.max(SLACK);
         let most = (HEAVIER * part).max(HEAVY);
         most.max(self.before.share(server)).min(1.0)
     }
 
-    /// The share that moves between servers that are ready.
+    /// The share that moves between ready servers.
     fn moved(&self) -> f64 {
         let ready = |s: &usize| self.is_ready(*s);
         let sum = |t: &Table| -> f64 {
@@ -248,7 +250,7 @@
 }
 
 impl Guard {
-    /// What may leave now, given all lines of a part as they are wanted.
+    /// The table that may be sent now, given all lines of a part as they are wanted.
     pub fn next_step(&self, part: usize, wanted: &[Line]) -> Step {
         let none = Part::default();
         let held = self.parts.get(&part).unwrap_or(&none);
@@ -257,7 +259,7 @@
         let mut table = Table::default();
         wanted.iter().for_each(|l| table.set(l));
         let table = table.tidied();
-        // What stands open already is no opening: its withdrawal is under way.
+        // A line that is already open is not opened by this table: if its server is not ready, its withdrawal is on its way.
         let opened = wanted
             .iter()
             .filter(|l| !before.lines.contains_key(&l.server));
@@ -307,8 +309,8 @@
         }
     }
 
-    /// Cold servers that fall by what stands, if the next table leaves them that: load has grown, or others
-    /// have left, since it was found safe.
+    /// Cold servers that the present tables overload and that the next table does not relieve enough: load has grown, or
+    /// other servers have left, since the table was checked.
     fn falls(&self, part: &Part, next: &Table) -> Vec<Violation> {
         let mut out = Vec::new();
         for server in next.lines.keys() {
@@ -336,8 +338,8 @@
         out
     }
 
-    /// The lines that a step changes against what stands: those that move by more than a little if it is not the
-    /// wanted table itself, and all that come or go. Nothing if it is not worth a message.
+    /// The lines that a step changes against the newest table, with their weights (0: removed): all that are new or go
+    /// away, and those that change by more than a little if the step is partial.
     pub fn changes(&self, part: usize, step: &Step) -> Vec<(usize, f64)> {
         let newest = self.parts.get(&part).and_then(|p| p.newest.as_ref());
         let nothing = BTreeMap::new();
