--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -11,9 +11,9 @@
 };
 use crate::{ClassPolicy, ControllerSettings, Scope, Session};
 use dahliapoint::rules::Planner;
-use dahliapoint::{Admission, Class, Extent, Listed, Opening, Orders, Standing, Tries};
-use dahliapoint_intake::belief::Change;
-use dahliapoint_intake::coverage::Heard;
+use dahliapoint::{self as planner, Admission, Class, Orders, PlannerSettings, RosterUpdate};
+use dahliapoint_intake::coverage::ReporterChange;
+use dahliapoint_intake::trust::TrustChange;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -141,9 +141,9 @@
 
 /// Settings of the planner. A front makes up to `writes_per_message` writes of one message, so the planner may send only
 /// as many messages as fit into `max_messages` after a join.
-fn opening(terms: &ControllerSettings) -> Opening {
+fn opening(terms: &ControllerSettings) -> PlannerSettings {
     let limit = (terms.max_messages - terms.writes_per_join) / terms.writes_per_message;
-    Opening {
+    PlannerSettings {
         zones: terms.zones.len(),
         classes: terms
             .classes
@@ -157,28 +157,28 @@
             true => Admission::Share,
             false => Admission::Unused,
         },
-        most_waiting: terms.max_queued_lines,
+        max_queued_lines: terms.max_queued_lines,
         lines_per_ms: terms.lines_per_s / 1000.0,
-        way_ms: terms.message_latency_ms,
-        message_lines: terms.message_overhead_lines,
-        idle_ms: terms.idle_timeout_ms,
-        standing_lines: terms.initial_servers,
-        most_messages: if terms.max_messages > 0.0 { limit } else { 0.0 },
-        message_span_ms: terms.message_window_ms,
-        report_every_ms: terms.report_interval_ms,
-        reports_per_ms: terms.reports_per_s / 1000.0,
-        cold_share: terms.cold_capacity_share,
-        warm_after_ms: terms.warm_up_ms,
-        fall_multiple: terms.overload_multiple,
-        dropped_may_stay: terms.keep_unlisted_servers,
-        usual_tries: match terms.default_retry_policy {
-            RetryPolicy::Never => Tries::Never,
-            RetryPolicy::OnProof => Tries::OnProof,
-            RetryPolicy::OnFailure => Tries::OnFailure,
+        message_latency_ms: terms.message_latency_ms,
+        message_overhead_lines: terms.message_overhead_lines,
+        idle_timeout_ms: terms.idle_timeout_ms,
+        initial_servers: terms.initial_servers,
+        max_messages: if terms.max_messages > 0.0 { limit } else { 0.0 },
+        message_window_ms: terms.message_window_ms,
+        report_interval_ms: terms.report_interval_ms,
+        report_lines_per_ms: terms.reports_per_s / 1000.0,
+        cold_capacity_share: terms.cold_capacity_share,
+        warm_up_ms: terms.warm_up_ms,
+        overload_multiple: terms.overload_multiple,
+        keep_unlisted_servers: terms.keep_unlisted_servers,
+        default_retry_policy: match terms.default_retry_policy {
+            RetryPolicy::Never => planner::RetryPolicy::Never,
+            RetryPolicy::OnProof => planner::RetryPolicy::OnProof,
+            RetryPolicy::OnFailure => planner::RetryPolicy::OnFailure,
         },
         may_probe: terms.may_probe,
-        must_ask: false,
-        sliced: false,
+        must_request_roster: false,
+        sharded: false,
     }
 }
 
@@ -193,7 +193,7 @@
             retry: terms.default_retry_policy,
         };
         Controller {
-            planner: Planner::begun(now, seed, &opening(&terms)),
+            planner: Planner::new(now, seed, &opening(&terms)),
             patience: Patience::of(&terms),
             presence: Presence::new(terms.heartbeat_interval_ms),
             servers: Servers::default(),
@@ -354,13 +354,13 @@
                 // The next message repeats the line with the new address and the same weight.
                 self.moved.push(server);
             }
-            listed.push(Listed {
+            listed.push(planner::RosterEntry {
                 server,
                 zone,
-                standing: match entry.state {
-                    AdminState::Ready => Standing::Ready,
-                    AdminState::Draining => Standing::Draining,
-                    AdminState::Gone => Standing::Gone,
+                admin_state: match entry.state {
+                    AdminState::Ready => dahliapoint::AdminState::Ready,
+                    AdminState::Draining => dahliapoint::AdminState::Draining,
+                    AdminState::Gone => dahliapoint::AdminState::Gone,
                 },
                 weight: entry.weight,
                 started_ms: self.servers.slots[server].started.map(|(_, at)| at),
@@ -370,9 +370,9 @@
             self.servers.gone_but(&placed, now);
         }
         let extent = match (whole, self.listed) {
-            (true, false) => Extent::Remembered,
-            (true, true) => Extent::Whole,
-            (false, _) => Extent::Changes,
+            (true, false) => RosterUpdate::Restored,
+            (true, true) => RosterUpdate::Snapshot,
+            (false, _) => RosterUpdate::Changes,
         };
         self.listed |= whole;
         self.planner.roster_changed(now, extent, &listed);
@@ -567,16 +567,16 @@
         self.lately.clear();
         for m in &round.met {
             *self.lately.entry(m.server).or_default() += m.tries * 1e3 / m.window_ms.max(1.0);
-            self.planner.tries_met(now, m);
+            self.planner.tries_reported(now, m);
         }
         for c in round.came {
             self.planner
-                .visits_came(c.proxy, c.class, c.visits, c.window_ms);
+                .visits_reported(c.proxy, c.class, c.visits, c.window_ms);
         }
         for heard in round.heard {
             let (p, word) = match heard {
-                Heard::Silent(p) => (p, "reports no more"),
-                Heard::Again(p) => (p, "reports again"),
+                ReporterChange::Silent(p) => (p, "reports no more"),
+                ReporterChange::Resumed(p) => (p, "reports again"),
             };
             if let Some(proxy) = self.proxies.get(&p) {
                 out.push(Output::Log(format!("proxy {}: {word}", proxy.name)));
@@ -584,7 +584,7 @@
         }
         for change in round.changes {
             let note = match change {
-                Change::StaleServer(s, stale) => {
+                TrustChange::StaleServer(s, stale) => {
                     let name = &self.servers.slots[s].name;
                     let word = if stale {
                         "does not explain"
@@ -593,7 +593,7 @@
                     };
                     format!("server {name}: its own word of its load {word} what proxies meet")
                 }
-                Change::ContraryProxy(p, contrary) => {
+                TrustChange::ContraryProxy(p, contrary) => {
                     let name = self.proxies.get(&p).map(|p| p.name.to_string());
                     let word = if contrary {
                         "contradicts"
@@ -620,9 +620,9 @@
         }
         for (part, class, share, tries) in orders.levels {
             let tries = match tries {
-                Tries::Never => RetryPolicy::Never,
-                Tries::OnProof => RetryPolicy::OnProof,
-                Tries::OnFailure => RetryPolicy::OnFailure,
+                planner::RetryPolicy::Never => RetryPolicy::Never,
+                planner::RetryPolicy::OnProof => RetryPolicy::OnProof,
+                planner::RetryPolicy::OnFailure => RetryPolicy::OnFailure,
             };
             let tries = self.ward.tries(tries, self.terms.classes[class].idempotent);
             self.ways[class] = ClassPolicy {
@@ -642,7 +642,7 @@
             touched.standing.push(s);
         }
         let mut bound = Vec::new();
-        for (proxy, part) in orders.binds {
+        for (proxy, part) in orders.bindings {
             if let Some(p) = self.proxies.get_mut(&proxy) {
                 p.part = Some(part);
                 bound.push(proxy);
--- a/crates/control/src/reports.rs
+++ b/crates/control/src/reports.rs
@@ -3,10 +3,10 @@
 //! are too uncertain, and which reporters to trust.
 
 use crate::{LoadReport, ReportLine};
-use dahliapoint::Met;
-use dahliapoint_intake::belief::{Belief, Change, Views, Word};
-use dahliapoint_intake::coverage::{Coverage, Heard};
-use dahliapoint_intake::estimates::{self, Estimates, Noted};
+use dahliapoint::TryStats;
+use dahliapoint_intake::coverage::{Coverage, ReporterChange};
+use dahliapoint_intake::estimates::{self, Estimates, Observation};
+use dahliapoint_intake::trust::{ProxyViews, ServerSample, TrustChange, TrustTracker};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -109,12 +109,12 @@
 
 /// Result of a round.
 pub struct Round {
-    pub met: Vec<Met>,
+    pub met: Vec<TryStats>,
     pub came: Vec<Came>,
     /// Sums that were left out because they are too uncertain.
     pub vague: u64,
-    pub changes: Vec<Change>,
-    pub heard: Vec<Heard>,
+    pub changes: Vec<TrustChange>,
+    pub heard: Vec<ReporterChange>,
 }
 
 /// The current round, and the state that is kept over rounds.
@@ -123,19 +123,19 @@
     classes: usize,
     /// By server and class: place `server * classes + class`.
     estimates: Estimates,
-    belief: Belief,
+    belief: TrustTracker,
     coverage: Coverage,
     /// Proxies that reported in this round.
     reported: BTreeSet<usize>,
     /// Proxies that report again after a silence.
-    heard: Vec<Heard>,
+    heard: Vec<ReporterChange>,
     /// By server and zone.
     met: BTreeMap<(usize, usize), Sum>,
     /// By proxy and class: visits, and the time they cover.
     came: BTreeMap<(usize, usize), (f64, f64)>,
     /// By server: sums of the report lines.
     words: BTreeMap<usize, (ReportLine, f64)>,
-    views: Views,
+    views: ProxyViews,
     /// By proxy: visits in flight at each server, as last reported.
     in_flight: BTreeMap<usize, BTreeMap<usize, f64>>,
 }
@@ -149,18 +149,18 @@
             heard: Vec::new(),
             every_ms,
             estimates: Estimates::new(every_ms, zones),
-            belief: Belief::default(),
+            belief: TrustTracker::default(),
             met: BTreeMap::new(),
             came: BTreeMap::new(),
             words: BTreeMap::new(),
-            views: Views::new(),
+            views: ProxyViews::new(),
             in_flight: BTreeMap::new(),
         }
     }
 
     /// A report of a proxy arrived, with a window of this length.
     pub fn heard(&mut self, now: f64, proxy: usize, window_ms: f64) {
-        let again = self.coverage.heard(now, proxy, window_ms);
+        let again = self.coverage.report_received(now, proxy, window_ms);
         self.heard.extend(again);
         self.reported.insert(proxy);
         self.in_flight.remove(&proxy);
@@ -184,9 +184,9 @@
             let there = self.in_flight.entry(proxy).or_default();
             *there.entry(server).or_default() += m.in_flight;
         }
-        self.estimates.note(
+        self.estimates.record(
             now,
-            &Noted {
+            &Observation {
                 server: server * self.classes + m.class,
                 zone,
                 begin,
@@ -197,7 +197,7 @@
                 variance: m.variance,
             },
         );
-        if !estimates::is_news(report.ended_ago_ms, self.every_ms) {
+        if !estimates::is_recent(report.ended_ago_ms, self.every_ms) {
             return false;
         }
         let sum = self.met.entry((server, zone)).or_default();
@@ -261,11 +261,11 @@
             if sum.tries <= 0.0 {
                 continue;
             }
-            if estimates::is_vague(sum.tries, sum.variance) {
+            if estimates::is_imprecise(sum.tries, sum.variance) {
                 vague += 1;
                 continue;
             }
-            met.push(Met {
+            met.push(TryStats {
                 zone,
                 server,
                 tries: sum.tries,
@@ -282,34 +282,34 @@
             window_ms,
         });
         let words = std::mem::take(&mut self.words).into_iter();
-        let words: BTreeMap<usize, Word> = words
+        let words: BTreeMap<usize, ServerSample> = words
             .map(|(server, (m, _))| {
                 let said = m.load_samples > 0.0;
                 let good = m.tries - m.failed;
-                let word = Word {
+                let word = ServerSample {
                     own_ms: said.then(|| m.service_ms_sum / m.load_samples),
                     own_queue: said.then(|| m.queue_sum / m.load_samples),
-                    met_ms: if good > 0.0 { m.success_ms / good } else { 0.0 },
+                    measured_ms: if good > 0.0 { m.success_ms / good } else { 0.0 },
                     tries: if good > 0.0 { m.tries } else { 0.0 },
                 };
                 (server, word)
             })
             .collect();
-        let mut changes = self.belief.hear_servers(&words);
+        let mut changes = self.belief.observe_servers(&words);
         let views = std::mem::take(&mut self.views);
         let reported = std::mem::take(&mut self.reported);
         for (proxy, servers) in &views {
             for (server, (tries, _)) in servers {
-                self.coverage.told(*proxy, *server, *tries);
+                self.coverage.record_tries(*proxy, *server, *tries);
             }
         }
-        for server in 0..self.coverage.servers() {
+        for server in 0..self.coverage.server_count() {
             let told = |proxy: usize| views.get(&proxy).is_some_and(|v| v.contains_key(&server));
-            self.coverage.fade(server, |p| reported.contains(&p), told);
+            self.coverage.decay(server, |p| reported.contains(&p), told);
         }
         let mut heard = std::mem::take(&mut self.heard);
-        heard.extend(self.coverage.look(now));
-        changes.extend(self.belief.hear_proxies(&views));
+        heard.extend(self.coverage.expire_silent(now));
+        changes.extend(self.belief.observe_proxies(&views));
         Round {
             met,
             came: came.collect(),
@@ -339,7 +339,7 @@
         let span = SHOWN * self.every_ms;
         let places = self.places(server).enumerate();
         let views = places.filter_map(|(class, place)| {
-            let e = self.estimates.of(now, place, span)?;
+            let e = self.estimates.estimate(now, place, span)?;
             Some(ClassView {
                 class,
                 tries_per_s: e.tries * 1e3 / span,
@@ -353,7 +353,9 @@
     /// Estimates over all classes, if there are any.
     pub fn view(&self, now: f64, server: usize) -> Option<EstimateView> {
         let span = SHOWN * self.every_ms;
-        let e = self.estimates.of_all(now, self.places(server), span)?;
+        let e = self
+            .estimates
+            .estimate_range(now, self.places(server), span)?;
         let per_s = 1e3 / span;
         Some(EstimateView {
             tries_per_s: e.tries * per_s,
@@ -363,7 +365,7 @@
             error_per_s: e.error * per_s,
             age_ms: e.age_ms,
             stale: self.belief.is_stale(server),
-            reporting_share: self.coverage.share(server),
+            reporting_share: self.coverage.reporting_share(server),
             in_flight: self.in_flight.values().filter_map(|t| t.get(&server)).sum(),
         })
     }
--- a/crates/daemon/examples/newcomer.rs
+++ b/crates/daemon/examples/newcomer.rs
@@ -6,8 +6,8 @@
 };
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
-use dahliapoint_memory::keeper;
-use dahliapoint_peer::asking;
+use dahliapoint_memory::clock;
+use dahliapoint_peer::client;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -104,10 +104,10 @@
             report(&old, servers);
             std::thread::sleep(Duration::from_millis(500));
         }
-        let (learned, _) = asking::ask(
+        let (learned, _) = client::query(
             old.address(),
             "portal",
-            keeper::now,
+            clock::now,
             Instant::now() + Duration::from_secs(5),
         );
         let (newcomer, started, decided) = decides(servers, &[old.address()]);
--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -10,14 +10,15 @@
     Controller, ControllerSettings, FaultInjector, Input, LineState, LoadReport, Output,
     ReportLine, Scope, Session,
 };
-use dahliapoint_fibers::{Bell, Queue, Received};
+use dahliapoint_fibers::{Notify, Queue, Received};
 use dahliapoint_hooks::value::{LineSeen, World};
-use dahliapoint_intake::mouth::{Line, Mouth, Read};
-use dahliapoint_intake::pace::Interval;
-use dahliapoint_memory::facts::{Change, Differ, Facts};
-use dahliapoint_memory::keeper::{self, Keeper};
-use dahliapoint_peer::telling::Known;
-use dahliapoint_scheduler::{Budget, Id, Piece, Scheduler, Told};
+use dahliapoint_intake::interval::ReportInterval;
+use dahliapoint_intake::report_queue::{Line, MergedReport, ReportQueue};
+use dahliapoint_memory::clock;
+use dahliapoint_memory::facts::{Change, ChangeTracker, Facts};
+use dahliapoint_memory::writer::JournalWriter;
+use dahliapoint_peer::service::SharedFacts;
+use dahliapoint_scheduler::{Budget, Event, Scheduler, Task, TaskId};
 use dahliapoint_xds::ControllerHandle;
 
 use std::collections::VecDeque;
@@ -86,7 +87,7 @@
 #[derive(Default)]
 struct Asked {
     answer: Mutex<Option<serde_json::Value>>,
-    bell: Bell,
+    bell: Notify,
 }
 
 /// Carries out an output; gives it back if it is for another.
@@ -103,14 +104,14 @@
 pub struct Engine {
     clock: Clock,
     queue: Queue<Item>,
-    mouth: Arc<Mutex<Mouth<Reporter, Place>>>,
+    mouth: Arc<Mutex<ReportQueue<Reporter, Place>>>,
     /// The reporting interval that proxies are told, as the bits of a number.
     every_ms: Arc<AtomicU64>,
     roster_fault: Arc<Mutex<Option<String>>>,
     figures: Arc<Mutex<Figures>>,
     views: Arc<Mutex<Vec<(&'static str, View)>>>,
     hooking: Arc<Mutex<Option<Arc<Hooking>>>>,
-    known: Arc<Mutex<Option<(Known, Differ)>>>,
+    known: Arc<Mutex<Option<(SharedFacts, ChangeTracker)>>>,
     /// A hand that spoils orders, for tests of the guard.
     spoiled: Arc<Mutex<Option<FaultInjector>>>,
 }
@@ -138,17 +139,17 @@
     record: Option<Recorder<BufWriter<File>>>,
     hand: Hand,
     scheduler: Scheduler,
-    interval: Interval,
+    interval: ReportInterval,
     every_ms: f64,
     next_round: f64,
     /// The round being read, what it began with, and its piece of work.
-    unread: VecDeque<Read<Reporter, Place>>,
-    reading: Option<(Id, f64)>,
+    unread: VecDeque<MergedReport<Reporter, Place>>,
+    reading: Option<(TaskId, f64)>,
     lines_before: u64,
-    asked: Vec<(Id, Arc<Asked>)>,
-    memory: Option<(Arc<Keeper>, Differ)>,
+    asked: Vec<(TaskId, Arc<Asked>)>,
+    memory: Option<(Arc<JournalWriter>, ChangeTracker)>,
     /// What peers are told, brought up to date once a round.
-    known: Option<(Known, Differ)>,
+    known: Option<(SharedFacts, ChangeTracker)>,
     hooking: Option<Arc<Hooking>>,
     /// The world as hooks last saw it, and when that was.
     world: Arc<World>,
@@ -161,7 +162,7 @@
         Engine {
             clock,
             queue: Queue::bounded(MOST),
-            mouth: Arc::new(Mutex::new(Mouth::new(every_ms, MOST_SERVERS, seed))),
+            mouth: Arc::new(Mutex::new(ReportQueue::new(every_ms, MOST_SERVERS, seed))),
             every_ms: Arc::new(AtomicU64::new(every_ms.to_bits())),
             roster_fault: Arc::default(),
             figures: Arc::default(),
@@ -173,9 +174,9 @@
     }
 
     /// Keeps what peers are told, beginning with what was known at the start.
-    pub fn tells(&self, known: Known, first: &Facts) {
-        *known.hold() = first.clone();
-        *lock(&self.known) = Some((known, Differ::since(first)));
+    pub fn tells(&self, known: SharedFacts, first: &Facts) {
+        *known.lock() = first.clone();
+        *lock(&self.known) = Some((known, ChangeTracker::from_facts(first)));
     }
 
     /// Hooks see what happens, from when the engine runs.
@@ -199,7 +200,7 @@
         record: Option<&Path>,
         first: Vec<Input>,
         hand: Hand,
-        memory: Option<(Arc<Keeper>, Differ)>,
+        memory: Option<(Arc<JournalWriter>, ChangeTracker)>,
     ) -> io::Result<JoinHandle<()>> {
         let now = self.clock.now_ms();
         let mut recorder = None;
@@ -215,13 +216,13 @@
             )?);
         }
         let budget = |share| Budget {
-            ms: PERIOD_MS * share,
-            most: WAITING,
+            cpu_ms: PERIOD_MS * share,
+            max_queued: WAITING,
         };
         let budgets = [budget(READING_SHARE), budget(TELLING_SHARE)];
         let every_ms = terms.report_interval_ms;
         let work = Work {
-            interval: Interval::new(now, every_ms, terms.reports_per_s),
+            interval: ReportInterval::new(now, every_ms, terms.reports_per_s),
             controller: Controller::new(now, seed, terms),
             record: recorder,
             hand,
@@ -268,7 +269,7 @@
             let taken = self.queue.take_all(self.clock.at(until));
             let closed = matches!(taken, Received::Closed);
             let mut inputs = Vec::new();
-            if let Received::Some(items) = taken {
+            if let Received::Items(items) = taken {
                 for item in items {
                     match item {
                         Item::Input(input) => inputs.push(input),
@@ -290,12 +291,12 @@
                     _ => self.answer(&mut work, id),
                 };
                 let now = self.clock.now_ms();
-                work.scheduler.worked(now, id, now - begun, more);
+                work.scheduler.task_ran(now, id, now - begun, more);
             }
         }
         work.asked
             .drain(..)
-            .for_each(|(_, asked)| asked.bell.ring());
+            .for_each(|(_, asked)| asked.bell.notify());
     }
 
     /// One moment: written down, decided, carried out.
@@ -397,13 +398,13 @@
     /// Offers what has changed to memory and to peers, without waiting.
     fn remember(&self, work: &mut Work) {
         if let Some((known, differ)) = &mut work.known {
-            let now = keeper::now();
+            let now = clock::now();
             let (servers, levels) = (
                 work.controller.servers(),
                 work.controller.admission_levels(),
             );
             let changes = differ.changes(&now, &servers, &levels);
-            let mut facts = known.hold();
+            let mut facts = known.lock();
             for change in changes.into_iter().chain([Change::Alive(now)]) {
                 // Made by our own differ: always sound.
                 let _ = facts.apply(change);
@@ -412,7 +413,7 @@
         let Some((keeper, differ)) = &mut work.memory else {
             return;
         };
-        let now = keeper::now();
+        let now = clock::now();
         let (servers, levels) = (
             work.controller.servers(),
             work.controller.admission_levels(),
@@ -421,7 +422,7 @@
         changes.push(Change::Alive(now));
         if !keeper.offer(changes) {
             // What was not taken is found again, all of it.
-            *differ = Differ::default();
+            *differ = ChangeTracker::default();
         }
     }
 
@@ -431,12 +432,12 @@
         let room = (per_ms * work.every_ms).max(1.0) as usize;
         let (read, tally) = {
             let mut mouth = lock(&self.mouth);
-            (mouth.read(now, room), mouth.tally)
+            (mouth.read(now, room), mouth.stats)
         };
         let came = (tally.lines - work.lines_before) as f64;
         work.lines_before = tally.lines;
         let over = now - (work.next_round - work.every_ms);
-        if let Some(every) = work.interval.heard(now, came, over) {
+        if let Some(every) = work.interval.observe(now, came, over) {
             warn!(
                 every_ms = every,
                 lines = came,
@@ -447,7 +448,7 @@
         work.next_round = (work.next_round + work.every_ms).max(now);
         self.remember(work);
         work.unread = read.into();
-        let piece = Piece {
+        let piece = Task {
             class: READING,
             owner: 0,
             deadline: None,
@@ -476,7 +477,7 @@
     }
 
     fn submit_answer(&self, work: &mut Work, asked: Arc<Asked>) {
-        let piece = Piece {
+        let piece = Task {
             class: TELLING,
             owner: 0,
             deadline: None,
@@ -487,16 +488,16 @@
     }
 
     fn say_what_waits(&self, work: &mut Work) {
-        for told in work.scheduler.told() {
+        for told in work.scheduler.take_events() {
             match told {
-                Told::PutOff(class) => {
+                Event::Deferred(class) => {
                     lock(&self.figures).put_off += 1;
                     debug!(class, "background work waits for its next period");
                 }
-                Told::PushedOut(id) | Told::TooLate(id) => {
+                Event::Evicted(id) | Event::Expired(id) => {
                     let gone = work.asked.iter().position(|(i, _)| *i == id);
                     if let Some(at) = gone {
-                        work.asked.swap_remove(at).1.bell.ring();
+                        work.asked.swap_remove(at).1.bell.notify();
                     }
                     warn!(id, "background work was given up: there is too much");
                 }
@@ -505,7 +506,7 @@
     }
 
     /// Answers a question; there is never more of it.
-    fn answer(&self, work: &mut Work, id: Id) -> bool {
+    fn answer(&self, work: &mut Work, id: TaskId) -> bool {
         let Some(at) = work.asked.iter().position(|(i, _)| *i == id) else {
             return false;
         };
@@ -524,14 +525,14 @@
         });
         let (tally, waiting) = {
             let mouth = lock(&self.mouth);
-            (mouth.tally, mouth.waiting())
+            (mouth.stats, mouth.pending_lines())
         };
         view["intake"] = serde_json::json!({
             "reports": tally.reports,
             "lines": tally.lines,
             "merged": tally.merged,
             "read": tally.read,
-            "left_unread": tally.left,
+            "left_unread": tally.sampled_out,
             "refused": tally.refused,
             "waiting": waiting,
             "every_ms": self.report_interval_ms(),
@@ -543,7 +544,7 @@
             view[*name] = part();
         }
         *lock(&asked.answer) = Some(view);
-        asked.bell.ring();
+        asked.bell.notify();
         false
     }
 
@@ -564,7 +565,7 @@
 }
 
 /// What was read of a reporter, as an input.
-fn reported(now: f64, read: Read<Reporter, Place>) -> Input {
+fn reported(now: f64, read: MergedReport<Reporter, Place>) -> Input {
     let met = read
         .lines
         .into_iter()
@@ -575,13 +576,13 @@
             failed: l.failed,
             success_ms: l.good_ms,
             variance,
-            load_samples: l.words,
+            load_samples: l.self_reports,
             queue_sum: l.own_queue,
             service_ms_sum: l.own_ms,
             in_flight: l.in_flight,
         });
     let came = read
-        .came
+        .visits
         .into_iter()
         .map(|((class, _), n)| (class.to_string(), n));
     let report = LoadReport {
@@ -602,8 +603,8 @@
         let reporter = (Arc::from(proxy), stream);
         let mut mouth = lock(&self.mouth);
         match begins {
-            true => mouth.begun(self.clock.now_ms(), reporter),
-            false => mouth.ended(&reporter),
+            true => mouth.stream_started(self.clock.now_ms(), reporter),
+            false => mouth.stream_ended(&reporter),
         }
     }
 
@@ -613,7 +614,7 @@
                 tries: m.tries,
                 failed: m.failed,
                 good_ms: m.success_ms,
-                words: m.load_samples,
+                self_reports: m.load_samples,
                 own_queue: m.queue_sum,
                 own_ms: m.service_ms_sum,
                 in_flight: m.in_flight,
@@ -627,7 +628,7 @@
         let reporter = (Arc::from(proxy), stream);
         let now = self.clock.now_ms();
         lock(&self.mouth)
-            .put(now, &reporter, report.window_ms, lines, came)
+            .push(now, &reporter, report.window_ms, lines, came)
             .map_err(|why| format!("a report that is not taken: {why:?}"))
     }
 
--- a/crates/daemon/src/hooking.rs
+++ b/crates/daemon/src/hooking.rs
@@ -17,8 +17,8 @@
 use dahliapoint_hooks::points::{Point, WishKind};
 use dahliapoint_hooks::value::{LineSeen, ProxySeen, ServerSeen, State, Value, World};
 use dahliapoint_memory::facts::Change;
-use dahliapoint_memory::keeper::Keeper;
-use dahliapoint_scheduler::{Budget, Piece, Scheduler};
+use dahliapoint_memory::writer::JournalWriter;
+use dahliapoint_scheduler::{Budget, Scheduler, Task};
 use hdrhistogram::Histogram;
 use serde_json::json;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -275,7 +275,7 @@
     stamp: Option<Vec<(PathBuf, u64, Option<SystemTime>)>>,
     fault: Option<String>,
     look_at: f64,
-    memory: Option<Arc<Keeper>>,
+    memory: Option<Arc<JournalWriter>>,
     kept: BTreeMap<(String, String), String>,
 }
 
@@ -421,19 +421,19 @@
         self: &Arc<Self>,
         engine: Engine,
         first: Vec<RosterEntry>,
-        memory: Option<Arc<Keeper>>,
+        memory: Option<Arc<JournalWriter>>,
         kept: BTreeMap<(String, String), String>,
     ) -> Result<JoinHandle<()>, String> {
         let set = load(&self.place.dir)?;
         let budgets: Vec<Budget> = Point::ALL
             .iter()
             .map(|point| Budget {
-                ms: match point {
+                cpu_ms: match point {
                     // The roster waits for nobody.
                     Point::BeforePublication | Point::RosterChanged => f64::INFINITY,
                     _ => PERIOD_MS * SHARE,
                 },
-                most: EVENTS,
+                max_queued: EVENTS,
             })
             .collect();
         let mut work = Work {
@@ -532,7 +532,7 @@
             if let Some((id, _)) = work.scheduler.next(now) {
                 changed |= self.piece(&mut work, id);
             }
-            work.scheduler.told();
+            work.scheduler.take_events();
             if changed {
                 self.put(&mut work);
             }
@@ -650,7 +650,7 @@
     fn submit(&self, work: &mut Work, event: Event) {
         let now = self.now_ms();
         for id in work.host.due(now, &event) {
-            let piece = Piece {
+            let piece = Task {
                 class: event.point() as usize,
                 owner: id.file as u64,
                 deadline: Some(now + TOO_OLD_MS),
@@ -661,9 +661,9 @@
             }
         }
         // What was pushed out or too late is no longer waited for.
-        for told in work.scheduler.told() {
-            if let dahliapoint_scheduler::Told::PushedOut(id)
-            | dahliapoint_scheduler::Told::TooLate(id) = told
+        for told in work.scheduler.take_events() {
+            if let dahliapoint_scheduler::Event::Evicted(id)
+            | dahliapoint_scheduler::Event::Expired(id) = told
             {
                 work.waiting.remove(&id);
             }
@@ -688,7 +688,7 @@
                 .is_some_and(|wishes| wishes > 0);
         }
         let now = self.now_ms();
-        work.scheduler.worked(now, number, now - begun, false);
+        work.scheduler.task_ran(now, number, now - begun, false);
         wished
     }
 
--- a/crates/files/src/front.rs
+++ b/crates/files/src/front.rs
@@ -10,7 +10,7 @@
 use crate::seat::{Seat, Wants};
 use crate::spool::{Said, Spool};
 use dahliapoint_control::{ControllerHandle, ControllerSettings, Input, Message, Output, Session};
-use dahliapoint_scheduler::{Budget, Id, Piece, Scheduler, Told};
+use dahliapoint_scheduler::{Budget, Event, Scheduler, Task, TaskId};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io;
@@ -98,7 +98,7 @@
     begun: Instant,
     spool: Spool,
     scheduler: Scheduler,
-    work: BTreeMap<Id, Work>,
+    work: BTreeMap<TaskId, Work>,
     seats: BTreeMap<Session, Seat>,
     by_proxy: HashMap<String, Session>,
     publishers: HashMap<String, Publisher>,
@@ -134,8 +134,8 @@
         let wall = SystemTime::now().duration_since(UNIX_EPOCH);
         let wall = wall.map_or(0, |d| d.as_millis() as u64);
         let budgets = SHARES.map(|share| Budget {
-            ms: share * place.every_ms,
-            most: WAITING,
+            cpu_ms: share * place.every_ms,
+            max_queued: WAITING,
         });
         let hand = Hand {
             scheduler: Scheduler::new(0.0, place.every_ms, &budgets),
@@ -250,10 +250,10 @@
                 hand.do_one(id);
                 let now = hand.now_ms();
                 hand.longest_ms = hand.longest_ms.max(now - begun);
-                hand.scheduler.worked(now, id, now - begun, false);
+                hand.scheduler.task_ran(now, id, now - begun, false);
             }
-            for told in hand.scheduler.told() {
-                if let Told::PushedOut(id) | Told::TooLate(id) = told {
+            for told in hand.scheduler.take_events() {
+                if let Event::Evicted(id) | Event::Expired(id) = told {
                     warn!("files: work was given up: there is too much");
                     hand.forget_work(id);
                 }
@@ -306,7 +306,7 @@
                 .bytes()
                 .fold(7, |a, b| (a ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)),
         };
-        let piece = Piece {
+        let piece = Task {
             class,
             owner,
             deadline: None,
@@ -332,7 +332,7 @@
         self.submit(now, class, Work::Write(session));
     }
 
-    fn forget_work(&mut self, id: Id) {
+    fn forget_work(&mut self, id: TaskId) {
         if let Some(Work::Listen(proxy)) = self.work.remove(&id) {
             self.listening.remove(&proxy);
         }
@@ -368,7 +368,7 @@
         }
     }
 
-    fn do_one(&mut self, id: Id) {
+    fn do_one(&mut self, id: TaskId) {
         match self.work.remove(&id) {
             Some(Work::Write(session)) => self.publish(session),
             Some(Work::Listen(proxy)) => {
--- a/crates/intake/benches/structures.rs
+++ b/crates/intake/benches/structures.rs
@@ -1,13 +1,12 @@
-//! The intake's structures against the plain ones that they stand in for, at 100, 1,000 and 10,000.
-//!
-//! `cargo bench -p dahliapoint-intake`; figures are in docs/measurements.md.
+//! Compares the intake's data structures with simpler ones, at sizes of 100, 1,000 and 10,000. Run
+//! with `cargo bench -p dahliapoint-intake`; results are in docs/measurements.md.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use dahliapoint_intake::coverage::Coverage;
-use dahliapoint_intake::mouth::{Line, Mouth};
-use dahliapoint_intake::ring::{Ring, Sum};
-use dahliapoint_intake::sketch::Sketch;
-use dahliapoint_intake::wheel::Wheel;
+use dahliapoint_intake::report_queue::{Line, ReportQueue};
+use dahliapoint_intake::ring::{Accumulate, Ring};
+use dahliapoint_intake::sketch::QuantileSketch;
+use dahliapoint_intake::timer_wheel::TimerWheel;
 use std::collections::{BTreeMap, VecDeque};
 use std::hint::black_box;
 use std::time::Duration;
@@ -17,7 +16,7 @@
 #[derive(Clone, Debug, Default)]
 struct Count(f64);
 
-impl Sum for Count {
+impl Accumulate for Count {
     fn add(&mut self, other: &Count) {
         self.0 += other.0;
     }
@@ -35,17 +34,17 @@
         .collect()
 }
 
-/// Expiry: every reporter is heard ten times, then all are looked through once.
+/// Expiry: every reporter reports ten times, and each round takes the expired ones.
 fn wheel(c: &mut Criterion) {
     let mut group = c.benchmark_group("expiry");
     for n in SIZES {
         group.bench_function(BenchmarkId::new("wheel", n), |b| {
             b.iter(|| {
-                let mut wheel = Wheel::new(0.0, 500.0);
+                let mut wheel = TimerWheel::new(0.0, 500.0);
                 for round in 0..10 {
                     let now = f64::from(round) * 500.0;
-                    (0..n).for_each(|r| wheel.set(r, now + 3_000.0));
-                    black_box(wheel.expired(now));
+                    (0..n).for_each(|r| wheel.schedule(r, now + 3_000.0));
+                    black_box(wheel.pop_expired(now));
                 }
             });
         });
@@ -74,7 +73,7 @@
     group.finish();
 }
 
-/// Sums over the last five seconds, after so many lines.
+/// Sums over the last five seconds after `n` lines.
 fn ring(c: &mut Criterion) {
     let mut group = c.benchmark_group("sums over time");
     for n in SIZES {
@@ -110,23 +109,23 @@
     group.finish();
 }
 
-/// The 95th of 100 of so many times, merged from ten parts.
+/// The 95th percentile of `n` times, merged from ten parts.
 fn sketch(c: &mut Criterion) {
     let mut group = c.benchmark_group("quantile of ten merged parts");
     for n in SIZES {
         let values: Vec<f64> = draws(n).iter().map(|x| 5.0 + 200.0 * x * x).collect();
         let parts: Vec<&[f64]> = values.chunks(n.div_ceil(10)).collect();
-        let sketches: Vec<Sketch> = parts
+        let sketches: Vec<QuantileSketch> = parts
             .iter()
             .map(|part| {
-                let mut s = Sketch::default();
+                let mut s = QuantileSketch::default();
                 part.iter().for_each(|v| s.add(*v, 1.0));
                 s
             })
             .collect();
         group.bench_function(BenchmarkId::new("sketch", n), |b| {
             b.iter(|| {
-                let mut all = Sketch::default();
+                let mut all = QuantileSketch::default();
                 sketches.iter().for_each(|s| all.merge(s));
                 black_box(all.quantile(0.95))
             });
@@ -142,7 +141,7 @@
     group.finish();
 }
 
-/// So many reports of ten lines between two rounds, and the round's reading.
+/// `n` reports of ten lines between two rounds, and reading them.
 fn mouth(c: &mut Criterion) {
     let mut group = c.benchmark_group("reports of a round");
     for n in SIZES {
@@ -153,12 +152,12 @@
         };
         group.bench_function(BenchmarkId::new("mouth", n), |b| {
             b.iter(|| {
-                let mut mouth: Mouth<usize, usize> = Mouth::new(500.0, 1000, 1);
-                (0..50).for_each(|r| mouth.begun(0.0, r));
+                let mut mouth: ReportQueue<usize, usize> = ReportQueue::new(500.0, 1000, 1);
+                (0..50).for_each(|r| mouth.stream_started(0.0, r));
                 for i in 0..n {
                     let now = i as f64 * 500.0 / n as f64;
                     let lines = (0..10).map(|s| (s, line));
-                    let _ = mouth.put(now, &(i % 50), 10.0, lines, std::iter::empty());
+                    let _ = mouth.push(now, &(i % 50), 10.0, lines, std::iter::empty());
                 }
                 black_box(mouth.read(500.0, 10_000))
             });
@@ -182,7 +181,7 @@
     group.finish();
 }
 
-/// Which share of each server's reporters is heard: so many servers, twelve reporters each.
+/// The reporting share of each of `n` servers with twelve reporters each.
 fn index(c: &mut Criterion) {
     let mut group = c.benchmark_group("share heard of every server");
     for n in SIZES {
@@ -191,13 +190,13 @@
         for server in 0..n {
             for i in 0..12 {
                 let proxy = (server * 7 + i * 13) % 400;
-                coverage.heard(0.0, proxy, 500.0);
-                coverage.told(proxy, server, 5.0);
+                coverage.report_received(0.0, proxy, 500.0);
+                coverage.record_tries(proxy, server, 5.0);
                 plain.insert((proxy, server), 5.0);
             }
         }
         group.bench_function(BenchmarkId::new("index by server", n), |b| {
-            b.iter(|| black_box((0..n).map(|s| coverage.share(s)).sum::<f64>()));
+            b.iter(|| black_box((0..n).map(|s| coverage.reporting_share(s)).sum::<f64>()));
         });
         group.bench_function(BenchmarkId::new("map by proxy", n), |b| {
             b.iter(|| {
--- a/crates/intake/tests/intake.rs
+++ b/crates/intake/tests/intake.rs
@@ -1,12 +1,12 @@
-//! The intake's parts against cases and against days drawn by chance: what is read stays true on average,
-//! what is merged does not depend on order, and no suspicion rises in calm.
+//! Tests of the intake on fixed cases and on random input: sampled sums are unbiased, merging does
+//! not depend on order, and no flag is raised without a cause.
 
-use dahliapoint_intake::belief::{Belief, Change, Views, Word};
-use dahliapoint_intake::estimates::{Estimates, Noted};
-use dahliapoint_intake::mouth::{Line, Mouth, Refusal};
-use dahliapoint_intake::pace::Interval;
-use dahliapoint_intake::sampling::{Chance, fate, odds, quota, threshold};
-use dahliapoint_intake::sketch::{ERROR, Sketch};
+use dahliapoint_intake::estimates::{Estimates, Observation};
+use dahliapoint_intake::interval::ReportInterval;
+use dahliapoint_intake::report_queue::{Line, Refusal, ReportQueue};
+use dahliapoint_intake::sampling::{Rng, keep_probability, quota, sample, threshold};
+use dahliapoint_intake::sketch::{QuantileSketch, RELATIVE_ERROR};
+use dahliapoint_intake::trust::{ProxyViews, ServerSample, TrustChange, TrustTracker};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
@@ -40,12 +40,12 @@
     let sizes: Vec<f64> = (0..400).map(|i| f64::from(i % 40) + 1.0).collect();
     let truth: f64 = sizes.iter().sum();
     let level = threshold(&sizes, 100);
-    let mut chance = Chance::from(11);
+    let mut chance = Rng::from_seed(11);
     let (mut sums, mut kept, mut within) = (0.0, 0, 0);
     for _ in 0..500 {
         let (mut sum, mut variance) = (0.0, 0.0);
         for size in &sizes {
-            if let Some((factor, v)) = fate(*size, odds(*size, level), &mut chance) {
+            if let Some((factor, v)) = sample(*size, keep_probability(*size, level), &mut chance) {
                 sum += size * factor;
                 variance += v;
                 kept += 1;
@@ -69,17 +69,17 @@
 
 #[test]
 fn a_mouth_is_bounded_however_loud_a_reporter_is() {
-    let mut mouth: Mouth<u64, usize> = Mouth::new(500.0, 50, 1);
-    mouth.begun(0.0, 1);
-    mouth.begun(0.0, 2);
+    let mut mouth: ReportQueue<u64, usize> = ReportQueue::new(500.0, 50, 1);
+    mouth.stream_started(0.0, 1);
+    mouth.stream_started(0.0, 2);
     for i in 0..100_000 {
         let now = f64::from(i) / 10.0;
         let lines = (0..10).map(|s| (s, line(1.0, 0.0, 5.0)));
-        mouth.put(now, &1, 0.1, lines, std::iter::empty()).unwrap();
+        mouth.push(now, &1, 0.1, lines, std::iter::empty()).unwrap();
     }
     let quiet = [(3, line(7.0, 7.0, 0.0))];
     mouth
-        .put(
+        .push(
             10_000.0,
             &2,
             500.0,
@@ -87,21 +87,25 @@
             [(0, 7.0)].into_iter(),
         )
         .unwrap();
-    assert!(mouth.waiting() <= 8 * 10 + 1, "{}", mouth.waiting());
+    assert!(
+        mouth.pending_lines() <= 8 * 10 + 1,
+        "{}",
+        mouth.pending_lines()
+    );
     let read = mouth.read(10_000.0, 1_000);
     let tries: f64 = read.iter().flat_map(|r| &r.lines).map(|l| l.1.tries).sum();
     assert_eq!(tries, 1_000_007.0, "merged, not lost");
     let quiet = read.iter().find(|r| r.reporter == 2).unwrap();
     assert_eq!(quiet.lines, [(3, line(7.0, 7.0, 0.0), 0.0)]);
-    assert_eq!(mouth.waiting(), 0);
-    // Refused, and nothing else is disturbed.
+    assert_eq!(mouth.pending_lines(), 0);
+    // Rejected reports leave everything else unchanged.
     let many = (0..51).map(|s| (s, Line::default()));
-    let many = mouth.put(0.0, &1, 1.0, many, std::iter::empty());
-    assert_eq!(many, Err(Refusal::TooMany));
+    let many = mouth.push(0.0, &1, 1.0, many, std::iter::empty());
+    assert_eq!(many, Err(Refusal::TooManyServers));
     let none = || std::iter::empty::<(usize, Line)>();
     let empty = none().collect::<Vec<_>>();
-    let put = |m: &mut Mouth<u64, usize>, who: u64, window: f64| {
-        m.put(
+    let put = |m: &mut ReportQueue<u64, usize>, who: u64, window: f64| {
+        m.push(
             0.0,
             &who,
             window,
@@ -109,19 +113,19 @@
             std::iter::empty(),
         )
     };
-    assert_eq!(put(&mut mouth, 9, 1.0), Err(Refusal::Unknown));
+    assert_eq!(put(&mut mouth, 9, 1.0), Err(Refusal::UnknownStream));
     for window in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e9] {
-        assert_eq!(put(&mut mouth, 1, window), Err(Refusal::NoStretch));
+        assert_eq!(put(&mut mouth, 1, window), Err(Refusal::InvalidWindow));
     }
-    mouth.ended(&1);
-    assert_eq!(put(&mut mouth, 1, 1.0), Err(Refusal::Unknown));
+    mouth.stream_ended(&1);
+    assert_eq!(put(&mut mouth, 1, 1.0), Err(Refusal::UnknownStream));
 }
 
 #[test]
 fn what_does_not_fit_waits_and_merges_before_it_is_sampled() {
-    // A hundred reporters, ten lines each, and room for a third of that in a round.
-    let mut mouth: Mouth<u64, usize> = Mouth::new(500.0, 50, 1);
-    (0..100).for_each(|r| mouth.begun(0.0, r));
+    // A hundred reporters with ten lines each; a round can read 400 of the 1,000 lines.
+    let mut mouth: ReportQueue<u64, usize> = ReportQueue::new(500.0, 50, 1);
+    (0..100).for_each(|r| mouth.stream_started(0.0, r));
     let mut told = 0.0;
     let mut heard = 0.0;
     for round in 1..41 {
@@ -129,7 +133,7 @@
         for r in 0..100 {
             let lines = (0..10).map(|s| (s, line(2.0, 0.0, 9.0)));
             mouth
-                .put(now, &r, 500.0, lines, std::iter::empty())
+                .push(now, &r, 500.0, lines, std::iter::empty())
                 .unwrap();
             told += 20.0;
         }
@@ -139,19 +143,20 @@
         let lines = read.iter().flat_map(|r| &r.lines);
         heard += lines.map(|l| l.1.tries).sum::<f64>();
     }
-    // Sums stay true: what is not heard yet waits.
+    // No load is lost: what has not been read is still pending.
     assert!((heard / told - 1.0).abs() < 0.15, "{heard} of {told}");
 }
 
 #[test]
 fn a_burst_after_a_stall_is_no_load_of_this_moment() {
-    let mut mouth: Mouth<u64, usize> = Mouth::new(500.0, 50, 1);
-    mouth.begun(0.0, 1);
+    let mut mouth: ReportQueue<u64, usize> = ReportQueue::new(500.0, 50, 1);
+    mouth.stream_started(0.0, 1);
     let mut estimates = Estimates::new(500.0, 1);
-    // Ten tries each half second; then thirty seconds of silence, and all of it at once.
+    // Ten tries every half second; the stream stalls for thirty seconds and everything arrives at
+    // once.
     for i in 0..60 {
         let tries = line(10.0, 0.0, 100.0);
-        let put = mouth.put(
+        let put = mouth.push(
             30_000.0,
             &1,
             500.0,
@@ -162,9 +167,9 @@
     }
     for r in mouth.read(30_000.0, 1000) {
         for (server, l, variance) in r.lines {
-            estimates.note(
+            estimates.record(
                 30_000.0,
-                &Noted {
+                &Observation {
                     server,
                     zone: 0,
                     begin: r.begin,
@@ -177,42 +182,42 @@
             );
         }
     }
-    let now = estimates.of(30_000.0, 0, 1_000.0).unwrap();
+    let now = estimates.estimate(30_000.0, 0, 1_000.0).unwrap();
     assert!(
         (10.0..=40.0).contains(&now.tries),
         "two or three halves: {}",
         now.tries
     );
     assert!(now.age_ms <= 500.0);
-    let later = estimates.of(31_500.0, 0, 10_000.0).unwrap();
+    let later = estimates.estimate(31_500.0, 0, 10_000.0).unwrap();
     assert!((150.0..=200.0).contains(&later.tries), "{later:?}");
     assert!(later.age_ms >= 1_000.0, "{later:?}");
 }
 
 #[test]
 fn the_interval_moves_before_anything_is_left_and_does_not_dance() {
-    let mut interval = Interval::new(0.0, 500.0, 1_000.0);
+    let mut interval = ReportInterval::new(0.0, 500.0, 1_000.0);
     let mut moves = Vec::new();
-    // Reporters bring 1,500 lines a second at the usual interval, less at longer ones.
+    // Reporters send 1,500 lines per second at the usual interval, fewer at longer ones.
     for i in 1..400 {
         let now = f64::from(i) * 500.0;
         let lines = 1_500.0 * 500.0 / interval.ms() / 2.0;
-        moves.extend(interval.heard(now, lines, 500.0));
+        moves.extend(interval.observe(now, lines, 500.0));
     }
     assert!(moves.len() <= 3, "settles: {moves:?}");
     assert!(interval.ms() > 500.0);
-    // Calm again: back to the usual, and no further.
+    // At low load the interval returns to the usual one and no lower.
     for i in 400..800 {
-        interval.heard(f64::from(i) * 500.0, 10.0, 500.0);
+        interval.observe(f64::from(i) * 500.0, 10.0, 500.0);
     }
     assert_eq!(interval.ms(), 500.0);
 }
 
-fn words(own_ms: f64, queue: f64, met_ms: f64) -> BTreeMap<usize, Word> {
-    let word = Word {
+fn words(own_ms: f64, queue: f64, measured_ms: f64) -> BTreeMap<usize, ServerSample> {
+    let word = ServerSample {
         own_ms: Some(own_ms),
         own_queue: Some(queue),
-        met_ms,
+        measured_ms,
         tries: 50.0,
     };
     [(0, word)].into()
@@ -220,7 +225,8 @@
 
 #[test]
 fn a_server_that_repeats_a_low_load_while_it_slows_is_flagged_and_an_idle_one_is_not() {
-    // What is said, what is met, whether it must be flagged after ten half-second periods.
+    // Name; self-reported time and queue and measured time by period; whether the server must be
+    // flagged within ten periods of half a second.
     type Case = (&'static str, fn(usize) -> (f64, f64, f64), bool);
     let cases: [Case; 6] = [
         ("idle", |i| (20.0 + (i % 3) as f64, 0.0, 22.0), false),
@@ -247,24 +253,24 @@
         ),
     ];
     for (name, at, wanted) in cases {
-        let mut belief = Belief::default();
-        // Calm first, and then the case.
+        let mut belief = TrustTracker::default();
+        // A calm phase, followed by the case.
         for i in 0..20 {
-            belief.hear_servers(&words(20.0 + f64::from(i % 2), 0.0, 22.0));
+            belief.observe_servers(&words(20.0 + f64::from(i % 2), 0.0, 22.0));
         }
         assert!(!belief.is_stale(0), "{name}: in calm");
         let raised = (0..10).position(|i| {
             let (own, queue, met) = at(i);
-            belief.hear_servers(&words(own, queue, met));
+            belief.observe_servers(&words(own, queue, met));
             belief.is_stale(0)
         });
         assert_eq!(raised.is_some(), wanted, "{name}: {raised:?}");
-        // Unflagged by sustained evidence of the contrary, not by one period.
+        // The flag is cleared by sustained evidence, not by one period.
         if wanted {
-            belief.hear_servers(&words(21.0, 0.0, 22.0));
+            belief.observe_servers(&words(21.0, 0.0, 22.0));
             assert!(belief.is_stale(0), "{name}: one period is not enough");
             for i in 0..14 {
-                belief.hear_servers(&words(20.0 + f64::from(i % 2), 0.0, 22.0));
+                belief.observe_servers(&words(20.0 + f64::from(i % 2), 0.0, 22.0));
             }
             assert!(!belief.is_stale(0), "{name}: comes down");
         }
@@ -274,53 +280,56 @@
 #[test]
 fn a_slow_way_to_all_servers_flags_none_and_one_stale_server_among_them_is_flagged() {
     let round = |slow: &dyn Fn(usize) -> bool| {
-        let word = |server| Word {
+        let word = |server| ServerSample {
             own_ms: Some(20.0),
             own_queue: Some(0.0),
-            met_ms: if slow(server) { 300.0 } else { 22.0 },
+            measured_ms: if slow(server) { 300.0 } else { 22.0 },
             tries: 50.0,
         };
         (0..10)
             .map(|server| (server, word(server)))
             .collect::<BTreeMap<_, _>>()
     };
-    let mut belief = Belief::default();
-    assert!((0..40).all(|_| belief.hear_servers(&round(&|_| true)).is_empty()));
-    assert!((0..40).all(|_| belief.hear_servers(&round(&|s| s < 4)).is_empty()));
+    let mut belief = TrustTracker::default();
+    assert!((0..40).all(|_| belief.observe_servers(&round(&|_| true)).is_empty()));
+    assert!((0..40).all(|_| belief.observe_servers(&round(&|s| s < 4)).is_empty()));
     let changes: Vec<_> = (0..6)
-        .flat_map(|_| belief.hear_servers(&round(&|s| s == 3)))
+        .flat_map(|_| belief.observe_servers(&round(&|s| s == 3)))
         .collect();
-    assert_eq!(changes, [Change::StaleServer(3, true)]);
+    assert_eq!(changes, [TrustChange::StaleServer(3, true)]);
 }
 
 #[test]
 fn no_flag_rises_in_an_hour_of_calm() {
-    let mut chance = Chance::from(5);
-    let mut belief = Belief::default();
+    let mut chance = Rng::from_seed(5);
+    let mut belief = TrustTracker::default();
     for _ in 0..7_200 {
         let mut said = BTreeMap::new();
-        let mut views = Views::new();
+        let mut views = ProxyViews::new();
         for server in 0..20 {
-            let busy = chance.draw() * 0.8;
-            let own = 20.0 * (0.9 + 0.2 * chance.draw());
+            let busy = chance.next_f64() * 0.8;
+            let own = 20.0 * (0.9 + 0.2 * chance.next_f64());
             said.insert(
                 server,
-                Word {
+                ServerSample {
                     own_ms: Some(own),
                     own_queue: Some((busy * 3.0).floor()),
-                    met_ms: own * (1.0 + busy * 2.0 * chance.draw()),
-                    tries: 5.0 + 40.0 * chance.draw(),
+                    measured_ms: own * (1.0 + busy * 2.0 * chance.next_f64()),
+                    tries: 5.0 + 40.0 * chance.next_f64(),
                 },
             );
             for proxy in 0..8 {
-                let failed = if chance.draw() < 0.02 { 2.0 } else { 0.0 };
+                let failed = if chance.next_f64() < 0.02 { 2.0 } else { 0.0 };
                 views
                     .entry(proxy)
                     .or_default()
                     .insert(server, (10.0, failed));
             }
         }
-        let changes = (belief.hear_servers(&said), belief.hear_proxies(&views));
+        let changes = (
+            belief.observe_servers(&said),
+            belief.observe_proxies(&views),
+        );
         assert_eq!(changes, (vec![], vec![]));
     }
 }
@@ -328,7 +337,7 @@
 #[test]
 fn a_proxy_that_contradicts_all_others_is_flagged_and_a_server_that_fails_for_all_flags_nobody() {
     let views = |fails: &dyn Fn(usize, usize) -> bool| {
-        let mut views = Views::new();
+        let mut views = ProxyViews::new();
         for proxy in 0..5 {
             for server in 0..6 {
                 let failed = if fails(proxy, server) { 9.0 } else { 0.0 };
@@ -340,28 +349,28 @@
         }
         views
     };
-    let mut belief = Belief::default();
+    let mut belief = TrustTracker::default();
     let one = views(&|proxy, _| proxy == 3);
-    let changes: Vec<_> = (0..4).flat_map(|_| belief.hear_proxies(&one)).collect();
-    assert_eq!(changes, [Change::ContraryProxy(3, true)]);
-    let mut belief = Belief::default();
+    let changes: Vec<_> = (0..4).flat_map(|_| belief.observe_proxies(&one)).collect();
+    assert_eq!(changes, [TrustChange::ContraryProxy(3, true)]);
+    let mut belief = TrustTracker::default();
     let server = views(&|_, server| server == 2);
-    assert!((0..20).all(|_| belief.hear_proxies(&server).is_empty()));
-    // Says all is well where all others fail.
-    let mut belief = Belief::default();
+    assert!((0..20).all(|_| belief.observe_proxies(&server).is_empty()));
+    // A proxy that succeeds where all others fail.
+    let mut belief = TrustTracker::default();
     let blind = views(&|proxy, _| proxy != 1);
-    (0..4).for_each(|_| drop(belief.hear_proxies(&blind)));
+    (0..4).for_each(|_| drop(belief.observe_proxies(&blind)));
     assert!(belief.is_contrary(1) && (0..5).filter(|p| belief.is_contrary(*p)).count() == 1);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None, rng_seed: RngSeed::Fixed(9), ..ProptestConfig::default() })]
 
-    /// Merging is free of order and grouping, and quantiles are within their stated error.
+    /// Merging is commutative and associative, and quantiles stay within the stated error.
     #[test]
     fn sketches_merge_in_any_order(values in prop::collection::vec(0.02..50_000.0_f64, 1..300), at in 0.0..1.0_f64) {
         let of = |values: &[f64]| {
-            let mut s = Sketch::default();
+            let mut s = QuantileSketch::default();
             values.iter().for_each(|v| s.add(*v, 1.0));
             s
         };
@@ -379,40 +388,40 @@
             let rank = (sorted.len() as f64 * share).ceil().max(1.0) as usize;
             let truth = sorted[rank - 1];
             let said = whole.quantile(share).unwrap();
-            prop_assert!((said / truth - 1.0).abs() <= 2.1 * ERROR, "{} for {}", said, truth);
+            prop_assert!((said / truth - 1.0).abs() <= 2.1 * RELATIVE_ERROR, "{} for {}", said, truth);
         }
     }
 
-    /// Whatever is reported, in whatever order and however late: no estimate is negative, infinite, or
-    /// younger than what it is made of; nothing that was put in is lost but what is past.
+    /// Whatever is reported, in whatever order and however late: no estimate is negative, infinite
+    /// or too old, and all pending lines are read in the end.
     #[test]
     fn no_report_spoils_an_estimate(
         script in prop::collection::vec((0_u64..4, 0_usize..5, 0.0..20_000.0_f64, 0.0..1e6_f64, 0.0..1.0_f64, 0.0..3000.0_f64), 1..120),
         room in 1_usize..60,
     ) {
-        let mut mouth: Mouth<u64, usize> = Mouth::new(500.0, 16, 3);
+        let mut mouth: ReportQueue<u64, usize> = ReportQueue::new(500.0, 16, 3);
         let mut estimates = Estimates::new(500.0, 2);
         let mut now = 0.0;
-        (0..4).for_each(|r| mouth.begun(0.0, r));
+        (0..4).for_each(|r| mouth.stream_started(0.0, r));
         for (reporter, server, window, tries, part, wait) in script {
             now += wait;
             if wait < 30.0 {
-                mouth.begun(now, reporter);
+                mouth.stream_started(now, reporter);
             }
             let l = line(tries, tries * part, tries * (1.0 - part) * 12.0);
-            let _ = mouth.put(now, &reporter, window, [(server, l)].into_iter(), [(0, tries)].into_iter());
+            let _ = mouth.push(now, &reporter, window, [(server, l)].into_iter(), [(0, tries)].into_iter());
             for r in mouth.read(now, room) {
                 prop_assert!(r.begin <= r.end && r.end <= now + 1e-6);
                 for (server, l, variance) in r.lines {
                     let zone = reporter as usize % 2;
-                    estimates.note(now, &Noted {
+                    estimates.record(now, &Observation {
                         server, zone, begin: r.begin, end: r.end,
                         tries: l.tries, failed: l.failed, good_ms: l.good_ms, variance,
                     });
                 }
             }
             for server in 0..5 {
-                if let Some(e) = estimates.of(now, server, 5_000.0) {
+                if let Some(e) = estimates.estimate(now, server, 5_000.0) {
                     let all = [e.tries, e.failed, e.mean_ms, e.tail_ms, e.error, e.age_ms];
                     prop_assert!(all.iter().all(|x| x.is_finite() && *x >= 0.0), "{:?}", e);
                     prop_assert!(e.failed <= e.tries * (1.0 + 1e-9));
@@ -420,12 +429,12 @@
                 }
             }
         }
-        // What waits is read, whole or sampled, once it must be.
+        // Pending lines have to be read, whole or sampled, after a bounded time.
         for later in 1..50 {
             mouth.read(now + 2_000.0 * f64::from(later), room);
         }
-        prop_assert_eq!(mouth.waiting(), 0);
-        let t = mouth.tally;
-        prop_assert!(t.read + t.left + t.merged <= t.lines);
+        prop_assert_eq!(mouth.pending_lines(), 0);
+        let t = mouth.stats;
+        prop_assert!(t.read + t.sampled_out + t.merged <= t.lines);
     }
 }
--- a/crates/memory/src/facts.rs
+++ b/crates/memory/src/facts.rs
@@ -1,30 +1,32 @@
-//! What is kept: of each server what the roster said and what its line had come to. Times are wall clock
-//! milliseconds, with the machine's own uptime beside them: that one neither leaps nor goes back.
+//! The stored state: for each server its roster entry and the weight it had. Times are wall-clock
+//! milliseconds together with the machine's uptime, which is monotonic.
 
 use dahliapoint_control::{AdminState, RosterEntry, ServerView};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A verdict that moves by less is not written down; one that stands is renewed so often.
+/// A share that changes by less than `SLACK` is not written; an unchanged one below 1 is renewed
+/// after `RENEW_MS`.
 const SLACK: f64 = 0.02;
 const RENEW_MS: f64 = 10_000.0;
-/// Longer names are none of ours.
+/// Longer names and values are rejected.
 const LONGEST: usize = 4_096;
 const LARGEST_KEPT: usize = 512 * 1024;
 
-/// A moment, told so that another process can say how long ago it was.
+/// A point in time that another process can compare with its own clock.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct Timestamp {
+    /// Wall-clock milliseconds since the Unix epoch.
     pub wall_ms: f64,
-    /// The machine's boot, and the time since then; empty where it cannot be told.
+    /// The boot ID of the machine and the uptime since that boot; the ID is empty if it is unknown.
     pub boot: String,
     pub up_ms: f64,
 }
 
-impl Stamp {
-    /// How long before this one another was. Within a boot by the uptime, whatever the wall clock did;
-    /// else by the wall clock. Nothing if that went back: then nobody knows.
-    pub fn since(&self, before: &Stamp) -> Option<f64> {
+impl Timestamp {
+    /// The time from `before` until this one: by uptime within one boot, whatever the wall clock
+    /// did, else by the wall clock. `None` if that went backwards, so that the time is unknown.
+    pub fn since(&self, before: &Timestamp) -> Option<f64> {
         let same = !self.boot.is_empty() && self.boot == before.boot;
         let gap = match same {
             true => self.up_ms - before.up_ms,
@@ -34,10 +36,10 @@
     }
 }
 
-impl Stamp {
-    /// The moment so long before this one.
-    pub fn before(&self, ms: f64) -> Stamp {
-        Stamp {
+impl Timestamp {
+    /// The point in time `ms` milliseconds earlier.
+    pub fn before(&self, ms: f64) -> Timestamp {
+        Timestamp {
             wall_ms: self.wall_ms - ms,
             boot: self.boot.clone(),
             up_ms: self.up_ms - ms,
@@ -48,49 +50,60 @@
 /// What is known of a server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerFact {
+    /// The server's name.
     pub name: String,
+    /// The server's address.
     pub address: String,
+    /// The server's zone.
     pub zone: String,
+    /// The state in the roster.
     pub state: AdminState,
-    /// Since when the roster says so.
-    pub since: Stamp,
+    /// Since when the server has been in this state.
+    pub since: Timestamp,
+    /// The listed weight.
     pub weight: f64,
-    /// What its line has come to, as a share of the listed weight: below 1 it is trimmed, held or warming.
+    /// The server's published weight as a share of its listed weight; below 1 it is reduced, held
+    /// or warming up.
     pub share: f64,
-    /// When that was last so.
-    pub judged: Stamp,
-    pub shut: bool,
+    /// When the share was last confirmed.
+    pub judged: Timestamp,
+    /// Whether the server receives no visits.
+    pub withdrawn: bool,
 }
 
-/// A change of what is known.
+/// A change of the stored state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
+    /// A server was added or changed.
     Server(ServerFact),
+    /// A server was removed, by name.
     Forgotten(String),
-    /// What is let in of a class.
-    Level(String, f64, Stamp),
-    /// The controller lives at this moment.
-    Alive(Stamp),
-    /// What a hook keeps: its file and name, and the value as text. Since schema 2.
+    /// The admitted share of a class.
+    Level(String, f64, Timestamp),
+    /// The controller was running at this time.
+    Alive(Timestamp),
+    /// A value kept by a hook: the hook's file, the name, and the value as text. Since schema 2.
     Kept(String, String, String),
 }
 
-/// All that is known.
+/// The stored state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Facts {
+    /// Servers by name.
     pub servers: BTreeMap<String, ServerFact>,
-    pub levels: BTreeMap<String, (f64, Stamp)>,
-    /// When the controller was last known to live.
-    pub alive: Stamp,
-    /// By file and name.
+    /// Admitted shares by class, and when each was set.
+    pub levels: BTreeMap<String, (f64, Timestamp)>,
+    /// When the controller was last known to be running.
+    pub alive: Timestamp,
+    /// Values kept by hooks, by file and name.
     pub kept: BTreeMap<(String, String), String>,
 }
 
 impl Facts {
-    /// Takes a change; one that nobody can have meant is an error.
+    /// Applies a change.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// Returns what is wrong with the change if its values are out of range.
     pub fn apply(&mut self, change: Change) -> Result<(), String> {
         match change {
             Change::Server(fact) => {
@@ -122,7 +135,7 @@
         Ok(())
     }
 
-    /// The roster as it was last known.
+    /// The last known roster.
     pub fn entries(&self) -> Vec<RosterEntry> {
         let entry = |f: &ServerFact| RosterEntry {
             name: f.name.clone(),
@@ -136,37 +149,38 @@
     }
 }
 
-/// Finds what has changed since it was last asked.
+/// Finds the changes between the stored state and the controller's current one.
 #[derive(Clone, Debug, Default)]
-pub struct Differ {
+pub struct ChangeTracker {
     told: BTreeMap<String, ServerFact>,
     levels: BTreeMap<String, f64>,
 }
 
-impl Differ {
-    /// Begins with what was kept: until lines are ordered that is still what is known of them.
-    pub fn since(facts: &Facts) -> Differ {
-        Differ {
+impl ChangeTracker {
+    /// Starts from the stored state, which remains what is known of the servers until the first
+    /// weights are published.
+    pub fn from_facts(facts: &Facts) -> ChangeTracker {
+        ChangeTracker {
             told: facts.servers.clone(),
             levels: BTreeMap::new(),
         }
     }
 
-    /// The changes from what was told before to what a controller knows now.
+    /// The changes since the last call.
     pub fn changes(
         &mut self,
-        now: &Stamp,
+        now: &Timestamp,
         servers: &[ServerView],
         levels: &[(String, f64)],
     ) -> Vec<Change> {
         let mut out = Vec::new();
         let mut seen = BTreeMap::new();
-        // Before any line is ordered nothing is known of any.
+        // No share is known before the first weights are published.
         let ordered = servers.iter().any(|s| s.weight > 0.0);
         for s in servers {
             let before = self.told.get(&*s.name);
-            // A share that no visit has backed since we began is what we were told, as old as it was then: a verdict
-            // does not grow young by being handed on.
+            // A share that no visit has confirmed since the start keeps the age it was stored with:
+            // passing a share on does not renew it.
             let judged = match (s.last_try_ago_ms, before) {
                 (Some(ago), _) => now.before(ago),
                 (None, Some(before)) => before.judged.clone(),
@@ -189,7 +203,7 @@
                     1.0
                 },
                 judged,
-                shut: s.withdrawn,
+                withdrawn: s.withdrawn,
             };
             if let Some(before) = before.filter(|b| b.state == fact.state) {
                 fact.since = before.since.clone();
@@ -201,7 +215,7 @@
                     && now.since(&b.judged).is_none_or(|gap| gap >= RENEW_MS);
                 let like = |f: &ServerFact| ServerFact {
                     share: 0.0,
-                    judged: Stamp::default(),
+                    judged: Timestamp::default(),
                     ..f.clone()
                 };
                 !moved && !old && like(b) == like(&fact)
--- a/crates/memory/src/store.rs
+++ b/crates/memory/src/store.rs
@@ -1,28 +1,32 @@
-//! Journal and snapshots in a directory.
+//! The journal and snapshots in a directory.
 //!
-//! A generation is a snapshot and the journal of what changed since. A new one begins with its journal, to
-//! which all changes go from then on; its snapshot follows in slices, aside; only once that was renamed and
-//! read back are older files removed. What is read at a start: the newest snapshot that is whole, and all
-//! journals from its generation on, each up to its first frame that is not whole.
+//! A generation consists of a snapshot and the journal of changes since. A new generation starts
+//! with its journal, to which all further changes go. Its snapshot is written in slices to a
+//! temporary file; older files are removed only once that file has been renamed and read back.
+//! Recovery reads the newest complete snapshot and all journals from its generation on, each up to
+//! its first invalid frame.
 
+use crate::directory::Directory;
 use crate::facts::{Change, Facts};
-use crate::frames::{Chain, Key, Kind, Refused, read};
-use crate::layer::Layer;
+use crate::frames::{FileError, FrameChain, Key, Kind, read};
 use serde::{Deserialize, Serialize};
 use std::io;
 
-/// A larger file is none of ours.
+/// A larger file is not read.
 const LARGEST: u64 = 1 << 30;
+/// Temporary name of a snapshot that is being written.
 const ASIDE: &str = "snapshot.aside";
 
-/// A frame's content.
+/// The payload of a frame.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum Record {
     Change(Change),
-    /// The end of a snapshot, with the records before it: one without is not whole.
+    /// The end of a snapshot, with the number of records before it. A snapshot without it is
+    /// incomplete.
     End(u64),
 }
 
+/// The file name of a journal or snapshot.
 fn name_of(kind: Kind, generation: u64) -> String {
     match kind {
         Kind::Journal => format!("journal-{generation:012}"),
@@ -30,6 +34,7 @@
     }
 }
 
+/// The kind and generation of a file name; `None` for other files.
 fn generation_of(name: &str) -> Option<(Kind, u64)> {
     let (kind, digits) = name.split_once('-')?;
     let kind = match kind {
@@ -41,27 +46,29 @@
     ours.then(|| Some((kind, digits.parse().ok()?)))?
 }
 
-/// What a directory had to say.
+/// What recovery found in a directory.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Found {
-    /// The snapshot that was read, if one was; journals and records read after it.
+    /// The generation of the snapshot that was read, if any; then the journals and records read
+    /// after it.
     pub snapshot: Option<u64>,
     pub journals: u64,
     pub records: u64,
-    /// Bytes behind the last good record of the journals: a torn tail, or damage.
+    /// Bytes after the last valid record of the journals: a torn write or corruption.
     pub torn_bytes: u64,
-    /// What was passed over, in words.
+    /// Files and records that were skipped, with the reason.
     pub passed_over: Vec<String>,
+    /// The highest generation among the file names.
     #[serde(skip)]
     pub newest: u64,
 }
 
-/// Reads a directory, changing nothing.
+/// Reads a directory without changing it.
 ///
 /// # Errors
-/// Those of the layer; also when a newer program, or one with another key, has written there: nothing of
-/// theirs is thrown away.
-pub fn recover(layer: &mut dyn Layer, key: &Key) -> io::Result<(Facts, Found)> {
+/// Returns the error of the directory; also if a newer version, or one with another key, has
+/// written there, so that its data is not discarded.
+pub fn recover(layer: &mut dyn Directory, key: &Key) -> io::Result<(Facts, Found)> {
     let mut found = Found::default();
     let mut files: Vec<(Kind, u64)> = layer
         .list()?
@@ -98,8 +105,8 @@
         let bytes = layer.read(&name, LARGEST)?;
         let journal = match read(&bytes, Kind::Journal, key) {
             Ok(journal) if journal.generation == *generation => journal,
-            Ok(_) | Err(Refused::NotOurs) => {
-                // Its head was not synced when the power went.
+            Ok(_) | Err(FileError::NotOurs) => {
+                // The header was not synced before a power failure.
                 found.torn_bytes += bytes.len() as u64;
                 found.passed_over.push(format!("{name}: no head of ours"));
                 continue;
@@ -123,20 +130,23 @@
     Ok((facts, found))
 }
 
-fn refusal(name: &str, refused: &Refused) -> io::Error {
+/// The error for a file that must not be touched.
+fn refusal(name: &str, refused: &FileError) -> io::Error {
     let why = match refused {
-        Refused::Newer(version) => {
+        FileError::Newer(version) => {
             format!("{name}: schema {version} is of a newer program; nothing is touched")
         }
-        Refused::Key => format!("{name}: it is sealed with another key, or with none"),
-        Refused::NotOurs => format!("{name}: it is none of ours"),
+        FileError::Key => format!("{name}: it is sealed with another key, or with none"),
+        FileError::NotOurs => format!("{name}: it is none of ours"),
     };
     io::Error::new(io::ErrorKind::InvalidData, why)
 }
 
+/// The state in a snapshot and its number of records, or why the snapshot is unusable.
 type Snapshot = Result<(Facts, u64), String>;
 
-fn snapshot(layer: &mut dyn Layer, generation: u64, key: &Key) -> io::Result<Snapshot> {
+/// Reads a snapshot file.
+fn snapshot(layer: &mut dyn Directory, generation: u64, key: &Key) -> io::Result<Snapshot> {
     let name = name_of(Kind::Snapshot, generation);
     let bytes = match layer.read(&name, LARGEST) {
         Ok(bytes) => bytes,
@@ -144,12 +154,13 @@
     };
     let file = match read(&bytes, Kind::Snapshot, key) {
         Ok(file) => file,
-        Err(Refused::NotOurs) => return Ok(Err("no head of ours".into())),
+        Err(FileError::NotOurs) => return Ok(Err("no head of ours".into())),
         Err(refused) => return Err(refusal(&name, &refused)),
     };
     Ok(whole(&file.frames, file.generation == generation))
 }
 
+/// Decodes the records of a snapshot, which has to be complete.
 fn whole(frames: &[&[u8]], is_its_own: bool) -> Snapshot {
     if !is_its_own {
         return Err("of another generation".into());
@@ -171,53 +182,55 @@
 struct Writing {
     changes: Vec<Change>,
     at: usize,
-    chain: Chain,
+    chain: FrameChain,
 }
 
-/// A directory that is written to.
-pub struct Store<L: Layer> {
+/// A directory with its current generation.
+pub struct Store<L: Directory> {
     layer: L,
     key: Key,
     generation: u64,
-    /// The journal's frames so far, and its bytes.
-    chain: Chain,
+    /// The position in the journal, and the journal's size in bytes.
+    chain: FrameChain,
     pub journal_bytes: u64,
     writing: Option<Writing>,
+    /// Snapshots completed.
     pub snapshots: u64,
 }
 
-impl<L: Layer> Store<L> {
-    /// Reads a directory and begins a generation there.
+impl<L: Directory> Store<L> {
+    /// Recovers a directory and starts a new generation in it.
     ///
     /// # Errors
-    /// Those of [`recover`]; also when nothing can be written.
+    /// Returns the errors of [`recover`]; also if nothing can be written.
     pub fn open(mut layer: L, key: Key) -> io::Result<(Store<L>, Facts, Found)> {
         let (facts, found) = recover(&mut layer, &key)?;
         let mut store = Store {
             layer,
-            chain: Chain::new(0, &key),
+            chain: FrameChain::new(0, &key),
             key,
             generation: found.newest,
             journal_bytes: 0,
             writing: None,
             snapshots: 0,
         };
-        store.begin(&facts)?;
-        while store.step(usize::MAX)? {}
+        store.begin_generation(&facts)?;
+        while store.write_snapshot_records(usize::MAX)? {}
         Ok((store, facts, found))
     }
 
-    /// Begins a generation: its journal now, its snapshot by [`Store::step`].
+    /// Starts a generation: creates its journal now, and its snapshot by calls of
+    /// [`Store::write_snapshot_records`].
     ///
     /// # Errors
-    /// Those of the layer; the older generation stands.
-    pub fn begin(&mut self, facts: &Facts) -> io::Result<()> {
+    /// Returns the error of the directory; the older generation remains valid.
+    pub fn begin_generation(&mut self, facts: &Facts) -> io::Result<()> {
         self.writing = None;
         let generation = self.generation + 1;
-        let chain = Chain::new(generation, &self.key);
+        let chain = FrameChain::new(generation, &self.key);
         let name = name_of(Kind::Journal, generation);
         self.layer.create(&name)?;
-        // Used up whatever comes of it.
+        // The number is used up even if a later step fails.
         self.generation = generation;
         let head = chain.head(Kind::Journal);
         self.layer.append(&name, &head)?;
@@ -230,7 +243,7 @@
         let kept = facts.kept.iter();
         let kept = kept.map(|((f, n), v)| Change::Kept(f.clone(), n.clone(), v.clone()));
         let alive = std::iter::once(Change::Alive(facts.alive.clone())).chain(kept);
-        let chain = Chain::new(generation, &self.key);
+        let chain = FrameChain::new(generation, &self.key);
         self.layer.create(ASIDE)?;
         self.layer.append(ASIDE, &chain.head(Kind::Snapshot))?;
         self.writing = Some(Writing {
@@ -241,15 +254,17 @@
         Ok(())
     }
 
-    pub fn is_writing(&self) -> bool {
+    /// Whether a snapshot is being written.
+    pub fn is_writing_snapshot(&self) -> bool {
         self.writing.is_some()
     }
 
-    /// Writes so many records of the snapshot; tells whether more is to do.
+    /// Writes up to `many` records of the snapshot. Returns whether more are left.
     ///
     /// # Errors
-    /// Those of the layer; the older generation stands, and the journal goes on.
-    pub fn step(&mut self, many: usize) -> io::Result<bool> {
+    /// Returns the error of the directory; the older generation remains valid, and the journal is
+    /// still written.
+    pub fn write_snapshot_records(&mut self, many: usize) -> io::Result<bool> {
         let Some(mut writing) = self.writing.take() else {
             return Ok(false);
         };
@@ -277,7 +292,7 @@
             .rename(ASIDE, &name_of(Kind::Snapshot, self.generation))?;
         self.layer.sync_names()?;
         self.snapshots += 1;
-        // Proven readable before anything older goes.
+        // Remove older files only after the snapshot has been read back.
         if snapshot(&mut self.layer, self.generation, &self.key)?.is_ok() {
             for name in self.layer.list()? {
                 if generation_of(&name).is_some_and(|(_, g)| g < self.generation) {
@@ -288,10 +303,12 @@
         Ok(false)
     }
 
-    /// Writes changes to the journal, as a group: after it they outlast a power cut.
+    /// Appends changes to the journal as a group and makes them durable. Returns the number of
+    /// bytes written.
     ///
     /// # Errors
-    /// Those of the layer. The journal may end in half a record then: a new generation is to be begun.
+    /// Returns the error of the directory. The journal may then end in an incomplete record, and a
+    /// new generation has to be started.
     pub fn commit(&mut self, changes: &[Change]) -> io::Result<u64> {
         let mut out = Vec::new();
         for change in changes {
@@ -306,6 +323,7 @@
     }
 }
 
+/// Encodes a record.
 fn bytes_of(record: &Record) -> io::Result<Vec<u8>> {
     postcard::to_allocvec(record).map_err(io::Error::other)
 }
--- a/crates/opening/src/lib.rs
+++ b/crates/opening/src/lib.rs
@@ -1,7 +1,7 @@
-//! The platform's settings object, as an instance is given it at its start, turned into what the
-//! planner is told. Used by the adapter on the simulator's wire and by the controller on sockets.
+//! Parses the platform's settings object, which an instance gets at its start, into the settings of
+//! the planner. Used by the adapter to the simulator and by the controller on sockets.
 
-use dahliapoint::{Admission, Class, Opening, Tries};
+use dahliapoint::{Admission, Class, PlannerSettings, RetryPolicy};
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
@@ -10,7 +10,7 @@
     ns as f64 / 1e6
 }
 
-/// The settings, by their names on the wire. What no decision uses is not read.
+/// The settings object with the field names of the platform. Fields that no decision uses are ignored.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Told {
@@ -101,23 +101,26 @@
     Ok(value)
 }
 
-/// What the platform tells of a deployment: the planner's opening, and the names that its messages use.
+/// A deployment as described by the platform: the planner's settings and the names that messages use.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    pub opening: Opening,
+    /// Settings of the planner.
+    pub planner_settings: PlannerSettings,
+    /// Names of the zones, by index.
     pub zones: Vec<String>,
+    /// Names of the classes, by index.
     pub classes: Vec<String>,
-    /// Proxies are numbered from 0 to this less 1.
-    pub proxies: usize,
-    /// What comes within this time is one moment (ms).
-    pub tick_ms: f64,
+    /// Number of proxies; their indices start at 0.
+    pub proxy_count: usize,
+    /// Events that arrive within this time are handled as one input (ms).
+    pub batch_window_ms: f64,
 }
 
-/// The settings as the planner is told them, and the names beside.
+/// Parses the platform's settings object.
 ///
 /// # Errors
-/// The field at fault and what is wanted, in one sentence.
-pub fn deployment(settings: &Value) -> Result<Deployment, String> {
+/// Names the field that is missing or invalid, and what is expected of it.
+pub fn parse_deployment(settings: &Value) -> Result<Deployment, String> {
     let told: Told = serde_path_to_error::deserialize(settings)
         .map_err(|e| format!("field \"settings.{}\": {}", e.path(), e.inner()))?;
     if told.lanes.len() > 32 {
@@ -128,41 +131,41 @@
         earnings: lane.credit,
     };
     let (facts, bounds) = (&told.specifics, &told.rules);
-    let opening = Opening {
+    let planner_settings = PlannerSettings {
         zones: told.zones.len(),
         classes: told.lanes.iter().map(class).collect(),
         admission: match facts.admit.as_str() {
             "fraction" => Admission::Share,
             _ => Admission::Unused,
         },
-        most_waiting: facts.most_waiting,
+        max_queued_lines: facts.most_waiting,
         lines_per_ms: facts.egress_per_s / 1000.0,
-        way_ms: facts.push_delay_ns,
-        message_lines: facts.overhead,
-        idle_ms: told.limits.conn_idle_ns,
-        standing_lines: facts.standing,
-        most_messages: facts.messages_most,
-        message_span_ms: facts.reload_span_ns,
-        report_every_ms: facts.report_every_ns,
-        reports_per_ms: facts.ingest_rate / 1000.0,
-        cold_share: bounds.cold_from,
-        warm_after_ms: bounds.ramp_time_ns,
-        fall_multiple: bounds.fall_multiple,
-        dropped_may_stay: bounds.soft_removal,
-        usual_tries: match facts.base_mode {
-            0 => Tries::Never,
-            1 => Tries::OnProof,
-            _ => Tries::OnFailure,
+        message_latency_ms: facts.push_delay_ns,
+        message_overhead_lines: facts.overhead,
+        idle_timeout_ms: told.limits.conn_idle_ns,
+        initial_servers: facts.standing,
+        max_messages: facts.messages_most,
+        message_window_ms: facts.reload_span_ns,
+        report_interval_ms: facts.report_every_ns,
+        report_lines_per_ms: facts.ingest_rate / 1000.0,
+        cold_capacity_share: bounds.cold_from,
+        warm_up_ms: bounds.ramp_time_ns,
+        overload_multiple: bounds.fall_multiple,
+        keep_unlisted_servers: bounds.soft_removal,
+        default_retry_policy: match facts.base_mode {
+            0 => RetryPolicy::Never,
+            1 => RetryPolicy::OnProof,
+            _ => RetryPolicy::OnFailure,
         },
         may_probe: told.limits.probing,
-        must_ask: told.registry_mode == "ask",
-        sliced: facts.shards > 0,
+        must_request_roster: told.registry_mode == "ask",
+        sharded: facts.shards > 0,
     };
     Ok(Deployment {
-        opening,
+        planner_settings,
         classes: told.lanes.iter().map(|lane| lane.name.clone()).collect(),
-        proxies: facts.proxies,
-        tick_ms: told.tick_ns,
+        proxy_count: facts.proxies,
+        batch_window_ms: told.tick_ns,
         zones: told.zones,
     })
 }
--- a/crates/platform/src/relay.rs
+++ b/crates/platform/src/relay.rs
@@ -1,132 +1,140 @@
-//! The relay's text (PROTOCOL, "The relay"): orders out, answers and news in.
+//! The relay's text protocol (PROTOCOL, "The relay"): commands out, replies and events in.
 
-use dahliapoint::Tries;
+use dahliapoint::RetryPolicy;
 use std::fmt::Write;
 
-/// A call carries up to this many bytes of orders.
-pub const MOST_BYTES: usize = 60_000;
+/// Limit of the commands of one call, in bytes.
+pub const MAX_CALL_BYTES: usize = 60_000;
 
-/// One order, by indices; names are put in as it is written.
+/// One command of a call. It refers to servers and classes by index; names are looked up on writing.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum Command {
+    /// Sets a server's weight in a table.
     Share {
         table: usize,
         server: usize,
         weight: f64,
     },
+    /// Sets a class's admitted share of visits and its retry policy in a table.
     Admit {
         table: usize,
         class: usize,
         share: f64,
-        tries: Tries,
-    },
-    Shut {
-        server: usize,
-        out: bool,
-    },
-    Bind {
-        proxy: usize,
-        table: usize,
+        tries: RetryPolicy,
     },
+    /// Withdraws a server at every proxy, or restores it.
+    Withdraw { server: usize, withdrawn: bool },
+    /// Binds a proxy to a table.
+    Bind { proxy: usize, table: usize },
+    /// Asks each proxy concerned to acknowledge the preceding commands by this number.
     Mark(u32),
 }
 
-/// What names an order's server and class.
-pub trait Names {
+/// Looks up the names of servers and classes.
+pub trait NameLookup {
+    /// Returns the name of the server at `index`.
     fn server(&self, index: usize) -> &str;
+    /// Returns the name of the class at `index`.
     fn class(&self, index: usize) -> &str;
 }
 
-impl Order {
-    /// Adds the order to a call's text.
-    pub fn write(&self, names: &dyn Names, to: &mut String) {
-        // Writing to a string cannot fail.
+impl Command {
+    /// Appends the command to a call's text.
+    pub fn write(&self, names: &dyn NameLookup, to: &mut String) {
+        // Writing to a `String` cannot fail.
         let _ = match self {
-            Order::Share {
+            Command::Share {
                 table,
                 server,
                 weight,
             } => write!(to, "share,{table},{},{weight}", names.server(*server)),
-            Order::Admit {
+            Command::Admit {
                 table,
                 class,
                 share,
                 tries,
             } => {
                 let way = match tries {
-                    Tries::Never => 0,
-                    Tries::OnProof => 1,
-                    Tries::OnFailure => 2,
+                    RetryPolicy::Never => 0,
+                    RetryPolicy::OnProof => 1,
+                    RetryPolicy::OnFailure => 2,
                 };
                 write!(to, "admit,{table},{},{share},{way}", names.class(*class))
             }
-            Order::Shut { server, out: true } => write!(to, "withdraw,{}", names.server(*server)),
-            Order::Shut { server, out: false } => write!(to, "restore,{}", names.server(*server)),
-            Order::Bind { proxy, table } => write!(to, "bind,{proxy},{table},*"),
-            Order::Mark(mark) => write!(to, "mark,{mark},0"),
+            Command::Withdraw {
+                server,
+                withdrawn: true,
+            } => write!(to, "withdraw,{}", names.server(*server)),
+            Command::Withdraw {
+                server,
+                withdrawn: false,
+            } => write!(to, "restore,{}", names.server(*server)),
+            Command::Bind { proxy, table } => write!(to, "bind,{proxy},{table},*"),
+            Command::Mark(mark) => write!(to, "mark,{mark},0"),
         };
     }
 }
 
-/// What the relay answers to a call.
+/// The relay's reply to a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer {
-    /// So many orders were taken, from the first.
-    Taken(usize),
-    /// The run has not begun.
-    TooMany,
-    /// It is no call.
-    Bad,
+pub enum Reply {
+    /// The first so many commands were accepted.
+    Accepted(usize),
+    /// The call was not started: too many calls are under way.
+    TooManyCalls,
+    /// The relay could not parse the call.
+    BadRequest,
+    /// The reply is not valid.
     Unreadable,
 }
 
-/// Reads an answer.
-pub fn answer(line: &[u8]) -> Answer {
+/// Parses the reply to a call.
+pub fn parse_reply(line: &[u8]) -> Reply {
     let Ok(text) = std::str::from_utf8(line) else {
-        return Answer::Unreadable;
+        return Reply::Unreadable;
     };
     let mut words = text.split(' ');
     match (words.next(), words.next(), words.next()) {
-        (Some("OK"), Some(n), None) => n.parse().map_or(Answer::Unreadable, Answer::Taken),
-        _ if text.split([' ', '=', ':']).any(|w| w == "too_many_calls") => Answer::TooMany,
-        _ if text.split([' ', '=', ':']).any(|w| w == "bad_request") => Answer::Bad,
-        _ => Answer::Unreadable,
+        (Some("OK"), Some(n), None) => n.parse().map_or(Reply::Unreadable, Reply::Accepted),
+        _ if text.split([' ', '=', ':']).any(|w| w == "too_many_calls") => Reply::TooManyCalls,
+        _ if text.split([' ', '=', ':']).any(|w| w == "bad_request") => Reply::BadRequest,
+        _ => Reply::Unreadable,
     }
 }
 
-/// One line of the news.
+/// One line of the relay's event stream.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
-    /// The answer to `follow`: what stands comes next.
-    Begun,
+pub enum RelayEvent {
+    /// `follow` was accepted; a snapshot of the joined proxies comes next.
+    Started,
+    /// A proxy is joined.
     Hello {
         proxy: usize,
         zone: usize,
-        /// Visits a second, roughly.
-        pace: f64,
+        /// Approximate rate of visits.
+        visits_per_s: f64,
+        /// Whether it has just joined, rather than being part of the snapshot.
         fresh: bool,
     },
-    Bye {
-        proxy: usize,
-    },
-    Ack {
-        proxy: usize,
-        mark: u32,
-    },
-    Alive,
+    /// A proxy left.
+    Bye { proxy: usize },
+    /// A proxy acknowledged a mark.
+    Ack { proxy: usize, mark: u32 },
+    /// Sent periodically while the stream is open.
+    Heartbeat,
 }
 
-/// Reads a line of the news; none if it cannot be read, or names what does not exist.
-pub fn news(line: &[u8], zones: &[String], proxies: usize) -> Option<News> {
+/// Parses a line of the event stream. Returns `None` when it is malformed or names an unknown zone or proxy.
+pub fn parse_event(line: &[u8], zones: &[String], proxies: usize) -> Option<RelayEvent> {
     let text = std::str::from_utf8(line).ok()?;
     let mut words = text.split(' ');
     match words.next()? {
-        "OK" => return Some(News::Begun),
+        "OK" => return Some(RelayEvent::Started),
         "*" => {}
         _ => return None,
     }
     let Some(kind) = words.next() else {
-        return Some(News::Alive);
+        return Some(RelayEvent::Heartbeat);
     };
     let proxy: usize = words.next()?.parse().ok()?;
     if proxy >= proxies {
@@ -136,23 +144,23 @@
         "hello" => {
             let zone = words.next()?;
             let zone = zones.iter().position(|z| z == zone)?;
-            let pace: f64 = words.next()?.parse().ok()?;
+            let visits_per_s: f64 = words.next()?.parse().ok()?;
             let fresh = match words.next()? {
                 "1" => true,
                 "0" => false,
                 _ => return None,
             };
-            (pace.is_finite() && pace >= 0.0).then_some(News::Hello {
+            (visits_per_s.is_finite() && visits_per_s >= 0.0).then_some(RelayEvent::Hello {
                 proxy,
                 zone,
-                pace,
+                visits_per_s,
                 fresh,
             })
         }
-        "bye" => Some(News::Bye { proxy }),
+        "bye" => Some(RelayEvent::Bye { proxy }),
         "ack" => {
             let mark: u32 = words.next()?.parse().ok()?;
-            (mark < 65536).then_some(News::Ack { proxy, mark })
+            (mark < 65536).then_some(RelayEvent::Ack { proxy, mark })
         }
         _ => None,
     }
--- a/crates/platform/tests/shapes.rs
+++ b/crates/platform/tests/shapes.rs
@@ -1,12 +1,12 @@
-//! Settings of other customers' shapes, written as the protocol's pages word them, through `opening`, the core
-//! and the planner: nothing depends on a name or on a count.
+//! Runs settings of different customers through `opening`, the core and the planner: nothing may depend
+//! on names or counts of zones, classes, servers or proxies.
 
-use dahliapoint_opening::{Deployment, deployment};
-use dahliapoint_platform::arriving::{self, Said};
+use dahliapoint_opening::{Deployment, parse_deployment};
 use dahliapoint_platform::core::{Core, Effects, Input};
-use dahliapoint_platform::delivery::Outcome;
-use dahliapoint_platform::discovery::{self, List};
-use dahliapoint_platform::relay::{self, Answer};
+use dahliapoint_platform::delivery::CallOutcome;
+use dahliapoint_platform::discovery::{self, EndpointList};
+use dahliapoint_platform::inbound::{self, Message};
+use dahliapoint_platform::relay::{self, Reply};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,7 +20,7 @@
     admit: &'static str,
     retries: u64,
     probing: bool,
-    /// Lines a second, lines that may wait, a message's head.
+    /// Lines per second, lines that may wait, overhead of a message in lines.
     channel: (f64, f64, f64),
     messages_most: u64,
     report_ms: u64,
@@ -122,7 +122,7 @@
         index: u64,
         whole: bool,
         of: impl Iterator<Item = (usize, &'static str)>,
-    ) -> List {
+    ) -> EndpointList {
         let entry = |(s, status): (usize, &str)| {
             json!({"name": format!("s-{s}"), "address": format!("127.0.0.1:{}", 9000 + s), "type": "k", "group": s / 4,
                 "zone": self.zones[s % self.zones.len()], "status": status, "weight": 1.5, "since_ms": 0})
@@ -130,23 +130,23 @@
         let entries: Vec<Value> = of.map(entry).collect();
         let text = json!({"index": index, "snapshot": whole, "endpoints": entries}).to_string();
         let zones: Vec<String> = self.zones.iter().map(ToString::to_string).collect();
-        let list = discovery::read(text.as_bytes(), &zones).unwrap();
-        assert_eq!(list.left_out, Vec::<String>::new());
+        let list = discovery::parse(text.as_bytes(), &zones).unwrap();
+        assert_eq!(list.rejected, Vec::<String>::new());
         list
     }
 }
 
-/// What the relay was ordered, and what a proxy holds by it.
+/// What the relay was told to do.
 #[derive(Default)]
 struct Ordered {
     tables: BTreeMap<usize, usize>,
     lines: BTreeMap<String, f64>,
-    /// The table that each server has a line in.
+    /// The table that holds each server's line.
     line_in: BTreeMap<String, usize>,
     withdrawn: BTreeSet<String>,
     classes: BTreeSet<String>,
     probes: usize,
-    /// When each proxy was written a message.
+    /// Times of the messages to each proxy (ms).
     messages: BTreeMap<usize, Vec<f64>>,
 }
 
@@ -160,10 +160,10 @@
 
 impl World {
     fn new(shape: &Shape) -> World {
-        let told = deployment(&shape.settings()).unwrap();
+        let told = parse_deployment(&shape.settings()).unwrap();
         let known = shape.list(1, true, (0..shape.servers).map(|s| (s, "up")));
         World {
-            core: Core::begun(START, 7, told.clone(), &known),
+            core: Core::new(START, 7, told.clone(), &known),
             told,
             now: START,
             wake: Some(START),
@@ -179,12 +179,12 @@
         self.wake = effects.wake_at;
     }
 
-    /// The relay takes a call whole; every proxy that is concerned answers its mark at once.
+    /// The relay accepts the whole call, and every proxy concerned acknowledges its mark at once.
     fn note(&mut self, effects: &Effects) -> Option<Vec<Input>> {
         self.ordered.probes += effects.probes.len();
         let call = effects.call.as_ref()?;
         assert!(
-            call.text.len() <= relay::MOST_BYTES + 8,
+            call.text.len() <= relay::MAX_CALL_BYTES + 8,
             "{}",
             call.text.len()
         );
@@ -229,7 +229,7 @@
                         "withdraw" => drop(self.ordered.withdrawn.insert(server.into())),
                         _ => drop(self.ordered.withdrawn.remove(server)),
                     }
-                    // A line at each proxy that holds a table with that server.
+                    // Each proxy bound to a table with that server gets a line.
                     let table = self.ordered.line_in.get(server);
                     concerned.extend(table.map(|t| of(&self.ordered, *t)).unwrap_or_default());
                 }
@@ -237,18 +237,18 @@
                 _ => panic!("{order}"),
             }
         }
-        let outcome = Outcome::Answered(Answer::Taken(text.split(';').count()));
+        let outcome = CallOutcome::Replied(Reply::Accepted(text.split(';').count()));
         let number = call.number;
-        let mut inputs = vec![Input::Called { number, outcome }];
+        let mut inputs = vec![Input::CallEnded { number, outcome }];
         for proxy in concerned {
             self.ordered
                 .messages
                 .entry(proxy)
                 .or_default()
                 .push(self.now);
-            inputs.extend(mark.map(|mark| Input::News {
+            inputs.extend(mark.map(|mark| Input::RelayEvent {
                 follower: 0,
-                news: relay::News::Ack { proxy, mark },
+                event: relay::RelayEvent::Ack { proxy, mark },
             }));
         }
         Some(inputs)
@@ -256,17 +256,20 @@
 
     fn news(&mut self, lines: &[String]) {
         let news = |line: &String| {
-            let news = relay::news(line.as_bytes(), &self.told.zones, self.told.proxies);
+            let news = relay::parse_event(line.as_bytes(), &self.told.zones, self.told.proxy_count);
             let news = news.unwrap_or_else(|| panic!("{line}"));
-            Input::News { follower: 0, news }
+            Input::RelayEvent {
+                follower: 0,
+                event: news,
+            }
         };
         let inputs = lines.iter().map(news).collect();
         self.tell(inputs);
     }
 
     fn report(&mut self, lines: &[String]) {
-        let said = |line: &String| match arriving::read(line.as_bytes(), &self.told) {
-            Ok(Said::Report(report)) => Input::Report(report),
+        let said = |line: &String| match inbound::parse(line.as_bytes(), &self.told) {
+            Ok(Message::Report(report)) => Input::Report(report),
             other => panic!("{line}: {other:?}"),
         };
         let inputs = lines.iter().map(said).collect();
@@ -301,7 +304,7 @@
             "{case}: all are bound"
         );
         assert_eq!(world.ordered.lines.len(), shape.servers, "{case}");
-        // Reports of every class and zone; the last server fails all that it is sent.
+        // Every class and zone reports; the last server fails all tries.
         for round in 0..8 {
             let mut lines = Vec::new();
             for s in 0..shape.servers {
@@ -331,16 +334,16 @@
             "{case}: the failing one is out"
         );
         assert_eq!(world.ordered.lines["s-0"], 1.5, "{case}: the listed weight");
-        // A drain is withdrawn at once, and once.
+        // A draining server is withdrawn at once.
         let list = shape.list(2, false, [(0, "draining")].into_iter());
-        world.tell(vec![Input::List { watch: 0, list }]);
+        world.tell(vec![Input::EndpointList { watch: 0, list }]);
         assert!(world.ordered.withdrawn.contains("s-0"), "{case}");
-        // Half the fleet is replaced, a server at a time: new ones get lines, old ones lose theirs.
+        // Half the servers are replaced one by one: the new ones get weight, the old ones lose theirs.
         let half = shape.servers.div_ceil(2);
         for s in 0..half {
             let changes = [(s, "removed"), (shape.servers + s, "up")];
             let list = shape.list(3 + s as u64, false, changes.into_iter());
-            world.tell(vec![Input::List { watch: 0, list }]);
+            world.tell(vec![Input::EndpointList { watch: 0, list }]);
             world.pass(700.0);
         }
         world.pass(15_000.0);
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -17,9 +17,9 @@
 use dahliapoint_files::forms::{FORM, Form, Table, TableLine};
 use dahliapoint_files::publish::Publisher;
 use dahliapoint_files::seal::Keys;
-use dahliapoint_memory::facts::{Change, ServerFact, Stamp};
+use dahliapoint_memory::directory::FsDirectory;
+use dahliapoint_memory::facts::{Change, ServerFact, Timestamp};
 use dahliapoint_memory::frames::Key;
-use dahliapoint_memory::layer::Plain as Layer;
 use dahliapoint_memory::store::Store;
 use std::ffi::OsString;
 use std::io::Write;
@@ -296,12 +296,12 @@
 
 /// Each number is told on standard output once it is committed.
 fn remember(dir: &std::path::Path) -> std::io::Result<()> {
-    let (mut store, mut facts, _) = Store::open(Layer::open(dir)?, Key::default())?;
+    let (mut store, mut facts, _) = Store::open(FsDirectory::open(dir)?, Key::default())?;
     let mut out = std::io::stdout().lock();
     for n in facts.alive.wall_ms as u64 + 1.. {
-        let at = Stamp {
+        let at = Timestamp {
             wall_ms: n as f64,
-            ..Stamp::default()
+            ..Timestamp::default()
         };
         let server = ServerFact {
             name: format!("s{}", n % 7),
@@ -312,7 +312,7 @@
             weight: n as f64,
             share: 1.0,
             judged: at.clone(),
-            shut: false,
+            withdrawn: false,
         };
         let group = [Change::Server(server), Change::Alive(at)];
         for change in group.clone() {
@@ -322,9 +322,9 @@
         writeln!(out, "{n}")?;
         out.flush()?;
         if n % 11 == 0 {
-            store.begin(&facts)?;
+            store.begin_generation(&facts)?;
         }
-        store.step(3)?;
+        store.write_snapshot_records(3)?;
     }
     Ok(())
 }
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for the platform that a controller is put in service on: a relay, discovery, and checkers
-//! of what crossed the sockets. Plain threads; a listener may be moved to another address, and each
-//! fault happens when a test asks for it.
+//! Stand-ins for the platform around a controller: a relay and a discovery service that record what
+//! they receive, with checks on these records. They use plain threads, can listen on several
+//! addresses, and inject faults when a test asks for them.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{BufRead, BufReader, Write};
@@ -8,8 +8,8 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Waits for a condition, and tells whether it came about within 20 s.
-pub fn until(mut comes: impl FnMut() -> bool) -> bool {
+/// Polls a condition for up to 20 s and returns whether it became true.
+pub fn wait_until(mut comes: impl FnMut() -> bool) -> bool {
     let end = Instant::now() + Duration::from_secs(20);
     while Instant::now() < end {
         if comes() {
@@ -20,110 +20,120 @@
     comes()
 }
 
-/// What the relay does with the next call, once.
+/// A fault that the relay injects into one call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fault {
-    /// Breaks after the last byte, the call carried out or not.
-    Break {
-        carried_out: bool,
-    },
-    /// Answers nothing.
-    Silence {
-        carried_out: bool,
-    },
-    /// Takes so many orders.
-    Halt(usize),
-    /// Answers what cannot be read, the call carried out.
-    Garble,
-    TooMany,
-    /// Carries the call out, answers nothing, and breaks once it is let go.
-    Hold,
-    /// Answers, and says more in the same breath.
-    Trailing(&'static str),
+pub enum RelayFault {
+    /// Closes the connection after the last byte of the call, without an answer.
+    Disconnect { executed: bool },
+    /// Never answers.
+    NoAnswer { executed: bool },
+    /// Executes only this many orders, and answers with their number.
+    ExecuteFirst(usize),
+    /// Executes the call and sends an answer that cannot be parsed.
+    UnreadableAnswer,
+    /// Executes nothing and answers `too_many_calls`.
+    TooManyCalls,
+    /// Executes the call, then closes the connection without an answer once `release_delayed` is set.
+    DelayAnswer,
+    /// Executes the call and sends these bytes after the answer, in the same write.
+    TrailingBytes(&'static str),
 }
 
-/// Connections of one kind: how many are open, how many ever were, and the most at a time.
+/// Counts of connections of one kind: open now, opened in total, and the peak of open ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Gauge {
+pub struct ConnectionCounts {
     pub open: usize,
-    pub ever: usize,
-    pub most: usize,
+    pub total: usize,
+    pub peak: usize,
 }
 
-impl Gauge {
+impl ConnectionCounts {
     fn opened(&mut self) {
         self.open += 1;
-        self.ever += 1;
-        self.most = self.most.max(self.open);
+        self.total += 1;
+        self.peak = self.peak.max(self.open);
     }
 }
 
-/// What proxies hold, as the orders left them.
+/// The state of the relay: the joined proxies, the effect of the executed orders, and the faults to
+/// inject.
 #[derive(Default)]
-pub struct Held {
+pub struct RelayState {
     pub joined: BTreeSet<usize>,
-    /// How often each was bound.
-    pub bound: BTreeMap<usize, usize>,
+    /// How often each proxy was bound since it joined.
+    pub bind_counts: BTreeMap<usize, usize>,
+    /// Servers that are withdrawn now.
     pub withdrawn: BTreeSet<String>,
-    pub lines: BTreeMap<String, f64>,
+    /// The weight last set for each server.
+    pub weights: BTreeMap<String, f64>,
+    /// The text of every call received, without its `txn ` prefix.
     pub calls: Vec<String>,
-    /// The connection that each call came on, by its number.
-    pub came_on: Vec<usize>,
-    pub faults: VecDeque<Fault>,
-    /// Calls that are held now, and whether they are let go.
-    pub holding: usize,
-    pub let_go: bool,
-    /// Followers are told what stands and nothing more.
-    pub mute: bool,
-    pub following: Gauge,
+    /// The number of the connection that each call came on.
+    pub call_connections: Vec<usize>,
+    /// The faults of the next calls, one each.
+    pub faults: VecDeque<RelayFault>,
+    /// Calls that wait in [`RelayFault::DelayAnswer`] now.
+    pub delayed_calls: usize,
+    /// Lets the calls in [`RelayFault::DelayAnswer`] end.
+    pub release_delayed: bool,
+    /// Followers receive the joined proxies when they connect, and nothing after.
+    pub silent: bool,
+    pub follower_connections: ConnectionCounts,
+    /// Connections accepted so far.
     connections: usize,
+    /// Connections that follow the news.
     followers: Vec<TcpStream>,
+    /// All connections.
     callers: Vec<TcpStream>,
 }
 
-impl Held {
-    /// A proxy joins: followers are told, and it is not bound.
+impl RelayState {
+    /// A proxy joins: it is not bound, and followers are notified.
     pub fn join(&mut self, proxy: usize) {
         self.joined.insert(proxy);
-        self.bound.remove(&proxy);
+        self.bind_counts.remove(&proxy);
         self.tell(&format!("* hello {proxy} a 2.5 1\r\n"));
     }
 
+    /// A proxy leaves: followers are notified.
     pub fn leave(&mut self, proxy: usize) {
         self.joined.remove(&proxy);
-        self.bound.remove(&proxy);
+        self.bind_counts.remove(&proxy);
         self.tell(&format!("* bye {proxy}\r\n"));
     }
 
+    /// Sends a line to all followers, and drops those that fail.
     fn tell(&mut self, line: &str) {
-        if self.mute {
+        if self.silent {
             return;
         }
         self.followers
             .retain_mut(|f| f.write_all(line.as_bytes()).is_ok());
     }
 
-    /// Breaks all followers, or only the oldest.
-    pub fn break_followers(&mut self, all: bool) {
+    /// Closes the connections of all followers, or of the oldest only.
+    pub fn disconnect_followers(&mut self, all: bool) {
         let many = if all { self.followers.len() } else { 1 };
         for f in self.followers.drain(..many) {
             let _ = f.shutdown(Shutdown::Both);
         }
     }
 
-    pub fn followers(&self) -> usize {
+    /// The number of connected followers.
+    pub fn follower_count(&self) -> usize {
         self.followers.len()
     }
 
+    /// Executes an order; returns false if it is invalid.
     fn take(&mut self, order: &str) -> bool {
         let words: Vec<&str> = order.split(',').collect();
         match words[..] {
             ["share", _, server, weight] => match weight.parse() {
-                Ok(weight) => drop(self.lines.insert(server.into(), weight)),
+                Ok(weight) => drop(self.weights.insert(server.into(), weight)),
                 Err(_) => return false,
             },
             ["bind", proxy, _, "*"] => match proxy.parse() {
-                Ok(p) if self.joined.contains(&p) => *self.bound.entry(p).or_default() += 1,
+                Ok(p) if self.joined.contains(&p) => *self.bind_counts.entry(p).or_default() += 1,
                 _ => return false,
             },
             ["withdraw", server] => drop(self.withdrawn.insert(server.into())),
@@ -139,20 +149,23 @@
         true
     }
 
-    /// Joined proxies that no table was given to.
-    pub fn bare(&self) -> Vec<usize> {
-        let bare = self.joined.iter().filter(|p| !self.bound.contains_key(p));
-        bare.copied().collect()
+    /// Joined proxies that were not bound since they joined.
+    pub fn unbound(&self) -> Vec<usize> {
+        let unbound = self
+            .joined
+            .iter()
+            .filter(|p| !self.bind_counts.contains_key(p));
+        unbound.copied().collect()
     }
 
-    /// Calls above the size that one may have.
-    pub fn oversized(&self) -> usize {
+    /// The number of calls above the size limit.
+    pub fn oversized_calls(&self) -> usize {
         self.calls.iter().filter(|c| c.len() > 60_000).count()
     }
 }
 
-/// Something that listens and can be listened to elsewhere as well.
-pub struct Place<T> {
+/// A running stand-in: its state, shared by all its listeners, and the address of one of them.
+pub struct StandIn<T> {
     state: Arc<Mutex<T>>,
     pub address: SocketAddr,
 }
@@ -161,8 +174,9 @@
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl<T: Send + 'static> Place<T> {
-    fn open(state: Arc<Mutex<T>>, serve: fn(&Arc<Mutex<T>>, TcpStream)) -> Place<T> {
+impl<T: Send + 'static> StandIn<T> {
+    /// Listens on a free port and serves each connection on a thread of its own.
+    fn open(state: Arc<Mutex<T>>, serve: fn(&Arc<Mutex<T>>, TcpStream)) -> StandIn<T> {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port on loopback");
         let address = listener
             .local_addr()
@@ -175,19 +189,22 @@
                 std::thread::spawn(move || serve(&state, socket));
             }
         });
-        Place { state, address }
+        StandIn { state, address }
     }
 
-    pub fn with<R>(&self, look: impl FnOnce(&mut T) -> R) -> R {
+    /// Runs a closure on the locked state.
+    pub fn with_state<R>(&self, look: impl FnOnce(&mut T) -> R) -> R {
         look(&mut lock(&self.state))
     }
 }
 
-pub type Relay = Place<Held>;
+/// A stand-in of the relay.
+pub type Relay = StandIn<RelayState>;
 
 impl Relay {
-    pub fn begin() -> Relay {
-        let state = Arc::new(Mutex::new(Held::default()));
+    /// Starts a relay that sends its followers a heartbeat each second.
+    pub fn start() -> Relay {
+        let state = Arc::new(Mutex::new(RelayState::default()));
         let beats = Arc::downgrade(&state);
         std::thread::spawn(move || {
             while let Some(state) = beats.upgrade() {
@@ -196,18 +213,18 @@
                 std::thread::sleep(Duration::from_secs(1));
             }
         });
-        Place::open(state, relay)
+        StandIn::open(state, relay)
     }
 
-    /// The same relay at one more address.
-    pub fn also(&self) -> Relay {
-        Place::open(self.state.clone(), relay)
+    /// Opens another listener on the same state.
+    pub fn at_another_address(&self) -> Relay {
+        StandIn::open(self.state.clone(), relay)
     }
 
-    /// Closes every connection, as an address that is given up does.
+    /// Closes every connection, like an address that goes out of service.
     pub fn close_all(&self) {
-        self.with(|held| {
-            held.break_followers(true);
+        self.with_state(|held| {
+            held.disconnect_followers(true);
             for c in held.callers.drain(..) {
                 let _ = c.shutdown(Shutdown::Both);
             }
@@ -215,7 +232,8 @@
     }
 }
 
-fn relay(state: &Arc<Mutex<Held>>, socket: TcpStream) {
+/// Serves a connection and keeps the connection counts.
+fn relay(state: &Arc<Mutex<RelayState>>, socket: TcpStream) {
     let Ok(mut out) = socket.try_clone() else {
         return;
     };
@@ -226,11 +244,12 @@
     drop(held);
     let mut follows = false;
     serve(state, &mut out, socket, number, &mut follows);
-    lock(state).following.open -= usize::from(follows);
+    lock(state).follower_connections.open -= usize::from(follows);
 }
 
+/// Answers `follow` and `txn` lines until the connection ends.
 fn serve(
-    state: &Arc<Mutex<Held>>,
+    state: &Arc<Mutex<RelayState>>,
     out: &mut TcpStream,
     socket: TcpStream,
     number: usize,
@@ -243,7 +262,7 @@
         if line == "follow" {
             let mut held = lock(state);
             if !std::mem::replace(follows, true) {
-                held.following.opened();
+                held.follower_connections.opened();
             }
             let mut stands = String::from("OK\r\n");
             for p in &held.joined {
@@ -263,16 +282,18 @@
         let mut held = lock(state);
         let fault = held.faults.pop_front();
         let most = match fault {
-            Some(Fault::TooMany) => 0,
-            Some(Fault::Halt(n)) => n,
-            Some(Fault::Break { carried_out } | Fault::Silence { carried_out }) if !carried_out => {
+            Some(RelayFault::TooManyCalls) => 0,
+            Some(RelayFault::ExecuteFirst(n)) => n,
+            Some(RelayFault::Disconnect { executed } | RelayFault::NoAnswer { executed })
+                if !executed =>
+            {
                 0
             }
             _ => usize::MAX,
         };
         held.calls.push(orders.to_string());
-        held.came_on.push(number);
-        held.holding += usize::from(fault == Some(Fault::Hold));
+        held.call_connections.push(number);
+        held.delayed_calls += usize::from(fault == Some(RelayFault::DelayAnswer));
         let taken = orders
             .split(';')
             .take(most)
@@ -280,46 +301,49 @@
             .count();
         drop(held);
         let answer = match fault {
-            Some(Fault::Break { .. }) => {
+            Some(RelayFault::Disconnect { .. }) => {
                 let _ = out.shutdown(Shutdown::Both);
                 return;
             }
-            Some(Fault::Silence { .. }) => continue,
-            Some(Fault::Hold) => {
-                while !lock(state).let_go {
+            Some(RelayFault::NoAnswer { .. }) => continue,
+            Some(RelayFault::DelayAnswer) => {
+                while !lock(state).release_delayed {
                     std::thread::sleep(Duration::from_millis(1));
                 }
-                lock(state).holding -= 1;
+                lock(state).delayed_calls -= 1;
                 let _ = out.shutdown(Shutdown::Both);
                 return;
             }
-            Some(Fault::Trailing(more)) => format!("OK {taken}\r\n{more}"),
-            Some(Fault::Garble) => "OK many\r\n".into(),
-            Some(Fault::TooMany) => "too_many_calls\r\n".into(),
-            Some(Fault::Halt(_)) | None => format!("OK {taken}\r\n"),
+            Some(RelayFault::TrailingBytes(more)) => format!("OK {taken}\r\n{more}"),
+            Some(RelayFault::UnreadableAnswer) => "OK many\r\n".into(),
+            Some(RelayFault::TooManyCalls) => "too_many_calls\r\n".into(),
+            Some(RelayFault::ExecuteFirst(_)) | None => format!("OK {taken}\r\n"),
         };
         let _ = out.write_all(answer.as_bytes());
     }
 }
 
-/// What discovery knows, and who watches.
+/// The state of discovery: the list of servers and the watches on it.
 #[derive(Default)]
-pub struct Listing {
+pub struct DiscoveryState {
+    /// The version of the list.
     pub index: u64,
     /// Status by name.
     pub servers: BTreeMap<String, &'static str>,
     watches: Vec<TcpStream>,
-    /// Those of before are kept open and told nothing more.
+    /// Silenced watches, kept open.
     deaf: Vec<TcpStream>,
-    pub asked: usize,
-    /// Whoever asks is told nothing at all.
-    pub mute: bool,
-    /// Each byte is written by itself.
+    /// Watch requests received.
+    pub requests: usize,
+    /// New watch requests get no answer.
+    pub silent: bool,
+    /// Each byte is sent as a chunk and a write of its own.
     pub bytewise: bool,
-    pub watching: Gauge,
+    pub watch_connections: ConnectionCounts,
 }
 
-impl Listing {
+impl DiscoveryState {
+    /// The JSON object of a server.
     fn entry(name: &str, status: &str) -> String {
         format!(
             "{{\"name\":\"{name}\",\"address\":\"127.0.0.1:9\",\"zone\":\"a\",\"type\":\"m\",\"group\":0,\
@@ -328,11 +352,11 @@
     }
 
     /// The whole list as one object.
-    pub fn whole(&self) -> String {
+    pub fn snapshot_json(&self) -> String {
         let all: Vec<String> = self
             .servers
             .iter()
-            .map(|(n, s)| Listing::entry(n, s))
+            .map(|(n, s)| DiscoveryState::entry(n, s))
             .collect();
         format!(
             "{{\"index\":{},\"snapshot\":true,\"endpoints\":[{}]}}",
@@ -341,11 +365,11 @@
         )
     }
 
-    /// Sets a server's status, and tells those who watch.
-    pub fn set(&mut self, name: &str, status: &'static str) {
+    /// Sets a server's status and sends the change to all watches.
+    pub fn set_status(&mut self, name: &str, status: &'static str) {
         self.index += 1;
         self.servers.insert(name.into(), status);
-        let change = Listing::entry(name, status);
+        let change = DiscoveryState::entry(name, status);
         let line = format!(
             "{{\"index\":{},\"snapshot\":false,\"endpoints\":[{change}]}}\n",
             self.index
@@ -353,16 +377,18 @@
         self.tell(&line);
     }
 
+    /// Sends a line to all watches, and drops those that fail.
     fn tell(&mut self, line: &str) {
         let bytewise = self.bytewise;
         self.watches.retain_mut(|w| chunk(w, line, bytewise));
     }
 
-    /// The last of a change is not sent: the body ends without the line's end, and the watch with it.
-    pub fn set_unended(&mut self, name: &str, status: &'static str) {
+    /// Like [`DiscoveryState::set_status`], but without the final newline; then ends the body and the
+    /// connection of every watch.
+    pub fn set_status_unterminated(&mut self, name: &str, status: &'static str) {
         self.index += 1;
         self.servers.insert(name.into(), status);
-        let change = Listing::entry(name, status);
+        let change = DiscoveryState::entry(name, status);
         let line = format!(
             "{{\"index\":{},\"snapshot\":false,\"endpoints\":[{change}]}}",
             self.index
@@ -374,7 +400,7 @@
         }
     }
 
-    /// It begins anew: other versions, and those who watched are cut off.
+    /// Simulates a restart: versions continue from `index`, and all watches are disconnected.
     pub fn restart(&mut self, index: u64) {
         self.index = index;
         for w in self.watches.drain(..) {
@@ -382,17 +408,19 @@
         }
     }
 
-    /// Those who watch now hear nothing more, and get no sign of it.
-    pub fn fall_silent(&mut self) {
+    /// Sends nothing more to the current watches, and keeps their connections open.
+    pub fn silence_watches(&mut self) {
         self.deaf.append(&mut self.watches);
     }
 
-    pub fn watches(&self) -> usize {
+    /// The number of watches that receive changes.
+    pub fn watch_count(&self) -> usize {
         self.watches.len()
     }
 }
 
-/// One chunk, cut in two where it hurts; or every byte a chunk's, and a write, of its own.
+/// Sends a text as two chunks, cut in the middle of the line, or with `bytewise` one byte per chunk and
+/// per write. Returns whether the writes succeeded.
 fn chunk(to: &mut TcpStream, text: &str, bytewise: bool) -> bool {
     if bytewise {
         let mut bytes = text
@@ -407,16 +435,17 @@
         .all(|t| write!(to, "{:x}\r\n{t}\r\n", t.len()).is_ok())
 }
 
-pub type Discovery = Place<Listing>;
+/// A stand-in of discovery.
+pub type Discovery = StandIn<DiscoveryState>;
 
 impl Discovery {
-    /// With servers that are up.
-    pub fn begin(servers: &[&str]) -> Discovery {
+    /// Starts a discovery with these servers in status `up`; it sends a heartbeat every 2 s.
+    pub fn start(servers: &[&str]) -> Discovery {
         let up = servers.iter().map(|s| (s.to_string(), "up"));
-        let listing = Listing {
+        let listing = DiscoveryState {
             index: 10,
             servers: up.collect(),
-            ..Listing::default()
+            ..DiscoveryState::default()
         };
         let state = Arc::new(Mutex::new(listing));
         let beats = Arc::downgrade(&state);
@@ -427,15 +456,17 @@
                 std::thread::sleep(Duration::from_secs(2));
             }
         });
-        Place::open(state, discovery)
+        StandIn::open(state, discovery)
     }
 
-    pub fn also(&self) -> Discovery {
-        Place::open(self.state.clone(), discovery)
+    /// Opens another listener on the same state.
+    pub fn at_another_address(&self) -> Discovery {
+        StandIn::open(self.state.clone(), discovery)
     }
 }
 
-fn discovery(state: &Arc<Mutex<Listing>>, socket: TcpStream) {
+/// Answers a watch request and keeps the connection open until the client closes it.
+fn discovery(state: &Arc<Mutex<DiscoveryState>>, socket: TcpStream) {
     let Ok(mut out) = socket.try_clone() else {
         return;
     };
@@ -453,45 +484,45 @@
         .and_then(|(_, a)| a.split(' ').next()?.parse::<u64>().ok());
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let mut listing = lock(state);
-    listing.asked += 1;
-    listing.watching.opened();
-    if !listing.mute {
+    listing.requests += 1;
+    listing.watch_connections.opened();
+    if !listing.silent {
         let mut told = out.write_all(head.as_bytes()).is_ok();
         if after != Some(listing.index) {
-            let whole = listing.whole() + "\n";
-            told &= chunk(&mut out, &whole, listing.bytewise);
+            let snapshot = listing.snapshot_json() + "\n";
+            told &= chunk(&mut out, &snapshot, listing.bytewise);
         }
         if told {
             listing.watches.push(out);
         }
     }
     drop(listing);
-    // Nothing more is asked: this ends with the connection.
+    // No further request is expected: this waits for the end of the connection.
     while let Some(Ok(_)) = lines.next() {}
-    lock(state).watching.open -= 1;
+    lock(state).watch_connections.open -= 1;
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    /// Each checker fails on a controller that breaks its rule.
+    /// Each check detects a violation of its rule.
     #[test]
     fn the_checkers_see_what_they_are_for() {
-        let mut held = Held::default();
+        let mut held = RelayState::default();
         held.join(1);
         held.join(2);
         assert!(held.take("bind,1,0,*"));
-        assert_eq!(held.bare(), [2], "a proxy that is not bound");
+        assert_eq!(held.unbound(), [2], "a proxy that is not bound");
         held.join(1);
         assert_eq!(
-            held.bare(),
+            held.unbound(),
             [1, 2],
             "one that left and came back has lost its binding"
         );
         assert!(!held.take("bind,9,0,*") && !held.take("share,0,s,x") && !held.take("nothing"));
         held.calls.push("x".repeat(60_001));
-        assert_eq!(held.oversized(), 1);
+        assert_eq!(held.oversized_calls(), 1);
         assert!(held.take("withdraw,s-1") && held.withdrawn.contains("s-1"));
         assert!(held.take("restore,s-1") && !held.withdrawn.contains("s-1"));
     }
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts planners on the simulator's wire: standard input and output, one JSON value a line.
+//! Runs planners for the simulator: reads batches of events from standard input and writes replies to
+//! standard output, one JSON object per line.
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
@@ -18,7 +19,7 @@
         if line.trim_ascii().is_empty() {
             continue;
         }
-        let reply = match host.answer(&line) {
+        let reply = match host.handle_batch(&line) {
             Ok(reply) => reply,
             Err(e) => return refuse(&e),
         };
@@ -32,6 +33,7 @@
     }
 }
 
+/// Prints an error and returns the exit code 2.
 fn refuse(why: &str) -> ExitCode {
     eprintln!("dahliapoint-wirehost: {why}");
     ExitCode::from(2)
