--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -1,7 +1,7 @@
 //! The controller: the planner, the servers and proxies by name, and what each proxy was sent.
 
 use crate::accounts::{Counters, Outstanding, Sent};
-use crate::delivery::{self, Deed, Member, Patience};
+use crate::delivery::{self, DeliveryLimits, DeliveryState};
 use crate::presence::{self, Presence};
 use crate::reports::{ClassView, EstimateView, Reports, report_error};
 use crate::rollout::{Channel, GuardView, Rate, Rollout};
@@ -30,7 +30,7 @@
     /// It joined in this moment: while it is not bound it is sent everything that is withdrawn.
     fresh: bool,
     outstanding: Outstanding,
-    member: Member,
+    delivery: DeliveryState,
     /// Why it last refused a message; none once it applied one again.
     refusal: Option<String>,
 }
@@ -38,7 +38,7 @@
 /// See the crate documentation for how it is called.
 pub struct Controller {
     terms: ControllerSettings,
-    patience: Patience,
+    delivery_limits: DeliveryLimits,
     presence: Presence,
     planner: Planner,
     servers: Servers,
@@ -194,7 +194,7 @@
         };
         Controller {
             planner: Planner::new(now, seed, &opening(&terms)),
-            patience: Patience::of(&terms),
+            delivery_limits: DeliveryLimits::new(&terms),
             presence: Presence::new(terms.heartbeat_interval_ms),
             servers: Servers::default(),
             moved: Vec::new(),
@@ -237,7 +237,7 @@
     /// The latest time of the next call if no input arrives before.
     pub fn wake_at(&self) -> f64 {
         let members = self.proxies.values();
-        let owed = members.filter_map(|p| p.member.alarm(&self.patience));
+        let owed = members.filter_map(|p| p.delivery.next_deadline(&self.delivery_limits));
         let alarm = self.planner_alarm.min(self.presence.wake_at());
         owed.fold(alarm.min(self.ward.wake_at()), f64::min)
     }
@@ -415,7 +415,7 @@
                 part: None,
                 fresh: true,
                 outstanding: Outstanding::default(),
-                member: Member::default(),
+                delivery: DeliveryState::default(),
                 refusal: None,
             },
         );
@@ -493,7 +493,7 @@
         }
         // The remaining messages were sent earlier, but their answers queue behind this one: the timeout restarts.
         let oldest = proxy.outstanding.oldest();
-        proxy.member.unanswered_since = oldest.map(|_| now);
+        proxy.delivery.unanswered_since = oldest.map(|_| now);
         for mark in sent.iter().filter_map(|m| m.mark) {
             self.planner.orders_applied(index, mark);
         }
@@ -504,7 +504,7 @@
         if let Some((index, sent)) = self.answered(now, session, serial)
             && let Some(proxy) = self.proxies.get_mut(&index)
         {
-            proxy.member.applied(sent.iter().any(|m| m.whole));
+            proxy.delivery.applied(sent.iter().any(|m| m.whole));
             proxy.refusal = None;
         }
     }
@@ -522,7 +522,9 @@
             && let Some(proxy) = self.proxies.get_mut(&index)
         {
             let note = format!("proxy {}: refused its table: {why}", proxy.name);
-            proxy.member.refused(now, sent.iter().any(|m| m.withdraws));
+            proxy
+                .delivery
+                .refused(now, sent.iter().any(|m| m.withdraws));
             proxy.refusal = Some(why);
             out.push(Output::Log(note));
         }
@@ -693,7 +695,7 @@
         for p in self.proxies.values() {
             if let Some(part) = p.part {
                 // A proxy that refused a message holds an older table, and it is not known which.
-                let upto = match p.member.owed_table {
+                let upto = match p.delivery.owed_table {
                     true => 0,
                     false => p.outstanding.oldest_serial().map_or(u64::MAX, |s| s - 1),
                 };
@@ -916,7 +918,7 @@
                 continue;
             };
             proxy.outstanding.wrote(sent, self.terms.message_window_ms);
-            proxy.member.unanswered_since.get_or_insert(now);
+            proxy.delivery.unanswered_since.get_or_insert(now);
             sessions.push(proxy.session);
             self.accounts.messages += 1;
             self.accounts.lines += sent.lines as u64;
@@ -928,7 +930,7 @@
 
     /// Applies the delivery rules to each proxy until none fires.
     fn tend_members(&mut self, now: f64, out: &mut Vec<Output>) {
-        let due = |p: &Proxy| p.member != Member::default();
+        let due = |p: &Proxy| p.delivery != DeliveryState::default();
         let concerned: Vec<usize> = self
             .proxies
             .iter()
@@ -941,14 +943,15 @@
         let mut waiting: f64 = self.proxies.values().map(|p| p.outstanding.lines()).sum();
         for i in concerned {
             while let Some(proxy) = self.proxies.get_mut(&i) {
-                let Some(deed) = delivery::next(&mut proxy.member, now, waiting, &self.patience)
+                let Some(deed) =
+                    delivery::next_action(&mut proxy.delivery, now, waiting, &self.delivery_limits)
                 else {
                     break;
                 };
                 let (part, session) = (proxy.part, proxy.session);
                 let serial = self.serial + 1;
                 match (deed, part) {
-                    (Deed::GiveUp, _) => {
+                    (delivery::Action::Evict, _) => {
                         let name = proxy.name.clone();
                         self.by_session.remove(&session);
                         self.left(i);
@@ -956,7 +959,7 @@
                         out.push(Output::Log(format!("proxy {name}: answers nothing")));
                         self.close(session, "no answer to what was sent".into(), out);
                     }
-                    (Deed::WithdrawAgain, Some(part)) => {
+                    (delivery::Action::ResendWithdrawals, Some(part)) => {
                         let mut message = self.whole(serial, part);
                         message.scope = Scope::Changes(part);
                         message.policies.clear();
@@ -965,12 +968,12 @@
                         message.lines = shut.map(|(_, s)| s.line()).collect();
                         self.write(now, &[i], message, None, out);
                     }
-                    (Deed::OfferAgain, Some(part)) => {
+                    (delivery::Action::ResendTable, Some(part)) => {
                         let message = self.whole(serial, part);
                         waiting += message.lines.len() as f64;
                         self.write(now, &[i], message, None, out);
                     }
-                    (Deed::WithdrawAgain | Deed::OfferAgain, None) => {
+                    (delivery::Action::ResendWithdrawals | delivery::Action::ResendTable, None) => {
                         let message = self.all_shut(serial);
                         self.write(now, &[i], message, None, out);
                     }
