--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -262,7 +262,7 @@
         for input in inputs {
             self.note(now, input, &mut out);
         }
-        self.tend_presence(now, &mut out);
+        self.apply_presence_rules(now, &mut out);
         if self.planner_alarm <= now {
             self.planner_alarm = f64::INFINITY;
         }
@@ -298,7 +298,7 @@
                 visits_per_s: pace,
             } => {
                 self.joined(session, &proxy, &zone, pace, out);
-                self.presence.streamed(now, &proxy, true);
+                self.presence.stream_changed(now, &proxy, true);
             }
             Input::Left(session) => self.leaves(now, session),
             Input::Heartbeat {
@@ -309,14 +309,14 @@
             } => {
                 let held = self.by_name.get(proxy.as_str());
                 let held = held.map(|i| self.proxies[i].session);
-                let on_stream = held.is_some_and(|s| !self.presence.has(s));
+                let on_stream = held.is_some_and(|s| !self.presence.contains(s));
                 let p = &mut self.presence;
-                let over = p.beat(now, session, &proxy, &zone, pace, on_stream);
-                if let Some(deed) = over {
-                    self.present(deed, out);
+                let superseded = p.heartbeat(now, session, &proxy, &zone, pace, on_stream);
+                if let Some(action) = superseded {
+                    self.apply_presence_action(action, out);
                 }
             }
-            Input::Deregistered(session) => self.presence.says_goodbye(session),
+            Input::Deregistered(session) => self.presence.deregister(session),
             Input::Applied(session, serial) => self.applied(now, session, serial),
             Input::Refused(session, serial, why) => self.refused(now, session, serial, why, out),
             Input::Reported(proxy, report) => self.reported(now, &proxy, &report),
@@ -425,28 +425,28 @@
         if let Some(p) = self.by_session.remove(&session) {
             let name = self.proxies.get(&p).map(|p| p.name.clone());
             self.left(p);
-            if let Some(name) = name.filter(|_| !self.presence.has(session)) {
-                self.presence.streamed(now, &name, false);
+            if let Some(name) = name.filter(|_| !self.presence.contains(session)) {
+                self.presence.stream_changed(now, &name, false);
             }
         }
     }
 
     /// Applies the presence rules until none fires.
-    fn tend_presence(&mut self, now: f64, out: &mut Vec<Output>) {
-        while let Some(deed) = self.presence.next(now) {
-            self.present(deed, out);
+    fn apply_presence_rules(&mut self, now: f64, out: &mut Vec<Output>) {
+        while let Some(action) = self.presence.next_action(now) {
+            self.apply_presence_action(action, out);
         }
     }
 
-    fn present(&mut self, deed: presence::Deed, out: &mut Vec<Output>) {
-        match deed {
-            presence::Deed::Join {
+    fn apply_presence_action(&mut self, action: presence::Action, out: &mut Vec<Output>) {
+        match action {
+            presence::Action::Join {
                 session,
                 proxy,
                 zone,
-                pace,
+                visits_per_s: pace,
             } => self.joined(session, &proxy, &zone, pace, out),
-            presence::Deed::Leave(session, why) => {
+            presence::Action::Leave(session, why) => {
                 // A stream may have taken over the name already.
                 if let Some(index) = self.by_session.get(&session).copied() {
                     let note = format!("proxy {}: leaves, {why}", self.proxies[&index].name);
@@ -456,11 +456,11 @@
                     self.close(session, why.into(), out);
                 }
             }
-            presence::Deed::Doubled(name) => {
-                let why = "has a stream and beats beside it: two processes have one name";
+            presence::Action::DuplicateName(name) => {
+                let why = "sends heartbeats while it has a stream: two processes share one name";
                 out.push(Output::Log(format!("proxy {name}: {why}")));
             }
-            presence::Deed::Forget(_) => {}
+            presence::Action::Forget(_) => {}
         }
     }
 
@@ -955,7 +955,7 @@
                         let name = proxy.name.clone();
                         self.by_session.remove(&session);
                         self.left(i);
-                        self.presence.closed(now, session);
+                        self.presence.session_closed(now, session);
                         out.push(Output::Log(format!("proxy {name}: answers nothing")));
                         self.close(session, "no answer to what was sent".into(), out);
                     }
