--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -6,22 +6,22 @@
 //! proxies and on redelivery, in [`delivery`] and [`presence`]. It reads no clock and no entropy: the same inputs give
 //! the same outputs, byte for byte, so that a day can be recorded ([`record`]) and replayed.
 
-mod accounts;
 mod controller;
 mod debug_text;
 pub mod delivery;
-mod owner;
+mod handle;
+mod outstanding;
 pub mod presence;
 pub mod record;
 mod reports;
 pub mod rollout;
 mod servers;
 
-pub use accounts::Counters;
 pub use controller::{
     Controller, FaultInjector, Gate, Overview, PendingLine, ProxyView, ServerView,
 };
-pub use owner::ControllerHandle;
+pub use handle::ControllerHandle;
+pub use outstanding::Counters;
 pub use reports::{ClassView, EstimateView, report_error};
 
 use serde::{Deserialize, Serialize};
--- a/crates/control/src/reports.rs
+++ b/crates/control/src/reports.rs
@@ -11,50 +11,55 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Most visits or tries in one report line; more is a fault of the reporter.
-const MOST: f64 = 1e9;
+const MAX_COUNT: f64 = 1e9;
 /// Longest window of one report: an hour.
-const LONGEST_MS: f64 = 3.6e6;
+const MAX_WINDOW_MS: f64 = 3.6e6;
 
 /// Returns why a report is invalid, if it is.
 pub fn report_error(report: &LoadReport) -> Option<String> {
-    let count = |n: f64| n.is_finite() && (0.0..=MOST).contains(&n);
-    if !(report.window_ms > 0.0 && report.window_ms <= LONGEST_MS) {
+    let count = |n: f64| n.is_finite() && (0.0..=MAX_COUNT).contains(&n);
+    if !(report.window_ms > 0.0 && report.window_ms <= MAX_WINDOW_MS) {
         return Some(format!(
-            "a report over {} ms; wanted above 0, up to an hour",
+            "window of {} ms; it must be above 0 and at most an hour",
             report.window_ms
         ));
     }
     if !(report.ended_ago_ms >= 0.0 && report.ended_ago_ms.is_finite()) {
-        return Some("a report that ends in the future".into());
+        return Some("the window ends in the future".into());
     }
-    for m in &report.lines {
+    for line in &report.lines {
         if ![
-            m.variance,
-            m.load_samples,
-            m.queue_sum,
-            m.service_ms_sum,
-            m.in_flight,
+            line.variance,
+            line.load_samples,
+            line.queue_sum,
+            line.service_ms_sum,
+            line.in_flight,
         ]
         .iter()
         .all(|x| x.is_finite() && *x >= 0.0)
         {
             return Some(format!(
-                "{}: words and variances from 0 up are wanted",
-                m.server
+                "{}: load samples, variance and visits in flight must be finite and not negative",
+                line.server
             ));
         }
-        if !count(m.tries) || !count(m.failed) {
-            return Some(format!("{}: counts from 0 to 1e9 are wanted", m.server));
+        if !count(line.tries) || !count(line.failed) {
+            return Some(format!("{}: counts must be from 0 to 1e9", line.server));
         }
-        if m.failed > m.tries {
-            return Some(format!("{}: more failed than were tried", m.server));
+        if line.failed > line.tries {
+            return Some(format!("{}: more failures than tries", line.server));
         }
-        if !(m.success_ms >= 0.0 && m.success_ms <= (m.tries - m.failed) * LONGEST_MS) {
-            return Some(format!("{}: time without tries, or below 0", m.server));
+        if !(line.success_ms >= 0.0
+            && line.success_ms <= (line.tries - line.failed) * MAX_WINDOW_MS)
+        {
+            return Some(format!(
+                "{}: the time of successful tries is negative or too long",
+                line.server
+            ));
         }
     }
-    let came = report.arrivals.iter().find(|(_, n)| !count(*n));
-    came.map(|(class, _)| format!("{class}: visits from 0 to 1e9 are wanted"))
+    let invalid = report.arrivals.iter().find(|(_, n)| !count(*n));
+    invalid.map(|(class, _)| format!("{class}: visits must be from 0 to 1e9"))
 }
 
 /// Estimates of a server for the status page.
@@ -86,21 +91,21 @@
 }
 
 /// Rounds that the estimates of the status page cover.
-const SHOWN: f64 = 10.0;
+const SHOWN_ROUNDS: f64 = 10.0;
 
 /// Sums of one round for a server and a zone, weighted by the trust in each reporter.
 #[derive(Clone, Copy, Default)]
-struct Sum {
+struct ZoneSums {
     tries: f64,
     failed: f64,
-    good_ms: f64,
+    success_ms: f64,
     variance: f64,
     /// Tries times the age of the start of their window.
-    tries_back: f64,
+    tries_age_ms: f64,
 }
 
 /// Visits of a class that arrived at a proxy.
-pub struct Came {
+pub struct Arrivals {
     pub proxy: usize,
     pub class: usize,
     pub visits: f64,
@@ -109,132 +114,132 @@
 
 /// Result of a round.
 pub struct Round {
-    pub met: Vec<TryStats>,
-    pub came: Vec<Came>,
+    pub stats: Vec<TryStats>,
+    pub arrivals: Vec<Arrivals>,
     /// Sums that were left out because they are too uncertain.
-    pub vague: u64,
-    pub changes: Vec<TrustChange>,
-    pub heard: Vec<ReporterChange>,
+    pub imprecise: u64,
+    pub trust_changes: Vec<TrustChange>,
+    pub reporter_changes: Vec<ReporterChange>,
 }
 
 /// The current round, and the state that is kept over rounds.
 pub struct Reports {
-    every_ms: f64,
+    interval_ms: f64,
     classes: usize,
     /// By server and class: place `server * classes + class`.
     estimates: Estimates,
-    belief: TrustTracker,
+    trust: TrustTracker,
     coverage: Coverage,
     /// Proxies that reported in this round.
     reported: BTreeSet<usize>,
     /// Proxies that report again after a silence.
-    heard: Vec<ReporterChange>,
+    reporter_changes: Vec<ReporterChange>,
     /// By server and zone.
-    met: BTreeMap<(usize, usize), Sum>,
+    sums: BTreeMap<(usize, usize), ZoneSums>,
     /// By proxy and class: visits, and the time they cover.
-    came: BTreeMap<(usize, usize), (f64, f64)>,
+    arrivals: BTreeMap<(usize, usize), (f64, f64)>,
     /// By server: sums of the report lines.
-    words: BTreeMap<usize, (ReportLine, f64)>,
+    server_sums: BTreeMap<usize, ReportLine>,
     views: ProxyViews,
     /// By proxy: visits in flight at each server, as last reported.
     in_flight: BTreeMap<usize, BTreeMap<usize, f64>>,
 }
 
 impl Reports {
-    pub fn new(now: f64, every_ms: f64, zones: usize, classes: usize) -> Reports {
+    pub fn new(now: f64, interval_ms: f64, zones: usize, classes: usize) -> Reports {
         Reports {
             classes,
-            coverage: Coverage::new(now, every_ms),
+            coverage: Coverage::new(now, interval_ms),
             reported: BTreeSet::new(),
-            heard: Vec::new(),
-            every_ms,
-            estimates: Estimates::new(every_ms, zones),
-            belief: TrustTracker::default(),
-            met: BTreeMap::new(),
-            came: BTreeMap::new(),
-            words: BTreeMap::new(),
+            reporter_changes: Vec::new(),
+            interval_ms,
+            estimates: Estimates::new(interval_ms, zones),
+            trust: TrustTracker::default(),
+            sums: BTreeMap::new(),
+            arrivals: BTreeMap::new(),
+            server_sums: BTreeMap::new(),
             views: ProxyViews::new(),
             in_flight: BTreeMap::new(),
         }
     }
 
     /// A report of a proxy arrived, with a window of this length.
-    pub fn heard(&mut self, now: f64, proxy: usize, window_ms: f64) {
+    pub fn report_received(&mut self, now: f64, proxy: usize, window_ms: f64) {
         let again = self.coverage.report_received(now, proxy, window_ms);
-        self.heard.extend(again);
+        self.reporter_changes.extend(again);
         self.reported.insert(proxy);
         self.in_flight.remove(&proxy);
     }
 
-    /// Adds a line of a proxy's report; `who` is the proxy and its zone. Returns false if its window ended too long ago
-    /// for decisions: then it counts only for the estimates of that time.
-    pub fn met(
+    /// Adds a line of a proxy's report; `reporter` is the proxy and its zone. Returns false if its window ended too long
+    /// ago for decisions: then it counts only for the estimates of that time.
+    pub fn add_line(
         &mut self,
         now: f64,
-        who: (usize, usize),
+        reporter: (usize, usize),
         server: usize,
         report: &LoadReport,
-        m: &ReportLine,
+        line: &ReportLine,
     ) -> bool {
-        let (proxy, zone) = who;
+        let (proxy, zone) = reporter;
         let end = now - report.ended_ago_ms;
         let begin = end - report.window_ms;
-        let trust = self.belief.trust(proxy);
-        if m.in_flight > 0.0 {
-            let there = self.in_flight.entry(proxy).or_default();
-            *there.entry(server).or_default() += m.in_flight;
+        let trust = self.trust.trust(proxy);
+        if line.in_flight > 0.0 {
+            let at_servers = self.in_flight.entry(proxy).or_default();
+            *at_servers.entry(server).or_default() += line.in_flight;
         }
         self.estimates.record(
             now,
             &Observation {
-                server: server * self.classes + m.class,
+                server: server * self.classes + line.class,
                 zone,
                 begin,
                 end,
-                tries: m.tries,
-                failed: m.failed,
-                good_ms: m.success_ms,
-                variance: m.variance,
+                tries: line.tries,
+                failed: line.failed,
+                good_ms: line.success_ms,
+                variance: line.variance,
             },
         );
-        if !estimates::is_recent(report.ended_ago_ms, self.every_ms) {
+        if !estimates::is_recent(report.ended_ago_ms, self.interval_ms) {
             return false;
         }
-        let sum = self.met.entry((server, zone)).or_default();
-        sum.tries += m.tries * trust;
-        sum.failed += m.failed * trust;
-        sum.good_ms += m.success_ms * trust;
-        sum.variance += m.variance * trust * trust;
-        sum.tries_back += m.tries * trust * (now - begin);
-        let word = self.words.entry(server).or_default();
-        word.0.tries += m.tries;
-        word.0.failed += m.failed;
-        word.0.success_ms += m.success_ms;
-        word.0.load_samples += m.load_samples;
-        word.0.queue_sum += m.queue_sum;
-        word.0.service_ms_sum += m.service_ms_sum;
+        let sum = self.sums.entry((server, zone)).or_default();
+        sum.tries += line.tries * trust;
+        sum.failed += line.failed * trust;
+        sum.success_ms += line.success_ms * trust;
+        sum.variance += line.variance * trust * trust;
+        sum.tries_age_ms += line.tries * trust * (now - begin);
+        let server_sums = self.server_sums.entry(server).or_default();
+        server_sums.tries += line.tries;
+        server_sums.failed += line.failed;
+        server_sums.success_ms += line.success_ms;
+        server_sums.load_samples += line.load_samples;
+        server_sums.queue_sum += line.queue_sum;
+        server_sums.service_ms_sum += line.service_ms_sum;
         let view = self
             .views
             .entry(proxy)
             .or_default()
             .entry(server)
             .or_default();
-        (view.0, view.1) = (view.0 + m.tries, view.1 + m.failed);
+        (view.0, view.1) = (view.0 + line.tries, view.1 + line.failed);
         true
     }
 
     /// Adds visits of a class that arrived at a proxy.
-    pub fn came(&mut self, proxy: usize, class: usize, visits: f64, window: f64) {
-        let sum = self.came.entry((proxy, class)).or_default();
+    pub fn add_arrivals(&mut self, proxy: usize, class: usize, visits: f64, window_ms: f64) {
+        let sum = self.arrivals.entry((proxy, class)).or_default();
         sum.0 += visits;
-        sum.1 += window;
+        sum.1 += window_ms;
     }
 
     /// The index of this proxy may be reused.
     pub fn forget_proxy(&mut self, proxy: usize) {
-        self.came.retain(|(p, _), _| *p != proxy);
+        self.arrivals.retain(|(p, _), _| *p != proxy);
         self.views.remove(&proxy);
-        self.belief.forget_proxy(proxy);
+        self.trust.forget_proxy(proxy);
         self.coverage.forget_proxy(proxy);
         self.reported.remove(&proxy);
         self.in_flight.remove(&proxy);
@@ -242,60 +247,64 @@
 
     /// The index of this server may be reused.
     pub fn forget_server(&mut self, server: usize) {
-        self.met.retain(|(s, _), _| *s != server);
-        self.words.remove(&server);
-        for there in self.in_flight.values_mut() {
-            there.remove(&server);
+        self.sums.retain(|(s, _), _| *s != server);
+        self.server_sums.remove(&server);
+        for at_servers in self.in_flight.values_mut() {
+            at_servers.remove(&server);
         }
         let places = self.places(server);
         places.for_each(|place| self.estimates.forget(place));
-        self.belief.forget_server(server);
+        self.trust.forget_server(server);
         self.coverage.forget_server(server);
     }
 
     /// Ends the round: returns the sums for decisions, and the reporters and servers whose trust changed.
-    pub fn end(&mut self, now: f64) -> Round {
-        let mut vague = 0;
-        let mut met = Vec::with_capacity(self.met.len());
-        for ((server, zone), sum) in std::mem::take(&mut self.met) {
+    pub fn end_round(&mut self, now: f64) -> Round {
+        let mut imprecise = 0;
+        let mut stats = Vec::with_capacity(self.sums.len());
+        for ((server, zone), sum) in std::mem::take(&mut self.sums) {
             if sum.tries <= 0.0 {
                 continue;
             }
             if estimates::is_imprecise(sum.tries, sum.variance) {
-                vague += 1;
+                imprecise += 1;
                 continue;
             }
-            met.push(TryStats {
+            stats.push(TryStats {
                 zone,
                 server,
                 tries: sum.tries,
                 failed: sum.failed,
-                window_ms: sum.tries_back / sum.tries,
-                mean_ms: sum.good_ms / (sum.tries - sum.failed).max(1.0),
+                window_ms: sum.tries_age_ms / sum.tries,
+                mean_ms: sum.success_ms / (sum.tries - sum.failed).max(1.0),
             });
         }
-        let came = std::mem::take(&mut self.came).into_iter();
-        let came = came.map(|((proxy, class), (visits, window_ms))| Came {
+        let arrivals = std::mem::take(&mut self.arrivals).into_iter();
+        let arrivals = arrivals.map(|((proxy, class), (visits, window_ms))| Arrivals {
             proxy,
             class,
             visits,
             window_ms,
         });
-        let words = std::mem::take(&mut self.words).into_iter();
-        let words: BTreeMap<usize, ServerSample> = words
-            .map(|(server, (m, _))| {
-                let said = m.load_samples > 0.0;
-                let good = m.tries - m.failed;
-                let word = ServerSample {
-                    own_ms: said.then(|| m.service_ms_sum / m.load_samples),
-                    own_queue: said.then(|| m.queue_sum / m.load_samples),
-                    measured_ms: if good > 0.0 { m.success_ms / good } else { 0.0 },
-                    tries: if good > 0.0 { m.tries } else { 0.0 },
+        let server_sums = std::mem::take(&mut self.server_sums).into_iter();
+        let samples: BTreeMap<usize, ServerSample> = server_sums
+            .map(|(server, line)| {
+                let sampled = line.load_samples > 0.0;
+                let succeeded = line.tries - line.failed;
+                let sample = ServerSample {
+                    own_ms: sampled.then(|| line.service_ms_sum / line.load_samples),
+                    own_queue: sampled.then(|| line.queue_sum / line.load_samples),
+                    measured_ms: if succeeded > 0.0 {
+                        line.success_ms / succeeded
+                    } else {
+                        0.0
+                    },
+                    tries: if succeeded > 0.0 { line.tries } else { 0.0 },
                 };
-                (server, word)
+                (server, sample)
             })
             .collect();
-        let mut changes = self.belief.observe_servers(&words);
+        let mut trust_changes = self.trust.observe_servers(&samples);
         let views = std::mem::take(&mut self.views);
         let reported = std::mem::take(&mut self.reported);
         for (proxy, servers) in &views {
@@ -304,18 +313,20 @@
             }
         }
         for server in 0..self.coverage.server_count() {
-            let told = |proxy: usize| views.get(&proxy).is_some_and(|v| v.contains_key(&server));
-            self.coverage.decay(server, |p| reported.contains(&p), told);
+            let has_tries =
+                |proxy: usize| views.get(&proxy).is_some_and(|v| v.contains_key(&server));
+            self.coverage
+                .decay(server, |p| reported.contains(&p), has_tries);
         }
-        let mut heard = std::mem::take(&mut self.heard);
-        heard.extend(self.coverage.expire_silent(now));
-        changes.extend(self.belief.observe_proxies(&views));
+        let mut reporter_changes = std::mem::take(&mut self.reporter_changes);
+        reporter_changes.extend(self.coverage.expire_silent(now));
+        trust_changes.extend(self.trust.observe_proxies(&views));
         Round {
-            met,
-            came: came.collect(),
-            vague,
-            changes,
-            heard,
+            stats,
+            arrivals: arrivals.collect(),
+            imprecise,
+            trust_changes,
+            reporter_changes,
         }
     }
 
@@ -326,7 +337,7 @@
 
     /// Whether the reports of the proxy contradict those of all others.
     pub fn is_contrary(&self, proxy: usize) -> bool {
-        self.belief.is_contrary(proxy)
+        self.trust.is_contrary(proxy)
     }
 
     /// The places of a server in `estimates`, one for each class.
@@ -336,15 +347,15 @@
 
     /// Estimates by class, for the classes that have any.
     pub fn class_views(&self, now: f64, server: usize) -> Vec<ClassView> {
-        let span = SHOWN * self.every_ms;
+        let span_ms = SHOWN_ROUNDS * self.interval_ms;
         let places = self.places(server).enumerate();
         let views = places.filter_map(|(class, place)| {
-            let e = self.estimates.estimate(now, place, span)?;
+            let estimate = self.estimates.estimate(now, place, span_ms)?;
             Some(ClassView {
                 class,
-                tries_per_s: e.tries * 1e3 / span,
-                failed_share: e.failed / e.tries,
-                mean_ms: e.mean_ms,
+                tries_per_s: estimate.tries * 1e3 / span_ms,
+                failed_share: estimate.failed / estimate.tries,
+                mean_ms: estimate.mean_ms,
             })
         });
         views.collect()
@@ -352,19 +363,19 @@
 
     /// Estimates over all classes, if there are any.
     pub fn view(&self, now: f64, server: usize) -> Option<EstimateView> {
-        let span = SHOWN * self.every_ms;
-        let e = self
+        let span_ms = SHOWN_ROUNDS * self.interval_ms;
+        let estimate = self
             .estimates
-            .estimate_range(now, self.places(server), span)?;
-        let per_s = 1e3 / span;
+            .estimate_range(now, self.places(server), span_ms)?;
+        let per_s = 1e3 / span_ms;
         Some(EstimateView {
-            tries_per_s: e.tries * per_s,
-            failed_share: e.failed / e.tries,
-            mean_ms: e.mean_ms,
-            tail_ms: e.tail_ms,
-            error_per_s: e.error * per_s,
-            age_ms: e.age_ms,
-            stale: self.belief.is_stale(server),
+            tries_per_s: estimate.tries * per_s,
+            failed_share: estimate.failed / estimate.tries,
+            mean_ms: estimate.mean_ms,
+            tail_ms: estimate.tail_ms,
+            error_per_s: estimate.error * per_s,
+            age_ms: estimate.age_ms,
+            stale: self.trust.is_stale(server),
             reporting_share: self.coverage.reporting_share(server),
             in_flight: self.in_flight.values().filter_map(|t| t.get(&server)).sum(),
         })
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -2,9 +2,9 @@
 //! the slots hold what was sent. The rollout brings the second to the first in steps that the guard finds safe, and logs
 //! what it holds back.
 //!
-//! Call, once a moment: [`Rollout::learn`] after each round of reports or change of the roster, [`Rollout::settle`] with
-//! what is answered, [`Rollout::shutting`] for withdrawals, then [`Rollout::lines`] for each part; [`Rollout::wake_at`]
-//! gives the time of the next call that it needs. Its own rules, in order: withdrawals are sent at once; a withdrawal that
+//! Call, once a moment: [`Rollout::update`] after each round of reports or change of the roster,
+//! [`Rollout::record_applied`] with what is answered, [`Rollout::update_withdrawals`] for withdrawals, then
+//! [`Rollout::release`] for each part; [`Rollout::wake_at`] gives the time of the next call that it needs. Its own rules, in order: withdrawals are sent at once; a withdrawal that
 //! the planner owes for too long is made; a line for a server that is not ready is not opened; what can wait waits while
 //! the channel is full; the rest is sent in the guard's steps, no faster than their interval.
 
@@ -18,17 +18,17 @@
 
 /// A withdrawal that is owed for longer than this share of the drain grace period is made without the planner, which
 /// normally withdraws well within it.
-const LATE: f64 = 0.25;
+const LATE_GRACE_SHARE: f64 = 0.25;
 /// Lines that can wait do so while more than this share is used of the lines that may wait or of the messages that a
 /// proxy may be sent. The planner's own pacing stays below it.
-const ROOM: f64 = 0.9;
+const MAX_CHANNEL_SHARE: f64 = 0.9;
 /// Steps without a new order of the planner follow each other no faster than this share of the warm-up time.
-const PACE: f64 = 0.1;
+const STEP_WARM_UP_SHARE: f64 = 0.1;
 
 /// Buckets of a part's load history; together they cover one warm-up time.
-const LOADS: usize = 8;
+const LOAD_BUCKETS: usize = 8;
 /// Rounds over which the rise of a load is taken; the next rise is expected to be as large.
-const RISES: usize = 5;
+const RISE_ROUNDS: usize = 5;
 
 /// What the guard does about dangerous tables.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -44,14 +44,14 @@
 
 /// Load of a server by the reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Rate {
+pub struct ServerRate {
     /// Visits a second over some rounds, and the error of that figure.
-    pub per_s: f64,
+    pub visits_per_s: f64,
     pub error: f64,
     pub failed_share: f64,
     pub mean_ms: f64,
     /// Visits a second in the newest round alone.
-    pub newest: f64,
+    pub newest_per_s: f64,
 }
 
 /// The guard on the status page.
@@ -78,41 +78,44 @@
 
 /// How full the channel to a part's proxies is.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Channel {
+pub struct ChannelLoad {
     /// Lines that are sent and unanswered, over all proxies.
-    pub waiting: f64,
+    pub waiting_lines: f64,
     /// Proxies that receive the lines of the part.
-    pub readers: f64,
+    pub receivers: f64,
     /// Share of the message limit that is used by the proxy with the most messages in the window.
-    pub written: f64,
+    pub message_share: f64,
 }
 
 /// The load of a part: its peak over one warm-up time, since visits that hang at slow servers are not counted as tries
 /// and come back all at once. A rising load is extrapolated to when the next table has reached all proxies, since reports
 /// lag by a round and messages by their latency.
 #[derive(Clone, Debug, Default)]
-struct Load {
-    ring: [(u64, f64); LOADS],
+struct LoadHistory {
+    /// The number of each bucket and the highest load in it.
+    ring: [(u64, f64); LOAD_BUCKETS],
+    /// The loads of the last rounds.
     rounds: VecDeque<f64>,
 }
 
-impl Load {
+impl LoadHistory {
     /// Adds the load of a round and returns the load to plan for.
-    fn seen(&mut self, stretch: u64, per_s: f64) -> f64 {
-        let bucket = &mut self.ring[stretch as usize % LOADS];
-        if bucket.0 != stretch {
-            *bucket = (stretch, 0.0);
+    fn record(&mut self, bucket_number: u64, per_s: f64) -> f64 {
+        let bucket = &mut self.ring[bucket_number as usize % LOAD_BUCKETS];
+        if bucket.0 != bucket_number {
+            *bucket = (bucket_number, 0.0);
         }
         bucket.1 = bucket.1.max(per_s);
-        let lately = |b: &&(u64, f64)| stretch - b.0.min(stretch) < LOADS as u64;
+        let is_recent =
+            |b: &&(u64, f64)| bucket_number - b.0.min(bucket_number) < LOAD_BUCKETS as u64;
         let peak = self
             .ring
             .iter()
-            .filter(lately)
+            .filter(is_recent)
             .map(|b| b.1)
             .fold(0.0, f64::max);
         self.rounds.push_back(per_s);
-        if self.rounds.len() > RISES {
+        if self.rounds.len() > RISE_ROUNDS {
             self.rounds.pop_front();
         }
         // With a single round no rise is known.
@@ -125,30 +128,30 @@
 pub struct Rollout {
     mode: GuardMode,
     guard: Guard,
-    bearing: CapacityEstimate,
-    loads: BTreeMap<usize, Load>,
-    cold_share: f64,
-    warm_after_ms: f64,
-    fall_multiple: f64,
-    late_ms: f64,
-    pace_ms: f64,
-    tight_ms: f64,
-    most_waiting: f64,
-    dropped_may_stay: bool,
+    capacity: CapacityEstimate,
+    loads: BTreeMap<usize, LoadHistory>,
+    cold_capacity_share: f64,
+    warm_up_ms: f64,
+    overload_multiple: f64,
+    withdraw_late_ms: f64,
+    step_interval_ms: f64,
+    shortest_soft_limit_ms: f64,
+    max_queued_lines: f64,
+    keep_unlisted_servers: bool,
     /// Since when a line has been open for a server that is not ready.
-    owed: BTreeMap<usize, f64>,
+    owed_since: BTreeMap<usize, f64>,
     /// Parts whose wanted table has not been sent, and when the next step may follow.
-    unfinished: BTreeMap<usize, f64>,
+    next_step_at: BTreeMap<usize, f64>,
     /// Parts with lines of cold servers: checked after each round.
-    cold: BTreeSet<usize>,
+    cold_parts: BTreeSet<usize>,
     /// By part, the violations that were last logged.
-    told: BTreeMap<usize, Vec<String>>,
+    logged: BTreeMap<usize, Vec<String>>,
     view: GuardView,
 }
 
 /// What may be sent of a part now.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Leaves {
+pub struct Release {
     /// New weights by server; 0 removes the line.
     pub lines: Vec<(usize, f64)>,
     /// Something that is wanted is not sent now.
@@ -156,31 +159,32 @@
     /// A cold server is overloaded by the present table: pins and gates do not hold this back.
     pub urgent: bool,
     /// Lines for the operators' log.
-    pub notes: Vec<String>,
+    pub log: Vec<String>,
 }
 
 impl Rollout {
-    pub fn of(terms: &ControllerSettings) -> Rollout {
-        let limits = terms.classes.iter().map(|c| c.soft_limit_ms);
+    pub fn new(settings: &ControllerSettings) -> Rollout {
+        let limits = settings.classes.iter().map(|c| c.soft_limit_ms);
         Rollout {
-            mode: terms.guard_mode,
+            mode: settings.guard_mode,
             guard: Guard::default(),
-            bearing: CapacityEstimate::new(terms.warm_up_ms),
+            capacity: CapacityEstimate::new(settings.warm_up_ms),
             loads: BTreeMap::new(),
-            cold_share: terms.cold_capacity_share,
-            warm_after_ms: terms.warm_up_ms,
-            fall_multiple: terms.overload_multiple,
-            late_ms: terms.drain_grace_ms * LATE,
-            pace_ms: (terms.warm_up_ms * PACE).max(terms.report_interval_ms),
-            tight_ms: limits.fold(f64::INFINITY, f64::min),
-            most_waiting: terms.max_queued_lines,
-            dropped_may_stay: terms.keep_unlisted_servers,
-            owed: BTreeMap::new(),
-            unfinished: BTreeMap::new(),
-            cold: BTreeSet::new(),
-            told: BTreeMap::new(),
+            cold_capacity_share: settings.cold_capacity_share,
+            warm_up_ms: settings.warm_up_ms,
+            overload_multiple: settings.overload_multiple,
+            withdraw_late_ms: settings.drain_grace_ms * LATE_GRACE_SHARE,
+            step_interval_ms: (settings.warm_up_ms * STEP_WARM_UP_SHARE)
+                .max(settings.report_interval_ms),
+            shortest_soft_limit_ms: limits.fold(f64::INFINITY, f64::min),
+            max_queued_lines: settings.max_queued_lines,
+            keep_unlisted_servers: settings.keep_unlisted_servers,
+            owed_since: BTreeMap::new(),
+            next_step_at: BTreeMap::new(),
+            cold_parts: BTreeSet::new(),
+            logged: BTreeMap::new(),
             view: GuardView {
-                mode: match terms.guard_mode {
+                mode: match settings.guard_mode {
                     GuardMode::Off => "off",
                     GuardMode::ReportOnly => "tell",
                     GuardMode::Enforce => "hold",
@@ -195,24 +199,27 @@
         self.mode == GuardMode::Off
     }
 
-    fn holds(&self) -> bool {
+    fn enforces(&self) -> bool {
         self.mode == GuardMode::Enforce
     }
 
     /// The time of the next call that it needs.
     pub fn wake_at(&self) -> f64 {
-        let owed = self.owed.values().map(|since| since + self.late_ms);
-        let steps = self.unfinished.values().copied();
-        owed.chain(steps).fold(f64::INFINITY, f64::min)
+        let owed_since = self
+            .owed_since
+            .values()
+            .map(|since| since + self.withdraw_late_ms);
+        let steps = self.next_step_at.values().copied();
+        owed_since.chain(steps).fold(f64::INFINITY, f64::min)
     }
 
     /// The state of a server as the guard is to see it: one that is merely dropped from the roster may stay, where the
     /// settings allow it.
-    fn standing(&self, slot: &Slot) -> guard::AdminState {
+    fn guard_state(&self, slot: &Slot) -> guard::AdminState {
         match slot.state {
             AdminState::Ready => guard::AdminState::Ready,
             AdminState::Draining => guard::AdminState::Draining,
-            AdminState::Gone if self.dropped_may_stay && !slot.wants_shut => {
+            AdminState::Gone if self.keep_unlisted_servers && !slot.target_withdrawn => {
                 guard::AdminState::Ready
             }
             AdminState::Gone => guard::AdminState::Gone,
@@ -222,72 +229,85 @@
     /// Time since the last start, in warm-up times; infinite if no start is known.
     fn age(&self, now: f64, slot: &Slot) -> f64 {
         let ago = slot.started.map_or(f64::INFINITY, |(_, at)| now - at);
-        ago / self.warm_after_ms.max(1.0)
+        ago / self.warm_up_ms.max(1.0)
     }
 
     /// Updates the guard from the roster and a round of reports; `rate` returns the load of a server.
-    pub fn learn(&mut self, now: f64, slots: &[Slot], rate: impl Fn(usize) -> Option<Rate>) {
+    pub fn update(&mut self, now: f64, slots: &[Slot], rate: impl Fn(usize) -> Option<ServerRate>) {
         if self.is_off() {
             return;
         }
         let mut loads: BTreeMap<usize, f64> = BTreeMap::new();
-        let rates: Vec<Rate> = (0..slots.len())
+        let rates: Vec<ServerRate> = (0..slots.len())
             .map(|s| {
-                let sound =
-                    |r: &Rate| r.per_s.is_finite() && r.error.is_finite() && r.newest.is_finite();
-                rate(s).filter(sound).unwrap_or_default()
+                let is_finite = |r: &ServerRate| {
+                    r.visits_per_s.is_finite() && r.error.is_finite() && r.newest_per_s.is_finite()
+                };
+                rate(s).filter(is_finite).unwrap_or_default()
             })
             .collect();
-        let carried = |r: &Rate| ServerLoad {
-            per_s: r.per_s,
+        let server_load = |r: &ServerRate| ServerLoad {
+            per_s: r.visits_per_s,
             error: r.error,
             failed_share: r.failed_share,
-            in_time: r.mean_ms <= self.tight_ms,
+            in_time: r.mean_ms <= self.shortest_soft_limit_ms,
         };
-        let carried: Vec<ServerLoad> = rates.iter().map(carried).collect();
-        for ((slot, carried), rate) in slots.iter().zip(&carried).zip(&rates) {
+        let server_loads: Vec<ServerLoad> = rates.iter().map(server_load).collect();
+        for ((slot, server_load), rate) in slots.iter().zip(&server_loads).zip(&rates) {
             if let Some(part) = slot.part {
-                *loads.entry(part).or_default() += rate.per_s.max(rate.newest);
+                *loads.entry(part).or_default() += rate.visits_per_s.max(rate.newest_per_s);
             }
             if self.age(now, slot) >= 1.0 && slot.state == AdminState::Ready {
-                self.bearing.record(now, slot.listed_weight, carried);
+                self.capacity.record(now, slot.listed_weight, server_load);
             }
         }
         for (s, slot) in slots.iter().enumerate() {
             let age = self.age(now, slot);
-            let able = self.cold_share + (1.0 - self.cold_share) * age.clamp(0.0, 1.0);
-            let listed = slot.listed_weight;
-            let falls_at = match age < 1.0 {
-                true => {
-                    self.bearing
-                        .overload_per_s(now, listed, able, self.fall_multiple, &carried[s])
-                }
+            let capacity_share =
+                self.cold_capacity_share + (1.0 - self.cold_capacity_share) * age.clamp(0.0, 1.0);
+            let listed_weight = slot.listed_weight;
+            let overload_per_s = match age < 1.0 {
+                true => self.capacity.overload_per_s(
+                    now,
+                    listed_weight,
+                    capacity_share,
+                    self.overload_multiple,
+                    &server_loads[s],
+                ),
                 false => f64::INFINITY,
             };
             if let Some(part) = slot
                 .part
-                .filter(|_| falls_at.is_finite() && slot.weight > 0.0)
+                .filter(|_| overload_per_s.is_finite() && slot.weight > 0.0)
             {
-                self.cold.insert(part);
+                self.cold_parts.insert(part);
             }
-            let known = Server {
-                admin_state: self.standing(slot),
-                listed_weight: listed,
-                overload_per_s: falls_at,
+            let server = Server {
+                admin_state: self.guard_state(slot),
+                listed_weight,
+                overload_per_s,
             };
-            self.guard.set_server(s, slot.part, known);
+            self.guard.set_server(s, slot.part, server);
         }
-        let stretch = (now / (self.warm_after_ms / LOADS as f64).max(1.0)) as u64;
+        let bucket_number = (now / (self.warm_up_ms / LOAD_BUCKETS as f64).max(1.0)) as u64;
         for (part, load) in loads {
-            let most = self.loads.entry(part).or_default().seen(stretch, load);
-            self.guard.set_load(part, most);
+            let planned = self
+                .loads
+                .entry(part)
+                .or_default()
+                .record(bucket_number, load);
+            self.guard.set_load(part, planned);
         }
-        self.view.best = self.bearing.best_per_weight(now);
+        self.view.best = self.capacity.best_per_weight(now);
     }
 
     /// Tells the guard the serial up to which all proxies of a part have answered, for parts in which they may hold
     /// different tables.
-    pub fn settle(&mut self, answered: impl Fn(usize) -> u64, parts: impl Iterator<Item = usize>) {
+    pub fn record_applied(
+        &mut self,
+        answered: impl Fn(usize) -> u64,
+        parts: impl Iterator<Item = usize>,
+    ) {
         for part in parts {
             if self.guard.is_mixed(part) {
                 self.guard.record_applied(part, answered(part));
@@ -297,25 +317,25 @@
 
     /// Withdraws at once what the planner withdraws and what it owes for too long; does not open a server again that is not
     /// ready. Returns the servers that changed.
-    pub fn shutting(&mut self, now: f64, slots: &mut [Slot]) -> Vec<usize> {
+    pub fn update_withdrawals(&mut self, now: f64, slots: &mut [Slot]) -> Vec<usize> {
         let mut changed = Vec::new();
         for (s, slot) in slots.iter_mut().enumerate() {
-            let ready = !self.holds() || self.standing(slot) == guard::AdminState::Ready;
-            let owes = !ready && !slot.wants_shut && !slot.shut && slot.weight > 0.0;
+            let ready = !self.enforces() || self.guard_state(slot) == guard::AdminState::Ready;
+            let owes = !ready && !slot.target_withdrawn && !slot.withdrawn && slot.weight > 0.0;
             let late = match owes {
-                true => now - *self.owed.entry(s).or_insert(now) >= self.late_ms,
+                true => now - *self.owed_since.entry(s).or_insert(now) >= self.withdraw_late_ms,
                 false => {
-                    self.owed.remove(&s);
+                    self.owed_since.remove(&s);
                     false
                 }
             };
-            let shut = slot.wants_shut || late || (slot.shut && !ready);
+            let withdrawn = slot.target_withdrawn || late || (slot.withdrawn && !ready);
             if late {
-                self.owed.remove(&s);
+                self.owed_since.remove(&s);
                 self.view.withdrawn += 1;
             }
-            if shut != slot.shut {
-                slot.shut = shut;
+            if withdrawn != slot.withdrawn {
+                slot.withdrawn = withdrawn;
                 changed.push(s);
             }
         }
@@ -323,156 +343,163 @@
     }
 
     /// Lowers a retry policy that could execute visits twice, for a class that is not idempotent.
-    pub fn tries(&mut self, tries: RetryPolicy, repeatable: bool) -> RetryPolicy {
-        if self.is_off() || tries != RetryPolicy::OnFailure || repeatable {
-            return tries;
+    pub fn safe_retry(&mut self, retry: RetryPolicy, idempotent: bool) -> RetryPolicy {
+        if self.is_off() || retry != RetryPolicy::OnFailure || idempotent {
+            return retry;
         }
         self.count(Reason::UnsafeRetry);
-        match self.holds() {
+        match self.enforces() {
             true => RetryPolicy::OnProof,
-            false => tries,
+            false => retry,
         }
     }
 
+    /// Counts a violation for the status page.
     fn count(&mut self, reason: Reason) {
         *self.view.dangerous.entry(reason.code()).or_default() += 1;
     }
 
     /// Parts to check besides those that the planner changed.
-    pub fn due(&mut self) -> BTreeSet<usize> {
-        let mut due = std::mem::take(&mut self.cold);
-        due.extend(self.unfinished.keys());
-        due
+    pub fn parts_due(&mut self) -> BTreeSet<usize> {
+        let mut parts = std::mem::take(&mut self.cold_parts);
+        parts.extend(self.next_step_at.keys());
+        parts
     }
 
-    /// What may be sent of a part now. `asked`: the planner changed it in this moment.
-    pub fn lines(
+    /// What may be sent of a part now. `ordered`: the planner changed it in this moment.
+    pub fn release(
         &mut self,
         now: f64,
         part: usize,
         slots: &[Slot],
-        asked: bool,
-        channel: &Channel,
-    ) -> Leaves {
-        let dealt = || {
+        ordered: bool,
+        channel: &ChannelLoad,
+    ) -> Release {
+        let assigned = || {
             slots
                 .iter()
                 .enumerate()
                 .filter(|(_, s)| s.part == Some(part))
         };
-        let wanted: Vec<Line> = dealt()
+        let wanted: Vec<Line> = assigned()
             .map(|(server, s)| Line {
                 server,
-                weight: s.wanted,
-                open: !s.shut && s.wanted > 0.0,
+                weight: s.target_weight,
+                open: !s.withdrawn && s.target_weight > 0.0,
             })
             .collect();
-        let mut out = Leaves::default();
+        let mut release = Release::default();
         // Nobody picks a withdrawn line, so it takes its wanted weight at once.
-        let shut = || dealt().filter(|(_, s)| s.shut && s.weight != s.wanted);
-        let shut_lines = || shut().map(|(i, s)| (i, s.wanted));
-        let plain = |out: &mut Leaves| {
-            let open = dealt().filter(|(_, s)| !s.shut && s.weight != s.wanted);
-            out.lines
-                .extend(shut_lines().chain(open.map(|(i, s)| (i, s.wanted))));
+        let withdrawn_slots =
+            || assigned().filter(|(_, s)| s.withdrawn && s.weight != s.target_weight);
+        let withdrawn_lines = || withdrawn_slots().map(|(i, s)| (i, s.target_weight));
+        let release_all = |release: &mut Release| {
+            let open = assigned().filter(|(_, s)| !s.withdrawn && s.weight != s.target_weight);
+            release
+                .lines
+                .extend(withdrawn_lines().chain(open.map(|(i, s)| (i, s.target_weight))));
         };
         if self.is_off() {
-            plain(&mut out);
-            return out;
+            release_all(&mut release);
+            return release;
         }
         let step = self.guard.next_step(part, &wanted);
-        if asked {
+        if ordered {
             self.view.judged += 1;
             let reasons: BTreeSet<Reason> = step.violations.iter().map(|d| d.reason).collect();
             reasons.into_iter().for_each(|r| self.count(r));
         }
-        if !self.holds() {
-            self.tell(part, &step, slots, &mut out.notes);
-            plain(&mut out);
-            return out;
+        if !self.enforces() {
+            self.log_violations(part, &step, slots, &mut release.log);
+            release_all(&mut release);
+            return release;
         }
         // Lines that go away are sent now; lines that are new or change may have to wait.
         let changes = self.guard.changes(part, &step);
-        let (down, up): (Vec<_>, Vec<_>) = changes.into_iter().partition(|(_, w)| *w == 0.0);
-        let cost = channel.readers * up.len() as f64;
-        let full = channel.waiting + cost > self.most_waiting * ROOM || channel.written > ROOM;
+        let (removed, changed): (Vec<_>, Vec<_>) =
+            changes.into_iter().partition(|(_, w)| *w == 0.0);
+        let new_lines = channel.receivers * changed.len() as f64;
+        let full = channel.waiting_lines + new_lines > self.max_queued_lines * MAX_CHANNEL_SHARE
+            || channel.message_share > MAX_CHANNEL_SHARE;
+        let has_changes = !changed.is_empty() || withdrawn_slots().next().is_some();
         // The first table of a part is not held back: no proxy has one yet.
-        let waits = !up.is_empty() || shut().next().is_some();
-        let full = full && channel.readers > 0.0 && self.guard.has_table(part) && waits;
-        let early = !asked && self.unfinished.get(&part).is_some_and(|at| now < *at);
+        let full = full && channel.receivers > 0.0 && self.guard.has_table(part) && has_changes;
+        let too_early = !ordered && self.next_step_at.get(&part).is_some_and(|at| now < *at);
         let urgent = step
             .violations
             .iter()
             .any(|d| d.reason < Reason::Overweight);
         // New and changed lines wait while the channel is full, or until the step interval has passed, unless a server is
         // in danger and the step is safe.
-        let quiet = full || (early && !(urgent && step.remaining.is_empty()));
-        // If no line would be left, removing lines alone would empty the table.
-        let open = |s: &Slot| !s.shut && s.weight > 0.0;
-        let left = dealt()
-            .filter(|(i, s)| open(s) && !down.iter().any(|(d, _)| d == i))
+        let deferred = full || (too_early && !(urgent && step.remaining.is_empty()));
+        // If no open line would remain, removing lines alone would empty the table.
+        let open = |s: &Slot| !s.withdrawn && s.weight > 0.0;
+        let remaining_open = assigned()
+            .filter(|(i, s)| open(s) && !removed.iter().any(|(d, _)| d == i))
             .count();
-        if !quiet || left > 0 {
-            let gone = down
+        if !deferred || remaining_open > 0 {
+            let removed = removed
                 .into_iter()
-                .filter(|(s, _)| !slots[*s].shut && slots[*s].weight > 0.0);
-            out.lines.extend(gone.map(|(s, _)| (s, 0.0)));
+                .filter(|(s, _)| !slots[*s].withdrawn && slots[*s].weight > 0.0);
+            release.lines.extend(removed.map(|(s, _)| (s, 0.0)));
         }
-        if !quiet {
-            out.lines.extend(shut_lines().chain(up.iter().copied()));
-            self.view.steps += u64::from(!asked && !up.is_empty());
+        if !deferred {
+            release
+                .lines
+                .extend(withdrawn_lines().chain(changed.iter().copied()));
+            self.view.steps += u64::from(!ordered && !changed.is_empty());
         }
         if full {
             self.count(Reason::ChannelFull);
         }
-        out.urgent = step.violations.iter().any(|d| d.reason == Reason::Cold) && !asked;
-        out.held = step.partial || (quiet && waits);
-        match out.held {
+        release.urgent = step.violations.iter().any(|d| d.reason == Reason::Cold) && !ordered;
+        release.held = step.partial || (deferred && has_changes);
+        match release.held {
             true => {
-                let next = match quiet && early && !full {
+                let next_at = match deferred && too_early && !full {
                     true => self
-                        .unfinished
+                        .next_step_at
                         .get(&part)
                         .copied()
-                        .unwrap_or(now + self.pace_ms),
-                    false => now + self.pace_ms,
+                        .unwrap_or(now + self.step_interval_ms),
+                    false => now + self.step_interval_ms,
                 };
-                self.unfinished.insert(part, next);
-                self.view.held += u64::from(asked);
+                self.next_step_at.insert(part, next_at);
+                self.view.held += u64::from(ordered);
             }
             false => {
-                self.unfinished.remove(&part);
+                self.next_step_at.remove(&part);
             }
         }
-        self.tell(part, &step, slots, &mut out.notes);
-        out
+        self.log_violations(part, &step, slots, &mut release.log);
+        release
     }
 
     /// Keeps the present table: of the given lines only those of withdrawn servers and of servers that are not ready stay.
-    pub fn stays(&mut self, now: f64, part: usize, slots: &[Slot], leaves: &mut Leaves) {
-        let before = leaves.lines.len();
-        leaves
+    pub fn hold(&mut self, now: f64, part: usize, slots: &[Slot], release: &mut Release) {
+        let before = release.lines.len();
+        release
             .lines
-            .retain(|(s, _)| slots[*s].shut || slots[*s].state != AdminState::Ready);
-        if leaves.lines.len() < before {
-            leaves.held = true;
-            self.unfinished.insert(part, now + self.pace_ms);
+            .retain(|(s, _)| slots[*s].withdrawn || slots[*s].state != AdminState::Ready);
+        if release.lines.len() < before {
+            release.held = true;
+            self.next_step_at.insert(part, now + self.step_interval_ms);
         }
     }
 
     /// Lets the next step of all unfinished parts follow now.
-    pub fn look_again(&mut self, now: f64) {
-        self.unfinished.values_mut().for_each(|at| *at = now);
+    pub fn retry_now(&mut self, now: f64) {
+        self.next_step_at.values_mut().for_each(|at| *at = now);
     }
 
-    /// Tells the guard which lines of a part are sent with a serial; `readers`: proxies are bound to the part.
-    pub fn sent(
+    /// Tells the guard which lines of a part are sent with a serial; `has_receivers`: proxies are bound to the part.
+    pub fn record_sent(
         &mut self,
         part: usize,
         slots: &[Slot],
-        touched: &[usize],
+        servers: &[usize],
         serial: u64,
-        readers: bool,
+        has_receivers: bool,
     ) {
         if self.is_off() {
             return;
@@ -480,46 +507,51 @@
         let line = |s: &usize| Line {
             server: *s,
             weight: slots[*s].weight,
-            open: !slots[*s].shut && slots[*s].weight > 0.0,
+            open: !slots[*s].withdrawn && slots[*s].weight > 0.0,
         };
-        let lines: Vec<Line> = touched.iter().map(line).collect();
+        let lines: Vec<Line> = servers.iter().map(line).collect();
         self.guard.record_sent(part, &lines, false, serial);
-        if !readers {
+        if !has_receivers {
             self.guard.record_applied(part, serial);
         }
     }
 
     /// Logs the violations of a step, unless they are the same as last time.
-    fn tell(&mut self, part: usize, step: &Step, slots: &[Slot], notes: &mut Vec<String>) {
-        let words = |d: &Violation, more: &str| {
-            let whom = d
+    fn log_violations(&mut self, part: usize, step: &Step, slots: &[Slot], log: &mut Vec<String>) {
+        let describe = |v: &Violation, suffix: &str| {
+            let server = v
                 .server
                 .map_or(String::new(), |s| format!(" {}", slots[s].name));
-            format!("{}{whom}{more}", d.reason.code())
+            format!("{}{server}{suffix}", v.reason.code())
         };
-        let held = step.violations.iter().map(|d| (words(d, ""), d));
-        let more = " (nothing better is to be had)";
-        let borne = step.remaining.iter().map(|d| (words(d, more), d));
-        let all: Vec<(String, &Violation)> = held.chain(borne).collect();
-        let codes: Vec<String> = all.iter().map(|(word, _)| word.clone()).collect();
-        if codes.is_empty() {
-            self.told.remove(&part);
+        let violations = step.violations.iter().map(|v| (describe(v, ""), v));
+        // Hooks and the status page receive this text.
+        let suffix = " (nothing better is to be had)";
+        let remaining = step.remaining.iter().map(|v| (describe(v, suffix), v));
+        let all: Vec<(String, &Violation)> = violations.chain(remaining).collect();
+        let texts: Vec<String> = all.iter().map(|(text, _)| text.clone()).collect();
+        if texts.is_empty() {
+            self.logged.remove(&part);
             self.view.waits.remove(&part);
             return;
         }
-        if self.told.get(&part) != Some(&codes) {
-            let word = if self.holds() { "held" } else { "told only" };
-            for (text, d) in &all {
+        if self.logged.get(&part) != Some(&texts) {
+            let action = if self.enforces() {
+                "held back"
+            } else {
+                "reported only"
+            };
+            for (text, v) in &all {
                 let note = format!(
-                    "guard: part {part}: {text}: {:.3}, borne {:.3}; {word}",
-                    d.found, d.limit
+                    "guard: part {part}: {text}: {:.3}, limit {:.3}; {action}",
+                    v.found, v.limit
                 );
                 self.view.last = Some(note.clone());
-                notes.push(note);
+                log.push(note);
             }
         }
-        self.view.waits.insert(part, codes.clone());
-        self.told.insert(part, codes);
+        self.view.waits.insert(part, texts.clone());
+        self.logged.insert(part, texts);
     }
 
     /// The state of the guard for the status page.
