--- a/crates/guard/src/capacity.rs
+++ b/crates/guard/src/capacity.rs
@@ -8,13 +8,13 @@
 //! time.
 
 /// Buckets of the ring.
-const STRETCHES: usize = 32;
+const BUCKETS: usize = 32;
 /// Length of a bucket, in warm-up times.
-const STRETCH: f64 = 4.0;
+const BUCKET_WARM_UPS: f64 = 4.0;
 /// A server that fails more than this share of its visits does not carry them well.
-const FAILS: f64 = 0.1;
+const MAX_FAILED_SHARE: f64 = 0.1;
 /// A cold server that carries its visits well can carry this multiple of them.
-const SHOWN: f64 = 1.5;
+const OWN_LOAD_MULTIPLE: f64 = 1.5;
 
 /// Load of one server in a round of reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -30,12 +30,12 @@
 
 impl ServerLoad {
     /// Whether the server carries this load well.
-    fn well(&self) -> bool {
-        self.failed_share <= FAILS && self.in_time
+    fn is_good(&self) -> bool {
+        self.failed_share <= MAX_FAILED_SHARE && self.in_time
     }
 
     /// Lower end of the error interval.
-    fn surely(&self) -> f64 {
+    fn lower_bound(&self) -> f64 {
         (self.per_s - self.error).max(0.0)
     }
 }
@@ -43,137 +43,69 @@
 /// The highest loads that warm servers carried well. See the module documentation.
 #[derive(Clone, Debug)]
 pub struct CapacityEstimate {
-    stretch_ms: f64,
+    bucket_ms: f64,
     /// The number of the stretch that each bucket is of, and the highest load in it, for a listed weight of 1.
-    ring: [(u64, f64); STRETCHES],
+    ring: [(u64, f64); BUCKETS],
 }
 
 impl CapacityEstimate {
     /// An empty estimate.
-    pub fn new(warm_after_ms: f64) -> CapacityEstimate {
+    pub fn new(warm_up_ms: f64) -> CapacityEstimate {
         CapacityEstimate {
-            stretch_ms: (warm_after_ms * STRETCH).max(1.0),
-            ring: [(0, 0.0); STRETCHES],
+            bucket_ms: (warm_up_ms * BUCKET_WARM_UPS).max(1.0),
+            ring: [(0, 0.0); BUCKETS],
         }
     }
 
     /// The number of the stretch at that time.
-    fn stretch(&self, now: f64) -> u64 {
-        (now / self.stretch_ms) as u64
+    fn bucket_number(&self, now: f64) -> u64 {
+        (now / self.bucket_ms) as u64
     }
 
     /// Records the load of a warm server of that listed weight.
-    pub fn record(&mut self, now: f64, listed: f64, carried: &ServerLoad) {
-        if !carried.well() || listed <= 0.0 {
+    pub fn record(&mut self, now: f64, listed_weight: f64, load: &ServerLoad) {
+        if !load.is_good() || listed_weight <= 0.0 {
             return;
         }
-        let stretch = self.stretch(now);
-        let bucket = &mut self.ring[stretch as usize % STRETCHES];
-        if bucket.0 != stretch {
-            *bucket = (stretch, 0.0);
+        let bucket_number = self.bucket_number(now);
+        let bucket = &mut self.ring[bucket_number as usize % BUCKETS];
+        if bucket.0 != bucket_number {
+            *bucket = (bucket_number, 0.0);
         }
-        bucket.1 = bucket.1.max(carried.surely() / listed);
+        bucket.1 = bucket.1.max(load.lower_bound() / listed_weight);
     }
 
     /// The highest load in the ring, for a listed weight of 1; 0: nothing is known.
     pub fn best_per_weight(&self, now: f64) -> f64 {
-        let now = self.stretch(now);
-        let lately = |(at, _): &&(u64, f64)| now - at.min(&now) < STRETCHES as u64;
-        let lately = self.ring.iter().filter(lately);
-        lately.map(|(_, best)| *best).fold(0.0, f64::max)
+        let now = self.bucket_number(now);
+        let recent = |(at, _): &&(u64, f64)| now - at.min(&now) < BUCKETS as u64;
+        let recent = self.ring.iter().filter(recent);
+        recent.map(|(_, best)| *best).fold(0.0, f64::max)
     }
 
-    /// Visits a second that overload a cold server: `able` is its present share of its capacity, `multiple` the multiple of
-    /// that which overloads it, `own` its load. The limit is higher if it carries more than that itself. Infinite while
+    /// Visits a second that overload a cold server: `capacity_share` is its present share of its capacity, `multiple` the multiple of
+    /// that which overloads it, `own_load` its load. The limit is higher if it carries more than that itself. Infinite while
     /// nothing is known: then only the planner's own ramp applies.
     pub fn overload_per_s(
         &self,
         now: f64,
-        listed: f64,
-        able: f64,
+        listed_weight: f64,
+        capacity_share: f64,
         multiple: f64,
-        own: &ServerLoad,
+        own_load: &ServerLoad,
     ) -> f64 {
         let best = self.best_per_weight(now);
         if best <= 0.0 {
             return f64::INFINITY;
         }
-        let shown = if own.well() {
-            SHOWN * own.surely()
+        let carried_limit = if own_load.is_good() {
+            OWN_LOAD_MULTIPLE * own_load.lower_bound()
         } else {
             0.0
         };
-        (multiple * able * best * listed).max(shown)
+        (multiple * capacity_share * best * listed_weight).max(carried_limit)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn carried(per_s: f64) -> ServerLoad {
-        ServerLoad {
-            per_s,
-            error: 0.0,
-            failed_share: 0.0,
-            in_time: true,
-        }
-    }
-
-    #[test]
-    fn what_was_carried_well_counts_for_a_while() {
-        let mut b = CapacityEstimate::new(1_000.0);
-        assert_eq!(
-            b.overload_per_s(0.0, 1.0, 0.1, 3.0, &carried(5.0)),
-            f64::INFINITY,
-            "nothing is known"
-        );
-        let vague = ServerLoad {
-            error: 60.0,
-            ..carried(100.0)
-        };
-        let failing = ServerLoad {
-            failed_share: 0.5,
-            ..carried(900.0)
-        };
-        let late = ServerLoad {
-            in_time: false,
-            ..carried(900.0)
-        };
-        b.record(0.0, 1.0, &vague);
-        assert_eq!(
-            b.best_per_weight(0.0),
-            40.0,
-            "a vague word counts by its lower end"
-        );
-        b.record(0.0, 1.0, &failing);
-        b.record(0.0, 1.0, &late);
-        assert_eq!(
-            b.best_per_weight(0.0),
-            40.0,
-            "what was not carried well says nothing"
-        );
-        b.record(4_000.0, 2.0, &carried(100.0));
-        let cases = [
-            ("its part, three times", 8_000.0, 1.0, carried(0.0), 15.0),
-            ("by its listed weight", 8_000.0, 2.0, carried(0.0), 30.0),
-            ("what it shows itself", 8_000.0, 1.0, carried(20.0), 30.0),
-            ("but not while it fails", 8_000.0, 1.0, failing, 15.0),
-            (
-                "the day's best counts at night",
-                120_000.0,
-                1.0,
-                carried(0.0),
-                15.0,
-            ),
-            ("not for ever", 140_000.0, 1.0, carried(0.0), f64::INFINITY),
-        ];
-        for (name, now, listed, own, wanted) in cases {
-            let found = b.overload_per_s(now, listed, 0.1, 3.0, &own);
-            assert!(
-                found == wanted || (found - wanted).abs() < 1e-9,
-                "{name}: {found}"
-            );
-        }
-    }
-}
+mod tests;
--- a/crates/guard/src/caps.rs
+++ b/crates/guard/src/caps.rs
@@ -7,145 +7,46 @@
 
 /// The wanted weight of a server, and the cap on its share (1 or more: no cap).
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Share {
+pub struct WantedWeight {
     pub weight: f64,
     pub cap: f64,
 }
 
 /// Returns the weights in the same order; none if no weights keep all caps (the caps sum up to less than 1 and every server
 /// has one). Weights must not be negative, and at least one must be positive.
-pub fn apply_caps(wanted: &[Share]) -> Option<Vec<f64>> {
-    let ratio = |s: &Share| s.weight / s.cap.max(f64::MIN_POSITIVE);
-    let mut order: Vec<usize> = (0..wanted.len()).collect();
+pub fn apply_caps(wanted: &[WantedWeight]) -> Option<Vec<f64>> {
+    let ratio = |server: &WantedWeight| server.weight / server.cap.max(f64::MIN_POSITIVE);
+    let mut indices: Vec<usize> = (0..wanted.len()).collect();
     // Equal ratios are ordered by index, so that the same inputs give the same weights.
-    order.sort_by(|a, b| {
-        let by = ratio(&wanted[*b]).total_cmp(&ratio(&wanted[*a]));
-        by.then(a.cmp(b))
+    indices.sort_by(|a, b| {
+        let ordering = ratio(&wanted[*b]).total_cmp(&ratio(&wanted[*a]));
+        ordering.then(a.cmp(b))
     });
-    // `free[n]`: the weight that is not capped if the first n are, summed from the smallest ratio, since a difference of
+    // `uncapped_weights[n]`: the weight that is not capped if the first n are, summed from the smallest ratio, since a difference of
     // nearly equal sums would lose precision.
-    let mut free = vec![0.0; order.len() + 1];
-    for (i, at) in order.iter().enumerate().rev() {
-        free[i] = free[i + 1] + wanted[*at].weight;
+    let mut uncapped_weights = vec![0.0; indices.len() + 1];
+    for (i, index) in indices.iter().enumerate().rev() {
+        uncapped_weights[i] = uncapped_weights[i + 1] + wanted[*index].weight;
     }
-    let (mut caps, mut sum, mut many) = (0.0, free[0], 0);
-    for at in &order {
-        let s = &wanted[*at];
-        if s.weight <= s.cap * sum * (1.0 + 1e-12) {
+    let (mut caps, mut total, mut capped_count) = (0.0, uncapped_weights[0], 0);
+    for index in &indices {
+        let server = &wanted[*index];
+        if server.weight <= server.cap * total * (1.0 + 1e-12) {
             break;
         }
-        caps += s.cap;
-        many += 1;
-        if free[many] <= 0.0 || caps >= 1.0 - 1e-9 {
+        caps += server.cap;
+        capped_count += 1;
+        if uncapped_weights[capped_count] <= 0.0 || caps >= 1.0 - 1e-9 {
             return None;
         }
-        sum = free[many] / (1.0 - caps);
+        total = uncapped_weights[capped_count] / (1.0 - caps);
     }
-    let mut out: Vec<f64> = wanted.iter().map(|s| s.weight).collect();
-    for at in &order[..many] {
-        out[*at] = wanted[*at].cap * sum;
+    let mut weights: Vec<f64> = wanted.iter().map(|server| server.weight).collect();
+    for index in &indices[..capped_count] {
+        weights[*index] = wanted[*index].cap * total;
     }
-    (sum > 0.0).then_some(out)
+    (total > 0.0).then_some(weights)
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn share(weight: f64, cap: f64) -> Share {
-        Share { weight, cap }
-    }
-
-    #[test]
-    fn small_cases() {
-        type Case = (&'static str, Vec<Share>, Option<Vec<f64>>);
-        let cases: [Case; 7] = [
-            (
-                "no cap binds",
-                vec![share(1.0, 1.0), share(1.0, 0.5)],
-                Some(vec![1.0, 1.0]),
-            ),
-            (
-                "one is capped",
-                vec![share(1.0, 1.0), share(1.0, 0.2)],
-                Some(vec![1.0, 0.25]),
-            ),
-            (
-                "one pulls the next",
-                vec![share(1.0, 1.0), share(8.0, 0.3), share(1.0, 0.2)],
-                Some(vec![1.0, 0.6, 0.4]),
-            ),
-            (
-                "a cap of nothing",
-                vec![share(1.0, 1.0), share(1.0, 0.0)],
-                Some(vec![1.0, 0.0]),
-            ),
-            (
-                "nothing keeps them",
-                vec![share(1.0, 0.4), share(1.0, 0.4)],
-                None,
-            ),
-            (
-                "nobody else wants",
-                vec![share(0.0, 1.0), share(1.0, 0.4)],
-                None,
-            ),
-            (
-                "10,000 beside 1",
-                vec![share(1.0, 1.0), share(10_000.0, 0.5)],
-                Some(vec![1.0, 1.0]),
-            ),
-        ];
-        for (name, wanted, out) in cases {
-            let found = apply_caps(&wanted);
-            let near =
-                |a: &Vec<f64>, b: &Vec<f64>| a.iter().zip(b).all(|(a, b)| (a - b).abs() < 1e-9);
-            let same = match (&found, &out) {
-                (Some(a), Some(b)) => near(a, b),
-                (a, b) => a == b,
-            };
-            assert!(same, "{name}: {found:?}");
-        }
-    }
-
-    /// A slow reference implementation: finds the sum by bisection.
-    fn halved(wanted: &[Share]) -> Vec<f64> {
-        let sum = |s: f64| wanted.iter().map(|w| w.weight.min(w.cap * s)).sum::<f64>();
-        let (mut low, mut high) = (0.0, wanted.iter().map(|w| w.weight).sum::<f64>());
-        for _ in 0..200 {
-            let mid = (low + high) / 2.0;
-            if sum(mid) >= mid {
-                low = mid
-            } else {
-                high = mid
-            }
-        }
-        wanted.iter().map(|w| w.weight.min(w.cap * high)).collect()
-    }
-
-    proptest! {
-        #![proptest_config(ProptestConfig { cases: 4000, failure_persistence: None, ..ProptestConfig::default() })]
-        #[test]
-        fn it_finds_what_halving_finds(drawn in proptest::collection::vec((0_u32..50, 0_u32..12), 1..12)) {
-            let wanted: Vec<Share> = drawn.iter()
-                .map(|(w, c)| share(f64::from(*w), if *c > 9 { 1.0 } else { f64::from(*c) / 10.0 }))
-                .collect();
-            let slow = halved(&wanted);
-            let sum: f64 = slow.iter().sum();
-            match apply_caps(&wanted) {
-                Some(fast) => {
-                    let all: f64 = fast.iter().sum();
-                    for (f, w) in fast.iter().zip(&wanted) {
-                        prop_assert!(*f <= w.weight + 1e-9 && *f <= w.cap * all + 1e-9, "{:?} {:?}", wanted, fast);
-                    }
-                    // If the caps sum up to exactly 1, many sums solve it, and bisection finds the smallest.
-                    let caps: f64 = wanted.iter().filter(|w| w.weight > 0.0).map(|w| w.cap).sum();
-                    let off = caps > 1.0 + 1e-9 && fast.iter().zip(&slow).any(|(a, b)| (a - b).abs() > 1e-6 * all.max(1.0));
-                    prop_assert!(!off, "{:?}: {:?} {:?}", wanted, fast, slow);
-                }
-                None => prop_assert!(sum < 1e-6 || wanted.iter().map(|w| w.cap).sum::<f64>() <= 1.0 + 1e-6, "{:?}: {:?}", wanted, slow),
-            }
-        }
-    }
-}
+mod tests;
--- a/crates/guard/src/steps.rs
+++ b/crates/guard/src/steps.rs
@@ -9,14 +9,15 @@
 //! Progress: every step that is not the wanted table ends at caps that grow as servers warm up, or goes as far as one step
 //! may move. While the fleet does not change, the second step reaches these caps.
 
-use crate::caps::{Share, apply_caps};
+use crate::caps::{WantedWeight, apply_caps};
 use crate::{
-    AdminState, COLD_MOST, Guard, HEAVIER, HEAVY, Line, Part, Reason, SLACK, STEP, Table, Violation,
+    AdminState, EPSILON, Guard, Line, MAX_COLD_LOAD_SHARE, MAX_STEP_SHARE, OVERWEIGHT_RATIO,
+    OVERWEIGHT_SHARE, Part, Reason, Table, Violation,
 };
 use std::collections::BTreeMap;
 
 /// A line that a step would change by no more than this share of its weight stays: small corrections cost messages.
-const STIR: f64 = 0.02;
+const MIN_CHANGE_SHARE: f64 = 0.02;
 
 /// The table that may be sent now.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -38,49 +39,49 @@
     before: &'a Table,
     table: Table,
     /// Listed weight of the part's ready servers.
-    listed: f64,
+    total_listed: f64,
 }
 
 type Rule = fn(&mut Draft);
 
 const RULES: [Rule; 5] = [
-    who_is_not_ready_goes,
-    somebody_stays,
-    somebody_warm_stays,
-    shares_are_capped,
-    the_way_is_cut,
+    remove_not_ready,
+    keep_any,
+    keep_warm,
+    cap_shares,
+    limit_step,
 ];
 
 /// Guards against undoing a drain: whatever is wanted, lines for servers that are not ready are removed.
-fn who_is_not_ready_goes(d: &mut Draft) {
-    let wrong: Vec<usize> = d
+fn remove_not_ready(draft: &mut Draft) {
+    let not_ready: Vec<usize> = draft
         .table
         .lines
         .keys()
         .copied()
-        .filter(|s| !d.is_ready(*s))
+        .filter(|s| !draft.is_ready(*s))
         .collect();
-    wrong.into_iter().for_each(|s| d.set(s, 0.0));
+    not_ready.into_iter().for_each(|s| draft.set(s, 0.0));
 }
 
 /// Guards against an empty table: the present lines of ready servers stay; if there are none, all ready servers get their
 /// listed weights.
-fn somebody_stays(d: &mut Draft) {
-    if d.table.lines.is_empty() {
-        d.keep(|_| true);
+fn keep_any(draft: &mut Draft) {
+    if draft.table.lines.is_empty() {
+        draft.keep(|_| true);
     }
 }
 
 /// Guards against leaving a part to cold servers while it has warm ones: the present lines of warm servers stay; if there
 /// are none, warm servers get their listed weights.
-fn somebody_warm_stays(d: &mut Draft) {
-    if !d
+fn keep_warm(draft: &mut Draft) {
+    if !draft
         .table
         .lines
         .keys()
-        .any(|s| d.guard.server_of(*s).is_warm())
+        .any(|s| draft.guard.server_of(*s).is_warm())
     {
-        d.keep(|s| d.guard.server_of(s).is_warm());
+        draft.keep(|s| draft.guard.server_of(s).is_warm());
     }
 }
 
@@ -88,63 +89,65 @@
 /// weights keep all caps, the present lines stay in addition; if that is not enough, the caps on the share of one server
 /// are dropped, since they guard against mistakes and no server fails without them. If cold servers must carry all load,
 /// it is shared in proportion to what each can take.
-fn shares_are_capped(d: &mut Draft) {
-    let mut found = d.capped(true);
-    if found.is_none() {
-        let stands: Vec<(usize, f64)> = d.before.lines.iter().map(|(s, w)| (*s, *w)).collect();
-        for (s, w) in stands {
-            if d.is_ready(s) && !d.table.lines.contains_key(&s) {
-                d.set(s, w);
+fn cap_shares(draft: &mut Draft) {
+    let mut weights = draft.capped_weights(true);
+    if weights.is_none() {
+        let present: Vec<(usize, f64)> = draft.before.lines.iter().map(|(s, w)| (*s, *w)).collect();
+        for (s, w) in present {
+            if draft.is_ready(s) && !draft.table.lines.contains_key(&s) {
+                draft.set(s, w);
             }
         }
-        found = d.capped(true).or_else(|| d.capped(false));
+        weights = draft
+            .capped_weights(true)
+            .or_else(|| draft.capped_weights(false));
     }
-    let lines: Vec<(usize, f64)> = found.unwrap_or_else(|| {
-        let takes = d
+    let lines: Vec<(usize, f64)> = weights.unwrap_or_else(|| {
+        let limits = draft
             .table
             .lines
             .keys()
-            .map(|s| (*s, d.guard.server_of(*s).overload_per_s));
-        let takes: Vec<(usize, f64)> = takes.collect();
+            .map(|s| (*s, draft.guard.server_of(*s).overload_per_s));
+        let limits: Vec<(usize, f64)> = limits.collect();
         // Only cold servers are left; their limits may all be 0.
-        let known = takes.iter().all(|t| t.1.is_finite()) && takes.iter().any(|t| t.1 > 0.0);
-        if known { takes } else { Vec::new() }
+        let usable = limits.iter().all(|l| l.1.is_finite()) && limits.iter().any(|l| l.1 > 0.0);
+        if usable { limits } else { Vec::new() }
     });
-    lines.into_iter().for_each(|(s, w)| d.set(s, w));
+    lines.into_iter().for_each(|(s, w)| draft.set(s, w));
 }
 
 /// Guards against replacing a whole table at once: the step goes as far as one step may move. The present table and the
 /// draft keep the caps, and so does any mixture of them. If the present table breaks a cap, the whole step is made: a
 /// large step is better than an overloaded server.
-fn the_way_is_cut(d: &mut Draft) {
-    let moved = d.moved();
-    if moved <= STEP + SLACK {
+fn limit_step(draft: &mut Draft) {
+    let moved_share = draft.moved_share();
+    if moved_share <= MAX_STEP_SHARE + EPSILON {
         return;
     }
     // Slightly less than allowed, so that rounding does not exceed the limit.
-    let way = (STEP - SLACK) / moved;
-    let ready = |s: &usize| d.is_ready(*s);
-    let left: f64 = d
+    let progress = (MAX_STEP_SHARE - EPSILON) / moved_share;
+    let ready = |s: &usize| draft.is_ready(*s);
+    let before_total: f64 = draft
         .before
         .lines
         .iter()
         .filter(|(s, _)| ready(s))
         .map(|(_, w)| w)
         .sum();
-    let sum = d.table.sum;
+    let total = draft.table.total;
     let mut shares: BTreeMap<usize, f64> = BTreeMap::new();
-    for (s, w) in d.before.lines.iter().filter(|(s, _)| ready(s)) {
-        *shares.entry(*s).or_default() += (1.0 - way) * w / left;
+    for (s, w) in draft.before.lines.iter().filter(|(s, _)| ready(s)) {
+        *shares.entry(*s).or_default() += (1.0 - progress) * w / before_total;
     }
-    for (s, w) in &d.table.lines {
-        *shares.entry(*s).or_default() += way * w / sum;
+    for (s, w) in &draft.table.lines {
+        *shares.entry(*s).or_default() += progress * w / total;
     }
-    let falls = |(s, share): (&usize, &f64)| *share > d.cold_cap(*s) * (1.0 + SLACK);
-    if shares.iter().any(falls) {
+    let exceeds_cap = |(s, share): (&usize, &f64)| *share > draft.cold_cap(*s) * (1.0 + EPSILON);
+    if shares.iter().any(exceeds_cap) {
         return;
     }
     for (s, share) in shares {
-        d.set(s, share * sum);
+        draft.set(s, share * total);
     }
 }
 
@@ -164,16 +167,16 @@
 
     /// Adds lines of the ready servers that `kind` selects: the present lines or, if there are none, listed weights.
     fn keep(&mut self, kind: impl Fn(usize) -> bool) {
-        let stands = self.before.lines.iter().map(|(s, w)| (*s, *w));
-        let stands = stands.filter(|(s, _)| self.is_ready(*s) && kind(*s));
-        let mut kept: Vec<(usize, f64)> = stands.collect();
+        let present = self.before.lines.iter().map(|(s, w)| (*s, *w));
+        let present = present.filter(|(s, _)| self.is_ready(*s) && kind(*s));
+        let mut kept: Vec<(usize, f64)> = present.collect();
         if kept.is_empty() {
             let ready = self
                 .part
                 .members
                 .iter()
                 .filter(|s| self.is_ready(**s) && kind(**s));
-            let listed = |s: &usize| (*s, self.guard.server_of(*s).listed_weight.max(SLACK));
+            let listed = |s: &usize| (*s, self.guard.server_of(*s).listed_weight.max(EPSILON));
             kept = ready.map(listed).collect();
         }
         kept.into_iter().for_each(|(s, w)| self.set(s, w));
@@ -186,54 +189,68 @@
         if s.is_warm() || self.part.load <= 0.0 {
             return 1.0;
         }
-        let had = self.before.share(server);
-        let here = self.part.most(server);
-        let brought = self.guard.brought.get(&server).copied().unwrap_or(here);
-        let others = (brought - here).max(0.0);
+        let current_share = self.before.share(server);
+        let part_load = self.part.max_load(server);
+        let total_load = self
+            .guard
+            .max_loads
+            .get(&server)
+            .copied()
+            .unwrap_or(part_load);
+        let other_load = (total_load - part_load).max(0.0);
         // Slightly less than allowed, so that rounding does not exceed the limit.
-        let most = COLD_MOST * s.overload_per_s * (1.0 - SLACK);
-        let room = (most - others).max(0.0) / self.part.load;
+        let limit = MAX_COLD_LOAD_SHARE * s.overload_per_s * (1.0 - EPSILON);
+        let allowed_share = (limit - other_load).max(0.0) / self.part.load;
         // While older tables bring it too much, the new one must not bring it more than the present one.
-        let room = match others + here > COLD_MOST * s.overload_per_s {
-            true => room.min(had),
-            false => room,
+        let allowed_share = match other_load + part_load > MAX_COLD_LOAD_SHARE * s.overload_per_s {
+            true => allowed_share.min(current_share),
+            false => allowed_share,
         };
-        let falls = others + self.part.load * had > s.overload_per_s;
-        (if falls { room } else { room.max(had) }).min(1.0)
+        let overloaded = other_load + self.part.load * current_share > s.overload_per_s;
+        (if overloaded {
+            allowed_share
+        } else {
+            allowed_share.max(current_share)
+        })
+        .min(1.0)
     }
 
-    /// The weights of the draft under their caps, if any weights keep them; `heavy`: with caps on the share of one server.
-    fn capped(&self, heavy: bool) -> Option<Vec<(usize, f64)>> {
+    /// The weights of the draft under their caps, if any weights keep them; `cap_overweight`: with caps on the share of
+    /// one server.
+    fn capped_weights(&self, cap_overweight: bool) -> Option<Vec<(usize, f64)>> {
         let lines = self.table.lines.iter();
-        let wanted = lines.map(|(s, weight)| Share {
+        let wanted = lines.map(|(s, weight)| WantedWeight {
             weight: *weight,
-            cap: self
-                .cold_cap(*s)
-                .min(if heavy { self.heavy_cap(*s) } else { 1.0 }),
+            cap: self.cold_cap(*s).min(if cap_overweight {
+                self.overweight_cap(*s)
+            } else {
+                1.0
+            }),
         });
-        let found = apply_caps(&wanted.collect::<Vec<Share>>())?;
-        Some(self.table.lines.keys().copied().zip(found).collect())
+        let weights = apply_caps(&wanted.collect::<Vec<WantedWeight>>())?;
+        Some(self.table.lines.keys().copied().zip(weights).collect())
     }
 
     /// The highest share that one server may have.
-    fn heavy_cap(&self, server: usize) -> f64 {
-        let part = self.guard.server_of(server).listed_weight / self.listed.max(SLACK);
-        let most = (HEAVIER * part).max(HEAVY);
-        most.max(self.before.share(server)).min(1.0)
+    fn overweight_cap(&self, server: usize) -> f64 {
+        let listed_share =
+            self.guard.server_of(server).listed_weight / self.total_listed.max(EPSILON);
+        let cap = (OVERWEIGHT_RATIO * listed_share).max(OVERWEIGHT_SHARE);
+        cap.max(self.before.share(server)).min(1.0)
     }
 
     /// The share that moves between ready servers.
-    fn moved(&self) -> f64 {
+    fn moved_share(&self) -> f64 {
         let ready = |s: &usize| self.is_ready(*s);
-        let sum = |t: &Table| -> f64 {
+        let ready_total = |t: &Table| -> f64 {
             t.lines
                 .iter()
                 .filter(|(s, _)| ready(s))
                 .map(|(_, w)| w)
                 .sum()
         };
-        let (left, stays) = (sum(self.before), sum(&self.table));
-        if left <= 0.0 || stays <= 0.0 {
+        let (before_total, next_total) = (ready_total(self.before), ready_total(&self.table));
+        if before_total <= 0.0 || next_total <= 0.0 {
             return 0.0;
         }
         let lost = self
@@ -243,7 +260,7 @@
             .filter(|(s, _)| ready(s))
             .map(|(s, w)| {
                 let next = self.table.lines.get(s).copied().unwrap_or(0.0);
-                (w / left - next / stays).max(0.0)
+                (w / before_total - next / next_total).max(0.0)
             });
         lost.sum()
     }
@@ -253,40 +270,40 @@
     /// The table that may be sent now, given all lines of a part as they are wanted.
     pub fn next_step(&self, part: usize, wanted: &[Line]) -> Step {
         let none = Part::default();
-        let held = self.parts.get(&part).unwrap_or(&none);
+        let part_state = self.parts.get(&part).unwrap_or(&none);
         let nothing = Table::default();
-        let before = held.newest.as_ref().unwrap_or(&nothing);
+        let before = part_state.newest.as_ref().unwrap_or(&nothing);
         let mut table = Table::default();
         wanted.iter().for_each(|l| table.set(l));
-        let table = table.tidied();
+        let table = table.with_exact_total();
         // A line that is already open is not opened by this table: if its server is not ready, its withdrawal is on its way.
         let opened = wanted
             .iter()
             .filter(|l| !before.lines.contains_key(&l.server));
         let opened: Vec<Line> = opened.copied().collect();
-        let mut danger = self.judge(held, &table, &opened);
-        let falls: Vec<Violation> = self.falls(held, &table);
-        danger.extend(falls);
-        if danger.is_empty() {
-            let open = table.lines;
+        let mut violations = self.apply_rules(part_state, &table, &opened);
+        let overloaded: Vec<Violation> = self.overloaded(part_state, &table);
+        violations.extend(overloaded);
+        if violations.is_empty() {
+            let weights = table.lines;
             return Step {
-                weights: open,
+                weights,
                 ..Step::default()
             };
         }
-        let ready = held.members.iter().map(|s| self.server_of(*s));
+        let ready = part_state.members.iter().map(|s| self.server_of(*s));
         let ready = ready.filter(|s| s.admin_state == AdminState::Ready);
-        let listed = ready.map(|s| s.listed_weight).sum();
+        let total_listed = ready.map(|s| s.listed_weight).sum();
         let mut draft = Draft {
             guard: self,
-            part: held,
+            part: part_state,
             before,
             table,
-            listed,
+            total_listed,
         };
         for rule in RULES {
             rule(&mut draft);
-            draft.table = draft.table.tidied();
+            draft.table = draft.table.with_exact_total();
         }
         let table = draft.table;
         let opened: Vec<Line> = table
@@ -299,39 +316,39 @@
                 open: true,
             })
             .collect();
-        let mut borne = self.judge(held, &table, &opened);
-        borne.extend(self.falls(held, &table));
+        let mut remaining = self.apply_rules(part_state, &table, &opened);
+        remaining.extend(self.overloaded(part_state, &table));
         Step {
             weights: table.lines,
-            violations: danger,
-            remaining: borne,
+            violations,
+            remaining,
             partial: true,
         }
     }
 
     /// Cold servers that the present tables overload and that the next table does not relieve enough: load has grown, or
     /// other servers have left, since the table was checked.
-    fn falls(&self, part: &Part, next: &Table) -> Vec<Violation> {
+    fn overloaded(&self, part: &Part, next: &Table) -> Vec<Violation> {
         let mut out = Vec::new();
         for server in next.lines.keys() {
             let s = self.server_of(*server);
             if s.is_warm() || s.admin_state != AdminState::Ready {
                 continue;
             }
-            let here = part.most(*server);
-            let others = self.brought.get(server).copied().unwrap_or(here) - here;
-            let had = part.load * part.share(*server);
-            let has = part.load * next.share(*server);
-            let grows = has > had * (1.0 + SLACK);
+            let part_load = part.max_load(*server);
+            let other_load = self.max_loads.get(server).copied().unwrap_or(part_load) - part_load;
+            let current_load = part.load * part.share(*server);
+            let next_load = part.load * next.share(*server);
+            let grows = next_load > current_load * (1.0 + EPSILON);
             if !grows
-                && others + had > s.overload_per_s
-                && others + has > COLD_MOST * s.overload_per_s * (1.0 + SLACK)
+                && other_load + current_load > s.overload_per_s
+                && other_load + next_load > MAX_COLD_LOAD_SHARE * s.overload_per_s * (1.0 + EPSILON)
             {
                 out.push(Violation {
                     reason: Reason::Cold,
                     server: Some(*server),
-                    found: others + has,
-                    limit: COLD_MOST * s.overload_per_s,
+                    found: other_load + next_load,
+                    limit: MAX_COLD_LOAD_SHARE * s.overload_per_s,
                 });
             }
         }
@@ -346,14 +363,18 @@
         let before = newest.map_or(&nothing, |t| &t.lines);
         let mut out: Vec<(usize, f64)> = Vec::new();
         for (s, w) in &step.weights {
-            let had = before.get(s).copied().unwrap_or(0.0);
-            let stir = if step.partial { STIR } else { SLACK };
-            if (had - w).abs() > stir * had.max(*w) || had == 0.0 {
+            let current = before.get(s).copied().unwrap_or(0.0);
+            let min_change = if step.partial {
+                MIN_CHANGE_SHARE
+            } else {
+                EPSILON
+            };
+            if (current - w).abs() > min_change * current.max(*w) || current == 0.0 {
                 out.push((*s, *w));
             }
         }
-        let gone = before.keys().filter(|s| !step.weights.contains_key(s));
-        out.extend(gone.map(|s| (*s, 0.0)));
+        let removed = before.keys().filter(|s| !step.weights.contains_key(s));
+        out.extend(removed.map(|s| (*s, 0.0)));
         out
     }
 }
