--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -81,8 +81,9 @@
     pub current_weight: f64,
 }
 
-/// Called before lines of a part are sent; returns true to keep the present table instead. Withdrawals, and what the
-/// guard does for cold servers that are overloaded, are sent all the same.
+/// Called before lines of a part are sent; returns true to keep the present table instead.
+/// Withdrawals, and what the guard does for cold servers that are overloaded, are sent all the
+/// same.
 pub type Gate<'a> = &'a mut dyn FnMut(usize, &[PendingLine]) -> bool;
 
 /// Changes the planner's orders before the guard sees them, for tests of the guard.
@@ -139,8 +140,8 @@
     pub guard: GuardView,
 }
 
-/// Settings of the planner. A front makes up to `writes_per_message` writes of one message, so the planner may send only
-/// as many messages as fit into `max_messages` after a join.
+/// Settings of the planner. A front makes up to `writes_per_message` writes of one message, so the
+/// planner may send only as many messages as fit into `max_messages` after a join.
 fn planner_settings(settings: &ControllerSettings) -> PlannerSettings {
     let max_messages =
         (settings.max_messages - settings.writes_per_join) / settings.writes_per_message;
@@ -188,8 +189,8 @@
 }
 
 impl Controller {
-    /// Creates a controller without roster or proxies. All times are milliseconds on one monotonic clock; `seed` is the
-    /// only source of randomness.
+    /// Creates a controller without roster or proxies. All times are milliseconds on one monotonic
+    /// clock; `seed` is the only source of randomness.
     pub fn new(now: f64, seed: u64, settings: ControllerSettings) -> Controller {
         let zones = settings.zones.iter().cloned().zip(0..).collect();
         let classes = settings.classes.iter().map(|c| c.name.clone()).zip(0..);
@@ -253,8 +254,8 @@
         self.handle_gated(now, inputs, &mut |_, _| false)
     }
 
-    /// Like [`Controller::handle`], with a gate that is asked before lines are sent. For a replay, the parts that it held
-    /// back are to be recorded after the moment ([`Input::Gated`]).
+    /// Like [`Controller::handle`], with a gate that is asked before lines are sent. For a replay,
+    /// the parts that it held back are to be recorded after the moment ([`Input::Gated`]).
     pub fn handle_gated(&mut self, now: f64, inputs: Vec<Input>, gate: Gate) -> Vec<Output> {
         let mut out = Vec::new();
         self.now = now;
@@ -504,8 +505,8 @@
         }
     }
 
-    /// Matches an answer with the messages it answers and tells the planner. Returns the proxy and these messages; none if
-    /// the answer matches nothing.
+    /// Matches an answer with the messages it answers and tells the planner. Returns the proxy and
+    /// these messages; none if the answer matches nothing.
     fn match_answer(
         &mut self,
         now: f64,
@@ -522,7 +523,8 @@
             self.counters.unexpected_answers += 1;
             return None;
         }
-        // The remaining messages were sent earlier, but their answers queue behind this one: the timeout restarts.
+        // The remaining messages were sent earlier, but their answers queue behind this one: the
+        // timeout restarts.
         let oldest = proxy.outstanding.oldest_sent_at();
         proxy.delivery.unanswered_since = oldest.map(|_| now);
         for mark in sent.iter().filter_map(|m| m.mark) {
@@ -722,8 +724,8 @@
         out.extend(notes.map(Output::Log));
     }
 
-    /// Updates the guard: with reports and roster if they changed in this moment (`guard_inputs`), and with what the
-    /// proxies have answered.
+    /// Updates the guard: with reports and roster if they changed in this moment (`guard_inputs`),
+    /// and with what the proxies have answered.
     fn update_guard(&mut self, now: f64, guard_inputs: bool) {
         if self.rollout.is_off() {
             return;
@@ -758,8 +760,8 @@
             .record_applied(|part| answered[&part], parts.into_iter());
     }
 
-    /// Selects the lines of each part that may be sent now and adds them to `changes`. `ordered_parts` are the parts that
-    /// the planner changed, `ordered_lines` its lines.
+    /// Selects the lines of each part that may be sent now and adds them to `changes`.
+    /// `ordered_parts` are the parts that the planner changed, `ordered_lines` its lines.
     fn release_parts(
         &mut self,
         now: f64,
@@ -952,7 +954,8 @@
     ) {
         let is_empty = message.lines.is_empty() && message.policies.is_empty();
         if proxies.is_empty() || is_empty && !matches!(message.scope, Scope::Snapshot(_)) {
-            // The planner waits for an answer to orders that were held back, so it is answered here.
+            // The planner waits for an answer to orders that were held back, so it is answered
+            // here.
             if let Some(mark) = mark.filter(|_| self.orders_held) {
                 proxies
                     .iter()
--- a/crates/control/src/debug_text.rs
+++ b/crates/control/src/debug_text.rs
@@ -1,5 +1,6 @@
-//! The `Debug` text of outputs. `dahliapoint replay` prints it, and operators compare and search what it prints, so
-//! it keeps the names below even where the types in the code are called otherwise.
+//! The `Debug` text of outputs. `dahliapoint replay` prints it, and operators compare and search
+//! what it prints, so it keeps the names below even where the types in the code are called
+//! otherwise.
 
 use crate::{ClassPolicy, LineState, Message, Output, Scope};
 use std::fmt::{self, Debug, Formatter};
--- a/crates/control/src/delivery.rs
+++ b/crates/control/src/delivery.rs
@@ -1,25 +1,27 @@
-//! Redelivery of refused messages and eviction of proxies that do not answer, without I/O: an ordered list of rules,
-//! each a condition and an effect, applied to each proxy until none fires.
+//! Redelivery of refused messages and eviction of proxies that do not answer, without I/O: an
+//! ordered list of rules, each a condition and an effect, applied to each proxy until none fires.
 //!
-//! [`DeliveryState`] is the delivery state of a joined proxy; [`next_action`] returns the next thing to do about it, if
-//! any, and updates that state. All times are multiples of the service's own settings.
+//! [`DeliveryState`] is the delivery state of a joined proxy; [`next_action`] returns the next
+//! thing to do about it, if any, and updates that state. All times are multiples of the service's
+//! own settings.
 
 use crate::ControllerSettings;
 
-/// A proxy that does not answer is evicted after this many drain grace periods or this many message latencies,
-/// whichever is longer.
+/// A proxy that does not answer is evicted after this many drain grace periods or this many message
+/// latencies, whichever is longer.
 const EVICT_GRACE_PERIODS: f64 = 4.0;
 const EVICT_LATENCIES: f64 = 30.0;
-/// Delay of the first redelivery after a refusal, as a share of the drain grace period. Withdrawals get several attempts
-/// within that period; the rest of a table can wait. The delay doubles with each refusal, at most `MAX_DOUBLINGS` times.
+/// Delay of the first redelivery after a refusal, as a share of the drain grace period. Withdrawals
+/// get several attempts within that period; the rest of a table can wait. The delay doubles with
+/// each refusal, at most `MAX_DOUBLINGS` times.
 const WITHDRAW_RETRY_GRACE_SHARE: f64 = 0.1;
 const TABLE_RETRY_GRACE_SHARE: f64 = 1.0;
-/// Withdrawals never wait longer than this share of the grace period: a proxy that accepts messages again, after however
-/// many refusals, learns of a drain in time.
+/// Withdrawals never wait longer than this share of the grace period: a proxy that accepts messages
+/// again, after however many refusals, learns of a drain in time.
 const WITHDRAW_RETRY_MAX_GRACE_SHARE: f64 = 0.25;
 const MAX_DOUBLINGS: u32 = 5;
-/// Tables are sent again only while less than this share of the lines that may wait are waiting: the planner's own
-/// messages go first.
+/// Tables are sent again only while less than this share of the lines that may wait are waiting:
+/// the planner's own messages go first.
 const RESEND_MAX_QUEUE_SHARE: f64 = 0.5;
 
 /// The timeouts and the limit that the rules use.
@@ -35,7 +37,8 @@
 impl DeliveryLimits {
     pub fn new(settings: &ControllerSettings) -> DeliveryLimits {
         let latencies_ms = settings.message_latency_ms * EVICT_LATENCIES;
-        // A full channel empties in half of this time; a proxy whose messages are last in it must not count as silent.
+        // A full channel empties in half of this time; a proxy whose messages are last in it must
+        // not count as silent.
         let drain_twice_ms = 2.0 * 1000.0 * settings.max_queued_lines / settings.lines_per_s;
         DeliveryLimits {
             answer_timeout_ms: (settings.drain_grace_ms * EVICT_GRACE_PERIODS)
@@ -73,7 +76,8 @@
         self.owed_table = true;
     }
 
-    /// Records that a message was applied; `whole`: it held a whole table, so that none is owed any more.
+    /// Records that a message was applied; `whole`: it held a whole table, so that none is owed any
+    /// more.
     pub fn applied(&mut self, whole: bool) {
         self.refusals = 0;
         if whole {
@@ -123,7 +127,8 @@
 
 const RULES: [Rule; 3] = [evict_unresponsive, resend_withdrawals, resend_table];
 
-/// The next action on a proxy, if any; `queued_lines` is the number of lines that wait in the channel.
+/// The next action on a proxy, if any; `queued_lines` is the number of lines that wait in the
+/// channel.
 pub fn next_action(
     state: &mut DeliveryState,
     now: f64,
@@ -135,10 +140,11 @@
         .find_map(|rule| rule(state, now, queued_lines, limits))
 }
 
-/// Guards against a proxy that keeps its stream open but answers nothing: stopped, stuck, or behind a link that drops
-/// packets. Closing its stream makes it reconnect and receive everything again, and unanswered messages do not pile up
-/// here. Also catches proxies that lose answers. May harm on a channel so slow that good answers take longer, so the
-/// timeout covers emptying a full channel twice.
+/// Guards against a proxy that keeps its stream open but answers nothing: stopped, stuck, or behind
+/// a link that drops packets. Closing its stream makes it reconnect and receive everything again,
+/// and unanswered messages do not pile up here. Also catches proxies that lose answers. May harm on
+/// a channel so slow that good answers take longer, so the timeout covers emptying a full channel
+/// twice.
 fn evict_unresponsive(
     state: &mut DeliveryState,
     now: f64,
@@ -154,10 +160,11 @@
     })
 }
 
-/// Guards against a drain that is lost because something else in the same message was refused: the withdrawals are sent
-/// again on their own, at once the first time, then with growing delays, even while the channel is full. The delays are
-/// bounded: without the bound, a proxy that had refused for seconds learned of a drain too late. Costs little: a proxy
-/// that refuses everything gets one small message per delay.
+/// Guards against a drain that is lost because something else in the same message was refused: the
+/// withdrawals are sent again on their own, at once the first time, then with growing delays, even
+/// while the channel is full. The delays are bounded: without the bound, a proxy that had refused
+/// for seconds learned of a drain too late. Costs little: a proxy that refuses everything gets one
+/// small message per delay.
 fn resend_withdrawals(
     state: &mut DeliveryState,
     now: f64,
@@ -172,8 +179,8 @@
     })
 }
 
-/// Guards against a proxy that keeps an old table forever after one refusal: the whole table is sent again, after a
-/// delay that doubles, while the channel has room.
+/// Guards against a proxy that keeps an old table forever after one refusal: the whole table is
+/// sent again, after a delay that doubles, while the channel has room.
 fn resend_table(
     state: &mut DeliveryState,
     now: f64,
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,10 +1,12 @@
-//! The controller without I/O. [`Controller::handle`] takes a time and all inputs that arrived at it, and returns what
-//! to write, probe, close and log; [`Controller::wake_at`] gives the time of the next call that it needs.
+//! The controller without I/O. [`Controller::handle`] takes a time and all inputs that arrived at
+//! it, and returns what to write, probe, close and log; [`Controller::wake_at`] gives the time of
+//! the next call that it needs.
 //!
-//! Names end here: the planner (`dahliapoint::rules`) decides, and it works on small indices. This crate keeps what
-//! the planner does not know (names, sessions, what each proxy was sent and has answered) and decides only on dead
-//! proxies and on redelivery, in [`delivery`] and [`presence`]. It reads no clock and no entropy: the same inputs give
-//! the same outputs, byte for byte, so that a day can be recorded ([`record`]) and replayed.
+//! Names end here: the planner (`dahliapoint::rules`) decides, and it works on small indices. This
+//! crate keeps what the planner does not know (names, sessions, what each proxy was sent and has
+//! answered) and decides only on dead proxies and on redelivery, in [`delivery`] and [`presence`].
+//! It reads no clock and no entropy: the same inputs give the same outputs, byte for byte, so that
+//! a day can be recorded ([`record`]) and replayed.
 
 mod controller;
 mod debug_text;
@@ -27,7 +29,8 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Number of one stream of a proxy, assigned by the front that holds the streams; a number is never reused.
+/// Number of one stream of a proxy, assigned by the front that holds the streams; a number is never
+/// reused.
 pub type Session = u64;
 
 /// Settings that a controller starts with.
@@ -36,7 +39,8 @@
     pub service: String,
     pub zones: Vec<String>,
     pub classes: Vec<ClassSettings>,
-    /// Proxies admit a share of the visits of each class, as the planner orders; without it they admit all.
+    /// Proxies admit a share of the visits of each class, as the planner orders; without it they
+    /// admit all.
     pub admission_control: bool,
     /// Lines that may wait in the channel to the proxies.
     pub max_queued_lines: f64,
@@ -111,8 +115,8 @@
     pub zone: String,
     pub state: AdminState,
     pub weight: f64,
-    /// Milliseconds since the last start by the roster's clock, and a stamp that identifies that start, so that a
-    /// jump of the clock is not taken for a new start.
+    /// Milliseconds since the last start by the roster's clock, and a stamp that identifies that
+    /// start, so that a jump of the clock is not taken for a new start.
     pub started: Option<(f64, u64)>,
 }
 
@@ -129,7 +133,8 @@
     pub success_ms: f64,
     /// Variance of `tries`, where this line is a sample that stands for lines that were not read.
     pub variance: f64,
-    /// Answers that carried the server's own load, and the sums of the queue lengths and service times in them.
+    /// Answers that carried the server's own load, and the sums of the queue lengths and service
+    /// times in them.
     pub load_samples: f64,
     pub queue_sum: f64,
     pub service_ms_sum: f64,
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -1,5 +1,6 @@
-//! Bookkeeping of the channel to the proxies: the unanswered messages of a proxy, the lines in them, and the messages
-//! it was sent within the window of the rate limit. Only sums are kept here; the planner decides who is written to.
+//! Bookkeeping of the channel to the proxies: the unanswered messages of a proxy, the lines in
+//! them, and the messages it was sent within the window of the rate limit. Only sums are kept here;
+//! the planner decides who is written to.
 
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -45,8 +46,8 @@
         }
     }
 
-    /// Takes the answer to a serial and returns what it answers: that message and all before it. A serial that is not
-    /// outstanding (answered before, or of another stream) answers nothing.
+    /// Takes the answer to a serial and returns what it answers: that message and all before it. A
+    /// serial that is not outstanding (answered before, or of another stream) answers nothing.
     pub fn acknowledge(&mut self, serial: u64) -> Vec<SentMessage> {
         match self.unanswered.iter().position(|m| m.serial == serial) {
             Some(position) => self.unanswered.drain(..=position).collect(),
--- a/crates/control/src/presence.rs
+++ b/crates/control/src/presence.rs
@@ -1,10 +1,11 @@
-//! Failure detection by heartbeats for proxies without a stream, without I/O: an ordered list of rules, each a condition
-//! and an effect, applied to each proxy until none fires.
+//! Failure detection by heartbeats for proxies without a stream, without I/O: an ordered list of
+//! rules, each a condition and an effect, applied to each proxy until none fires.
 //!
-//! Call [`Presence::heartbeat`] for each heartbeat, [`Presence::deregister`] when a proxy says that it leaves,
-//! [`Presence::stream_changed`] when a stream of a proxy begins or ends, and [`Presence::session_closed`] when the
-//! controller closed a session. [`Presence::next_action`] then returns one action after the other. A proxy with a stream
-//! needs no heartbeats: it is present as long as the stream is open.
+//! Call [`Presence::heartbeat`] for each heartbeat, [`Presence::deregister`] when a proxy says that
+//! it leaves, [`Presence::stream_changed`] when a stream of a proxy begins or ends, and
+//! [`Presence::session_closed`] when the controller closed a session. [`Presence::next_action`]
+//! then returns one action after the other. A proxy with a stream needs no heartbeats: it is
+//! present as long as the stream is open.
 //!
 //! All times are multiples of the heartbeat interval.
 
@@ -12,18 +13,19 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Intervals without a heartbeat after which a proxy counts as silent: one may be late because of a slow disk, the next
-/// one because of a slow reader.
+/// Intervals without a heartbeat after which a proxy counts as silent: one may be late because of a
+/// slow disk, the next one because of a slow reader.
 const SILENT_INTERVALS: f64 = 3.5;
-/// Consecutive heartbeats after which a proxy counts as present: the first one for a new proxy, since a joining proxy is
-/// bound at once; more after it was silent or had a stream.
+/// Consecutive heartbeats after which a proxy counts as present: the first one for a new proxy,
+/// since a joining proxy is bound at once; more after it was silent or had a stream.
 const JOIN_HEARTBEATS: u32 = 1;
 const REJOIN_HEARTBEATS: u32 = 2;
-/// Each time it falls silent within this many intervals of the last time doubles the heartbeats that it needs, at most
-/// `MAX_DOUBLINGS` times.
+/// Each time it falls silent within this many intervals of the last time doubles the heartbeats
+/// that it needs, at most `MAX_DOUBLINGS` times.
 const FLAP_WINDOW_INTERVALS: f64 = 60.0;
 const MAX_DOUBLINGS: u32 = 4;
-/// Heartbeats while a stream of the same name is open, from which on two processes are reported to share a name.
+/// Heartbeats while a stream of the same name is open, from which on two processes are reported to
+/// share a name.
 const DUPLICATE_HEARTBEATS: u32 = 8;
 /// A proxy is forgotten this many intervals after its last heartbeat.
 const FORGET_INTERVALS: f64 = 200.0;
@@ -97,10 +99,10 @@
     leaves.then_some(Action::Leave(state.session, "it deregistered"))
 }
 
-/// Guards against one proxy being sent messages on two paths: a stream is more reliable than heartbeats, so a proxy that
-/// opens a stream is present by it at once, and its heartbeats are ignored while the stream is open. Also catches a second
-/// process of the same name. May harm when the stream is a stray one: when it ends, sustained heartbeats bring the proxy
-/// back.
+/// Guards against one proxy being sent messages on two paths: a stream is more reliable than
+/// heartbeats, so a proxy that opens a stream is present by it at once, and its heartbeats are
+/// ignored while the stream is open. Also catches a second process of the same name. May harm when
+/// the stream is a stray one: when it ends, sustained heartbeats bring the proxy back.
 fn stream_replaces_heartbeats(
     state: &mut HeartbeatState,
     _: &Arc<str>,
@@ -114,7 +116,8 @@
     replaced.then_some(Action::Leave(state.session, "it has a stream now"))
 }
 
-/// Guards against two processes that share a name unnoticed, one with a stream and one with heartbeats.
+/// Guards against two processes that share a name unnoticed, one with a stream and one with
+/// heartbeats.
 fn report_duplicate_name(
     state: &mut HeartbeatState,
     name: &Arc<str>,
@@ -127,9 +130,9 @@
     duplicate.then(|| Action::DuplicateName(name.clone()))
 }
 
-/// Guards against tables written for a proxy that is dead or unreachable, whose lines would wait forever. Also catches a
-/// proxy whose directory was replaced. May harm when a disk stalls for all proxies: they leave together and join again
-/// with sustained heartbeats afterwards.
+/// Guards against tables written for a proxy that is dead or unreachable, whose lines would wait
+/// forever. Also catches a proxy whose directory was replaced. May harm when a disk stalls for all
+/// proxies: they leave together and join again with sustained heartbeats afterwards.
 fn remove_silent(
     state: &mut HeartbeatState,
     _: &Arc<str>,
@@ -151,8 +154,8 @@
     was_joined.then_some(Action::Leave(state.session, "its heartbeats stopped"))
 }
 
-/// A proxy joins after enough consecutive heartbeats. Guards against flapping: each silence soon after the last one
-/// doubles the heartbeats that are needed.
+/// A proxy joins after enough consecutive heartbeats. Guards against flapping: each silence soon
+/// after the last one doubles the heartbeats that are needed.
 fn join_after_heartbeats(
     state: &mut HeartbeatState,
     name: &Arc<str>,
@@ -197,8 +200,8 @@
         }
     }
 
-    /// Takes a heartbeat. A session other than the last one means that the proxy was restarted: the old session is
-    /// removed at once, by the action that is returned.
+    /// Takes a heartbeat. A session other than the last one means that the proxy was restarted: the
+    /// old session is removed at once, by the action that is returned.
     pub fn heartbeat(
         &mut self,
         now: f64,
--- a/crates/control/src/presence/tests.rs
+++ b/crates/control/src/presence/tests.rs
@@ -13,8 +13,8 @@
 }
 use Event::*;
 
-/// Plays events of one proxy with an interval of 100 ms. Returns its joins (+), leaves (-), reports of a shared name
-/// (2) and the end of its state (.).
+/// Plays events of one proxy with an interval of 100 ms. Returns its joins (+), leaves (-), reports
+/// of a shared name (2) and the end of its state (.).
 fn play(events: &[Event]) -> String {
     let (mut presence, mut now, mut on_stream) = (Presence::new(100.0), 1e6, false);
     let mut out = String::new();
--- a/crates/control/src/reports.rs
+++ b/crates/control/src/reports.rs
@@ -1,6 +1,7 @@
-//! Aggregation of load reports over one round, by server and zone of the proxies. The planner receives one round at a
-//! time, so that it never decides on half of one. `dahliapoint-intake` decides which reports are recent enough, which sums
-//! are too uncertain, and which reporters to trust.
+//! Aggregation of load reports over one round, by server and zone of the proxies. The planner
+//! receives one round at a time, so that it never decides on half of one. `dahliapoint-intake`
+//! decides which reports are recent enough, which sums are too uncertain, and which reporters to
+//! trust.
 
 use crate::{LoadReport, ReportLine};
 use dahliapoint::TryStats;
@@ -171,8 +172,8 @@
         self.in_flight.remove(&proxy);
     }
 
-    /// Adds a line of a proxy's report; `reporter` is the proxy and its zone. Returns false if its window ended too long
-    /// ago for decisions: then it counts only for the estimates of that time.
+    /// Adds a line of a proxy's report; `reporter` is the proxy and its zone. Returns false if its
+    /// window ended too long ago for decisions: then it counts only for the estimates of that time.
     pub fn add_line(
         &mut self,
         now: f64,
@@ -258,7 +259,8 @@
         self.coverage.forget_server(server);
     }
 
-    /// Ends the round: returns the sums for decisions, and the reporters and servers whose trust changed.
+    /// Ends the round: returns the sums for decisions, and the reporters and servers whose trust
+    /// changed.
     pub fn end_round(&mut self, now: f64) -> Round {
         let mut imprecise = 0;
         let mut stats = Vec::with_capacity(self.sums.len());
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -1,12 +1,14 @@
-//! Rolls out the planner's orders under the guard, between the planner and the fronts. The planner's orders are the target;
-//! the slots hold what was sent. The rollout brings the second to the first in steps that the guard finds safe, and logs
-//! what it holds back.
+//! Rolls out the planner's orders under the guard, between the planner and the fronts. The
+//! planner's orders are the target; the slots hold what was sent. The rollout brings the second to
+//! the first in steps that the guard finds safe, and logs what it holds back.
 //!
 //! Call, once a moment: [`Rollout::update`] after each round of reports or change of the roster,
-//! [`Rollout::record_applied`] with what is answered, [`Rollout::update_withdrawals`] for withdrawals, then
-//! [`Rollout::release`] for each part; [`Rollout::wake_at`] gives the time of the next call that it needs. Its own rules, in order: withdrawals are sent at once; a withdrawal that
-//! the planner owes for too long is made; a line for a server that is not ready is not opened; what can wait waits while
-//! the channel is full; the rest is sent in the guard's steps, no faster than their interval.
+//! [`Rollout::record_applied`] with what is answered, [`Rollout::update_withdrawals`] for
+//! withdrawals, then [`Rollout::release`] for each part; [`Rollout::wake_at`] gives the time of the
+//! next call that it needs. Its own rules, in order: withdrawals are sent at once; a withdrawal
+//! that the planner owes for too long is made; a line for a server that is not ready is not opened;
+//! what can wait waits while the channel is full; the rest is sent in the guard's steps, no faster
+//! than their interval.
 
 use crate::servers::Slot;
 use crate::{AdminState, ControllerSettings, RetryPolicy};
@@ -16,13 +18,14 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A withdrawal that is owed for longer than this share of the drain grace period is made without the planner, which
-/// normally withdraws well within it.
+/// A withdrawal that is owed for longer than this share of the drain grace period is made without
+/// the planner, which normally withdraws well within it.
 const LATE_GRACE_SHARE: f64 = 0.25;
-/// Lines that can wait do so while more than this share is used of the lines that may wait or of the messages that a
-/// proxy may be sent. The planner's own pacing stays below it.
+/// Lines that can wait do so while more than this share is used of the lines that may wait or of
+/// the messages that a proxy may be sent. The planner's own pacing stays below it.
 const MAX_CHANNEL_SHARE: f64 = 0.9;
-/// Steps without a new order of the planner follow each other no faster than this share of the warm-up time.
+/// Steps without a new order of the planner follow each other no faster than this share of the
+/// warm-up time.
 const STEP_WARM_UP_SHARE: f64 = 0.1;
 
 /// Buckets of a part's load history; together they cover one warm-up time.
@@ -87,9 +90,9 @@
     pub message_share: f64,
 }
 
-/// The load of a part: its peak over one warm-up time, since visits that hang at slow servers are not counted as tries
-/// and come back all at once. A rising load is extrapolated to when the next table has reached all proxies, since reports
-/// lag by a round and messages by their latency.
+/// The load of a part: its peak over one warm-up time, since visits that hang at slow servers are
+/// not counted as tries and come back all at once. A rising load is extrapolated to when the next
+/// table has reached all proxies, since reports lag by a round and messages by their latency.
 #[derive(Clone, Debug, Default)]
 struct LoadHistory {
     /// The number of each bucket and the highest load in it.
@@ -213,8 +216,8 @@
         owed_since.chain(steps).fold(f64::INFINITY, f64::min)
     }
 
-    /// The state of a server as the guard is to see it: one that is merely dropped from the roster may stay, where the
-    /// settings allow it.
+    /// The state of a server as the guard is to see it: one that is merely dropped from the roster
+    /// may stay, where the settings allow it.
     fn guard_state(&self, slot: &Slot) -> guard::AdminState {
         match slot.state {
             AdminState::Ready => guard::AdminState::Ready,
@@ -232,7 +235,8 @@
         ago / self.warm_up_ms.max(1.0)
     }
 
-    /// Updates the guard from the roster and a round of reports; `rate` returns the load of a server.
+    /// Updates the guard from the roster and a round of reports; `rate` returns the load of a
+    /// server.
     pub fn update(&mut self, now: f64, slots: &[Slot], rate: impl Fn(usize) -> Option<ServerRate>) {
         if self.is_off() {
             return;
@@ -301,8 +305,8 @@
         self.view.best = self.capacity.best_per_weight(now);
     }
 
-    /// Tells the guard the serial up to which all proxies of a part have answered, for parts in which they may hold
-    /// different tables.
+    /// Tells the guard the serial up to which all proxies of a part have answered, for parts in
+    /// which they may hold different tables.
     pub fn record_applied(
         &mut self,
         answered: impl Fn(usize) -> u64,
@@ -315,8 +319,8 @@
         }
     }
 
-    /// Withdraws at once what the planner withdraws and what it owes for too long; does not open a server again that is not
-    /// ready. Returns the servers that changed.
+    /// Withdraws at once what the planner withdraws and what it owes for too long; does not open a
+    /// server again that is not ready. Returns the servers that changed.
     pub fn update_withdrawals(&mut self, now: f64, slots: &mut [Slot]) -> Vec<usize> {
         let mut changed = Vec::new();
         for (s, slot) in slots.iter_mut().enumerate() {
@@ -429,8 +433,8 @@
             .violations
             .iter()
             .any(|d| d.reason < Reason::Overweight);
-        // New and changed lines wait while the channel is full, or until the step interval has passed, unless a server is
-        // in danger and the step is safe.
+        // New and changed lines wait while the channel is full, or until the step interval has
+        // passed, unless a server is in danger and the step is safe.
         let deferred = full || (too_early && !(urgent && step.remaining.is_empty()));
         // If no open line would remain, removing lines alone would empty the table.
         let open = |s: &Slot| !s.withdrawn && s.weight > 0.0;
@@ -475,7 +479,8 @@
         release
     }
 
-    /// Keeps the present table: of the given lines only those of withdrawn servers and of servers that are not ready stay.
+    /// Keeps the present table: of the given lines only those of withdrawn servers and of servers
+    /// that are not ready stay.
     pub fn hold(&mut self, now: f64, part: usize, slots: &[Slot], release: &mut Release) {
         let before = release.lines.len();
         release
@@ -492,7 +497,8 @@
         self.next_step_at.values_mut().for_each(|at| *at = now);
     }
 
-    /// Tells the guard which lines of a part are sent with a serial; `has_receivers`: proxies are bound to the part.
+    /// Tells the guard which lines of a part are sent with a serial; `has_receivers`: proxies are
+    /// bound to the part.
     pub fn record_sent(
         &mut self,
         part: usize,
--- a/crates/control/src/servers.rs
+++ b/crates/control/src/servers.rs
@@ -18,8 +18,8 @@
     pub part: Option<usize>,
     pub weight: f64,
     pub withdrawn: bool,
-    /// The weight and the withdrawal that the planner wants. The line that is sent follows in steps that the guard
-    /// finds safe.
+    /// The weight and the withdrawal that the planner wants. The line that is sent follows in steps
+    /// that the guard finds safe.
     pub target_weight: f64,
     pub target_withdrawn: bool,
     /// When reports last showed tries at this server.
@@ -72,8 +72,8 @@
         found.copied()
     }
 
-    /// Takes over an entry of the roster. Returns the index of the server, an existing one if its name is known, and
-    /// whether the address of a line in a table has changed.
+    /// Takes over an entry of the roster. Returns the index of the server, an existing one if its
+    /// name is known, and whether the address of a line in a table has changed.
     pub fn upsert(&mut self, entry: &RosterEntry, zone: usize, now: f64) -> (usize, bool) {
         let index = match self.by_name.get(entry.name.as_str()) {
             Some(index) => *index,
@@ -106,7 +106,8 @@
         self.by_name.insert(name.clone(), index);
         let address: Arc<str> = entry.address.as_str().into();
         match self.slots.get_mut(index) {
-            // The part, the weight of 0 and the withdrawal stay: the planner keeps them with the index.
+            // The part, the weight of 0 and the withdrawal stay: the planner keeps them with the
+            // index.
             Some(slot) => {
                 (slot.name, slot.address) = (name, address);
                 (slot.started, slot.probing, slot.last_try_at) = (None, false, None);
@@ -142,8 +143,9 @@
         }
     }
 
-    /// Releases the indices that nothing refers to and returns them: the server has been gone for `after_ms`, has no
-    /// line, is withdrawn everywhere, is not being probed, and every message that named it is answered.
+    /// Releases the indices that nothing refers to and returns them: the server has been gone for
+    /// `after_ms`, has no line, is withdrawn everywhere, is not being probed, and every message
+    /// that named it is answered.
     pub fn release_unused(
         &mut self,
         now: f64,
--- a/crates/control/tests/controller.rs
+++ b/crates/control/tests/controller.rs
@@ -442,8 +442,8 @@
     assert!(dahliapoint_control::report_error(&long).is_some());
 }
 
-/// All proxies of a grown site come back within a second: nobody is written more than the channel bears,
-/// and all are bound in the end.
+/// All proxies of a grown site come back within a second: nobody is written more than the channel
+/// bears, and all are bound in the end.
 #[test]
 fn many_that_come_back_at_once_are_paced() {
     let most_waiting = 4_000.0;
@@ -567,8 +567,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 96, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Whatever comes, in whatever order: no panic, tables held are those that were ordered, and the
-    /// day written down plays again to the same bytes; torn or damaged records end where they must.
+    /// Whatever comes, in whatever order: no panic, tables held are those that were ordered, and
+    /// the day written down plays again to the same bytes; torn or damaged records end where they
+    /// must.
     #[test]
     fn any_day_is_obeyed_and_plays_again(
         moments in prop::collection::vec((prop::collection::vec(inputs(), 0..4), 1.0..4000.0_f64), 1..60),
--- a/crates/control/tests/rollout.rs
+++ b/crates/control/tests/rollout.rs
@@ -1,6 +1,7 @@
-//! The guard in the controller, in a closed loop: proxies apply what they are sent at different moments, their
-//! visits load the servers, reports tell of it, servers restart, drain and go, and the module's orders are spoiled
-//! by chance. What is looked at is what would cross the sockets: who holds what, and which server falls.
+//! The guard in the controller, in a closed loop: proxies apply what they are sent at different
+//! moments, their visits load the servers, reports tell of it, servers restart, drain and go, and
+//! the module's orders are spoiled by chance. What is looked at is what would cross the sockets:
+//! who holds what, and which server falls.
 
 use dahliapoint as planner;
 use dahliapoint_control::rollout::GuardMode;
@@ -353,8 +354,8 @@
                 mets.push(((i, *s), load * STEP_MS / 1e3));
                 self.looked += 1;
                 let t = &self.truth[*s];
-                // Applied within the grace and the way: what is sent at once is applied after 1.5 s at most, and
-                // what waits behind it.
+                // Applied within the grace and the way: what is sent at once is applied after 1.5 s
+                // at most, and what waits behind it.
                 let late = self.now - t.since > GRACE_MS + 1_500.0;
                 self.broken.drains += usize::from(t.state != AdminState::Ready && late);
             }
@@ -453,8 +454,8 @@
 
 const DAYS: u64 = 40;
 
-/// Whatever the module is made to order and whatever the fleet does meanwhile, rules 1 to 4 hold; and each of them is
-/// broken on some of the same days without the guard.
+/// Whatever the module is made to order and whatever the fleet does meanwhile, rules 1 to 4 hold;
+/// and each of them is broken on some of the same days without the guard.
 #[test]
 fn drawn_days_with_a_wrong_module_keep_the_rules() {
     let (mut bare, mut looked) = (Broken::default(), 0);
@@ -475,7 +476,8 @@
     );
 }
 
-/// When the module is right again, its own table stands in the end: nothing that was held is left over, on any day.
+/// When the module is right again, its own table stands in the end: nothing that was held is left
+/// over, on any day.
 #[test]
 fn what_was_held_is_let_go() {
     for seed in 0..DAYS {
@@ -503,7 +505,8 @@
     }
 }
 
-/// The guard's own steps are bounded: a wanted table that cannot leave costs a message a pace, not one a moment.
+/// The guard's own steps are bounded: a wanted table that cannot leave costs a message a pace, not
+/// one a moment.
 #[test]
 fn a_table_that_is_held_costs_few_messages() {
     let mut day = Day::begun(GuardMode::Enforce, 5);
--- a/crates/guard/benches/judging.rs
+++ b/crates/guard/benches/judging.rs
@@ -1,5 +1,5 @@
-//! Cost of the guard per tick: with kept sums, with everything computed anew, and by a reference check that goes through
-//! the table of every proxy.
+//! Cost of the guard per tick: with kept sums, with everything computed anew, and by a reference
+//! check that goes through the table of every proxy.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use dahliapoint_guard::{AdminState, Guard, Line, Server};
--- a/crates/guard/src/capacity.rs
+++ b/crates/guard/src/capacity.rs
@@ -1,11 +1,11 @@
-//! Estimate of what servers can carry, from what warm servers were seen to carry. The overload limit of a cold server is
-//! derived from it.
+//! Estimate of what servers can carry, from what warm servers were seen to carry. The overload
+//! limit of a cold server is derived from it.
 //!
 //! Call [`CapacityEstimate::record`] for each warm server of a round of reports;
-//! [`CapacityEstimate::best_per_weight`] returns the highest load that one carried well, for a listed weight of 1. A server
-//! can carry what it has carried well; how much more it could is unknown. So the maximum over a long time counts: at night,
-//! when load is low, the maximum of the day still applies. A ring of fixed buckets holds the maximum of each stretch of
-//! time.
+//! [`CapacityEstimate::best_per_weight`] returns the highest load that one carried well, for a
+//! listed weight of 1. A server can carry what it has carried well; how much more it could is
+//! unknown. So the maximum over a long time counts: at night, when load is low, the maximum of the
+//! day still applies. A ring of fixed buckets holds the maximum of each stretch of time.
 
 /// Buckets of the ring.
 const BUCKETS: usize = 32;
@@ -44,7 +44,8 @@
 #[derive(Clone, Debug)]
 pub struct CapacityEstimate {
     bucket_ms: f64,
-    /// The number of the stretch that each bucket is of, and the highest load in it, for a listed weight of 1.
+    /// The number of the stretch that each bucket is of, and the highest load in it, for a listed
+    /// weight of 1.
     ring: [(u64, f64); BUCKETS],
 }
 
@@ -83,9 +84,10 @@
         recent.map(|(_, best)| *best).fold(0.0, f64::max)
     }
 
-    /// Visits a second that overload a cold server: `capacity_share` is its present share of its capacity, `multiple` the multiple of
-    /// that which overloads it, `own_load` its load. The limit is higher if it carries more than that itself. Infinite while
-    /// nothing is known: then only the planner's own ramp applies.
+    /// Visits a second that overload a cold server: `capacity_share` is its present share of its
+    /// capacity, `multiple` the multiple of that which overloads it, `own_load` its load. The limit
+    /// is higher if it carries more than that itself. Infinite while nothing is known: then only
+    /// the planner's own ramp applies.
     pub fn overload_per_s(
         &self,
         now: f64,
--- a/crates/guard/src/caps.rs
+++ b/crates/guard/src/caps.rs
@@ -1,9 +1,10 @@
 //! The weights nearest to the wanted ones under which no server's share exceeds its cap.
 //!
-//! Servers that are not capped keep the wanted weight, so that only capped lines change; a capped server gets exactly its
-//! cap's share of the sum. The sum S solves S = U + C * S, where U is what uncapped servers want and C the caps of the
-//! others; a server is capped if its weight divided by its cap exceeds S. Sorted by that ratio, the capped servers are a
-//! prefix, and S falls with each server that is capped, until the next ratio is no more than S.
+//! Servers that are not capped keep the wanted weight, so that only capped lines change; a capped
+//! server gets exactly its cap's share of the sum. The sum S solves S = U + C * S, where U is what
+//! uncapped servers want and C the caps of the others; a server is capped if its weight divided by
+//! its cap exceeds S. Sorted by that ratio, the capped servers are a prefix, and S falls with each
+//! server that is capped, until the next ratio is no more than S.
 
 /// The wanted weight of a server, and the cap on its share (1 or more: no cap).
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -12,8 +13,9 @@
     pub cap: f64,
 }
 
-/// Returns the weights in the same order; none if no weights keep all caps (the caps sum up to less than 1 and every server
-/// has one). Weights must not be negative, and at least one must be positive.
+/// Returns the weights in the same order; none if no weights keep all caps (the caps sum up to less
+/// than 1 and every server has one). Weights must not be negative, and at least one must be
+/// positive.
 pub fn apply_caps(wanted: &[WantedWeight]) -> Option<Vec<f64>> {
     let ratio = |server: &WantedWeight| server.weight / server.cap.max(f64::MIN_POSITIVE);
     let mut indices: Vec<usize> = (0..wanted.len()).collect();
@@ -22,8 +24,8 @@
         let ordering = ratio(&wanted[*b]).total_cmp(&ratio(&wanted[*a]));
         ordering.then(a.cmp(b))
     });
-    // `uncapped_weights[n]`: the weight that is not capped if the first n are, summed from the smallest ratio, since a difference of
-    // nearly equal sums would lose precision.
+    // `uncapped_weights[n]`: the weight that is not capped if the first n are, summed from the
+    // smallest ratio, since a difference of nearly equal sums would lose precision.
     let mut uncapped_weights = vec![0.0; indices.len() + 1];
     for (i, index) in indices.iter().enumerate().rev() {
         uncapped_weights[i] = uncapped_weights[i + 1] + wanted[*index].weight;
--- a/crates/guard/src/caps/tests.rs
+++ b/crates/guard/src/caps/tests.rs
@@ -91,7 +91,8 @@
                 for (f, w) in fast.iter().zip(&wanted) {
                     prop_assert!(*f <= w.weight + 1e-9 && *f <= w.cap * all + 1e-9, "{:?} {:?}", wanted, fast);
                 }
-                // If the caps sum up to exactly 1, many sums solve it, and bisection finds the smallest.
+                // If the caps sum up to exactly 1, many sums solve it, and bisection finds the
+                // smallest.
                 let caps: f64 = wanted.iter().filter(|w| w.weight > 0.0).map(|w| w.cap).sum();
                 let off = caps > 1.0 + 1e-9 && fast.iter().zip(&slow).any(|(a, b)| (a - b).abs() > 1e-6 * all.max(1.0));
                 prop_assert!(!off, "{:?}: {:?} {:?}", wanted, fast, slow);
--- a/crates/guard/src/lib.rs
+++ b/crates/guard/src/lib.rs
@@ -1,14 +1,15 @@
 //! Checks every table before it is sent, without I/O, clock or randomness.
 //!
-//! Call [`Guard::set_server`] when something about a server changes and [`Guard::set_load`] when the load of a part
-//! changes. [`Guard::check`] takes the lines that the next table of a part changes and returns all rules that it violates.
-//! [`Guard::next_step`] takes the whole wanted table and returns what may be sent now and what it violates ([`steps`]).
-//! Call [`Guard::record_sent`] when a table is sent, with its serial, and [`Guard::record_applied`] when all proxies of
-//! the part have answered up to a serial. Servers and parts are small indices; loads are visits a second; all limits are
-//! ratios of the caller's figures.
+//! Call [`Guard::set_server`] when something about a server changes and [`Guard::set_load`] when
+//! the load of a part changes. [`Guard::check`] takes the lines that the next table of a part
+//! changes and returns all rules that it violates. [`Guard::next_step`] takes the whole wanted
+//! table and returns what may be sent now and what it violates ([`steps`]). Call
+//! [`Guard::record_sent`] when a table is sent, with its serial, and [`Guard::record_applied`] when
+//! all proxies of the part have answered up to a serial. Servers and parts are small indices; loads
+//! are visits a second; all limits are ratios of the caller's figures.
 //!
-//! The cost of a check depends on what changes: the tables of a part, their sums, and the load that all tables in force
-//! or in transit can bring to each cold server are kept and not computed anew.
+//! The cost of a check depends on what changes: the tables of a part, their sums, and the load that
+//! all tables in force or in transit can bring to each cold server are kept and not computed anew.
 
 pub mod capacity;
 pub mod caps;
@@ -16,8 +17,8 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Share of its overload limit that tables may bring to a cold server: bursts and the proxies' own choices bring load
-/// too.
+/// Share of its overload limit that tables may bring to a cold server: bursts and the proxies' own
+/// choices bring load too.
 const MAX_COLD_LOAD_SHARE: f64 = 0.8;
 /// A server's share of a table may be this multiple of its share of the listed weight ...
 const OVERWEIGHT_RATIO: f64 = 6.0;
@@ -86,8 +87,8 @@
     pub limit: f64,
 }
 
-/// A line of a wanted table. A line with a weight of 0 is not in the table; a line that is not open is in it, but not
-/// picked.
+/// A line of a wanted table. A line with a weight of 0 is not in the table; a line that is not open
+/// is in it, but not picked.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
     pub server: usize,
@@ -140,15 +141,16 @@
 /// Shares of a table by server.
 type Shares = BTreeMap<usize, f64>;
 
-/// A table that some proxies may still hold, or the maximum of several: for each server the largest share.
+/// A table that some proxies may still hold, or the maximum of several: for each server the largest
+/// share.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct OlderTable {
     serial: u64,
     shares: Shares,
 }
 
-/// A part of the shared table: the newest table, the older ones that some proxies may still hold, and the load that its
-/// proxies bring to its servers together.
+/// A part of the shared table: the newest table, the older ones that some proxies may still hold,
+/// and the load that its proxies bring to its servers together.
 #[derive(Clone, Debug, Default)]
 struct Part {
     newest: Option<Table>,
@@ -164,16 +166,18 @@
         self.newest.as_ref().map_or(0.0, |t| t.share(server))
     }
 
-    /// The highest load that any mixture of the tables in transit brings to a server. Proxies apply tables at different
-    /// times; in the worst mixture all of them hold the table that brings it most.
+    /// The highest load that any mixture of the tables in transit brings to a server. Proxies apply
+    /// tables at different times; in the worst mixture all of them hold the table that brings it
+    /// most.
     fn max_load(&self, server: usize) -> f64 {
         let older = self.older.iter();
         let older = older.map(|o| o.shares.get(&server).copied().unwrap_or(0.0));
         self.load * older.fold(self.share(server), f64::max)
     }
 
-    /// Makes a table the newest; the previous one joins the older ones. If there are too many of these, the two oldest
-    /// are merged by their maximum, so that the check never becomes more lenient.
+    /// Makes a table the newest; the previous one joins the older ones. If there are too many of
+    /// these, the two oldest are merged by their maximum, so that the check never becomes more
+    /// lenient.
     fn push(&mut self, serial: u64, table: Table) {
         if let Some(before) = self.newest.replace(table) {
             let shares = before.shares();
@@ -191,7 +195,8 @@
         }
     }
 
-    /// All proxies have answered up to this serial: no proxy holds a table older than the newest one up to it.
+    /// All proxies have answered up to this serial: no proxy holds a table older than the newest
+    /// one up to it.
     fn record_applied(&mut self, serial: u64) {
         if self.serial <= serial {
             self.older.clear();
@@ -249,7 +254,8 @@
     }]
 }
 
-/// Guards against a table that empties a part, whatever made it. A part without a ready server may be empty.
+/// Guards against a table that empties a part, whatever made it. A part without a ready server may
+/// be empty.
 fn check_empty(candidate: &Candidate) -> Vec<Violation> {
     let ready = candidate.ready();
     match candidate.next.lines.is_empty() && ready.count() > 0 {
@@ -258,8 +264,8 @@
     }
 }
 
-/// Guards against tables that undo a drain. Only changed lines are checked, since changes of the roster lead to
-/// withdrawals, which always pass.
+/// Guards against tables that undo a drain. Only changed lines are checked, since changes of the
+/// roster lead to withdrawals, which always pass.
 fn check_not_ready(candidate: &Candidate) -> Vec<Violation> {
     let open = candidate
         .changed
@@ -271,9 +277,9 @@
     not_ready.flat_map(not_ready_line).collect()
 }
 
-/// Guards against overloading a server that has just started: over all parts, with the worst mixture of the tables in
-/// force, in transit and new. Only growth is a violation: a table that brings a cold server less load passes, even if that
-/// is still too much.
+/// Guards against overloading a server that has just started: over all parts, with the worst
+/// mixture of the tables in force, in transit and new. Only growth is a violation: a table that
+/// brings a cold server less load passes, even if that is still too much.
 fn check_cold(candidate: &Candidate) -> Vec<Violation> {
     let mut out = Vec::new();
     for server in candidate.next.lines.keys() {
@@ -313,8 +319,9 @@
     }
 }
 
-/// Guards against weights that are wrong by an order of magnitude. It could harm where nearly all other servers are
-/// reduced for good reason, so it needs both a large ratio and a large share, and a server may always keep its share.
+/// Guards against weights that are wrong by an order of magnitude. It could harm where nearly all
+/// other servers are reduced for good reason, so it needs both a large ratio and a large share, and
+/// a server may always keep its share.
 fn check_overweight(candidate: &Candidate) -> Vec<Violation> {
     let total_listed: f64 = candidate
         .ready()
@@ -333,8 +340,8 @@
     out
 }
 
-/// Guards against replacing a whole table at once without a change of the fleet: shares that leave servers which are no
-/// longer ready do not count, and the first table of a part passes.
+/// Guards against replacing a whole table at once without a change of the fleet: shares that leave
+/// servers which are no longer ready do not count, and the first table of a part passes.
 fn check_large_step(candidate: &Candidate) -> Vec<Violation> {
     if candidate.before.lines.is_empty() || candidate.next.lines.is_empty() {
         return Vec::new();
@@ -455,7 +462,8 @@
         };
     }
 
-    /// The next table of a part: the newest one with these lines changed, or, if `whole`, these lines alone.
+    /// The next table of a part: the newest one with these lines changed, or, if `whole`, these
+    /// lines alone.
     fn next(&self, part: &Part, changed: &[Line], whole: bool) -> Table {
         let mut next = match whole {
             true => Table::default(),
@@ -486,7 +494,8 @@
         RULES.iter().flat_map(|rule| rule(&candidate)).collect()
     }
 
-    /// Records that a table is sent: from now on some proxies may hold it and some an older one. Serials grow.
+    /// Records that a table is sent: from now on some proxies may hold it and some an older one.
+    /// Serials grow.
     pub fn record_sent(&mut self, part: usize, changed: &[Line], whole: bool, serial: u64) {
         let mut part_state = self.parts.remove(&part).unwrap_or_default();
         let next = self.next(&part_state, changed, whole);
--- a/crates/guard/src/steps.rs
+++ b/crates/guard/src/steps.rs
@@ -1,13 +1,15 @@
-//! The table that may be sent now on the way to the wanted one: an ordered list of rules, each a condition and an effect
-//! on a draft, applied once from the top; then the result is checked again.
+//! The table that may be sent now on the way to the wanted one: an ordered list of rules, each a
+//! condition and an effect on a draft, applied once from the top; then the result is checked again.
 //!
-//! [`Guard::next_step`] takes all lines of a part as they are wanted. The draft starts as these lines; if they violate
-//! nothing, they are returned unchanged. The order of the rules is that of what is given up last: a part is never empty,
-//! then who may be picked at all, then cold servers, then the share of one server, last the size of the step. Violations
-//! that no draft avoids are returned as [`Step::remaining`].
+//! [`Guard::next_step`] takes all lines of a part as they are wanted. The draft starts as these
+//! lines; if they violate nothing, they are returned unchanged. The order of the rules is that of
+//! what is given up last: a part is never empty, then who may be picked at all, then cold servers,
+//! then the share of one server, last the size of the step. Violations that no draft avoids are
+//! returned as [`Step::remaining`].
 //!
-//! Progress: every step that is not the wanted table ends at caps that grow as servers warm up, or goes as far as one step
-//! may move. While the fleet does not change, the second step reaches these caps.
+//! Progress: every step that is not the wanted table ends at caps that grow as servers warm up, or
+//! goes as far as one step may move. While the fleet does not change, the second step reaches these
+//! caps.
 
 use crate::caps::{WantedWeight, apply_caps};
 use crate::{
@@ -16,7 +18,8 @@
 };
 use std::collections::BTreeMap;
 
-/// A line that a step would change by no more than this share of its weight stays: small corrections cost messages.
+/// A line that a step would change by no more than this share of its weight stays: small
+/// corrections cost messages.
 const MIN_CHANGE_SHARE: f64 = 0.02;
 
 /// The table that may be sent now.
@@ -52,7 +55,8 @@
     limit_step,
 ];
 
-/// Guards against undoing a drain: whatever is wanted, lines for servers that are not ready are removed.
+/// Guards against undoing a drain: whatever is wanted, lines for servers that are not ready are
+/// removed.
 fn remove_not_ready(draft: &mut Draft) {
     let not_ready: Vec<usize> = draft
         .table
@@ -64,16 +68,16 @@
     not_ready.into_iter().for_each(|s| draft.set(s, 0.0));
 }
 
-/// Guards against an empty table: the present lines of ready servers stay; if there are none, all ready servers get their
-/// listed weights.
+/// Guards against an empty table: the present lines of ready servers stay; if there are none, all
+/// ready servers get their listed weights.
 fn keep_any(draft: &mut Draft) {
     if draft.table.lines.is_empty() {
         draft.keep(|_| true);
     }
 }
 
-/// Guards against leaving a part to cold servers while it has warm ones: the present lines of warm servers stay; if there
-/// are none, warm servers get their listed weights.
+/// Guards against leaving a part to cold servers while it has warm ones: the present lines of warm
+/// servers stay; if there are none, warm servers get their listed weights.
 fn keep_warm(draft: &mut Draft) {
     if !draft
         .table
@@ -85,10 +89,11 @@
     }
 }
 
-/// Guards against overloading cold servers and against too large a share of one server. Only capped lines change. If no
-/// weights keep all caps, the present lines stay in addition; if that is not enough, the caps on the share of one server
-/// are dropped, since they guard against mistakes and no server fails without them. If cold servers must carry all load,
-/// it is shared in proportion to what each can take.
+/// Guards against overloading cold servers and against too large a share of one server. Only capped
+/// lines change. If no weights keep all caps, the present lines stay in addition; if that is not
+/// enough, the caps on the share of one server are dropped, since they guard against mistakes and
+/// no server fails without them. If cold servers must carry all load, it is shared in proportion to
+/// what each can take.
 fn cap_shares(draft: &mut Draft) {
     let mut weights = draft.capped_weights(true);
     if weights.is_none() {
@@ -116,9 +121,9 @@
     lines.into_iter().for_each(|(s, w)| draft.set(s, w));
 }
 
-/// Guards against replacing a whole table at once: the step goes as far as one step may move. The present table and the
-/// draft keep the caps, and so does any mixture of them. If the present table breaks a cap, the whole step is made: a
-/// large step is better than an overloaded server.
+/// Guards against replacing a whole table at once: the step goes as far as one step may move. The
+/// present table and the draft keep the caps, and so does any mixture of them. If the present table
+/// breaks a cap, the whole step is made: a large step is better than an overloaded server.
 fn limit_step(draft: &mut Draft) {
     let moved_share = draft.moved_share();
     if moved_share <= MAX_STEP_SHARE + EPSILON {
@@ -165,7 +170,8 @@
         });
     }
 
-    /// Adds lines of the ready servers that `kind` selects: the present lines or, if there are none, listed weights.
+    /// Adds lines of the ready servers that `kind` selects: the present lines or, if there are
+    /// none, listed weights.
     fn keep(&mut self, kind: impl Fn(usize) -> bool) {
         let present = self.before.lines.iter().map(|(s, w)| (*s, *w));
         let present = present.filter(|(s, _)| self.is_ready(*s) && kind(*s));
@@ -182,8 +188,9 @@
         kept.into_iter().for_each(|(s, w)| self.set(s, w));
     }
 
-    /// The highest share that a cold server may have: what all other parts may bring to it is subtracted first. A share that
-    /// it already has may stay, unless the present tables overload it.
+    /// The highest share that a cold server may have: what all other parts may bring to it is
+    /// subtracted first. A share that it already has may stay, unless the present tables overload
+    /// it.
     fn cold_cap(&self, server: usize) -> f64 {
         let s = self.guard.server_of(server);
         if s.is_warm() || self.part.load <= 0.0 {
@@ -201,7 +208,8 @@
         // Slightly less than allowed, so that rounding does not exceed the limit.
         let limit = MAX_COLD_LOAD_SHARE * s.overload_per_s * (1.0 - EPSILON);
         let allowed_share = (limit - other_load).max(0.0) / self.part.load;
-        // While older tables bring it too much, the new one must not bring it more than the present one.
+        // While older tables bring it too much, the new one must not bring it more than the present
+        // one.
         let allowed_share = match other_load + part_load > MAX_COLD_LOAD_SHARE * s.overload_per_s {
             true => allowed_share.min(current_share),
             false => allowed_share,
@@ -215,8 +223,8 @@
         .min(1.0)
     }
 
-    /// The weights of the draft under their caps, if any weights keep them; `cap_overweight`: with caps on the share of
-    /// one server.
+    /// The weights of the draft under their caps, if any weights keep them; `cap_overweight`: with
+    /// caps on the share of one server.
     fn capped_weights(&self, cap_overweight: bool) -> Option<Vec<(usize, f64)>> {
         let lines = self.table.lines.iter();
         let wanted = lines.map(|(s, weight)| WantedWeight {
@@ -276,7 +284,8 @@
         let mut table = Table::default();
         wanted.iter().for_each(|l| table.set(l));
         let table = table.with_exact_total();
-        // A line that is already open is not opened by this table: if its server is not ready, its withdrawal is on its way.
+        // A line that is already open is not opened by this table: if its server is not ready, its
+        // withdrawal is on its way.
         let opened = wanted
             .iter()
             .filter(|l| !before.lines.contains_key(&l.server));
@@ -326,8 +335,8 @@
         }
     }
 
-    /// Cold servers that the present tables overload and that the next table does not relieve enough: load has grown, or
-    /// other servers have left, since the table was checked.
+    /// Cold servers that the present tables overload and that the next table does not relieve
+    /// enough: load has grown, or other servers have left, since the table was checked.
     fn overloaded(&self, part: &Part, next: &Table) -> Vec<Violation> {
         let mut out = Vec::new();
         for server in next.lines.keys() {
@@ -355,8 +364,8 @@
         out
     }
 
-    /// The lines that a step changes against the newest table, with their weights (0: removed): all that are new or go
-    /// away, and those that change by more than a little if the step is partial.
+    /// The lines that a step changes against the newest table, with their weights (0: removed): all
+    /// that are new or go away, and those that change by more than a little if the step is partial.
     pub fn changes(&self, part: usize, step: &Step) -> Vec<(usize, f64)> {
         let newest = self.parts.get(&part).and_then(|p| p.newest.as_ref());
         let nothing = BTreeMap::new();
--- a/crates/guard/src/tests.rs
+++ b/crates/guard/src/tests.rs
@@ -10,7 +10,8 @@
     }
 }
 
-/// Four servers in one part: three warm, the fourth cold and overloaded at 10 visits a second; load 100.
+/// Four servers in one part: three warm, the fourth cold and overloaded at 10 visits a second; load
+/// 100.
 fn fleet() -> Guard {
     let mut guard = Guard::default();
     for s in 0..4 {
@@ -97,7 +98,8 @@
 #[test]
 fn older_tables_count_until_all_proxies_have_applied() {
     let mut guard = fleet();
-    // Another part brings load to the same cold server by an old table that some proxies still hold.
+    // Another part brings load to the same cold server by an old table that some proxies still
+    // hold.
     guard.set_load(1, 100.0);
     guard.record_sent(1, &[line(0, 0.94), line(3, 0.06)], true, 2);
     guard.record_sent(1, &[line(0, 1.0)], true, 3);
--- a/crates/guard/tests/oracle.rs
+++ b/crates/guard/tests/oracle.rs
@@ -1,5 +1,5 @@
-//! The guard against a slow, exact oracle that is written separately: it knows no sums that are kept, and
-//! goes through every mixture of the tables that proxies may hold.
+//! The guard against a slow, exact oracle that is written separately: it knows no sums that are
+//! kept, and goes through every mixture of the tables that proxies may hold.
 
 use dahliapoint_guard::{AdminState, Guard, Line, Reason, Server};
 use proptest::prelude::*;
--- a/crates/guard/tests/steps.rs
+++ b/crates/guard/tests/steps.rs
@@ -1,5 +1,6 @@
-//! Steps: what leaves is safe by the rules, a safe table is never touched, the way ends; and by an exhaustive
-//! search over all orders in which proxies apply what they are sent, no cold server is ever pushed over.
+//! Steps: what leaves is safe by the rules, a safe table is never touched, the way ends; and by an
+//! exhaustive search over all orders in which proxies apply what they are sent, no cold server is
+//! ever pushed over.
 
 use dahliapoint_guard::steps::Step;
 use dahliapoint_guard::{AdminState, Guard, Line, Reason, Server};
@@ -134,7 +135,8 @@
     }
 }
 
-/// One state of the model: what each proxy has applied, what was sent, what the guard knows, what is wanted.
+/// One state of the model: what each proxy has applied, what was sent, what the guard knows, what
+/// is wanted.
 #[derive(Clone)]
 struct World {
     guard: Guard,
@@ -189,8 +191,8 @@
         format!("{:?} {:?} {}", world.sent, world.applied, world.wish)
     }
 
-    /// Goes through every order: any proxy applies its next table, the controller takes a step, the next wish
-    /// comes.
+    /// Goes through every order: any proxy applies its next table, the controller takes a step, the
+    /// next wish comes.
     fn explore(&self, first: &[Line]) -> Found {
         let mut found = Found::default();
         let (mut seen, mut todo) = (HashSet::new(), vec![self.begin(first)]);
@@ -242,8 +244,9 @@
     }
 }
 
-/// Wishes that would push a cold server over on the way, or at the end: the guard finds another way, whatever
-/// the order in which proxies apply it; without it the same wishes push the server over.
+/// Wishes that would push a cold server over on the way, or at the end: the guard finds another
+/// way, whatever the order in which proxies apply it; without it the same wishes push the server
+/// over.
 #[test]
 fn no_order_of_arrivals_pushes_a_cold_server_over() {
     let w = f64::INFINITY;
@@ -319,8 +322,8 @@
     }
 }
 
-/// Who has become too heavy for a cold server by others' leaving is put right; the whole fleet cold shares by
-/// what each can take, and that is told.
+/// Who has become too heavy for a cold server by others' leaving is put right; the whole fleet cold
+/// shares by what each can take, and that is told.
 #[test]
 fn what_stands_is_put_right_and_the_least_bad_is_told() {
     let mut guard = Guard::default();
