--- a/crates/intake/src/report_queue.rs
+++ b/crates/intake/src/report_queue.rs
@@ -12,12 +12,12 @@
 
 /// Pending lines are read, in whole or sampled, before their window's begin is older than this many
 /// buckets. Until then the window's end is still recent.
-const PATIENCE: f64 = 3.0;
+const MAX_PENDING_BUCKETS: f64 = 3.0;
 /// Under pressure, windows that ended within this many buckets are merged into one, older ones into
 /// another.
-const NEWS: f64 = 4.0;
+const RECENT_BUCKETS: f64 = 4.0;
 /// Maximum number of pending buckets per reporter; beyond it the oldest two are merged.
-const BUCKETS: usize = 8;
+const MAX_BUCKETS: usize = 8;
 
 /// One line of a report: what a proxy saw of one server in one window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -51,7 +51,7 @@
     }
 
     /// Scales all counts by `factor`.
-    fn times(&self, factor: f64) -> Line {
+    fn scaled(&self, factor: f64) -> Line {
         Line {
             tries: self.tries * factor,
             failed: self.failed * factor,
@@ -91,7 +91,7 @@
 
 /// Merged reports of one reporter, pending in one bucket.
 #[derive(Clone, Debug)]
-struct Waiting<K> {
+struct PendingWindow<K> {
     begin: f64,
     end: f64,
     lines: BTreeMap<K, Line>,
@@ -102,9 +102,16 @@
 #[derive(Clone, Debug)]
 struct Reporter<K> {
     timeline: Timeline,
-    waiting: BTreeMap<u64, Waiting<K>>,
+    pending: BTreeMap<u64, PendingWindow<K>>,
     /// The stream has ended; its pending lines are read once more, then the reporter is dropped.
-    over: bool,
+    ended: bool,
+}
+
+/// A reporter with pending lines: the begin of its oldest window, and the number of lines.
+struct PendingReporter<R> {
+    begin: f64,
+    reporter: R,
+    lines: usize,
 }
 
 /// Counters since the start.
@@ -128,22 +135,22 @@
 #[derive(Clone, Debug)]
 pub struct ReportQueue<R, K> {
     bucket_ms: f64,
-    most_servers: usize,
+    max_servers: usize,
     reporters: BTreeMap<R, Reporter<K>>,
-    chance: Rng,
+    rng: Rng,
     /// Counters since the start.
     pub stats: QueueStats,
 }
 
 impl<R: Ord + Clone, K: Ord + Clone> ReportQueue<R, K> {
-    /// Creates a queue that merges windows into buckets of `bucket_ms`, accepts `most_servers`
+    /// Creates a queue that merges windows into buckets of `bucket_ms`, accepts `max_servers`
     /// servers per reporter and window, and samples with a generator seeded by `seed`.
-    pub fn new(bucket_ms: f64, most_servers: usize, seed: u64) -> ReportQueue<R, K> {
+    pub fn new(bucket_ms: f64, max_servers: usize, seed: u64) -> ReportQueue<R, K> {
         ReportQueue {
             bucket_ms,
-            most_servers,
+            max_servers,
             reporters: BTreeMap::new(),
-            chance: Rng::from_seed(seed),
+            rng: Rng::from_seed(seed),
             stats: QueueStats::default(),
         }
     }
@@ -152,14 +159,14 @@
     /// same reporter are kept.
     pub fn stream_started(&mut self, now: f64, reporter: R) {
         let timeline = Timeline::new(now);
-        let waiting = self.reporters.remove(&reporter).map(|r| r.waiting);
-        let waiting = waiting.unwrap_or_default();
+        let pending = self.reporters.remove(&reporter).map(|r| r.pending);
+        let pending = pending.unwrap_or_default();
         self.reporters.insert(
             reporter,
             Reporter {
                 timeline,
-                waiting,
-                over: false,
+                pending,
+                ended: false,
             },
         );
     }
@@ -167,7 +174,7 @@
     /// Marks a stream as ended; its pending lines are still read.
     pub fn stream_ended(&mut self, reporter: &R) {
         if let Some(r) = self.reporters.get_mut(reporter) {
-            r.over = true;
+            r.ended = true;
         }
     }
 
@@ -183,66 +190,66 @@
         lines: impl ExactSizeIterator<Item = (K, Line)>,
         visits: impl Iterator<Item = (K, f64)>,
     ) -> Result<(), Refusal> {
-        let refused = |tally: &mut QueueStats, why| {
-            tally.refused += 1;
+        let reject = |stats: &mut QueueStats, why| {
+            stats.refused += 1;
             Err(why)
         };
         if !(window_ms > 0.0 && window_ms <= 3.6e6) {
-            return refused(&mut self.stats, Refusal::InvalidWindow);
+            return reject(&mut self.stats, Refusal::InvalidWindow);
         }
-        if lines.len() > self.most_servers {
-            return refused(&mut self.stats, Refusal::TooManyServers);
+        if lines.len() > self.max_servers {
+            return reject(&mut self.stats, Refusal::TooManyServers);
         }
-        let Some(r) = self.reporters.get_mut(reporter).filter(|r| !r.over) else {
-            return refused(&mut self.stats, Refusal::UnknownStream);
+        let Some(r) = self.reporters.get_mut(reporter).filter(|r| !r.ended) else {
+            return reject(&mut self.stats, Refusal::UnknownStream);
         };
-        let stretch = r.timeline.place(now, window_ms);
+        let window = r.timeline.place(now, window_ms);
         self.stats.reports += 1;
         self.stats.lines += lines.len() as u64;
-        let bucket = (stretch.end.max(0.0) / self.bucket_ms) as u64;
-        let waiting = r.waiting.entry(bucket).or_insert_with(|| Waiting {
-            begin: stretch.begin,
-            end: stretch.end,
+        let bucket = (window.end.max(0.0) / self.bucket_ms) as u64;
+        let pending = r.pending.entry(bucket).or_insert_with(|| PendingWindow {
+            begin: window.begin,
+            end: window.end,
             lines: BTreeMap::new(),
             visits: BTreeMap::new(),
         });
-        waiting.begin = waiting.begin.min(stretch.begin);
-        waiting.end = waiting.end.max(stretch.end);
+        pending.begin = pending.begin.min(window.begin);
+        pending.end = pending.end.max(window.end);
         for (server, line) in lines {
-            let full = waiting.lines.len() >= self.most_servers;
-            match waiting.lines.get_mut(&server) {
-                Some(there) => {
-                    there.add(&line);
+            let full = pending.lines.len() >= self.max_servers;
+            match pending.lines.get_mut(&server) {
+                Some(existing) => {
+                    existing.add(&line);
                     self.stats.merged += 1;
                 }
                 None if full => self.stats.refused += 1,
-                None => drop(waiting.lines.insert(server, line)),
+                None => drop(pending.lines.insert(server, line)),
             }
         }
         for (class, count) in visits {
-            *waiting.visits.entry(class).or_default() += count;
+            *pending.visits.entry(class).or_default() += count;
         }
-        if r.waiting.len() > BUCKETS {
-            Self::merge_oldest(r, &mut self.stats, self.most_servers);
+        if r.pending.len() > MAX_BUCKETS {
+            Self::merge_oldest(r, &mut self.stats, self.max_servers);
         }
         Ok(())
     }
 
     /// Merges the oldest bucket into the next, keeping the next one's in-flight counts.
-    fn merge_oldest(r: &mut Reporter<K>, tally: &mut QueueStats, most: usize) {
-        let Some((_, old)) = r.waiting.pop_first() else {
+    fn merge_oldest(r: &mut Reporter<K>, stats: &mut QueueStats, max_servers: usize) {
+        let Some((_, old)) = r.pending.pop_first() else {
             return;
         };
-        let Some(mut next) = r.waiting.first_entry() else {
+        let Some(mut next) = r.pending.first_entry() else {
             return;
         };
         let next = next.get_mut();
         next.begin = next.begin.min(old.begin);
         for (server, line) in old.lines {
             if next.lines.contains_key(&server) {
-                tally.merged += 1;
+                stats.merged += 1;
             }
-            let full = next.lines.len() >= most;
+            let full = next.lines.len() >= max_servers;
             match next.lines.get_mut(&server) {
                 Some(newer) => {
                     let in_flight = newer.in_flight;
@@ -260,119 +267,136 @@
 
     /// Number of pending lines.
     pub fn pending_lines(&self) -> usize {
-        self.reporters.values().map(Reporter::lines).sum()
+        self.reporters.values().map(Reporter::line_count).sum()
     }
 
-    /// Reads about `room` pending lines at most. The reporters that have waited longest are read
+    /// Reads about `max_lines` pending lines at most. The reporters that have waited longest are read
     /// first, and whole. What does not fit stays pending and merges with later reports while it is
-    /// recent. Lines are sampled only if more than `room` of them have waited too long.
-    pub fn read(&mut self, now: f64, room: usize) -> Vec<MergedReport<R, K>> {
-        if self.pending_lines() > room {
+    /// recent. Lines are sampled only if more than `max_lines` of them have waited too long.
+    pub fn read(&mut self, now: f64, max_lines: usize) -> Vec<MergedReport<R, K>> {
+        if self.pending_lines() > max_lines {
             // Merge neighbouring windows of the same reporter before sampling any line out.
-            let news = ((now - NEWS * self.bucket_ms).max(0.0) / self.bucket_ms) as u64;
+            let recent_bucket =
+                ((now - RECENT_BUCKETS * self.bucket_ms).max(0.0) / self.bucket_ms) as u64;
             for r in self.reporters.values_mut() {
-                r.collapse(news, &mut self.stats);
+                r.merge_windows(recent_bucket, &mut self.stats);
             }
         }
-        let mut order: Vec<(f64, R, usize)> = self
+        let mut oldest_first: Vec<PendingReporter<R>> = self
             .reporters
             .iter()
-            .filter_map(|(name, r)| Some((r.oldest()?, name.clone(), r.lines())))
+            .filter_map(|(reporter, r)| {
+                Some(PendingReporter {
+                    begin: r.oldest_begin()?,
+                    reporter: reporter.clone(),
+                    lines: r.line_count(),
+                })
+            })
             .collect();
-        order.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(&b.1)));
-        let late = now - PATIENCE * self.bucket_ms;
-        let must: Vec<usize> = order.iter().filter(|o| o.0 <= late).map(|o| o.2).collect();
+        oldest_first.sort_by(|a, b| {
+            let by_begin = a.begin.total_cmp(&b.begin);
+            by_begin.then_with(|| a.reporter.cmp(&b.reporter))
+        });
+        let overdue_before = now - MAX_PENDING_BUCKETS * self.bucket_ms;
+        let overdue = oldest_first
+            .iter()
+            .filter(|p| p.begin <= overdue_before)
+            .count();
+        let overdue = &oldest_first[..overdue];
         let mut out = Vec::new();
-        if must.iter().sum::<usize>() > room {
-            self.sample(&order[..must.len()], &must, room, &mut out);
+        if overdue.iter().map(|p| p.lines).sum::<usize>() > max_lines {
+            self.sample(overdue, max_lines, &mut out);
         } else {
-            let mut left = room;
-            for (_, name, lines) in order {
-                // A reporter with more lines than `room` is read when it is the only one.
-                if lines > left && left < room {
+            let mut remaining = max_lines;
+            for pending in &oldest_first {
+                // A reporter with more lines than `max_lines` is read alone.
+                if pending.lines > remaining && remaining < max_lines {
                     break;
                 }
-                left = left.saturating_sub(lines);
-                self.read_whole(&name, &mut out);
+                remaining = remaining.saturating_sub(pending.lines);
+                self.read_whole(&pending.reporter, &mut out);
             }
         }
         self.reporters
-            .retain(|_, r| !(r.over && r.waiting.is_empty()));
+            .retain(|_, r| !(r.ended && r.pending.is_empty()));
         out
     }
 
     /// Moves all pending lines of a reporter to `out`.
-    fn read_whole(&mut self, name: &R, out: &mut Vec<MergedReport<R, K>>) {
-        let Some(r) = self.reporters.get_mut(name) else {
+    fn read_whole(&mut self, reporter: &R, out: &mut Vec<MergedReport<R, K>>) {
+        let Some(r) = self.reporters.get_mut(reporter) else {
             return;
         };
-        for (_, waiting) in std::mem::take(&mut r.waiting) {
-            self.stats.read += waiting.lines.len() as u64;
-            let lines = waiting.lines.into_iter().map(|(s, l)| (s, l, 0.0));
+        for (_, pending) in std::mem::take(&mut r.pending) {
+            self.stats.read += pending.lines.len() as u64;
+            let lines = pending.lines.into_iter().map(|(s, l)| (s, l, 0.0));
             out.push(MergedReport {
-                reporter: name.clone(),
-                begin: waiting.begin,
-                end: waiting.end,
+                reporter: reporter.clone(),
+                begin: pending.begin,
+                end: pending.end,
                 lines: lines.collect(),
-                visits: waiting.visits.into_iter().collect(),
+                visits: pending.visits.into_iter().collect(),
             });
         }
     }
 
-    /// Samples the pending lines of the reporters in `order` down to about `room` lines: half of
-    /// `room` is shared between reporters, the other half between servers.
+    /// Samples the pending lines of the overdue reporters down to about `max_lines` lines: half of
+    /// `max_lines` is shared between reporters, the other half between servers.
     fn sample(
         &mut self,
-        order: &[(f64, R, usize)],
-        wanted: &[usize],
-        room: usize,
+        overdue: &[PendingReporter<R>],
+        max_lines: usize,
         out: &mut Vec<MergedReport<R, K>>,
     ) {
-        let each = quota(wanted, room / 2);
+        let line_counts: Vec<usize> = overdue.iter().map(|p| p.lines).collect();
+        let reporter_quota = quota(&line_counts, max_lines / 2);
         let sizes = |r: &Reporter<K>| -> Vec<f64> {
-            let lines = r.waiting.values().flat_map(|w| w.lines.values());
+            let lines = r.pending.values().flat_map(|w| w.lines.values());
             lines.map(|l| l.tries).collect()
         };
-        let mut by_server: BTreeMap<K, Vec<f64>> = BTreeMap::new();
-        for r in order.iter().filter_map(|o| self.reporters.get(&o.1)) {
-            for (server, line) in r.waiting.values().flat_map(|w| &w.lines) {
-                by_server
+        let mut sizes_by_server: BTreeMap<K, Vec<f64>> = BTreeMap::new();
+        for r in overdue
+            .iter()
+            .filter_map(|p| self.reporters.get(&p.reporter))
+        {
+            for (server, line) in r.pending.values().flat_map(|w| &w.lines) {
+                sizes_by_server
                     .entry(server.clone())
                     .or_default()
                     .push(line.tries);
             }
         }
-        let many: Vec<usize> = by_server.values().map(Vec::len).collect();
-        let of_each = quota(&many, room / 2);
-        let by_server: BTreeMap<K, f64> = by_server
+        let line_counts: Vec<usize> = sizes_by_server.values().map(Vec::len).collect();
+        let server_quota = quota(&line_counts, max_lines / 2);
+        let thresholds: BTreeMap<K, f64> = sizes_by_server
             .into_iter()
-            .map(|(server, sizes)| (server, threshold(&sizes, of_each)))
+            .map(|(server, sizes)| (server, threshold(&sizes, server_quota)))
             .collect();
-        for (_, name, _) in order {
-            let Some(r) = self.reporters.get_mut(name) else {
+        for PendingReporter { reporter, .. } in overdue {
+            let Some(r) = self.reporters.get_mut(reporter) else {
                 continue;
             };
-            let own = threshold(&sizes(r), each);
-            for (_, waiting) in std::mem::take(&mut r.waiting) {
-                let mut lines = Vec::with_capacity(waiting.lines.len());
-                for (server, line) in waiting.lines {
-                    let level = by_server.get(&server).copied().unwrap_or(0.0);
-                    let odds =
-                        keep_probability(line.tries, own).max(keep_probability(line.tries, level));
-                    match sample(line.tries, odds, &mut self.chance) {
+            let reporter_threshold = threshold(&sizes(r), reporter_quota);
+            for (_, pending) in std::mem::take(&mut r.pending) {
+                let mut lines = Vec::with_capacity(pending.lines.len());
+                for (server, line) in pending.lines {
+                    let server_threshold = thresholds.get(&server).copied().unwrap_or(0.0);
+                    let probability = keep_probability(line.tries, reporter_threshold)
+                        .max(keep_probability(line.tries, server_threshold));
+                    match sample(line.tries, probability, &mut self.rng) {
                         Some((factor, variance)) => {
                             self.stats.read += 1;
-                            lines.push((server, line.times(factor), variance));
+                            lines.push((server, line.scaled(factor), variance));
                         }
                         None => self.stats.sampled_out += 1,
                     }
                 }
                 out.push(MergedReport {
-                    reporter: name.clone(),
-                    begin: waiting.begin,
-                    end: waiting.end,
+                    reporter: reporter.clone(),
+                    begin: pending.begin,
+                    end: pending.end,
                     lines,
-                    visits: waiting.visits.into_iter().collect(),
+                    visits: pending.visits.into_iter().collect(),
                 });
             }
         }
@@ -380,20 +404,20 @@
 }
 
 impl<K> Reporter<K> {
-    /// Merges all windows from bucket `news` on into the newest of them, and all earlier ones into
+    /// Merges all windows from bucket `recent_bucket` on into the newest of them, and all earlier ones into
     /// the newest of those.
-    fn collapse(&mut self, news: u64, tally: &mut QueueStats)
+    fn merge_windows(&mut self, recent_bucket: u64, stats: &mut QueueStats)
     where
         K: Ord,
     {
-        let fresh = self.waiting.split_off(&news);
-        let old = std::mem::take(&mut self.waiting);
-        for part in [old, fresh] {
-            let mut stretches = part.into_iter().rev();
-            let Some((bucket, mut sum)) = stretches.next() else {
+        let recent = self.pending.split_off(&recent_bucket);
+        let old = std::mem::take(&mut self.pending);
+        for group in [old, recent] {
+            let mut windows = group.into_iter().rev();
+            let Some((bucket, mut sum)) = windows.next() else {
                 continue;
             };
-            for (_, w) in stretches {
+            for (_, w) in windows {
                 sum.begin = sum.begin.min(w.begin);
                 sum.end = sum.end.max(w.end);
                 for (server, line) in w.lines {
@@ -403,7 +427,7 @@
                             let in_flight = newer.in_flight;
                             newer.add(&line);
                             newer.in_flight = in_flight;
-                            tally.merged += 1;
+                            stats.merged += 1;
                         }
                         None => drop(sum.lines.insert(server, line)),
                     }
@@ -412,16 +436,17 @@
                     *sum.visits.entry(class).or_default() += visits;
                 }
             }
-            self.waiting.insert(bucket, sum);
+            self.pending.insert(bucket, sum);
         }
     }
 
     /// Begin of the oldest pending window.
-    fn oldest(&self) -> Option<f64> {
-        self.waiting.values().next().map(|w| w.begin)
+    fn oldest_begin(&self) -> Option<f64> {
+        self.pending.values().next().map(|w| w.begin)
     }
 
-    fn lines(&self) -> usize {
-        self.waiting.values().map(|w| w.lines.len()).sum()
+    /// Number of pending lines.
+    fn line_count(&self) -> usize {
+        self.pending.values().map(|w| w.lines.len()).sum()
     }
 }
