--- a/crates/intake/src/coverage.rs
+++ b/crates/intake/src/coverage.rs
@@ -5,16 +5,16 @@
 use std::collections::BTreeMap;
 
 /// A proxy is silent after this many report intervals without a report.
-const SILENT: f64 = 6.0;
+const SILENT_INTERVALS: f64 = 6.0;
 /// Smoothing factor of a proxy's reported tries, per round.
-const MOVES: f64 = 0.5;
+const SMOOTHING: f64 = 0.5;
 /// Average tries below which a proxy is dropped from a server: its table has changed.
-const LEAST: f64 = 0.01;
+const MIN_TRIES: f64 = 0.01;
 
 /// Reporters by server, and the proxies that are silent.
 #[derive(Clone, Debug)]
 pub struct Coverage {
-    every_ms: f64,
+    round_ms: f64,
     wheel: TimerWheel<usize>,
     /// By server: its proxies in index order, with the smoothed tries per round of each.
     servers: Vec<Vec<(usize, f64)>>,
@@ -31,11 +31,11 @@
 }
 
 impl Coverage {
-    /// Creates an empty index for rounds of `every_ms`.
-    pub fn new(now: f64, every_ms: f64) -> Coverage {
+    /// Creates an empty index for rounds of `round_ms`.
+    pub fn new(now: f64, round_ms: f64) -> Coverage {
         Coverage {
-            every_ms,
-            wheel: TimerWheel::new(now, every_ms),
+            round_ms,
+            wheel: TimerWheel::new(now, round_ms),
             servers: Vec::new(),
             silent: BTreeMap::new(),
         }
@@ -48,7 +48,7 @@
         proxy: usize,
         interval_ms: f64,
     ) -> Option<ReporterChange> {
-        let after = SILENT * interval_ms.max(self.every_ms);
+        let after = SILENT_INTERVALS * interval_ms.max(self.round_ms);
         self.wheel.schedule(proxy, now + after);
         self.silent
             .remove(&proxy)
@@ -60,10 +60,10 @@
         while self.servers.len() <= server {
             self.servers.push(Vec::new());
         }
-        let there = &mut self.servers[server];
-        match there.binary_search_by_key(&proxy, |(p, _)| *p) {
-            Ok(at) => there[at].1 += MOVES * (tries - there[at].1),
-            Err(at) => there.insert(at, (proxy, tries)),
+        let reporters = &mut self.servers[server];
+        match reporters.binary_search_by_key(&proxy, |(p, _)| *p) {
+            Ok(at) => reporters[at].1 += SMOOTHING * (tries - reporters[at].1),
+            Err(at) => reporters.insert(at, (proxy, tries)),
         }
     }
 
@@ -82,26 +82,28 @@
         reported: impl Fn(usize) -> bool,
         told: impl Fn(usize) -> bool,
     ) {
-        if let Some(there) = self.servers.get_mut(server) {
-            for (proxy, tries) in there.iter_mut() {
+        if let Some(reporters) = self.servers.get_mut(server) {
+            for (proxy, tries) in reporters.iter_mut() {
                 if reported(*proxy) && !told(*proxy) {
-                    *tries *= 1.0 - MOVES;
+                    *tries *= 1.0 - SMOOTHING;
                 }
             }
-            there.retain(|(_, tries)| *tries >= LEAST);
+            reporters.retain(|(_, tries)| *tries >= MIN_TRIES);
         }
     }
 
     /// The share of a server's recent load whose reporters are still reporting; 1 if it has no
     /// reporters.
     pub fn reporting_share(&self, server: usize) -> f64 {
-        let there = self
+        let reporters = self
             .servers
             .get(server)
             .map(Vec::as_slice)
             .unwrap_or_default();
-        let all: f64 = there.iter().map(|(_, t)| t).sum();
-        let silent = there.iter().filter(|(p, _)| self.silent.contains_key(p));
+        let all: f64 = reporters.iter().map(|(_, t)| t).sum();
+        let silent = reporters
+            .iter()
+            .filter(|(p, _)| self.silent.contains_key(p));
         let missing: f64 = silent.map(|(_, t)| t).sum();
         if all > 0.0 { 1.0 - missing / all } else { 1.0 }
     }
@@ -120,17 +122,17 @@
     pub fn forget_proxy(&mut self, proxy: usize) {
         self.wheel.cancel(&proxy);
         self.silent.remove(&proxy);
-        for there in &mut self.servers {
-            if let Ok(at) = there.binary_search_by_key(&proxy, |(p, _)| *p) {
-                there.remove(at);
+        for reporters in &mut self.servers {
+            if let Ok(at) = reporters.binary_search_by_key(&proxy, |(p, _)| *p) {
+                reporters.remove(at);
             }
         }
     }
 
     /// Drops a server's reporters; its index may then be reused.
     pub fn forget_server(&mut self, server: usize) {
-        if let Some(there) = self.servers.get_mut(server) {
-            there.clear();
+        if let Some(reporters) = self.servers.get_mut(server) {
+            reporters.clear();
         }
     }
 }
--- a/crates/intake/src/estimates.rs
+++ b/crates/intake/src/estimates.rs
@@ -6,15 +6,15 @@
 use std::ops::Range;
 
 /// Standard deviations of an error bound: it holds in 19 of 20 cases.
-const BOUND: f64 = 2.0;
+const ERROR_DEVIATIONS: f64 = 2.0;
 /// An estimate is imprecise if its error bound exceeds this share of it ...
-const VAGUE: f64 = 0.5;
+const MAX_RELATIVE_ERROR: f64 = 0.5;
 /// ... unless it has at most this many tries, too few for any decision to depend on.
-const FEW: f64 = 8.0;
+const FEW_TRIES: f64 = 8.0;
 /// Report periods after whose end a window is no longer recent.
-const NEWS: f64 = 4.0;
+const RECENT_PERIODS: f64 = 4.0;
 /// Buckets before the current one whose reports may still be on their way.
-const ON_THE_WAY: u64 = 1;
+const INCOMPLETE_BUCKETS: u64 = 1;
 
 /// Totals of one time bucket.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -61,18 +61,18 @@
 /// that represent many unread ones. The cost is a missing estimate until the next round, which
 /// samples less.
 pub fn is_imprecise(tries: f64, variance: f64) -> bool {
-    tries > FEW && BOUND * variance.max(0.0).sqrt() > VAGUE * tries
+    tries > FEW_TRIES && ERROR_DEVIATIONS * variance.max(0.0).sqrt() > MAX_RELATIVE_ERROR * tries
 }
 
 /// Whether a window that ended `ended_ago_ms` ago is still recent. Prevents a burst of reports
 /// after a stall from being taken for current load. If all reports are late, decisions wait.
 pub fn is_recent(ended_ago_ms: f64, every_ms: f64) -> bool {
-    ended_ago_ms <= NEWS * every_ms
+    ended_ago_ms <= RECENT_PERIODS * every_ms
 }
 
 /// One server's totals, by zone of the proxies.
 #[derive(Clone, Debug)]
-pub struct Server {
+pub struct ServerRings {
     zones: Vec<Ring<BucketTotals>>,
 }
 
@@ -81,7 +81,7 @@
 pub struct Estimates {
     bucket_ms: f64,
     zones: usize,
-    servers: Vec<Server>,
+    servers: Vec<ServerRings>,
     /// Observations with a window older than the rings.
     pub expired_lines: u64,
 }
@@ -118,10 +118,10 @@
     }
 
     /// A server's rings, created when first used.
-    fn server(&mut self, server: usize) -> &mut Server {
+    fn server(&mut self, server: usize) -> &mut ServerRings {
         while self.servers.len() <= server {
             let zones = vec![Ring::new(self.bucket_ms); self.zones];
-            self.servers.push(Server { zones });
+            self.servers.push(ServerRings { zones });
         }
         &mut self.servers[server]
     }
@@ -134,27 +134,27 @@
         }
         let bucket_ms = self.bucket_ms;
         let span = (n.end - n.begin).max(1.0);
-        let many = ((span / bucket_ms).round() as usize).clamp(1, crate::ring::BUCKETS);
-        let part = 1.0 / many as f64;
+        let buckets = ((span / bucket_ms).round() as usize).clamp(1, crate::ring::BUCKETS);
+        let share = 1.0 / buckets as f64;
         let good = (n.tries - n.failed).max(0.0);
         let mut times = QuantileSketch::default();
         if good > 0.0 {
-            times.add(n.good_ms / good, good * part);
+            times.add(n.good_ms / good, good * share);
         }
-        let met = BucketTotals {
-            tries: n.tries * part,
-            failed: n.failed * part,
-            good_ms: n.good_ms * part,
-            variance: n.variance * part,
+        let totals = BucketTotals {
+            tries: n.tries * share,
+            failed: n.failed * share,
+            good_ms: n.good_ms * share,
+            variance: n.variance * share,
             times,
         };
         let mut past = 0;
         let ring = &mut self.server(n.server).zones[n.zone];
-        for i in 0..many {
+        for i in 0..buckets {
             // The middle of each part, so that a window ending on a bucket boundary does not count
             // for the next bucket.
-            let at = n.end - (i as f64 + 0.5) * span * part;
-            if !ring.add(now, at.min(now), &met) {
+            let at = n.end - (i as f64 + 0.5) * span * share;
+            if !ring.add(now, at.min(now), &totals) {
                 past = 1;
             }
         }
@@ -179,10 +179,10 @@
     /// server.
     pub fn estimate_range(&self, now: f64, places: Range<usize>, span_ms: f64) -> Option<Estimate> {
         let end = places.end.min(self.servers.len());
-        let there = self.servers.get(places.start..end)?;
-        let rings = || there.iter().flat_map(|s| &s.zones);
+        let servers = self.servers.get(places.start..end)?;
+        let rings = || servers.iter().flat_map(|s| &s.zones);
         let mut sum = BucketTotals::default();
-        rings().for_each(|r| sum.add(&r.sum(now, span_ms, ON_THE_WAY)));
+        rings().for_each(|r| sum.add(&r.sum(now, span_ms, INCOMPLETE_BUCKETS)));
         let newest = rings().filter_map(|r| r.newest(now)).reduce(f64::max)?;
         let good = (sum.tries - sum.failed).max(0.0);
         (sum.tries > 0.0).then(|| Estimate {
@@ -190,7 +190,7 @@
             failed: sum.failed,
             mean_ms: sum.good_ms / good.max(f64::MIN_POSITIVE) * f64::from(good > 0.0),
             tail_ms: sum.times.quantile(0.95).unwrap_or(0.0),
-            error: BOUND * sum.variance.max(0.0).sqrt(),
+            error: ERROR_DEVIATIONS * sum.variance.max(0.0).sqrt(),
             age_ms: (now - newest).max(0.0),
         })
     }
--- a/crates/intake/src/interval.rs
+++ b/crates/intake/src/interval.rs
@@ -5,23 +5,23 @@
 /// Load, as a share of the reading capacity, above which the interval grows and below which it
 /// shrinks. They are further apart than one step changes the load, so that the interval does not
 /// oscillate.
-const HIGH: f64 = 0.8;
-const LOW: f64 = 0.4;
+const HIGH_LOAD: f64 = 0.8;
+const LOW_LOAD: f64 = 0.4;
 /// Factor by which one step changes the interval.
-const STEP: f64 = 1.5;
+const STEP_FACTOR: f64 = 1.5;
 /// Intervals to wait before a step's effect shows.
-const SETTLE: f64 = 4.0;
+const SETTLE_INTERVALS: f64 = 4.0;
 /// Longest interval as a multiple of the usual one; beyond it, decisions would come too late.
-const LONGEST: f64 = 4.0;
+const MAX_INTERVAL_FACTOR: f64 = 4.0;
 
 /// The current report interval and when it last changed.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportInterval {
     usual_ms: f64,
-    now_ms: f64,
+    current_ms: f64,
     /// Capacity, in lines per millisecond.
-    room: f64,
-    moved: f64,
+    lines_per_ms: f64,
+    changed_at: f64,
 }
 
 impl ReportInterval {
@@ -29,35 +29,37 @@
     pub fn new(now: f64, usual_ms: f64, lines_per_s: f64) -> ReportInterval {
         ReportInterval {
             usual_ms,
-            now_ms: usual_ms,
-            room: lines_per_s / 1e3,
-            moved: now,
+            current_ms: usual_ms,
+            lines_per_ms: lines_per_s / 1e3,
+            changed_at: now,
         }
     }
 
     /// The current interval in milliseconds.
     pub fn ms(&self) -> f64 {
-        self.now_ms
+        self.current_ms
     }
 
     /// Takes the number of lines received in the last `over_ms`. Returns the new interval if it
     /// changes.
     pub fn observe(&mut self, now: f64, lines: f64, over_ms: f64) -> Option<f64> {
-        if now - self.moved < SETTLE * self.now_ms || over_ms <= 0.0 {
+        if now - self.changed_at < SETTLE_INTERVALS * self.current_ms || over_ms <= 0.0 {
             return None;
         }
-        let load = lines / over_ms / self.room.max(f64::MIN_POSITIVE);
-        let wanted = match load {
+        let load = lines / over_ms / self.lines_per_ms.max(f64::MIN_POSITIVE);
+        let new_ms = match load {
             // Reports arrive faster than they can be read.
-            l if l > HIGH => (self.now_ms * STEP).min(self.usual_ms * LONGEST),
+            l if l > HIGH_LOAD => {
+                (self.current_ms * STEP_FACTOR).min(self.usual_ms * MAX_INTERVAL_FACTOR)
+            }
             // Shorten the interval, so that load changes are seen sooner.
-            l if l < LOW => (self.now_ms / STEP).max(self.usual_ms),
-            _ => self.now_ms,
+            l if l < LOW_LOAD => (self.current_ms / STEP_FACTOR).max(self.usual_ms),
+            _ => self.current_ms,
         };
-        if wanted == self.now_ms {
+        if new_ms == self.current_ms {
             return None;
         }
-        (self.now_ms, self.moved) = (wanted, now);
-        Some(wanted)
+        (self.current_ms, self.changed_at) = (new_ms, now);
+        Some(new_ms)
     }
 }
--- a/crates/intake/src/ring.rs
+++ b/crates/intake/src/ring.rs
@@ -38,7 +38,7 @@
 
     /// Adds a value to the bucket of a time. Returns `false` if that time has expired or is after
     /// `now`.
-    pub fn add(&mut self, now: f64, at: f64, what: &T) -> bool {
+    pub fn add(&mut self, now: f64, at: f64, value: &T) -> bool {
         let bucket = self.bucket(at);
         if self.is_expired(now, at) || bucket > self.bucket(now) {
             return false;
@@ -47,18 +47,18 @@
         if slot.0 != bucket {
             *slot = (bucket, T::default());
         }
-        slot.1.add(what);
+        slot.1.add(value);
         true
     }
 
     /// Sums the whole buckets of a span that ends `back` buckets before the current one.
     pub fn sum(&self, now: f64, span_ms: f64, back: u64) -> T {
-        let many = (span_ms / self.bucket_ms).round().max(1.0) as u64;
+        let count = (span_ms / self.bucket_ms).round().max(1.0) as u64;
         let end = self.bucket(now).saturating_sub(back);
-        let within = end.saturating_sub(many)..end;
+        let wanted = end.saturating_sub(count)..end;
         let mut sum = T::default();
-        let there = self.slots.iter().filter(|(n, _)| within.contains(n));
-        there.for_each(|(_, what)| sum.add(what));
+        let slots_within = self.slots.iter().filter(|(n, _)| wanted.contains(n));
+        slots_within.for_each(|(_, value)| sum.add(value));
         sum
     }
 
--- a/crates/intake/src/sampling.rs
+++ b/crates/intake/src/sampling.rs
@@ -31,13 +31,13 @@
 pub fn quota(wanted: &[usize], room: usize) -> usize {
     let mut sorted: Vec<usize> = wanted.to_vec();
     sorted.sort_unstable();
-    let (mut left, mut many) = (room, sorted.len());
+    let (mut remaining, mut claimants) = (room, sorted.len());
     for want in sorted {
-        if want * many > left {
-            return left / many;
+        if want * claimants > remaining {
+            return remaining / claimants;
         }
-        left -= want;
-        many -= 1;
+        remaining -= want;
+        claimants -= 1;
     }
     usize::MAX
 }
@@ -52,14 +52,14 @@
     let mut rest: f64 = sorted.iter().sum();
     // The largest lines are always kept; the threshold makes the probabilities of the rest add up
     // to the remaining number.
-    for (sure, size) in sorted.iter().enumerate() {
-        let left = keep.saturating_sub(sure);
-        if left == 0 {
+    for (kept, size) in sorted.iter().enumerate() {
+        let remaining = keep.saturating_sub(kept);
+        if remaining == 0 {
             return f64::INFINITY;
         }
-        let level = rest / left as f64;
-        if *size <= level {
-            return level;
+        let candidate = rest / remaining as f64;
+        if *size <= candidate {
+            return candidate;
         }
         rest -= size;
     }
@@ -77,11 +77,16 @@
 
 /// Keeps or drops a line at random: returns the factor to scale its counts with and the variance
 /// that adds to its size, or `None` if it is dropped.
-pub fn sample(size: f64, odds: f64, chance: &mut Rng) -> Option<(f64, f64)> {
-    if odds >= 1.0 {
+pub fn sample(size: f64, probability: f64, rng: &mut Rng) -> Option<(f64, f64)> {
+    if probability >= 1.0 {
         return Some((1.0, 0.0));
     }
     // This variance estimate is unbiased: kept lines also represent the variance of dropped ones.
-    let kept = size > 0.0 && chance.next_f64() < odds;
-    kept.then(|| (1.0 / odds, size * size * (1.0 - odds) / (odds * odds)))
+    let kept = size > 0.0 && rng.next_f64() < probability;
+    kept.then(|| {
+        (
+            1.0 / probability,
+            size * size * (1.0 - probability) / (probability * probability),
+        )
+    })
 }
--- a/crates/intake/src/sketch.rs
+++ b/crates/intake/src/sketch.rs
@@ -5,9 +5,9 @@
 /// Maximum relative error of a quantile.
 pub const RELATIVE_ERROR: f64 = 0.02;
 /// Upper bound of the first bucket; smaller values go there too.
-const LEAST: f64 = 0.01;
+const MIN_VALUE: f64 = 0.01;
 /// Highest bucket number; the buckets cover 10 microseconds to over three hours.
-const MOST: i32 = 520;
+const MAX_BUCKET: i32 = 520;
 
 /// Weights by bucket of values.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -23,8 +23,8 @@
 
 /// The number of the bucket that holds a value.
 fn bucket(value: f64) -> i32 {
-    let at = (value.max(LEAST) / LEAST).ln() / growth().ln();
-    (at.ceil() as i32).clamp(0, MOST)
+    let at = (value.max(MIN_VALUE) / MIN_VALUE).ln() / growth().ln();
+    (at.ceil() as i32).clamp(0, MAX_BUCKET)
 }
 
 impl QuantileSketch {
@@ -76,12 +76,12 @@
         for (bucket, weight) in &self.counts {
             seen += weight;
             if seen >= wanted {
-                let upper = LEAST * growth().powi(*bucket);
+                let upper = MIN_VALUE * growth().powi(*bucket);
                 return Some(upper * (1.0 - RELATIVE_ERROR));
             }
         }
         let last = self.counts.last()?;
-        Some(LEAST * growth().powi(last.0) * (1.0 - RELATIVE_ERROR))
+        Some(MIN_VALUE * growth().powi(last.0) * (1.0 - RELATIVE_ERROR))
     }
 
     /// Number of buckets in use.
--- a/crates/intake/src/timeline.rs
+++ b/crates/intake/src/timeline.rs
@@ -12,11 +12,11 @@
 //! offset is raised by the smallest of their delays.
 
 /// Clock drift, as a share, that is not taken for lateness.
-const DRIFT: f64 = 0.001;
-/// Reports arrive one by one if they are at least this share of their window apart; `STEADY` of
+const MAX_DRIFT: f64 = 0.001;
+/// Reports arrive one by one if they are at least this share of their window apart; `STEADY_REPORTS` of
 /// them in a row show that none is delayed.
-const APART: f64 = 0.5;
-const STEADY: u32 = 4;
+const MIN_SPACING: f64 = 0.5;
+const STEADY_REPORTS: u32 = 4;
 
 /// A window of time on our clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -32,10 +32,10 @@
     /// updated.
     clock: f64,
     offset: f64,
-    reckoned: f64,
+    updated: f64,
     /// Number of reports in a row that arrived one by one, and the smallest delay among them.
-    steady: u32,
-    least_late: f64,
+    steady_reports: u32,
+    min_delay: f64,
 }
 
 impl Timeline {
@@ -44,9 +44,9 @@
         Timeline {
             clock: 0.0,
             offset: now,
-            reckoned: now,
-            steady: 0,
-            least_late: f64::INFINITY,
+            updated: now,
+            steady_reports: 0,
+            min_delay: f64::INFINITY,
         }
     }
 
@@ -54,23 +54,23 @@
     /// leave gaps. A late report is recognized by the end of its window.
     pub fn place(&mut self, now: f64, window_ms: f64) -> Window {
         // Let the offset grow by the clock drift, so that a slow clock does not stay late forever.
-        let since = (now - self.reckoned).max(0.0);
-        self.offset += since * DRIFT;
-        self.reckoned = now;
+        let elapsed = (now - self.updated).max(0.0);
+        self.offset += elapsed * MAX_DRIFT;
+        self.updated = now;
         self.clock += window_ms;
         // A report is never early, so a negative delay means that the offset was too large.
         self.offset = self.offset.min(now - self.clock);
-        let late = now - self.clock - self.offset;
-        match since >= window_ms * APART {
+        let delay = now - self.clock - self.offset;
+        match elapsed >= window_ms * MIN_SPACING {
             true => {
-                self.steady += 1;
-                self.least_late = self.least_late.min(late);
+                self.steady_reports += 1;
+                self.min_delay = self.min_delay.min(delay);
             }
-            false => (self.steady, self.least_late) = (0, f64::INFINITY),
+            false => (self.steady_reports, self.min_delay) = (0, f64::INFINITY),
         }
-        if self.steady >= STEADY {
-            self.offset += self.least_late;
-            (self.steady, self.least_late) = (0, f64::INFINITY);
+        if self.steady_reports >= STEADY_REPORTS {
+            self.offset += self.min_delay;
+            (self.steady_reports, self.min_delay) = (0, f64::INFINITY);
         }
         let end = self.clock + self.offset;
         Window {
@@ -85,7 +85,7 @@
     use super::*;
 
     fn close(a: f64, b: f64) -> bool {
-        (a - b).abs() <= 0.001 * 60_000.0 * DRIFT + 1.0
+        (a - b).abs() <= 0.001 * 60_000.0 * MAX_DRIFT + 1.0
     }
 
     #[test]
@@ -113,11 +113,11 @@
     #[test]
     fn lateness_that_varies_is_taken_off_once_a_report_was_quick() {
         let mut t = Timeline::new(0.0);
-        let late = [400.0, 300.0, 20.0, 900.0, 700.0, 50.0];
+        let delay = [400.0, 300.0, 20.0, 900.0, 700.0, 50.0];
         let mut last = 0.0;
-        for (i, late) in late.iter().enumerate() {
+        for (i, delay) in delay.iter().enumerate() {
             let truly = (i + 1) as f64 * 500.0;
-            last = t.place(truly + late, 500.0).end - truly;
+            last = t.place(truly + delay, 500.0).end - truly;
         }
         assert!((0.0..=40.0).contains(&last), "{last}");
     }
--- a/crates/intake/src/timer_wheel.rs
+++ b/crates/intake/src/timer_wheel.rs
@@ -17,7 +17,7 @@
     /// map were cancelled.
     due: HashMap<T, (f64, u64)>,
     /// The last slot that has been processed.
-    done: u64,
+    processed: u64,
 }
 
 impl<T: Copy + Eq + Hash + Ord> TimerWheel<T> {
@@ -27,55 +27,55 @@
             slot_ms,
             slots: vec![Vec::new(); SLOTS],
             due: HashMap::new(),
-            done: (now / slot_ms) as u64,
+            processed: (now / slot_ms) as u64,
         }
     }
 
     /// The slot number of an expiry time, at least the next one to be processed.
     fn slot(&self, at: f64) -> u64 {
-        ((at / self.slot_ms).ceil() as u64).max(self.done + 1)
+        ((at / self.slot_ms).ceil() as u64).max(self.processed + 1)
     }
 
     /// Schedules a key, replacing an earlier expiry time.
-    pub fn schedule(&mut self, what: T, at: f64) {
+    pub fn schedule(&mut self, key: T, at: f64) {
         let slot = self.slot(at);
-        match self.due.get_mut(&what) {
+        match self.due.get_mut(&key) {
             // Later than before: moved when its old slot comes up.
-            Some((due, lies)) if *lies <= slot => *due = at,
+            Some((due, in_slot)) if *in_slot <= slot => *due = at,
             _ => {
-                self.due.insert(what, (at, slot));
-                self.slots[slot as usize % SLOTS].push(what);
+                self.due.insert(key, (at, slot));
+                self.slots[slot as usize % SLOTS].push(key);
             }
         }
     }
 
     /// Cancels a key's expiry. Returns whether it was scheduled.
-    pub fn cancel(&mut self, what: &T) -> bool {
-        self.due.remove(what).is_some()
+    pub fn cancel(&mut self, key: &T) -> bool {
+        self.due.remove(key).is_some()
     }
 
     /// Removes and returns the keys that have expired by now, sorted.
     pub fn pop_expired(&mut self, now: f64) -> Vec<T> {
         let newest = (now / self.slot_ms) as u64;
         let mut out = Vec::new();
-        let rounds = (newest.saturating_sub(self.done)).min(SLOTS as u64);
-        let from = newest - rounds;
-        self.done = self.done.max(newest);
+        let slots_passed = (newest.saturating_sub(self.processed)).min(SLOTS as u64);
+        let from = newest - slots_passed;
+        self.processed = self.processed.max(newest);
         for n in from + 1..=newest {
             let slot = std::mem::take(&mut self.slots[n as usize % SLOTS]);
-            for what in slot {
-                match self.due.get(&what).copied() {
+            for key in slot {
+                match self.due.get(&key).copied() {
                     // Left over from before the key was cancelled or scheduled for an earlier time.
                     None => {}
-                    Some((_, lies)) if lies as usize % SLOTS != n as usize % SLOTS => {}
+                    Some((_, in_slot)) if in_slot as usize % SLOTS != n as usize % SLOTS => {}
                     Some((at, _)) if at <= now => {
-                        self.due.remove(&what);
-                        out.push(what);
+                        self.due.remove(&key);
+                        out.push(key);
                     }
                     Some((at, _)) => {
                         let slot = self.slot(at);
-                        self.due.insert(what, (at, slot));
-                        self.slots[slot as usize % SLOTS].push(what);
+                        self.due.insert(key, (at, slot));
+                        self.slots[slot as usize % SLOTS].push(key);
                     }
                 }
             }
--- a/crates/intake/src/trust.rs
+++ b/crates/intake/src/trust.rs
@@ -10,30 +10,30 @@
 
 /// Suspicion, in periods of full evidence, at which a flag is raised, and the lower level at which
 /// it is cleared.
-const RAISED: f64 = 3.0;
-const LOWERED: f64 = 0.5;
+const RAISE_LEVEL: f64 = 3.0;
+const CLEAR_LEVEL: f64 = 0.5;
 /// Weight of the reports of a proxy that contradicts all others.
-const DOUBTED: f64 = 0.25;
+const CONTRARY_WEIGHT: f64 = 0.25;
 /// Suspicion removed by a period without evidence.
-const FORGIVEN: f64 = 0.5;
+const DECAY_PER_PERIOD: f64 = 0.5;
 /// Maximum suspicion, so that a flag clears in bounded time.
-const MOST: f64 = 6.0;
+const MAX_LEVEL: f64 = 6.0;
 /// Tries per period that a comparison needs.
-const ENOUGH: f64 = 5.0;
+const MIN_TRIES: f64 = 5.0;
 /// A server is suspect if proxies measure more than this many times the time it reports.
-const APART: f64 = 3.0;
+const MAX_TIME_RATIO: f64 = 3.0;
 /// A server is suspect if it repeats exactly the same load while the measured time changes by this
 /// share.
-const MOVED: f64 = 0.5;
+const MIN_TIME_CHANGE: f64 = 0.5;
 /// If more than this share of the servers is suspect, the network or the proxies are slow, and no
 /// server is blamed.
-const MANY: f64 = 0.3;
+const MAX_SUSPECT_SHARE: f64 = 0.3;
 /// A proxy contradicts the others at a server if its failure rate differs by this much from theirs.
-const CONTRARY: f64 = 0.4;
+const MIN_FAILURE_DIFFERENCE: f64 = 0.4;
 /// A proxy is suspect if it contradicts the others at this share of the servers it shares with
-/// them, given at least `SHARED` such servers.
-const MOSTLY: f64 = 0.7;
-const SHARED: usize = 3;
+/// them, given at least `MIN_SHARED_SERVERS` such servers.
+const MIN_CONTRARY_SHARE: f64 = 0.7;
+const MIN_SHARED_SERVERS: usize = 3;
 
 /// Suspicion level, and whether it has raised a flag.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -45,16 +45,16 @@
 
 impl Suspicion {
     /// Adds a period's evidence, from 0 to 1. Returns whether the flag has changed.
-    fn weigh(&mut self, evidence: f64) -> bool {
+    fn update(&mut self, evidence: f64) -> bool {
         self.level = match evidence > 0.0 {
-            true => (self.level + evidence).min(MOST),
-            false => (self.level - FORGIVEN).max(0.0),
+            true => (self.level + evidence).min(MAX_LEVEL),
+            false => (self.level - DECAY_PER_PERIOD).max(0.0),
         };
         let before = self.flagged;
-        if self.level >= RAISED {
+        if self.level >= RAISE_LEVEL {
             self.flagged = true;
         }
-        if self.level <= LOWERED {
+        if self.level <= CLEAR_LEVEL {
             self.flagged = false;
         }
         before != self.flagged
@@ -75,11 +75,11 @@
 
 /// What is remembered of a server between periods.
 #[derive(Clone, Copy, Debug, Default)]
-struct Told {
+struct ServerHistory {
     suspicion: Suspicion,
-    last: Option<ServerSample>,
+    last_sample: Option<ServerSample>,
     /// Measured time when the self-report last changed.
-    met_then: f64,
+    baseline_ms: f64,
 }
 
 /// A flag that was raised (`true`) or cleared (`false`), by server or proxy index.
@@ -97,7 +97,7 @@
 /// Suspicion of servers and proxies, by index.
 #[derive(Clone, Debug, Default)]
 pub struct TrustTracker {
-    servers: BTreeMap<usize, Told>,
+    servers: BTreeMap<usize, ServerHistory>,
     proxies: BTreeMap<usize, Suspicion>,
 }
 
@@ -118,7 +118,7 @@
     /// this proxy may be the one that is right.
     pub fn trust(&self, proxy: usize) -> f64 {
         if self.is_contrary(proxy) {
-            DOUBTED
+            CONTRARY_WEIGHT
         } else {
             1.0
         }
@@ -135,31 +135,31 @@
     }
 
     /// Takes a period's samples by server, and returns the flags that changed.
-    pub fn observe_servers(&mut self, words: &BTreeMap<usize, ServerSample>) -> Vec<TrustChange> {
+    pub fn observe_servers(&mut self, samples: &BTreeMap<usize, ServerSample>) -> Vec<TrustChange> {
         let mut changes = Vec::new();
-        let evidence: Vec<f64> = words
+        let evidence: Vec<f64> = samples
             .iter()
-            .map(|(server, word)| {
-                against_the_server(self.servers.entry(*server).or_default(), word)
+            .map(|(server, sample)| {
+                stale_evidence(self.servers.entry(*server).or_default(), sample)
             })
             .collect();
         // A single suspect is judged however few servers there are.
         let suspected = evidence.iter().filter(|e| **e > 0.0).count();
-        let many = suspected > 1 && suspected as f64 > MANY * words.len() as f64;
-        for ((server, word), evidence) in words.iter().zip(evidence) {
-            let evidence = if many { 0.0 } else { evidence };
-            let told = self.servers.entry(*server).or_default();
-            if told.suspicion.weigh(evidence) {
-                changes.push(TrustChange::StaleServer(*server, told.suspicion.flagged));
+        let too_many = suspected > 1 && suspected as f64 > MAX_SUSPECT_SHARE * samples.len() as f64;
+        for ((server, sample), evidence) in samples.iter().zip(evidence) {
+            let evidence = if too_many { 0.0 } else { evidence };
+            let history = self.servers.entry(*server).or_default();
+            if history.suspicion.update(evidence) {
+                changes.push(TrustChange::StaleServer(*server, history.suspicion.flagged));
             }
-            let same = told
-                .last
-                .is_some_and(|l| (l.own_ms, l.own_queue) == (word.own_ms, word.own_queue));
+            let repeated = history
+                .last_sample
+                .is_some_and(|l| (l.own_ms, l.own_queue) == (sample.own_ms, sample.own_queue));
             // When many servers changed at once, measure further changes from the new times.
-            if !same || many {
-                told.met_then = word.measured_ms;
+            if !repeated || too_many {
+                history.baseline_ms = sample.measured_ms;
             }
-            told.last = Some(*word);
+            history.last_sample = Some(*sample);
         }
         changes
     }
@@ -168,15 +168,15 @@
     /// same servers, and returns the flags that changed.
     pub fn observe_proxies(&mut self, views: &ProxyViews) -> Vec<TrustChange> {
         let mut all: BTreeMap<usize, (f64, f64)> = BTreeMap::new();
-        for (server, met) in views.values().flatten() {
+        for (server, tries_by_server) in views.values().flatten() {
             let sum = all.entry(*server).or_default();
-            (sum.0, sum.1) = (sum.0 + met.0, sum.1 + met.1);
+            (sum.0, sum.1) = (sum.0 + tries_by_server.0, sum.1 + tries_by_server.1);
         }
         let mut changes = Vec::new();
-        for (proxy, met) in views {
-            let evidence = against_the_proxy(met, &all);
+        for (proxy, tries_by_server) in views {
+            let evidence = contrary_evidence(tries_by_server, &all);
             let suspicion = self.proxies.entry(*proxy).or_default();
-            if suspicion.weigh(evidence) {
+            if suspicion.update(evidence) {
                 changes.push(TrustChange::ContraryProxy(*proxy, suspicion.flagged));
             }
         }
@@ -189,20 +189,20 @@
 /// server reports and shows low times, which is no evidence. A slow network path to the server
 /// causes a false positive: the flag only says that the server's report does not explain the
 /// measurements.
-fn against_the_server(told: &Told, word: &ServerSample) -> f64 {
-    if word.tries < ENOUGH || word.own_ms.is_none() && word.own_queue.is_none() {
+fn stale_evidence(history: &ServerHistory, sample: &ServerSample) -> f64 {
+    if sample.tries < MIN_TRIES || sample.own_ms.is_none() && sample.own_queue.is_none() {
         return 0.0;
     }
     // A server reports the time of the work alone; visits in its queue explain the rest.
-    let waits = word.own_queue.unwrap_or(0.0).max(0.0);
-    let own = word.own_ms.map(|ms| ms * (1.0 + waits));
-    let apart = own.is_some_and(|own| own > 0.0 && word.measured_ms > APART * own);
-    let same = told
-        .last
-        .is_some_and(|l| (l.own_ms, l.own_queue) == (word.own_ms, word.own_queue));
-    let moved =
-        (word.measured_ms - told.met_then).abs() > MOVED * told.met_then.max(word.measured_ms);
-    match (apart, same && moved && told.met_then > 0.0) {
+    let queue = sample.own_queue.unwrap_or(0.0).max(0.0);
+    let own = sample.own_ms.map(|ms| ms * (1.0 + queue));
+    let too_slow = own.is_some_and(|own| own > 0.0 && sample.measured_ms > MAX_TIME_RATIO * own);
+    let repeated = history
+        .last_sample
+        .is_some_and(|l| (l.own_ms, l.own_queue) == (sample.own_ms, sample.own_queue));
+    let changed = (sample.measured_ms - history.baseline_ms).abs()
+        > MIN_TIME_CHANGE * history.baseline_ms.max(sample.measured_ms);
+    match (too_slow, repeated && changed && history.baseline_ms > 0.0) {
         (true, true) => 1.0,
         (true, false) | (false, true) => 0.75,
         (false, false) => 0.0,
@@ -212,20 +212,24 @@
 /// Detects a proxy whose own fault, or whose own network link, looks like a fault of the servers:
 /// it fails where all others succeed, or succeeds where all others fail. A proxy that shares too
 /// few servers with others is not judged.
-fn against_the_proxy(met: &BTreeMap<usize, (f64, f64)>, all: &BTreeMap<usize, (f64, f64)>) -> f64 {
+fn contrary_evidence(
+    tries_by_server: &BTreeMap<usize, (f64, f64)>,
+    all: &BTreeMap<usize, (f64, f64)>,
+) -> f64 {
     let (mut shared, mut contrary) = (0, 0);
-    for (server, (tries, failed)) in met {
+    for (server, (tries, failed)) in tries_by_server {
         let (all_tries, all_failed) = all.get(server).copied().unwrap_or_default();
         let others = (all_tries - tries, all_failed - failed);
-        if *tries < ENOUGH || others.0 < ENOUGH {
+        if *tries < MIN_TRIES || others.0 < MIN_TRIES {
             continue;
         }
         shared += 1;
-        if (failed / tries - others.1 / others.0).abs() > CONTRARY {
+        if (failed / tries - others.1 / others.0).abs() > MIN_FAILURE_DIFFERENCE {
             contrary += 1;
         }
     }
-    match shared >= SHARED && f64::from(contrary) >= MOSTLY * shared as f64 {
+    match shared >= MIN_SHARED_SERVERS && f64::from(contrary) >= MIN_CONTRARY_SHARE * shared as f64
+    {
         true => 1.0,
         false => 0.0,
     }
