--- a/crates/control/tests/controller.rs
+++ b/crates/control/tests/controller.rs
@@ -1,53 +1,53 @@
 //! The controller against a model of what proxies hold: tables of cases, and days drawn by chance.
 
-use dahliapoint_control::record::{Begin, End, Recorder, bytes_of, replay};
+use dahliapoint_control::record::{End, Header, Recorder, encode_outputs, replay};
 use dahliapoint_control::{
-    AdminState, ClassTerms, Controller, Entry, FurtherTry, Input, LineState, MetLine, Output,
-    Report, Scope, Session, Terms,
+    AdminState, ClassSettings, Controller, ControllerSettings, Input, LineState, LoadReport,
+    Output, ReportLine, RetryPolicy, RosterEntry, Scope, Session,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn terms() -> Terms {
-    let class = |name: &str, earnings| ClassTerms {
+fn terms() -> ControllerSettings {
+    let class = |name: &str, earnings| ClassSettings {
         name: name.into(),
         soft_limit_ms: 1000.0,
         earnings,
-        repeatable: false,
+        idempotent: false,
     };
-    Terms {
+    ControllerSettings {
         service: "portal".into(),
         zones: vec!["east".into(), "west".into()],
         classes: vec![class("view", 1.0), class("set", 2.0)],
-        shares: true,
-        most_waiting: 5_000.0,
+        admission_control: true,
+        max_queued_lines: 5_000.0,
         lines_per_s: 10_000.0,
-        way_ms: 20.0,
-        message_lines: 3.0,
-        most_messages: 40.0,
-        message_span_ms: 10_000.0,
-        writes_by_message: 2.0,
-        writes_by_joining: 4.0,
-        idle_ms: 15_000.0,
-        standing_lines: 12.0,
-        usual_pace: 20.0,
-        report_every_ms: 500.0,
+        message_latency_ms: 20.0,
+        message_overhead_lines: 3.0,
+        max_messages: 40.0,
+        message_window_ms: 10_000.0,
+        writes_per_message: 2.0,
+        writes_per_join: 4.0,
+        idle_timeout_ms: 15_000.0,
+        initial_servers: 12.0,
+        default_visits_per_s: 20.0,
+        report_interval_ms: 500.0,
         reports_per_s: 300.0,
-        cold_share: 0.15,
-        warm_after_ms: 16_000.0,
-        fall_multiple: 3.0,
-        grace_ms: 3_000.0,
-        dropped_may_stay: false,
-        usual_tries: FurtherTry::OnProof,
+        cold_capacity_share: 0.15,
+        warm_up_ms: 16_000.0,
+        overload_multiple: 3.0,
+        drain_grace_ms: 3_000.0,
+        keep_unlisted_servers: false,
+        default_retry_policy: RetryPolicy::OnProof,
         may_probe: true,
-        beat_ms: 1_000.0,
-        guard: dahliapoint_control::ward::Guarding::Hold,
+        heartbeat_interval_ms: 1_000.0,
+        guard_mode: dahliapoint_control::rollout::GuardMode::Enforce,
     }
 }
 
-fn entry(name: &str, state: AdminState) -> Entry {
-    Entry {
+fn entry(name: &str, state: AdminState) -> RosterEntry {
+    RosterEntry {
         name: name.into(),
         address: format!("127.0.0.1:{}", 1000 + name.len()),
         zone: if name.len().is_multiple_of(2) {
@@ -83,9 +83,9 @@
 }
 
 impl Day {
-    fn begun(terms: Terms) -> Day {
+    fn begun(terms: ControllerSettings) -> Day {
         Day {
-            controller: Controller::begun(1e6, 7, terms),
+            controller: Controller::new(1e6, 7, terms),
             now: 1e6,
             held: BTreeMap::new(),
             closed: Vec::new(),
@@ -104,7 +104,7 @@
                 self.held.remove(session);
             }
         }
-        let out = self.controller.take(self.now, inputs);
+        let out = self.controller.handle(self.now, inputs);
         for o in &out {
             match o {
                 Output::Write(sessions, m) => {
@@ -112,23 +112,23 @@
                         let held = self.held.get_mut(s).expect("written to who is joined");
                         assert!(m.serial > held.last, "serials rise");
                         held.last = m.serial;
-                        if let Scope::Whole(part) = m.scope {
+                        if let Scope::Snapshot(part) = m.scope {
                             held.lines.clear();
                             held.part = Some(part);
                         }
-                        if let Scope::Part(part) = m.scope {
+                        if let Scope::Changes(part) = m.scope {
                             assert_eq!(held.part, Some(part), "changes of the part bound to");
                         }
                         for l in &m.lines {
                             let name = l.server.to_string();
                             match (m.scope, l.state) {
-                                (Scope::Standing, LineState::Shut) => {
+                                (Scope::Unbound, LineState::Withdrawn) => {
                                     held.shut.insert(name);
                                 }
-                                (Scope::Standing, _) => {
+                                (Scope::Unbound, _) => {
                                     held.shut.remove(&name);
                                 }
-                                (_, LineState::Away) => {
+                                (_, LineState::Removed) => {
                                     held.lines.remove(&name);
                                 }
                                 (_, state) => {
@@ -145,7 +145,7 @@
                     self.closed.push(*session);
                 }
                 Output::Probe { server, .. } => self.probed.push(server.clone()),
-                Output::Note(note) => self.notes.push(note.clone()),
+                Output::Log(note) => self.notes.push(note.clone()),
             }
         }
         out
@@ -166,7 +166,7 @@
             for server in std::mem::take(&mut self.probed) {
                 inputs.push(Input::Probed {
                     server,
-                    fine: true,
+                    healthy: true,
                     took_ms: 1.0,
                 });
             }
@@ -179,7 +179,7 @@
             session,
             proxy: proxy.into(),
             zone: "east".into(),
-            pace: Some(50.0),
+            visits_per_s: Some(50.0),
         };
         self.tell(vec![input]);
     }
@@ -201,8 +201,8 @@
                 .filter(|s| s.part == p.part && s.weight > 0.0);
             let wanted: BTreeMap<_, _> = there
                 .map(|s| {
-                    let state = match s.shut {
-                        true => LineState::Shut,
+                    let state = match s.withdrawn {
+                        true => LineState::Withdrawn,
                         false => LineState::Open,
                     };
                     (s.name.to_string(), (format!("{:.6}", s.weight), state))
@@ -254,8 +254,8 @@
         assert_eq!(open, ["bb", "ccc", "dddd"], "draining and dropped alike");
     }
     // The channel is full of what nobody answers: a joiner waits, but is told what is withdrawn.
-    let mut day = Day::begun(Terms {
-        most_waiting: 150.0,
+    let mut day = Day::begun(ControllerSettings {
+        max_queued_lines: 150.0,
         ..terms()
     });
     day.answering = false;
@@ -291,7 +291,7 @@
     day.pass(3_500.0, 100.0);
     let view = day.controller.overview();
     assert!(view.proxies.iter().all(|p| p.refusal.is_none()), "{view:?}");
-    assert_eq!(view.accounts.refused, 1);
+    assert_eq!(view.counters.refused, 1);
     day.agrees();
 }
 
@@ -304,14 +304,14 @@
         Input::Applied(77, 1),
         Input::Refused(77, 1, "who".into()),
         Input::Left(77),
-        Input::Reported("nobody".into(), Report::default()),
+        Input::Reported("nobody".into(), LoadReport::default()),
     ];
     day.tell(odd.to_vec());
-    assert_eq!(day.controller.overview().accounts.odd_answers, 4);
+    assert_eq!(day.controller.overview().counters.unexpected_answers, 4);
     // The same node again: the newer stream holds, the older one's late words count for nothing.
     day.join(3, "p1");
     assert_eq!(day.closed, [1]);
-    day.controller.take(day.now, vec![Input::Left(1)]);
+    day.controller.handle(day.now, vec![Input::Left(1)]);
     day.pass(3000.0, 100.0);
     day.agrees();
     assert_eq!(day.controller.overview().proxies.len(), 2);
@@ -320,7 +320,7 @@
         session: 9,
         proxy: "p9".into(),
         zone: "mars".into(),
-        pace: None,
+        visits_per_s: None,
     };
     day.tell(vec![input]);
     assert_eq!(day.closed, [1, 9]);
@@ -373,18 +373,18 @@
 #[test]
 fn reports_that_cannot_be_are_refused_and_unknown_ones_counted() {
     let mut day = five();
-    let line = |server: &str, tries, failed, good_ms| MetLine {
+    let line = |server: &str, tries, failed, good_ms| ReportLine {
         server: server.into(),
         tries,
         failed,
-        good_ms,
-        ..MetLine::default()
+        success_ms: good_ms,
+        ..ReportLine::default()
     };
-    let report = |met| Report {
+    let report = |met| LoadReport {
         window_ms: 500.0,
         ended_ago_ms: 0.0,
-        met: vec![met],
-        came: vec![("view".into(), 3.0)],
+        lines: vec![met],
+        arrivals: vec![("view".into(), 3.0)],
     };
     let cases = [
         (line("a", 10.0, 1.0, 90.0), true),
@@ -399,24 +399,24 @@
     for (met, fine) in &cases {
         let report = report(met.clone());
         assert_eq!(
-            dahliapoint_control::fault_of(&report).is_none(),
+            dahliapoint_control::report_error(&report).is_none(),
             *fine,
             "{met:?}"
         );
         day.tell(vec![Input::Reported("p1".into(), report)]);
     }
-    let accounts = day.controller.overview().accounts;
+    let accounts = day.controller.overview().counters;
     assert_eq!((accounts.report_lines, accounts.unknown_lines), (1, 1));
     assert_eq!(accounts.refused_reports, 6);
     // A class that the terms do not have: counted as unknown, nothing else.
-    let odd = MetLine {
+    let odd = ReportLine {
         class: 9,
         ..line("a", 1.0, 0.0, 1.0)
     };
     day.tell(vec![Input::Reported("p1".into(), report(odd))]);
-    assert_eq!(day.controller.overview().accounts.unknown_lines, 2);
+    assert_eq!(day.controller.overview().counters.unknown_lines, 2);
     // Visits under way are those of each proxy's newest word.
-    let busy = |n: f64| MetLine {
+    let busy = |n: f64| ReportLine {
         in_flight: n,
         ..line("a", 1.0, 0.0, 1.0)
     };
@@ -425,7 +425,7 @@
     }
     // What was met is told by class once the round has ended and its stretch is complete.
     day.now += 1500.0;
-    day.tell(vec![Input::RoundEnds]);
+    day.tell(vec![Input::RoundEnded]);
     let view = day.controller.overview();
     let a = view.servers.iter().find(|s| &*s.name == "a").unwrap();
     assert_eq!((a.by_class.len(), a.by_class[0].class), (1, 0));
@@ -435,11 +435,11 @@
         a.by_class
     );
     assert_eq!(a.estimate.unwrap().in_flight, 5.0);
-    let long = Report {
+    let long = LoadReport {
         window_ms: 1e9,
         ..report(line("a", 1.0, 0.0, 1.0))
     };
-    assert!(dahliapoint_control::fault_of(&long).is_some());
+    assert!(dahliapoint_control::report_error(&long).is_some());
 }
 
 /// All proxies of a grown site come back within a second: nobody is written more than the channel bears,
@@ -447,10 +447,10 @@
 #[test]
 fn many_that_come_back_at_once_are_paced() {
     let most_waiting = 4_000.0;
-    let mut day = Day::begun(Terms {
-        most_waiting,
-        most_messages: 0.0,
-        usual_pace: 0.1,
+    let mut day = Day::begun(ControllerSettings {
+        max_queued_lines: most_waiting,
+        max_messages: 0.0,
+        default_visits_per_s: 0.1,
         ..terms()
     });
     let names: Vec<String> = (0..115)
@@ -465,11 +465,11 @@
                 session: round * 1_000 + p,
                 proxy: format!("p{p}"),
                 zone: if p % 2 == 0 { "east" } else { "west" }.into(),
-                pace: Some(2.0),
+                visits_per_s: Some(2.0),
             };
             day.tell(vec![input]);
             let view = day.controller.overview();
-            assert!(view.accounts.waiting <= most_waiting, "{:?}", view.accounts);
+            assert!(view.counters.waiting <= most_waiting, "{:?}", view.counters);
         }
         day.pass(30_000.0, 100.0);
         let view = day.controller.overview();
@@ -479,19 +479,19 @@
         );
         day.agrees();
     }
-    assert!(day.controller.overview().accounts.most_waiting <= most_waiting);
+    assert!(day.controller.overview().counters.most_waiting <= most_waiting);
 }
 
 /// The roster's clock jumps: the same start told with another age is no new start.
 #[test]
 fn a_clock_that_jumps_makes_no_new_start() {
     let mut day = five();
-    let started = |ago, stamp| Entry {
+    let started = |ago, stamp| RosterEntry {
         started: Some((ago, stamp)),
         ..entry("a", Ready)
     };
     let rest = || ["bb", "ccc", "dddd", "eeeee"].map(|n| entry(n, Ready));
-    let tell = |day: &mut Day, first: Entry| {
+    let tell = |day: &mut Day, first: RosterEntry| {
         let mut entries = vec![first];
         entries.extend(rest());
         day.tell(vec![Input::Roster(entries)]);
@@ -519,27 +519,28 @@
     let name = prop::sample::select(vec!["a", "bb", "ccc", "dddd", "é ü/\"\n", "f%2F\u{0}"]);
     let state = prop::sample::select(vec![Ready, Draining, Gone]);
     let started = prop::option::of((0.0..20_000.0, 0_u64..4));
-    let one = (name, state, 0.1..4.0_f64, started).prop_map(|(n, state, weight, started)| Entry {
-        weight,
-        started,
-        ..entry(n, state)
-    });
+    let one =
+        (name, state, 0.1..4.0_f64, started).prop_map(|(n, state, weight, started)| RosterEntry {
+            weight,
+            started,
+            ..entry(n, state)
+        });
     let roster = prop::collection::vec(one, 0..7);
     let session = 1_u64..6;
     let met = ("[a-d]{1,4}", 0.0..50.0, 0.0..1.0, 0.0..3000.0).prop_map(
-        |(server, tries, part, mean): (String, f64, f64, f64)| MetLine {
+        |(server, tries, part, mean): (String, f64, f64, f64)| ReportLine {
             server,
             tries,
             failed: tries * part,
-            good_ms: tries * (1.0 - part) * mean,
-            ..MetLine::default()
+            success_ms: tries * (1.0 - part) * mean,
+            ..ReportLine::default()
         },
     );
-    let report = prop::collection::vec(met, 0..5).prop_map(|met| Report {
+    let report = prop::collection::vec(met, 0..5).prop_map(|met| LoadReport {
         window_ms: 500.0,
         ended_ago_ms: 20.0,
-        met,
-        came: vec![("view".into(), 9.0), ("none".into(), 1.0)],
+        lines: met,
+        arrivals: vec![("view".into(), 9.0), ("none".into(), 1.0)],
     });
     prop_oneof![
         roster.clone().prop_map(Input::Roster),
@@ -548,16 +549,16 @@
             session: s,
             proxy: format!("p{}", s % 4),
             zone: if s % 2 == 0 { "east" } else { "west" }.into(),
-            pace: Some(pace),
+            visits_per_s: Some(pace),
         }),
         session.clone().prop_map(Input::Left),
         (session.clone(), 0_u64..60).prop_map(|(s, n)| Input::Applied(s, n)),
         (session.clone(), 0_u64..60).prop_map(|(s, n)| Input::Refused(s, n, "no".into())),
         (session, report).prop_map(|(s, r)| Input::Reported(format!("p{}", s % 4), r)),
-        Just(Input::RoundEnds),
+        Just(Input::RoundEnded),
         ("[a-d]{1,4}", any::<bool>()).prop_map(|(server, fine)| Input::Probed {
             server,
-            fine,
+            healthy: fine,
             took_ms: 3.0
         }),
     ]
@@ -574,8 +575,8 @@
         cut in 0.0..1.0_f64,
     ) {
         let mut day = Day::begun(terms());
-        let begin = Begin { now: day.now, seed: 7, terms: terms() };
-        let mut record = Recorder::begin(Vec::new(), &begin).unwrap();
+        let begin = Header { now: day.now, seed: 7, settings: terms() };
+        let mut record = Recorder::create(Vec::new(), &begin).unwrap();
         let mut bytes = Vec::new();
         let mut streams = 0;
         let mut live: BTreeMap<Session, Session> = BTreeMap::new();
@@ -585,10 +586,10 @@
             let inputs: Vec<_> = inputs.into_iter().map(|input| {
                 let of = |s: &Session| live.get(s).copied().unwrap_or(*s + 1000);
                 match input {
-                    Input::Joined { session, proxy, zone, pace } => {
+                    Input::Joined { session, proxy, zone, visits_per_s: pace } => {
                         streams += 1;
                         live.insert(session, streams);
-                        Input::Joined { session: streams, proxy, zone, pace }
+                        Input::Joined { session: streams, proxy, zone, visits_per_s: pace }
                     }
                     Input::Left(s) => Input::Left(of(&s)),
                     Input::Applied(s, n) => Input::Applied(of(&s), n),
@@ -596,27 +597,27 @@
                     other => other,
                 }
             }).collect();
-            record.note(day.now, &inputs).unwrap();
+            record.append(day.now, &inputs).unwrap();
             let out = day.tell(inputs);
-            bytes.extend(bytes_of(&out));
+            bytes.extend(encode_outputs(&out));
         }
         day.agrees();
         let written = record.into_inner();
         let mut again = Vec::new();
-        let (controller, end) = replay(&written[..], |_, out| again.extend(bytes_of(out))).unwrap();
-        prop_assert_eq!(end, End::Whole);
+        let (controller, end) = replay(&written[..], |_, out| again.extend(encode_outputs(out))).unwrap();
+        prop_assert_eq!(end, End::Complete);
         prop_assert!(bytes == again);
         prop_assert_eq!(controller.overview(), day.controller.overview());
         let cut = 8 + ((written.len() - 8) as f64 * cut) as usize;
         let mut part = Vec::new();
-        if let Ok((_, end)) = replay(&written[..cut], |_, out| part.extend(bytes_of(out))) {
-            prop_assert!(end == End::Torn || end == End::Whole);
+        if let Ok((_, end)) = replay(&written[..cut], |_, out| part.extend(encode_outputs(out))) {
+            prop_assert!(end == End::Truncated || end == End::Complete);
             prop_assert!(again.starts_with(&part));
         }
         let mut damaged = written.clone();
         damaged[cut.min(written.len() - 1)] ^= 0x40;
         if let Ok((_, end)) = replay(&damaged[..], |_, _| ()) {
-            prop_assert!(end != End::Whole, "damage is seen");
+            prop_assert!(end != End::Complete, "damage is seen");
         }
     }
 }
--- a/crates/control/tests/ward.rs
+++ b/crates/control/tests/rollout.rs
@@ -2,11 +2,11 @@
 //! visits load the servers, reports tell of it, servers restart, drain and go, and the module's orders are spoiled
 //! by chance. What is looked at is what would cross the sockets: who holds what, and which server falls.
 
-use dahliapoint::Tries;
-use dahliapoint_control::ward::Guarding;
+use dahliapoint as planner;
+use dahliapoint_control::rollout::GuardMode;
 use dahliapoint_control::{
-    AdminState, ClassTerms, Controller, Entry, FurtherTry, Input, LineState, MetLine, Output,
-    Report, Scope, Terms,
+    AdminState, ClassSettings, Controller, ControllerSettings, Input, LineState, LoadReport,
+    Output, ReportLine, RetryPolicy, RosterEntry, Scope,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -18,39 +18,39 @@
 const STEP_MS: f64 = 50.0;
 const ROUND_MS: f64 = 500.0;
 
-fn terms(guard: Guarding) -> Terms {
-    Terms {
+fn terms(guard: GuardMode) -> ControllerSettings {
+    ControllerSettings {
         service: "portal".into(),
         zones: vec!["east".into()],
-        classes: vec![ClassTerms {
+        classes: vec![ClassSettings {
             name: "view".into(),
             soft_limit_ms: 1000.0,
             earnings: 1.0,
-            repeatable: false,
+            idempotent: false,
         }],
-        shares: false,
-        most_waiting: 5_000.0,
+        admission_control: false,
+        max_queued_lines: 5_000.0,
         lines_per_s: 10_000.0,
-        way_ms: 20.0,
-        message_lines: 3.0,
-        most_messages: 0.0,
-        message_span_ms: 10_000.0,
-        writes_by_message: 2.0,
-        writes_by_joining: 4.0,
-        idle_ms: 15_000.0,
-        standing_lines: 4.0,
-        usual_pace: 20.0,
-        report_every_ms: ROUND_MS,
+        message_latency_ms: 20.0,
+        message_overhead_lines: 3.0,
+        max_messages: 0.0,
+        message_window_ms: 10_000.0,
+        writes_per_message: 2.0,
+        writes_per_join: 4.0,
+        idle_timeout_ms: 15_000.0,
+        initial_servers: 4.0,
+        default_visits_per_s: 20.0,
+        report_interval_ms: ROUND_MS,
         reports_per_s: 10_000.0,
-        cold_share: 0.15,
-        warm_after_ms: WARM_MS,
-        fall_multiple: 3.0,
-        grace_ms: GRACE_MS,
-        dropped_may_stay: false,
-        usual_tries: FurtherTry::OnProof,
+        cold_capacity_share: 0.15,
+        warm_up_ms: WARM_MS,
+        overload_multiple: 3.0,
+        drain_grace_ms: GRACE_MS,
+        keep_unlisted_servers: false,
+        default_retry_policy: RetryPolicy::OnProof,
         may_probe: true,
-        beat_ms: 0.0,
-        guard,
+        heartbeat_interval_ms: 0.0,
+        guard_mode: guard,
     }
 }
 
@@ -136,7 +136,7 @@
 }
 
 impl Day {
-    fn begun(guard: Guarding, seed: u64) -> Day {
+    fn begun(guard: GuardMode, seed: u64) -> Day {
         let now = 1e6;
         let truth = Truth {
             state: AdminState::Ready,
@@ -145,12 +145,12 @@
             since: now,
         };
         let spoil = std::sync::Arc::new(std::sync::Mutex::new(Spoil::Nothing));
-        let mut controller = Controller::begun(now, seed, terms(guard));
+        let mut controller = Controller::new(now, seed, terms(guard));
         let told = spoil.clone();
         let (mut seen, mut wild, mut turn) = (BTreeSet::new(), Chance(seed), 0);
         // What the module itself ordered: once it is right again, that is what it wants, all of it.
         let (mut own, mut own_shut, mut was_wrong) = (BTreeMap::new(), BTreeMap::new(), false);
-        controller.spoiled_by(Box::new(move |_, orders| {
+        controller.inject_faults(Box::new(move |_, orders| {
             own.extend(orders.lines.iter().map(|l| ((l.0, l.1), l.2)));
             own_shut.extend(orders.withdrawals.iter().copied());
             let spoil = *told.lock().unwrap();
@@ -182,7 +182,7 @@
                 Spoil::Repeats => {
                     orders.levels = seen
                         .iter()
-                        .map(|(p, _)| (*p, 0, 1.0, Tries::OnFailure))
+                        .map(|(p, _)| (*p, 0, 1.0, planner::RetryPolicy::OnFailure))
                         .collect();
                 }
             }
@@ -209,8 +209,8 @@
         }
     }
 
-    fn roster(&self) -> Vec<Entry> {
-        let entry = |(i, t): (usize, &Truth)| Entry {
+    fn roster(&self) -> Vec<RosterEntry> {
+        let entry = |(i, t): (usize, &Truth)| RosterEntry {
             name: format!("s{i}"),
             address: format!("127.0.0.1:{}", i + 1),
             zone: "east".into(),
@@ -233,7 +233,7 @@
     }
 
     fn tell(&mut self, inputs: Vec<Input>) {
-        for output in self.controller.take(self.now, inputs) {
+        for output in self.controller.handle(self.now, inputs) {
             match output {
                 Output::Write(sessions, m) => {
                     let lines: Vec<(usize, f64)> = m
@@ -250,15 +250,18 @@
                             )
                         })
                         .collect();
-                    let repeats = m.ways.iter().any(|w| w.1.tries == FurtherTry::OnFailure);
+                    let repeats = m
+                        .policies
+                        .iter()
+                        .any(|w| w.1.retry == RetryPolicy::OnFailure);
                     self.broken.repeats += usize::from(repeats);
                     for session in sessions {
                         // Each at its own moment, in order.
                         let after = 20.0 + self.chance.below(1_500) as f64;
                         let p = &mut self.proxies[session as usize];
                         let at = p.way.back().map_or(0.0, |w| w.0).max(self.now + after);
-                        let whole = matches!(m.scope, Scope::Whole(_));
-                        let lines = if m.scope == Scope::Standing {
+                        let whole = matches!(m.scope, Scope::Snapshot(_));
+                        let lines = if m.scope == Scope::Unbound {
                             Vec::new()
                         } else {
                             lines.clone()
@@ -268,7 +271,7 @@
                 }
                 Output::Probe { server, .. } => self.probes.push(number(&server)),
                 Output::Close(session, why) => panic!("{session} is closed: {why}"),
-                Output::Note(_) => {}
+                Output::Log(_) => {}
             }
         }
     }
@@ -300,7 +303,7 @@
         for s in std::mem::take(&mut self.probes) {
             inputs.push(Input::Probed {
                 server: format!("s{s}"),
-                fine: self.truth[s].state != AdminState::Gone,
+                healthy: self.truth[s].state != AdminState::Gone,
                 took_ms: 1.0,
             });
         }
@@ -308,21 +311,21 @@
         if self.now % ROUND_MS < STEP_MS {
             for i in 0..PROXIES {
                 let mine = self.met.iter().filter(|((p, _), _)| *p == i);
-                let met = mine.map(|((_, s), (tries, late))| MetLine {
+                let met = mine.map(|((_, s), (tries, late))| ReportLine {
                     server: format!("s{s}"),
                     tries: *tries,
-                    good_ms: (tries - late) * 30.0 + late * 3_000.0,
-                    ..MetLine::default()
+                    success_ms: (tries - late) * 30.0 + late * 3_000.0,
+                    ..ReportLine::default()
                 });
-                let report = Report {
+                let report = LoadReport {
                     window_ms: ROUND_MS,
                     ended_ago_ms: 0.0,
-                    met: met.collect(),
-                    came: Vec::new(),
+                    lines: met.collect(),
+                    arrivals: Vec::new(),
                 };
                 inputs.push(Input::Reported(format!("p{i}"), report));
             }
-            inputs.push(Input::RoundEnds);
+            inputs.push(Input::RoundEnded);
             self.met.clear();
         }
         self.tell(inputs);
@@ -382,7 +385,7 @@
     }
 
     /// A day: something happens to the fleet, the module is wrong for a while, it is calm.
-    fn whole(guard: Guarding, seed: u64) -> Day {
+    fn whole(guard: GuardMode, seed: u64) -> Day {
         let mut day = Day::begun(guard, seed);
         day.news();
         for i in 0..PROXIES {
@@ -390,7 +393,7 @@
                 session: i as u64,
                 proxy: format!("p{i}"),
                 zone: "east".into(),
-                pace: Some(60.0),
+                visits_per_s: Some(60.0),
             };
             day.tell(vec![joined]);
         }
@@ -456,10 +459,10 @@
 fn drawn_days_with_a_wrong_module_keep_the_rules() {
     let (mut bare, mut looked) = (Broken::default(), 0);
     for seed in 0..DAYS {
-        let day = Day::whole(Guarding::Hold, seed);
+        let day = Day::whole(GuardMode::Enforce, seed);
         assert_eq!(day.broken, Broken::default(), "day {seed}");
         looked += day.looked;
-        let b = Day::whole(Guarding::Off, seed).broken;
+        let b = Day::whole(GuardMode::Off, seed).broken;
         bare.empty += usize::from(b.empty > 0);
         bare.drains += usize::from(b.drains > 0);
         bare.falls += usize::from(b.falls > 0);
@@ -476,7 +479,7 @@
 #[test]
 fn what_was_held_is_let_go() {
     for seed in 0..DAYS {
-        let mut day = Day::whole(Guarding::Hold, seed);
+        let mut day = Day::whole(GuardMode::Enforce, seed);
         day.play(40_000.0);
         // A message of the planner's own may be on its way.
         for _ in 0..200 {
@@ -491,7 +494,7 @@
             let stands: Table = view
                 .servers
                 .iter()
-                .filter(|s| !s.shut && s.weight > 0.0)
+                .filter(|s| !s.withdrawn && s.weight > 0.0)
                 .map(|s| (number(&s.name), s.weight))
                 .collect();
             assert_eq!(p.table, stands, "day {seed}");
@@ -503,14 +506,14 @@
 /// The guard's own steps are bounded: a wanted table that cannot leave costs a message a pace, not one a moment.
 #[test]
 fn a_table_that_is_held_costs_few_messages() {
-    let mut day = Day::begun(Guarding::Hold, 5);
+    let mut day = Day::begun(GuardMode::Enforce, 5);
     day.news();
     (0..PROXIES).for_each(|i| {
         let joined = Input::Joined {
             session: i as u64,
             proxy: format!("p{i}"),
             zone: "east".into(),
-            pace: None,
+            visits_per_s: None,
         };
         day.tell(vec![joined]);
     });
@@ -521,10 +524,10 @@
     day.set(0, AdminState::Ready, true);
     day.news();
     *day.spoil.lock().unwrap() = Spoil::Flood(0);
-    let before = day.controller.overview().accounts.messages;
+    let before = day.controller.overview().counters.messages;
     day.play(10_000.0);
     let view = day.controller.overview();
-    let messages = view.accounts.messages - before;
+    let messages = view.counters.messages - before;
     // Paces of 1.6 s, to five proxies, and the planner's own ticks.
     assert!(
         messages <= 100,
--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -5,11 +5,12 @@
 //! first, so a drain waits behind one slice of reports at the most.
 
 use crate::hooking::Hooking;
-use dahliapoint_control::record::{Begin, Recorder};
+use dahliapoint_control::record::{Header, Recorder};
 use dahliapoint_control::{
-    Between, Controller, Input, LineState, MetLine, Output, Report, Scope, Session, Terms,
+    Controller, ControllerSettings, FaultInjector, Input, LineState, LoadReport, Output,
+    ReportLine, Scope, Session,
 };
-use dahliapoint_fibers::{Bell, Queue, Received};
+use dahliapoint_fibers::{Notify, Queue, Received};
 use dahliapoint_hooks::value::{LineSeen, World};
 use dahliapoint_intake::interval::ReportInterval;
 use dahliapoint_intake::report_queue::{Line, MergedReport, ReportQueue};
@@ -18,7 +19,7 @@
 use dahliapoint_memory::writer::JournalWriter;
 use dahliapoint_peer::service::SharedFacts;
 use dahliapoint_scheduler::{Budget, Event, Scheduler, Task, TaskId};
-use dahliapoint_xds::Owner;
+use dahliapoint_xds::ControllerHandle;
 
 use std::collections::VecDeque;
 use std::fs::File;
@@ -86,7 +87,7 @@
 #[derive(Default)]
 struct Asked {
     answer: Mutex<Option<serde_json::Value>>,
-    bell: Bell,
+    bell: Notify,
 }
 
 /// Carries out an output; gives it back if it is for another.
@@ -112,7 +113,7 @@
     hooking: Arc<Mutex<Option<Arc<Hooking>>>>,
     known: Arc<Mutex<Option<(SharedFacts, ChangeTracker)>>>,
     /// A hand that spoils orders, for tests of the guard.
-    spoiled: Arc<Mutex<Option<Between>>>,
+    spoiled: Arc<Mutex<Option<FaultInjector>>>,
 }
 
 /// A part's own words for an overview.
@@ -184,7 +185,7 @@
     }
 
     /// Puts a hand between planner and guard, before the engine runs.
-    pub fn spoiled_by(&self, between: Between) {
+    pub fn spoiled_by(&self, between: FaultInjector) {
         *lock(&self.spoiled) = Some(between);
     }
 
@@ -195,7 +196,7 @@
     pub fn run(
         &self,
         seed: u64,
-        terms: Terms,
+        terms: ControllerSettings,
         record: Option<&Path>,
         first: Vec<Input>,
         hand: Hand,
@@ -204,12 +205,12 @@
         let now = self.clock.now_ms();
         let mut recorder = None;
         if let Some(path) = record {
-            let begin = Begin {
+            let begin = Header {
                 now,
                 seed,
-                terms: terms.clone(),
+                settings: terms.clone(),
             };
-            recorder = Some(Recorder::begin(
+            recorder = Some(Recorder::create(
                 BufWriter::new(File::create(path)?),
                 &begin,
             )?);
@@ -219,10 +220,10 @@
             max_queued: WAITING,
         };
         let budgets = [budget(READING_SHARE), budget(TELLING_SHARE)];
-        let every_ms = terms.report_every_ms;
+        let every_ms = terms.report_interval_ms;
         let work = Work {
             interval: ReportInterval::new(now, every_ms, terms.reports_per_s),
-            controller: Controller::begun(now, seed, terms),
+            controller: Controller::new(now, seed, terms),
             record: recorder,
             hand,
             scheduler: Scheduler::new(now, PERIOD_MS, &budgets),
@@ -240,7 +241,7 @@
         };
         let mut work = work;
         if let Some(between) = lock(&self.spoiled).take() {
-            work.controller.spoiled_by(between);
+            work.controller.inject_faults(between);
         }
         let engine = self.clone();
         std::thread::Builder::new()
@@ -268,7 +269,7 @@
             let taken = self.queue.take_all(self.clock.at(until));
             let closed = matches!(taken, Received::Closed);
             let mut inputs = Vec::new();
-            if let Received::Some(items) = taken {
+            if let Received::Items(items) = taken {
                 for item in items {
                     match item {
                         Item::Input(input) => inputs.push(input),
@@ -295,14 +296,16 @@
         }
         work.asked
             .drain(..)
-            .for_each(|(_, asked)| asked.bell.ring());
+            .for_each(|(_, asked)| asked.bell.notify());
     }
 
     /// One moment: written down, decided, carried out.
     fn decide(&self, work: &mut Work, inputs: Vec<Input>) {
         let now = self.clock.now_ms();
         if let Some(recorder) = &mut work.record
-            && let Err(e) = recorder.note(now, &inputs).and_then(|()| recorder.flush())
+            && let Err(e) = recorder
+                .append(now, &inputs)
+                .and_then(|()| recorder.flush())
         {
             // The day goes on without its record.
             error!(error = %e, "the record cannot be written; it ends here");
@@ -322,7 +325,7 @@
             figures.longest_ms = figures.longest_ms.max(took);
         }
         for output in outputs {
-            if let Some(Output::Note(note)) = (work.hand)(output) {
+            if let Some(Output::Log(note)) = (work.hand)(output) {
                 match note.starts_with("guard:") {
                     true => warn!(target: "guard", "{note}"),
                     false => info!(target: "decisions", "{note}"),
@@ -337,29 +340,30 @@
     /// One moment through the controller, with hooks before what leaves and behind it.
     fn take(&self, work: &mut Work, now: f64, inputs: Vec<Input>) -> Vec<Output> {
         let Some(hooking) = work.hooking.clone() else {
-            return work.controller.take(now, inputs);
+            return work.controller.handle(now, inputs);
         };
         let mut held = Vec::new();
         let outputs = match hooking.gate() {
-            None => work.controller.take(now, inputs),
+            None => work.controller.handle(now, inputs),
             Some(gate) => {
                 let world = work.world.clone();
                 let mut until = None;
-                work.controller.take_gated(now, inputs, &mut |part, lines| {
-                    // One time for all publications of a moment.
-                    let ms = hooking.publication_ms() / 1e3;
-                    let until =
-                        *until.get_or_insert_with(|| Instant::now() + Duration::from_secs_f64(ms));
-                    let hold = hooking.judges(&gate, &world, part, lines, until);
-                    held.extend(hold.then_some(part));
-                    hold
-                })
+                work.controller
+                    .handle_gated(now, inputs, &mut |part, lines| {
+                        // One time for all publications of a moment.
+                        let ms = hooking.publication_ms() / 1e3;
+                        let until = *until
+                            .get_or_insert_with(|| Instant::now() + Duration::from_secs_f64(ms));
+                        let hold = hooking.judges(&gate, &world, part, lines, until);
+                        held.extend(hold.then_some(part));
+                        hold
+                    })
             }
         };
         if !held.is_empty()
             && let Some(recorder) = &mut work.record
             && let Err(e) = recorder
-                .note(now, &[Input::Gated(held)])
+                .append(now, &[Input::Gated(held)])
                 .and_then(|()| recorder.flush())
         {
             error!(error = %e, "the record cannot be written; it ends here");
@@ -367,12 +371,12 @@
         }
         for output in &outputs {
             if let Output::Write(_, message) = output
-                && let Scope::Part(part) = message.scope
+                && let Scope::Changes(part) = message.scope
                 && !message.lines.is_empty()
             {
                 let seen = |l: &dahliapoint_control::Line| LineSeen {
                     server: l.server.clone(),
-                    weight: if l.state == LineState::Away {
+                    weight: if l.state == LineState::Removed {
                         0.0
                     } else {
                         l.weight
@@ -384,7 +388,7 @@
             }
         }
         let controller = &work.controller;
-        let zones = &controller.terms().zones;
+        let zones = &controller.settings().zones;
         if let Some(world) = hooking.sees(&mut work.seen_at, || controller.overview(), zones) {
             work.world = world;
         }
@@ -395,7 +399,10 @@
     fn remember(&self, work: &mut Work) {
         if let Some((known, differ)) = &mut work.known {
             let now = clock::now();
-            let (servers, levels) = (work.controller.servers(), work.controller.levels());
+            let (servers, levels) = (
+                work.controller.servers(),
+                work.controller.admission_levels(),
+            );
             let changes = differ.changes(&now, &servers, &levels);
             let mut facts = known.lock();
             for change in changes.into_iter().chain([Change::Alive(now)]) {
@@ -407,7 +414,10 @@
             return;
         };
         let now = clock::now();
-        let (servers, levels) = (work.controller.servers(), work.controller.levels());
+        let (servers, levels) = (
+            work.controller.servers(),
+            work.controller.admission_levels(),
+        );
         let mut changes = differ.changes(&now, &servers, &levels);
         changes.push(Change::Alive(now));
         if !keeper.offer(changes) {
@@ -418,7 +428,7 @@
 
     /// Takes what the mouth holds, as much as may be read in a round, and has it read in slices.
     fn begin_round(&self, work: &mut Work, now: f64) {
-        let per_ms = work.controller.terms().reports_per_s / 1e3;
+        let per_ms = work.controller.settings().reports_per_s / 1e3;
         let room = (per_ms * work.every_ms).max(1.0) as usize;
         let (read, tally) = {
             let mut mouth = lock(&self.mouth);
@@ -454,7 +464,7 @@
         let mut inputs: Vec<Input> = slice.map(|r| reported(now, r)).collect();
         let more = !work.unread.is_empty();
         if !more {
-            inputs.push(Input::RoundEnds);
+            inputs.push(Input::RoundEnded);
         }
         self.decide(work, inputs);
         if let Some((_, begun)) = work.reading.filter(|_| !more) {
@@ -487,7 +497,7 @@
                 Event::Evicted(id) | Event::Expired(id) => {
                     let gone = work.asked.iter().position(|(i, _)| *i == id);
                     if let Some(at) = gone {
-                        work.asked.swap_remove(at).1.bell.ring();
+                        work.asked.swap_remove(at).1.bell.notify();
                     }
                     warn!(id, "background work was given up: there is too much");
                 }
@@ -505,7 +515,7 @@
         let mut view = serde_json::to_value(controller.overview()).unwrap_or_default();
         view["roster_fault"] = serde_json::json!(*lock(&self.roster_fault));
         let figures = *lock(&self.figures);
-        view["service"] = serde_json::json!(controller.terms().service);
+        view["service"] = serde_json::json!(controller.settings().service);
         view["deciding"] = serde_json::json!({
             "moments": figures.moments,
             "inputs": figures.inputs,
@@ -525,7 +535,7 @@
             "left_unread": tally.sampled_out,
             "refused": tally.refused,
             "waiting": waiting,
-            "every_ms": self.report_every_ms(),
+            "every_ms": self.report_interval_ms(),
             "rounds": figures.rounds,
             "longest_round_ms": figures.longest_round_ms,
             "put_off": figures.put_off,
@@ -534,7 +544,7 @@
             view[*name] = part();
         }
         *lock(&asked.answer) = Some(view);
-        asked.bell.ring();
+        asked.bell.notify();
         false
     }
 
@@ -559,37 +569,37 @@
     let met = read
         .lines
         .into_iter()
-        .map(|((server, class), l, variance)| MetLine {
+        .map(|((server, class), l, variance)| ReportLine {
             server: server.to_string(),
             class,
             tries: l.tries,
             failed: l.failed,
-            good_ms: l.good_ms,
+            success_ms: l.good_ms,
             variance,
-            words: l.self_reports,
-            own_queue: l.own_queue,
-            own_ms: l.own_ms,
+            load_samples: l.self_reports,
+            queue_sum: l.own_queue,
+            service_ms_sum: l.own_ms,
             in_flight: l.in_flight,
         });
     let came = read
         .visits
         .into_iter()
         .map(|((class, _), n)| (class.to_string(), n));
-    let report = Report {
+    let report = LoadReport {
         window_ms: read.end - read.begin,
         ended_ago_ms: (now - read.end).max(0.0),
-        met: met.collect(),
-        came: came.collect(),
+        lines: met.collect(),
+        arrivals: came.collect(),
     };
     Input::Reported(read.reporter.0.to_string(), report)
 }
 
-impl Owner for Engine {
-    fn put(&self, input: Input) -> bool {
+impl ControllerHandle for Engine {
+    fn send(&self, input: Input) -> bool {
         self.queue.put(Item::Input(input)).is_ok()
     }
 
-    fn reporter(&self, proxy: &str, stream: Session, begins: bool) {
+    fn report_stream(&self, proxy: &str, stream: Session, begins: bool) {
         let reporter = (Arc::from(proxy), stream);
         let mut mouth = lock(&self.mouth);
         match begins {
@@ -598,21 +608,21 @@
         }
     }
 
-    fn report(&self, proxy: &str, stream: Session, report: Report) -> Result<(), String> {
-        let lines = report.met.into_iter().map(|m| {
+    fn report(&self, proxy: &str, stream: Session, report: LoadReport) -> Result<(), String> {
+        let lines = report.lines.into_iter().map(|m| {
             let line = Line {
                 tries: m.tries,
                 failed: m.failed,
-                good_ms: m.good_ms,
-                self_reports: m.words,
-                own_queue: m.own_queue,
-                own_ms: m.own_ms,
+                good_ms: m.success_ms,
+                self_reports: m.load_samples,
+                own_queue: m.queue_sum,
+                own_ms: m.service_ms_sum,
                 in_flight: m.in_flight,
             };
             ((Arc::from(m.server), m.class), line)
         });
         let came = report
-            .came
+            .arrivals
             .into_iter()
             .map(|(class, n)| ((Arc::from(class), 0), n));
         let reporter = (Arc::from(proxy), stream);
@@ -622,7 +632,7 @@
             .map_err(|why| format!("a report that is not taken: {why:?}"))
     }
 
-    fn report_every_ms(&self) -> f64 {
+    fn report_interval_ms(&self) -> f64 {
         f64::from_bits(self.every_ms.load(Ordering::SeqCst))
     }
 
--- a/crates/daemon/src/life.rs
+++ b/crates/daemon/src/life.rs
@@ -7,7 +7,7 @@
 use crate::probe::Prober;
 use crate::resolving::Resolving;
 use crate::roster::{Look, Watch};
-use dahliapoint_control::{Entry, Input, Output, Owner};
+use dahliapoint_control::{ControllerHandle, Input, Output, RosterEntry};
 use dahliapoint_files::front::{self as files, Place};
 use dahliapoint_files::reach::Promise;
 use dahliapoint_grpc::{Call, Handler, Limits, Server};
@@ -38,7 +38,7 @@
     /// The deployment's roster file, watched.
     File,
     /// These, for good.
-    Fixed(Vec<Entry>),
+    Fixed(Vec<RosterEntry>),
 }
 
 /// A running controller.
@@ -129,8 +129,8 @@
             let now = SystemTime::now().duration_since(UNIX_EPOCH);
             now.map_or(1, |d| d.as_nanos() as u64)
         });
-        let engine = Engine::new(clock, seed, terms.report_every_ms);
-        let shared: Arc<dyn Owner> = Arc::new(engine.clone());
+        let engine = Engine::new(clock, seed, terms.report_interval_ms);
+        let shared: Arc<dyn ControllerHandle> = Arc::new(engine.clone());
         let shape = Shape::of(&terms, deployment.connect_ms);
         let front = Front::new(shape, shared.clone(), 1);
         let patience = Duration::from_secs_f64(deployment.stream_patience_ms / 1e3);
@@ -190,7 +190,7 @@
         if !facts.servers.is_empty() {
             // What is remembered goes before what is: it enters as any day's events do.
             let now = clock::now();
-            let (told, how) = restore::restore_roster(&now, &facts, &entries, terms.warm_after_ms);
+            let (told, how) = restore::restore_roster(&now, &facts, &entries, terms.warm_up_ms);
             let doubted = how.iter().filter(|r| **r != Restored::AsListed).count();
             info!(
                 servers,
@@ -320,12 +320,7 @@
         warn!("no peer told anything: this starts on what it has itself");
         return kept;
     };
-    let (facts, counted) = merge_facts(
-        &clock::now(),
-        &kept,
-        &learned,
-        deployment.terms.warm_after_ms,
-    );
+    let (facts, counted) = merge_facts(&clock::now(), &kept, &learned, deployment.terms.warm_up_ms);
     info!(
         ?counted,
         whole = learned.complete,
@@ -335,7 +330,7 @@
 }
 
 /// The roster that the owner begins with.
-fn entries_of(first: &[Input]) -> Vec<Entry> {
+fn entries_of(first: &[Input]) -> Vec<RosterEntry> {
     let mut rosters = first.iter().rev().filter_map(|i| match i {
         Input::Roster(entries) => Some(entries.clone()),
         _ => None,
@@ -354,7 +349,7 @@
 }
 
 impl Delivery {
-    fn roster(&self, entries: Vec<Entry>) {
+    fn roster(&self, entries: Vec<RosterEntry>) {
         let _order = self.order.lock().unwrap_or_else(|e| e.into_inner());
         self.put(match &self.resolving {
             Some(resolving) => resolving.roster(entries),
@@ -362,11 +357,11 @@
         });
     }
 
-    fn put(&self, entries: Vec<Entry>) {
+    fn put(&self, entries: Vec<RosterEntry>) {
         match &self.hooks {
             Some(hooks) => hooks.roster(entries),
             None => {
-                self.engine.put(Input::Roster(entries));
+                self.engine.send(Input::Roster(entries));
             }
         }
     }
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A real controller and stand-ins of the platform round it, for the tests of the binary.
 #![allow(dead_code)]
 
-use dahliapoint_standins::platform::{Discovery, Held, Relay, until};
+use dahliapoint_standins::platform::{Discovery, Relay, RelayState, wait_until};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -79,7 +79,7 @@
             let address = listener.local_addr().unwrap();
             drop(listener);
             let file = file();
-            let known = discovery.with(|l| l.whole());
+            let known = discovery.with_state(|l| l.snapshot_json());
             std::fs::write(
                 &file,
                 configuration(address, relay.address, discovery.address, &known),
@@ -93,7 +93,7 @@
                 file,
                 address,
             };
-            let ready = until(|| node.is_alive() || node.child.try_wait().unwrap().is_some());
+            let ready = wait_until(|| node.is_alive() || node.child.try_wait().unwrap().is_some());
             if ready && node.child.try_wait().unwrap().is_none() {
                 return node;
             }
@@ -153,17 +153,20 @@
 
 /// A platform with three servers and three joined proxies, and a controller that has bound them.
 pub fn serving() -> (Relay, Discovery, Node) {
-    let (relay, discovery) = (Relay::begin(), Discovery::begin(&["s-1", "s-2", "s-3"]));
-    (0..3).for_each(|p| relay.with(|held| held.join(p)));
+    let (relay, discovery) = (Relay::start(), Discovery::start(&["s-1", "s-2", "s-3"]));
+    (0..3).for_each(|p| relay.with_state(|held| held.join(p)));
     let node = Node::start(&relay, &discovery);
-    assert!(until(
-        || relay.with(|held| held.bare().is_empty() && held.lines.len() == 3)
-    ));
-    assert!(until(|| relay.with(|held| held.followers()) == 2));
-    assert!(until(|| discovery.with(|l| l.watches()) == 1));
+    assert!(wait_until(|| relay
+        .with_state(
+            |held| held.unbound().is_empty() && held.weights.len() == 3
+        )));
+    assert!(wait_until(|| relay
+        .with_state(|held| held.follower_count())
+        == 2));
+    assert!(wait_until(|| discovery.with_state(|l| l.watch_count()) == 1));
     (relay, discovery, node)
 }
 
-pub fn withdrawn(held: &mut Held, name: &str) -> bool {
+pub fn withdrawn(held: &mut RelayState, name: &str) -> bool {
     held.withdrawn.contains(name)
 }
--- a/crates/daemon/tests/hooks.rs
+++ b/crates/daemon/tests/hooks.rs
@@ -1,8 +1,8 @@
 //! Hooks in a running daemon: whatever they do, it serves; what they wish is in force, and ends. And the command
 //! line on sources.
 
-use dahliapoint_control::record::{End, bytes_of, replay};
-use dahliapoint_control::{Input, Owner};
+use dahliapoint_control::record::{End, encode_outputs, replay};
+use dahliapoint_control::{ControllerHandle, Input};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use serde_json::Value;
@@ -60,9 +60,9 @@
             session: n,
             proxy: format!("p{n}"),
             zone: "east".into(),
-            pace: Some(10.0),
+            visits_per_s: Some(10.0),
         };
-        assert!((7..10).all(|n| daemon.engine().put(joined(n))));
+        assert!((7..10).all(|n| daemon.engine().send(joined(n))));
         daemon
     }
 }
@@ -184,7 +184,7 @@
             let wanted = if round == 1 { "Ready" } else { "Draining" };
             server(v, "s1")["state"] == wanted
         });
-        daemon.engine().put(Input::Left(7 + round));
+        daemon.engine().send(Input::Left(7 + round));
     }
     // Each point that has had an occasion: its hooks were cut off, or threw, and the good one has had its turns.
     let points = [
@@ -255,10 +255,10 @@
     let file = std::fs::File::open(place.0.join("record")).unwrap();
     let mut bytes = 0;
     let (controller, end) = replay(std::io::BufReader::new(file), |_, out| {
-        bytes += bytes_of(out).len()
+        bytes += encode_outputs(out).len()
     })
     .unwrap();
-    assert_eq!(end, End::Whole);
+    assert_eq!(end, End::Complete);
     let again = controller.overview();
     let s4 = again.servers.iter().find(|s| &*s.name == "s4").unwrap();
     assert!(bytes > 0 && s4.weight == 3.0, "{again:?}");
--- a/crates/daemon/tests/node.rs
+++ b/crates/daemon/tests/node.rs
@@ -1,10 +1,10 @@
-//! The real program as a controller of the platform, against stand-ins on loopback: what crosses the
-//! sockets is checked, not what it believes.
+//! Runs `dahliapoint node` against stand-ins of the platform on loopback and checks what it sends,
+//! not its internal state.
 
 mod common;
 
 use common::{command, configuration, file, is_closed, serving, withdrawn};
-use dahliapoint_standins::platform::{Fault, until};
+use dahliapoint_standins::platform::{RelayFault, wait_until};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::Stdio;
@@ -12,17 +12,22 @@
 #[test]
 fn a_calm_day() {
     let (relay, discovery, mut node) = serving();
-    discovery.with(|l| l.set("s-2", "draining"));
-    assert!(until(|| relay.with(|held| withdrawn(held, "s-2"))));
-    discovery.with(|l| l.set("s-4", "up"));
-    assert!(until(
-        || relay.with(|held| held.lines.get("s-4").is_some_and(|w| *w > 0.0))
+    discovery.with_state(|l| l.set_status("s-2", "draining"));
+    assert!(wait_until(
+        || relay.with_state(|held| withdrawn(held, "s-2"))
+    ));
+    discovery.with_state(|l| l.set_status("s-4", "up"));
+    assert!(wait_until(|| relay.with_state(|held| held
+        .weights
+        .get("s-4")
+        .is_some_and(|w| *w > 0.0))));
+    relay.with_state(|held| held.join(7));
+    relay.with_state(|held| held.leave(0));
+    assert!(wait_until(
+        || relay.with_state(|held| held.bind_counts.contains_key(&7))
     ));
-    relay.with(|held| held.join(7));
-    relay.with(|held| held.leave(0));
-    assert!(until(|| relay.with(|held| held.bound.contains_key(&7))));
     assert_eq!(
-        relay.with(|held| (held.oversized(), held.bound[&1])),
+        relay.with_state(|held| (held.oversized_calls(), held.bind_counts[&1])),
         (0, 1)
     );
     node.signal("TERM");
@@ -33,74 +38,87 @@
 fn whatever_becomes_of_a_call_its_withdrawal_holds_in_the_end() {
     let (relay, discovery, _node) = serving();
     let faults = [
-        Fault::Break { carried_out: false },
-        Fault::Break { carried_out: true },
-        Fault::Silence { carried_out: false },
-        Fault::Garble,
-        Fault::Halt(0),
-        Fault::TooMany,
+        RelayFault::Disconnect { executed: false },
+        RelayFault::Disconnect { executed: true },
+        RelayFault::NoAnswer { executed: false },
+        RelayFault::UnreadableAnswer,
+        RelayFault::ExecuteFirst(0),
+        RelayFault::TooManyCalls,
     ];
     for (i, fault) in faults.into_iter().enumerate() {
         let name = format!("x-{i}");
-        discovery.with(|l| l.set(&name, "up"));
+        discovery.with_state(|l| l.set_status(&name, "up"));
         assert!(
-            until(|| relay.with(|held| held.lines.get(&name).is_some_and(|w| *w > 0.0))),
+            wait_until(
+                || relay.with_state(|held| held.weights.get(&name).is_some_and(|w| *w > 0.0))
+            ),
             "{fault:?}"
         );
-        // The next call is the one that the leaving leads to, or one of the ramp; either way the
-        // table ends as the list says.
-        relay.with(|held| held.faults.push_back(fault));
-        if fault != Fault::Halt(0) {
-            discovery.with(|l| l.set(&name, "removed"));
+        // The next call is the withdrawal or a step of the ramp; in either case the table must end up
+        // as the list says.
+        relay.with_state(|held| held.faults.push_back(fault));
+        if fault != RelayFault::ExecuteFirst(0) {
+            discovery.with_state(|l| l.set_status(&name, "removed"));
             assert!(
-                until(|| relay.with(|held| withdrawn(held, &name))),
+                wait_until(|| relay.with_state(|held| withdrawn(held, &name))),
                 "{fault:?}"
             );
         }
         assert!(
-            until(|| relay.with(|held| held.faults.is_empty())),
+            wait_until(|| relay.with_state(|held| held.faults.is_empty())),
             "{fault:?}"
         );
     }
-    assert!(relay.with(|held| held.bare().is_empty()));
+    assert!(relay.with_state(|held| held.unbound().is_empty()));
 }
 
 #[test]
 fn a_binding_that_was_lost_is_made_again_and_news_that_was_missed_is_not_trusted() {
     let (relay, _discovery, _node) = serving();
-    // Not carried out, and no mark answered: bound again.
-    relay.with(|held| {
-        held.faults.push_back(Fault::Break { carried_out: false });
+    // The bind is not executed and its mark not acknowledged: it must be sent again.
+    relay.with_state(|held| {
+        held.faults
+            .push_back(RelayFault::Disconnect { executed: false });
         held.join(9);
     });
-    assert!(until(|| relay.with(|held| held.bare().is_empty())));
-    // One follower breaks: nobody is bound anew.
-    let before = relay.with(|held| held.bound.clone());
-    relay.with(|held| held.break_followers(false));
-    assert!(until(|| relay.with(|held| held.followers()) == 2));
-    relay.with(|held| held.join(10));
-    assert!(until(|| relay.with(|held| held.bare().is_empty())));
-    let mut after = relay.with(|held| held.bound.clone());
+    assert!(wait_until(
+        || relay.with_state(|held| held.unbound().is_empty())
+    ));
+    // One follower is disconnected: no proxy is bound again.
+    let before = relay.with_state(|held| held.bind_counts.clone());
+    relay.with_state(|held| held.disconnect_followers(false));
+    assert!(wait_until(|| relay
+        .with_state(|held| held.follower_count())
+        == 2));
+    relay.with_state(|held| held.join(10));
+    assert!(wait_until(
+        || relay.with_state(|held| held.unbound().is_empty())
+    ));
+    let mut after = relay.with_state(|held| held.bind_counts.clone());
     after.remove(&10);
     assert_eq!(before, after);
-    // Both break, and a proxy leaves and comes back meanwhile: it is bound all the same.
-    relay.with(|held| {
-        held.break_followers(true);
+    // Both are disconnected while a proxy leaves and rejoins: it must be bound again.
+    relay.with_state(|held| {
+        held.disconnect_followers(true);
         held.leave(1);
         held.join(1);
     });
-    assert!(until(|| relay.with(|held| held.bare().is_empty())));
+    assert!(wait_until(
+        || relay.with_state(|held| held.unbound().is_empty())
+    ));
 }
 
 #[test]
 fn a_silent_watch_gets_another_beside_it() {
     let (relay, discovery, _node) = serving();
-    discovery.with(|l| {
-        l.fall_silent();
-        l.set("s-1", "draining");
+    discovery.with_state(|l| {
+        l.silence_watches();
+        l.set_status("s-1", "draining");
     });
-    assert!(until(|| relay.with(|held| withdrawn(held, "s-1"))));
-    assert!(discovery.with(|l| l.asked) >= 2);
+    assert!(wait_until(
+        || relay.with_state(|held| withdrawn(held, "s-1"))
+    ));
+    assert!(discovery.with_state(|l| l.requests) >= 2);
 }
 
 #[test]
@@ -126,7 +144,7 @@
     }
     let mut endless = node.connect();
     while endless.write_all(&[b'x'; 4096]).is_ok() {}
-    // The collector is heard: a server that fails all it is sent is put out, by its reports alone.
+    // The collector's reports still count: a server whose tries all fail gets weight 0 because of them.
     let reports = |failed: [u32; 3]| {
         let line = |(i, f): (usize, &u32)| {
             format!(
@@ -138,32 +156,38 @@
     };
     let spoilt =
         "outcomes zone=a server=s-9 tries=x failed=1\r\noutcomes zone=q server=s-1 tries=1\r\n";
-    assert!(until(|| {
+    assert!(wait_until(|| {
         let text = reports([0, 0, 40]);
         collector.write_all(spoilt.as_bytes()).unwrap();
         collector.write_all(text.as_bytes()).unwrap();
-        relay.with(|held| held.lines.get("s-3") == Some(&0.0))
+        relay.with_state(|held| held.weights.get("s-3") == Some(&0.0))
     }));
 }
 
 #[test]
 fn a_new_configuration_moves_it_without_a_binding_lost() {
     let (relay, discovery, node) = serving();
-    let (other, elsewhere) = (relay.also(), discovery.also());
-    // A bad one changes nothing, and ends nothing.
+    let (other, elsewhere) = (relay.at_another_address(), discovery.at_another_address());
+    // An invalid configuration changes nothing and does not end the process.
     std::fs::write(&node.file, "{\"name\": 7").unwrap();
     node.signal("HUP");
-    let before = relay.with(|held| held.bound.clone());
-    let asked = discovery.with(|l| l.asked);
+    let before = relay.with_state(|held| held.bind_counts.clone());
+    let asked = discovery.with_state(|l| l.requests);
     node.moves_to(&other, &elsewhere);
-    // Beside the old ones, which a real address closes only later.
-    assert!(until(|| discovery.with(|l| l.asked) > asked));
-    assert!(until(|| relay.with(|held| held.followers()) >= 3));
-    discovery.with(|l| l.set("s-1", "draining"));
-    assert!(until(|| relay.with(|held| withdrawn(held, "s-1"))));
-    relay.with(|held| held.join(11));
-    assert!(until(|| relay.with(|held| held.bare().is_empty())));
-    let mut after = relay.with(|held| held.bound.clone());
+    // The new connections are opened while the old ones are open, which a real platform closes later.
+    assert!(wait_until(|| discovery.with_state(|l| l.requests) > asked));
+    assert!(wait_until(|| relay
+        .with_state(|held| held.follower_count())
+        >= 3));
+    discovery.with_state(|l| l.set_status("s-1", "draining"));
+    assert!(wait_until(
+        || relay.with_state(|held| withdrawn(held, "s-1"))
+    ));
+    relay.with_state(|held| held.join(11));
+    assert!(wait_until(
+        || relay.with_state(|held| held.unbound().is_empty())
+    ));
+    let mut after = relay.with_state(|held| held.bind_counts.clone());
     after.remove(&11);
     assert_eq!(before, after);
 }
--- a/crates/daemon/tests/peer.rs
+++ b/crates/daemon/tests/peer.rs
@@ -1,7 +1,9 @@
 //! A newcomer and a running controller on loopback: what it learns, what it does not believe, and peers that hang, die
 //! halfway, or are of another service.
 
-use dahliapoint_control::{AdminState, Entry, Input, MetLine, Owner, Report};
+use dahliapoint_control::{
+    AdminState, ControllerHandle, Input, LoadReport, ReportLine, RosterEntry,
+};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_grpc::{Call, Code, Handler, Limits, Server, Status};
@@ -15,8 +17,8 @@
 
 const SERVERS: usize = 8;
 
-fn roster() -> Vec<Entry> {
-    let entry = |i: usize| Entry {
+fn roster() -> Vec<RosterEntry> {
+    let entry = |i: usize| RosterEntry {
         name: format!("s{i}"),
         address: format!("127.0.0.1:{}", i + 1),
         zone: "east".into(),
@@ -40,10 +42,10 @@
             session: 7 + n,
             proxy: format!("p{n}"),
             zone: "east".into(),
-            pace: Some(50.0),
+            visits_per_s: Some(50.0),
         };
-        assert!(daemon.engine().put(joined));
-        daemon.engine().reporter(&format!("p{n}"), 7 + n, true);
+        assert!(daemon.engine().send(joined));
+        daemon.engine().report_stream(&format!("p{n}"), 7 + n, true);
     }
     daemon
 }
@@ -51,17 +53,17 @@
 /// Proxies report: s1 answers late, all others in time.
 fn report(daemon: &Daemon) {
     for n in 0..4 {
-        let met = (0..SERVERS).map(|i| MetLine {
+        let met = (0..SERVERS).map(|i| ReportLine {
             server: format!("s{i}"),
             tries: 5.0,
-            good_ms: 5.0 * if i == 1 { 1_500.0 } else { 20.0 },
-            ..MetLine::default()
+            success_ms: 5.0 * if i == 1 { 1_500.0 } else { 20.0 },
+            ..ReportLine::default()
         });
-        let report = Report {
+        let report = LoadReport {
             window_ms: 100.0,
             ended_ago_ms: 0.0,
-            met: met.collect(),
-            came: Vec::new(),
+            lines: met.collect(),
+            arrivals: Vec::new(),
         };
         daemon
             .engine()
--- a/crates/node/src/configuration.rs
+++ b/crates/node/src/configuration.rs
@@ -1,25 +1,29 @@
-//! The configuration file (DEPLOY, "What a controller is told").
+//! Parses the configuration file (DEPLOY, "What a controller is told").
 
 use dahliapoint_opening::Deployment;
-use dahliapoint_platform::discovery::{self, List};
+use dahliapoint_platform::discovery::{self, EndpointList};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// What this controller is told at its start, and again with each new configuration.
+/// The checked configuration, read at the start and after each SIGHUP.
 #[derive(Debug)]
 pub struct Assignment {
     pub name: String,
+    /// The address on which it accepts probes and collectors.
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub relay: SocketAddr,
     pub seed: u64,
+    /// The limit on open descriptors.
     pub sockets: usize,
     pub deployment: Deployment,
-    pub known: List,
+    /// The list of servers as known before the start.
+    pub known: EndpointList,
 }
 
+/// The file as written; its other fields are ignored.
 #[derive(Deserialize)]
 struct Told {
     name: String,
@@ -43,10 +47,10 @@
     address: SocketAddr,
 }
 
-/// Reads it whole and checks it.
+/// Reads and checks a configuration file.
 ///
 /// # Errors
-/// The file, the field and what is wanted, in one line.
+/// One line with the file, the field and the problem.
 pub fn read(path: &Path) -> Result<Assignment, String> {
     let name = path.display();
     let bytes = std::fs::read(path).map_err(|e| format!("{name}: {e}"))?;
@@ -63,18 +67,18 @@
         }
     })?;
     from.end().map_err(|e| e.to_string())?;
-    let deployment = dahliapoint_opening::deployment(&told.settings)?;
+    let deployment = dahliapoint_opening::parse_deployment(&told.settings)?;
     let known = match told.known {
-        None | Some(Value::Null) => List {
+        None | Some(Value::Null) => EndpointList {
             index: 0,
-            whole: true,
-            entries: Vec::new(),
-            left_out: Vec::new(),
+            is_snapshot: true,
+            endpoints: Vec::new(),
+            rejected: Vec::new(),
         },
-        Some(value) => discovery::read_value(value, &deployment.zones)
+        Some(value) => discovery::parse_value(value, &deployment.zones)
             .map_err(|e| format!("field \"known\": {e}"))?,
     };
-    // Chance only: a seed of another form is as good as any.
+    // The seed only feeds random jitter, so other characters are skipped rather than rejected.
     let digits = told.seed.bytes().filter(u8::is_ascii_hexdigit);
     let digits = digits.filter_map(|b| char::from(b).to_digit(16));
     let seed = digits.fold(0_u64, |seed, d| (seed << 4) | u64::from(d));
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -1,35 +1,40 @@
-//! The owner: the one thread that holds the core. What comes within a tick is one moment.
+//! The event loop: the single thread that owns the core. Inputs of one tick are processed as a batch.
 
 use crate::probes::Probe;
 use crate::reach::Shared;
 use dahliapoint_fibers::{Queue, Received};
 use dahliapoint_platform::core::{Core, Effects, Input};
-use dahliapoint_platform::delivery::{Call, Outcome};
+use dahliapoint_platform::delivery::{Call, CallOutcome};
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
+/// The core with its input queue and the queues of the work that it asks for.
 pub struct Owner {
     pub reach: Shared,
     pub core: Core,
+    /// Calls to the relay.
     pub calls: Queue<Call>,
+    /// Probes of servers.
     pub probes: Queue<Probe>,
 }
 
 impl Owner {
-    /// Decides for good; returns only if the queue is closed.
+    /// Runs the loop; returns only if the input queue is closed.
     pub fn work(mut self) {
-        let tick = Duration::from_secs_f64(self.reach.deployment.tick_ms.clamp(0.5, 50.0) / 1000.0);
+        let tick = Duration::from_secs_f64(
+            self.reach.deployment.batch_window_ms.clamp(0.5, 50.0) / 1000.0,
+        );
         let mut effects = self.step(Vec::new());
         loop {
             let wake = self.perform(effects);
             let mut inputs = Vec::new();
             match self.reach.inbox.take_all(wake) {
                 Received::Closed => return,
-                Received::Nothing => {}
-                Received::Some(first) => {
+                Received::TimedOut => {}
+                Received::Items(first) => {
                     inputs.extend(first.into_iter().flatten());
                     let end = Instant::now() + tick;
-                    while let Received::Some(more) = self.reach.inbox.take_all(Some(end)) {
+                    while let Received::Items(more) = self.reach.inbox.take_all(Some(end)) {
                         inputs.extend(more.into_iter().flatten());
                         if Instant::now() >= end {
                             break;
@@ -41,6 +46,7 @@
         }
     }
 
+    /// Passes a batch of inputs to the core and publishes the version of its list.
     fn step(&mut self, inputs: Vec<Input>) -> Effects {
         let now = self.reach.clock.now_ms();
         let reports = inputs
@@ -52,42 +58,45 @@
         if tracing::enabled!(tracing::Level::DEBUG) {
             self.trace(came, reports, &effects);
         }
-        self.reach.index.store(self.core.index(), Ordering::Release);
+        self.reach
+            .index
+            .store(self.core.discovery_index(), Ordering::Release);
         effects
     }
 
-    /// For the operators' debug log: what came at this moment, what it leads to, what is believed.
+    /// Writes the debug log for operators: the counts of inputs, the resulting call and, after
+    /// reports, the estimates of each server.
     fn trace(&self, came: usize, reports: usize, effects: &Effects) {
         let call = effects.call.as_ref().map_or("", |c| c.text.trim_end());
         tracing::debug!(came, reports, probes = effects.probes.len(), call, "moment");
         if reports > 0 {
-            for line in self.core.beliefs() {
+            for line in self.core.state_lines() {
                 tracing::debug!("{line}");
             }
         }
     }
 
-    /// Does what is to be done, and tells when to wake.
+    /// Carries out the effects of a step; returns when the core wants to run next.
     fn perform(&mut self, mut effects: Effects) -> Option<Instant> {
         for note in effects.notes.drain(..) {
             self.reach.teller.note(&note);
         }
         let mut back = Vec::new();
         for probe in effects.probes.drain(..) {
-            if let Err((probe, _)) = self.probes.offer(probe) {
+            if let Err((probe, _)) = self.probes.try_put(probe) {
                 self.reach
                     .teller
                     .fault("probes", || "too many wait: one is not sent".into());
-                back.push(Input::Unasked(probe));
+                back.push(Input::ProbeNotSent(probe));
             }
         }
         if let Some(call) = effects.call
-            && let Err(call) = self.calls.offer(call)
+            && let Err(call) = self.calls.try_put(call)
         {
-            // One call is under way at a time, so there is always room; if not, it was not sent.
-            back.push(Input::Called {
+            // One call is in flight at a time, so there is room; if not, the call counts as not sent.
+            back.push(Input::CallEnded {
                 number: call.number,
-                outcome: Outcome::NotSent,
+                outcome: CallOutcome::NotSent,
             });
         }
         if !back.is_empty() {
--- a/crates/node/src/probes.rs
+++ b/crates/node/src/probes.rs
@@ -1,19 +1,23 @@
-//! Probes: few under way, each with an end.
+//! Health probes of servers, with a limit on concurrent probes and a timeout on each.
 
 use crate::reach::Shared;
 use dahliapoint_fibers::{Queue, Received, Socket, spawn};
-use dahliapoint_platform::core::{Asked, Input};
+use dahliapoint_platform::core::{Input, ProbeTarget};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
+/// Concurrent probes.
 const AT_ONCE: usize = 12;
+/// Probes that may be queued.
 const WAITING: usize = 64;
-/// From the dial to the answer's first line.
+/// The timeout of a probe, from the connect to the status line of the answer.
 const PATIENCE: Duration = Duration::from_millis(500);
 
-pub type Probe = (Asked, SocketAddr);
+/// A probe: the core's key for the result, and the server's address.
+pub type Probe = (ProbeTarget, SocketAddr);
 
-/// Answers probes for good; each one asked for is told of, however it ends.
+/// Starts the workers, which run until the process ends, and returns their queue. Every queued probe
+/// leads to one `Input::Probed`, however it ends.
 pub fn begin(reach: &Shared) -> Queue<Probe> {
     let probes: Queue<Probe> = Queue::bounded(WAITING);
     for _ in 0..AT_ONCE {
@@ -21,11 +25,11 @@
         spawn(move || {
             while let Some((probe, to)) = one(&probes) {
                 let began = Instant::now();
-                let fine = ask(to, began + PATIENCE).unwrap_or(false);
+                let healthy = ask(to, began + PATIENCE).unwrap_or(false);
                 let took_ms = began.elapsed().as_secs_f64() * 1000.0;
-                reach.put(vec![Input::Probed {
+                reach.put(vec![Input::ProbeAnswered {
                     probe,
-                    fine,
+                    healthy,
                     took_ms,
                 }]);
             }
@@ -34,13 +38,15 @@
     probes
 }
 
+/// The next queued probe.
 fn one(probes: &Queue<Probe>) -> Option<Probe> {
     match probes.take_one(None) {
-        Received::Some(mut one) => one.pop_front(),
-        Received::Nothing | Received::Closed => None,
+        Received::Items(mut one) => one.pop_front(),
+        Received::TimedOut | Received::Closed => None,
     }
 }
 
+/// Sends the health request; returns whether the answer's status is 200.
 fn ask(to: SocketAddr, until: Instant) -> std::io::Result<bool> {
     let socket = Socket::dial(to, PATIENCE)?;
     let question = format!("GET /-/healthy HTTP/1.1\r\nHost: {to}\r\nConnection: close\r\n\r\n");
--- a/crates/platform/src/lines.rs
+++ b/crates/platform/src/line_buffer.rs
@@ -1,22 +1,24 @@
-//! Bytes into lines, wherever they are cut.
+//! Splits a byte stream into lines.
 
-/// A line grew past what one may hold.
+/// A line exceeds the length limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TooLong;
+pub struct LineTooLong;
 
-/// What has come of a stream and is not a whole line yet.
-pub struct Lines {
+/// Buffers the bytes of a stream and returns them line by line.
+pub struct LineBuffer {
     held: Vec<u8>,
-    /// Bytes of `held` that belong to lines already given out, and that hold no line end.
+    /// Bytes at the start of `held` that belong to lines already returned.
     taken: usize,
+    /// Bytes at the start of `held` already searched for a line end.
     searched: usize,
+    /// Longest line in bytes, without its end.
     most: usize,
 }
 
-impl Lines {
-    /// Lines of at most so many bytes, their end not counted.
-    pub fn of(most: usize) -> Lines {
-        Lines {
+impl LineBuffer {
+    /// Accepts lines of up to `most` bytes, not counting the line end.
+    pub fn new(most: usize) -> LineBuffer {
+        LineBuffer {
             held: Vec::new(),
             taken: 0,
             searched: 0,
@@ -24,11 +26,12 @@
         }
     }
 
-    /// Lines may be this long from now on.
-    pub fn allow(&mut self, most: usize) {
+    /// Changes the length limit for the lines that follow.
+    pub fn set_max_len(&mut self, most: usize) {
         self.most = most;
     }
 
+    /// Appends bytes read from the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.taken > 0 {
             self.held.drain(..self.taken);
@@ -38,11 +41,11 @@
         self.held.extend_from_slice(bytes);
     }
 
-    /// The next whole line without its end (CRLF, or a bare LF); none until more has come.
+    /// Returns the next complete line without its end (CRLF or LF), or `None` until more bytes arrive.
     ///
     /// # Errors
-    /// [`TooLong`] once what is held cannot become a legal line any more.
-    pub fn next_line(&mut self) -> Option<Result<&[u8], TooLong>> {
+    /// [`LineTooLong`] when a line, complete or not, exceeds the limit.
+    pub fn next_line(&mut self) -> Option<Result<&[u8], LineTooLong>> {
         let fresh = &self.held[self.searched..];
         match fresh.iter().position(|b| *b == b'\n') {
             Some(at) => {
@@ -52,7 +55,7 @@
                 let line = &self.held[from..to];
                 let line = line.strip_suffix(b"\r").unwrap_or(line);
                 Some(if line.len() > self.most {
-                    Err(TooLong)
+                    Err(LineTooLong)
                 } else {
                     Ok(line)
                 })
@@ -61,18 +64,18 @@
                 self.searched = self.held.len();
                 let open = self.held.len() - self.taken;
                 if open == 0 {
-                    // A long line that has gone must not keep its room for good.
+                    // Free the memory that a long line took.
                     (self.taken, self.searched) = (0, 0);
                     self.held.clear();
                     self.held.shrink_to(4096);
                 }
-                (open > self.most + 1).then_some(Err(TooLong))
+                (open > self.most + 1).then_some(Err(LineTooLong))
             }
         }
     }
 
-    /// Bytes that wait for the end of their line.
-    pub fn open(&self) -> usize {
+    /// Number of buffered bytes that are not part of a complete line.
+    pub fn pending_len(&self) -> usize {
         self.held.len() - self.taken
     }
 }
@@ -81,7 +84,7 @@
 mod tests {
     use super::*;
 
-    fn all(lines: &mut Lines, out: &mut Vec<String>) -> Result<(), TooLong> {
+    fn all(lines: &mut LineBuffer, out: &mut Vec<String>) -> Result<(), LineTooLong> {
         while let Some(line) = lines.next_line() {
             out.push(String::from_utf8_lossy(line?).into_owned());
         }
@@ -94,13 +97,13 @@
         let whole = ["probe", "", "* hello 17 a 21.5 1", "*", "last"];
         for first in 0..bytes.len() {
             for second in first..bytes.len() {
-                let (mut lines, mut out) = (Lines::of(64), Vec::new());
+                let (mut lines, mut out) = (LineBuffer::new(64), Vec::new());
                 for piece in [&bytes[..first], &bytes[first..second], &bytes[second..]] {
                     lines.push(piece);
                     all(&mut lines, &mut out).unwrap();
                 }
                 assert_eq!(out, whole, "cut at {first} and {second}");
-                assert_eq!(lines.open(), 0);
+                assert_eq!(lines.pending_len(), 0);
             }
         }
     }
@@ -113,7 +116,7 @@
             (b"12345678\r", true),
             (b"1234567890", false),
         ] {
-            let (mut lines, mut out) = (Lines::of(8), Vec::new());
+            let (mut lines, mut out) = (LineBuffer::new(8), Vec::new());
             lines.push(bytes);
             assert_eq!(all(&mut lines, &mut out).is_ok(), fine, "{bytes:?}");
         }
@@ -121,7 +124,7 @@
 
     #[test]
     fn room_that_a_long_line_took_is_given_back() {
-        let mut lines = Lines::of(1 << 20);
+        let mut lines = LineBuffer::new(1 << 20);
         lines.push(&[b'x'; 500_000]);
         assert!(lines.next_line().is_none());
         lines.push(b"\n");
--- a/crates/proxy/src/plane.rs
+++ b/crates/proxy/src/plane.rs
@@ -7,7 +7,7 @@
 use crate::picking::{Line, Picker};
 use crate::shunning::Shunning;
 use crate::trying::{self, Budget, Failed, Failure, Level, Ordered};
-use dahliapoint_fibers::{Bell, TcpStream, Timer, dial, listen, shut_at, sleep, spawn};
+use dahliapoint_fibers::{Notify, TcpStream, Timer, dial, listen, shutdown_at, sleep, spawn};
 use dahliapoint_xds::{ClusterTally, EndpointTally, Held, names};
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, Write};
@@ -83,7 +83,7 @@
     met: Mutex<HashMap<u64, std::net::TcpStream>>,
     waiting: Mutex<HashMap<u64, Arc<Waiting>>>,
     /// Rung when a visit waits where none did: nobody is looked for while there is nobody.
-    waits: Bell,
+    waits: Notify,
     visits: AtomicU64,
     over: AtomicBool,
     around: Arc<dyn Around>,
@@ -157,7 +157,7 @@
             clients: AtomicUsize::new(0),
             met: Mutex::default(),
             waiting: Mutex::default(),
-            waits: Bell::default(),
+            waits: Notify::default(),
             visits: AtomicU64::new(0),
             over: AtomicBool::new(false),
             around,
@@ -266,7 +266,7 @@
             let _ = visit.server.shutdown(Shutdown::Both);
         }
         lock(&self.pools).clear();
-        self.waits.ring();
+        self.waits.notify();
     }
 
     /// Serves clients, until it is ended.
@@ -342,7 +342,7 @@
         let mut client = Source::of(socket);
         loop {
             // A client that says nothing for long is let go.
-            let Ok(idle) = shut_at(&client.socket, Instant::now() + ms(self.described.idle_ms))
+            let Ok(idle) = shutdown_at(&client.socket, Instant::now() + ms(self.described.idle_ms))
             else {
                 return;
             };
@@ -408,7 +408,7 @@
         }
         let brought = match body {
             Body::Length(length) if length <= HELD => {
-                let slow = shut_at(&client.socket, until)?;
+                let slow = shutdown_at(&client.socket, until)?;
                 let mut held = Vec::new();
                 client.pass(body, |piece| {
                     held.extend_from_slice(piece);
@@ -578,7 +578,7 @@
             all.len() == 1
         };
         if first {
-            self.waits.ring();
+            self.waits.notify();
         }
         let tried = self.call(client, source, head, brought, until);
         lock(&self.waiting).remove(&id);
@@ -596,7 +596,7 @@
         brought: &Brought,
         until: Instant,
     ) -> Tried {
-        let Ok(limit) = shut_at(&source.socket, until) else {
+        let Ok(limit) = shutdown_at(&source.socket, until) else {
             return Tried::Failed(Failure::NeverRan);
         };
         let framing = match brought {
@@ -689,10 +689,10 @@
             class,
             server,
             begun,
-            passed.is_ok() || !found.limit.is_over(),
+            passed.is_ok() || !found.limit.has_fired(),
         );
         passed?;
-        let reusable = !found.limit.is_over()
+        let reusable = !found.limit.has_fired()
             && !found.head.closes()
             && body != Body::UntilClose
             && found.source.is_clean();
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -1,12 +1,12 @@
 //! The proxy on real sockets: clients and servers of the test's own, tables from the real controller.
 
-use dahliapoint_control::{AdminState, Entry, Input};
+use dahliapoint_control::{AdminState, Input, RosterEntry};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_proxy::described::{self, Listed};
 use dahliapoint_proxy::plane::Plane;
 use dahliapoint_proxy::steering::Steering;
-use dahliapoint_xds::Owner;
+use dahliapoint_xds::ControllerHandle;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -185,15 +185,16 @@
     came.head[9..12].parse().unwrap()
 }
 
-fn entries(servers: &[(SocketAddr, f64, AdminState)]) -> Vec<Entry> {
-    let entry = |(i, (address, weight, state)): (usize, &(SocketAddr, f64, AdminState))| Entry {
-        name: format!("s{i}"),
-        address: address.to_string(),
-        zone: "east".into(),
-        state: *state,
-        weight: *weight,
-        started: None,
-    };
+fn entries(servers: &[(SocketAddr, f64, AdminState)]) -> Vec<RosterEntry> {
+    let entry =
+        |(i, (address, weight, state)): (usize, &(SocketAddr, f64, AdminState))| RosterEntry {
+            name: format!("s{i}"),
+            address: address.to_string(),
+            zone: "east".into(),
+            state: *state,
+            weight: *weight,
+            started: None,
+        };
     servers.iter().enumerate().map(entry).collect()
 }
 
@@ -250,7 +251,7 @@
             > 100.0
     });
     listed[3].2 = Draining;
-    daemon.engine().put(Input::Roster(entries(&listed)));
+    daemon.engine().send(Input::Roster(entries(&listed)));
     until("withdrawn", || p.plane.lines() == 3);
     let then = servers[3].visits.load(Ordering::SeqCst);
     (0..200).for_each(|_| assert_eq!(client.visit("view"), 200));
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -6,7 +6,7 @@
 use crate::rules::Ledger;
 use crate::world::{World, lock};
 use dahliapoint_daemon::deployment::Repeat;
-use dahliapoint_fibers::{Queue, Received, TcpStream, dial, shut_at, sleep, spawn};
+use dahliapoint_fibers::{Queue, Received, TcpStream, dial, shutdown_at, sleep, spawn};
 use dahliapoint_grpc::{Inbound, Limits, Link, Outbound, Status};
 use dahliapoint_proxy::picking::Way;
 use dahliapoint_xds::Message as _;
@@ -421,9 +421,9 @@
         loop {
             let soon = world.at(world.now_ms() + 300.0);
             let items = match queue.take_all(Some(soon)) {
-                Received::Some(items) => items,
-                Received::Nothing if self.gone() => return Ok(()),
-                Received::Nothing => continue,
+                Received::Items(items) => items,
+                Received::TimedOut if self.gone() => return Ok(()),
+                Received::TimedOut => continue,
                 Received::Closed => return Ok(()),
             };
             let mut broken = None;
@@ -752,7 +752,7 @@
             }
         };
         let _ = socket.set_nodelay(true);
-        let Ok(end) = shut_at(&socket, layer.world.at(until)) else {
+        let Ok(end) = shutdown_at(&socket, layer.world.at(until)) else {
             return Outcome::NeverRan;
         };
         let head = format!(
@@ -789,7 +789,7 @@
                         _ => Outcome::Failed,
                     };
                     self.words(server, class, response.headers);
-                    let kept = !end.is_over();
+                    let kept = !end.has_fired();
                     drop(end);
                     if kept {
                         let now = layer.world.now_ms();
--- a/crates/xds/tests/protocol.rs
+++ b/crates/xds/tests/protocol.rs
@@ -2,8 +2,8 @@
 //! whatever is refused, lost or asked for twice on the way.
 
 use dahliapoint_control::{
-    AdminState, ClassTerms, Controller, Entry, FurtherTry, Input, Line, LineState, Message, Output,
-    Scope, Terms, Way,
+    AdminState, ClassPolicy, ClassSettings, Controller, ControllerSettings, Input, Line, LineState,
+    Message, Output, RetryPolicy, RosterEntry, Scope,
 };
 use dahliapoint_xds::names::{self, CDS, EDS, LEDS, RDS};
 use dahliapoint_xds::pb::discovery::{DeltaDiscoveryRequest, DiscoveryRequest};
@@ -35,23 +35,23 @@
 }
 
 fn message(serial: u64, scope: Scope, lines: &[(&str, f64, LineState)]) -> Message {
-    let way = |share| Way {
-        share,
-        tries: FurtherTry::OnProof,
+    let way = |share| ClassPolicy {
+        admitted_share: share,
+        retry: RetryPolicy::OnProof,
     };
     let ways = match scope {
-        Scope::Whole(_) => vec![(0, way(1.0)), (1, way(1.0))],
+        Scope::Snapshot(_) => vec![(0, way(1.0)), (1, way(1.0))],
         _ => vec![],
     };
     Message {
         serial,
         scope,
         lines: lines.iter().map(|(n, w, s)| line(n, *w, *s)).collect(),
-        ways,
+        policies: ways,
     }
 }
 
-use LineState::{Away, Open, Shut};
+use LineState::{Open, Removed, Withdrawn};
 
 /// A client and its stream; everything said is carried until both are at rest.
 struct Pair {
@@ -120,16 +120,16 @@
     assert_eq!(p.holder.table(), None, "withheld until it is bound");
     p.tell(&message(
         1,
-        Scope::Whole(0),
+        Scope::Snapshot(0),
         &[("a", 1.0, Open), ("b", 0.5, Open)],
     ));
     let both = [("a".into(), 10_000, true), ("b".into(), 5_000, true)];
     assert_eq!(p.held(), both);
     assert_eq!(p.answers, [Answer::Joined, Answer::Applied(1)]);
     p.responses.clear();
-    p.tell(&message(2, Scope::Part(0), &[("b", 0.6, Open)]));
-    p.tell(&message(3, Scope::Part(0), &[("a", 1.0, Shut)]));
-    p.tell(&message(4, Scope::Part(0), &[("a", 0.0, Away)]));
+    p.tell(&message(2, Scope::Changes(0), &[("b", 0.6, Open)]));
+    p.tell(&message(3, Scope::Changes(0), &[("a", 1.0, Withdrawn)]));
+    p.tell(&message(4, Scope::Changes(0), &[("a", 0.0, Removed)]));
     assert_eq!(
         p.responses,
         [
@@ -147,11 +147,11 @@
     let mut p = Pair::new();
     p.tell(&message(
         1,
-        Scope::Whole(0),
+        Scope::Snapshot(0),
         &[("a", 1.0, Open), ("b", 1.0, Open)],
     ));
-    let bad = [("a", 1.0, Shut), ("ghost", 1.0, Open)];
-    p.session.deliver(&message(2, Scope::Part(0), &bad));
+    let bad = [("a", 1.0, Withdrawn), ("ghost", 1.0, Open)];
+    p.session.deliver(&message(2, Scope::Changes(0), &bad));
     p.rest("ghost");
     assert!(matches!(&p.answers[..], [.., Answer::Refused(2, why)] if why.contains("ghost")));
     assert!(
@@ -160,17 +160,21 @@
     );
     // What was withdrawn, alone, passes.
     p.session
-        .deliver(&message(3, Scope::Part(0), &[("a", 1.0, Shut)]));
+        .deliver(&message(3, Scope::Changes(0), &[("a", 1.0, Withdrawn)]));
     p.rest("ghost");
     assert_eq!(p.answers.last(), Some(&Answer::Applied(3)));
     assert!(!p.held()[0].2);
     // The whole table again: only the line that is missing is sent, and refused again.
     p.responses.clear();
-    let whole = [("a", 1.0, Shut), ("b", 1.0, Open), ("ghost", 1.0, Open)];
-    p.session.deliver(&message(4, Scope::Whole(0), &whole));
+    let whole = [
+        ("a", 1.0, Withdrawn),
+        ("b", 1.0, Open),
+        ("ghost", 1.0, Open),
+    ];
+    p.session.deliver(&message(4, Scope::Snapshot(0), &whole));
     p.rest("ghost");
     assert_eq!(p.responses, [("LbEndpoint".into(), 1, 0)]);
-    p.session.deliver(&message(5, Scope::Whole(0), &whole));
+    p.session.deliver(&message(5, Scope::Snapshot(0), &whole));
     p.rest("");
     assert_eq!(p.held().len(), 3);
     assert_eq!(p.answers.last(), Some(&Answer::Applied(5)));
@@ -180,11 +184,11 @@
 fn a_proxy_that_returns_with_the_right_table_is_sent_no_line() {
     let mut p = Pair::new();
     let whole = [("a", 1.0, Open), ("b", 1.0, Open), ("c", 1.0, Open)];
-    p.tell(&message(1, Scope::Whole(2), &whole));
+    p.tell(&message(1, Scope::Snapshot(2), &whole));
     p.responses.clear();
     p.again();
     assert_eq!(p.held().len(), 3, "holds its table while it waits");
-    p.tell(&message(7, Scope::Whole(2), &whole));
+    p.tell(&message(7, Scope::Snapshot(2), &whole));
     let lines: usize = p.responses.iter().map(|r| r.1 + r.2).sum();
     assert_eq!(lines, 0, "{:?}", p.responses);
     assert_eq!(p.answers.last(), Some(&Answer::Applied(7)));
@@ -192,7 +196,7 @@
     p.again();
     p.responses.clear();
     let other = [("a", 0.3, Open), ("b", 1.0, Open), ("d", 1.0, Open)];
-    p.tell(&message(8, Scope::Whole(2), &other));
+    p.tell(&message(8, Scope::Snapshot(2), &other));
     let lines: usize = p.responses.iter().map(|r| r.1 + r.2).sum();
     assert_eq!(lines, 3, "{:?}", p.responses);
     let held = p.held();
@@ -207,11 +211,11 @@
     let mut p = Pair::new();
     p.tell(&message(
         1,
-        Scope::Whole(0),
+        Scope::Snapshot(0),
         &[("a", 1.0, Open), ("b", 1.0, Open)],
     ));
     p.again();
-    p.tell(&message(2, Scope::Standing, &[("a", 1.0, Shut)]));
+    p.tell(&message(2, Scope::Unbound, &[("a", 1.0, Withdrawn)]));
     assert_eq!(p.answers.last(), Some(&Answer::Applied(2)));
     assert_eq!(
         p.held(),
@@ -220,7 +224,7 @@
     // Bound again: the given table says what is open.
     p.tell(&message(
         3,
-        Scope::Whole(0),
+        Scope::Snapshot(0),
         &[("a", 0.1, Open), ("b", 1.0, Open)],
     ));
     assert_eq!(p.held()[0], ("a".into(), 1_000, true));
@@ -229,9 +233,9 @@
 #[test]
 fn a_move_to_another_part_keeps_the_old_table_until_the_new_lines_are_there() {
     let mut p = Pair::new();
-    p.tell(&message(1, Scope::Whole(0), &[("a", 1.0, Open)]));
+    p.tell(&message(1, Scope::Snapshot(0), &[("a", 1.0, Open)]));
     p.session
-        .deliver(&message(2, Scope::Whole(1), &[("b", 1.0, Open)]));
+        .deliver(&message(2, Scope::Snapshot(1), &[("b", 1.0, Open)]));
     let mut seen = Vec::new();
     while let Some(response) = p.session.next_delta() {
         for r in p.holder.apply(&response, |_| true) {
@@ -248,12 +252,12 @@
 #[test]
 fn a_client_that_answers_nothing_is_told_the_newest_state_once() {
     let mut p = Pair::new();
-    p.tell(&message(1, Scope::Whole(0), &[("a", 1.0, Open)]));
+    p.tell(&message(1, Scope::Snapshot(0), &[("a", 1.0, Open)]));
     let mut held_back = Vec::new();
     for serial in 2..500 {
         let weight = f64::from(serial as u32) / 100.0;
         p.session
-            .deliver(&message(serial, Scope::Part(0), &[("a", weight, Open)]));
+            .deliver(&message(serial, Scope::Changes(0), &[("a", weight, Open)]));
         while let Some(r) = p.session.next_delta() {
             held_back.push(r);
         }
@@ -272,7 +276,7 @@
 #[test]
 fn odd_requests_of_a_delta_client() {
     let mut p = Pair::new();
-    p.tell(&message(1, Scope::Whole(0), &[("a", 1.0, Open)]));
+    p.tell(&message(1, Scope::Snapshot(0), &[("a", 1.0, Open)]));
     let ask = |type_url: &str, subscribe: &[&str]| DeltaDiscoveryRequest {
         type_url: type_url.into(),
         resource_names_subscribe: subscribe.iter().map(|s| s.to_string()).collect(),
@@ -340,8 +344,8 @@
     assert_eq!(s.answers(), [Answer::Joined]);
     s.deliver(&message(
         1,
-        Scope::Whole(0),
-        &[("a", 1.0, Open), ("b", 1.0, Shut)],
+        Scope::Snapshot(0),
+        &[("a", 1.0, Open), ("b", 1.0, Withdrawn)],
     ));
     let given = s.next_full().unwrap();
     let read = |any: &[u8]| ClusterLoadAssignment::decode(any).unwrap();
@@ -356,7 +360,7 @@
         .unwrap();
     assert_eq!(s.answers(), [Answer::Applied(1)]);
     // A change: the assignment again, whole; refused, then the next one taken.
-    s.deliver(&message(2, Scope::Part(0), &[("b", 0.0, Away)]));
+    s.deliver(&message(2, Scope::Changes(0), &[("b", 0.0, Removed)]));
     let next = s.next_full().unwrap();
     assert_eq!(
         read(&next.resources[0].value).endpoints[0]
@@ -377,40 +381,40 @@
     assert_eq!(s.next_full().unwrap().resources.len(), 1);
 }
 
-fn terms() -> Terms {
-    let class = |name: &str, earnings| ClassTerms {
+fn terms() -> ControllerSettings {
+    let class = |name: &str, earnings| ClassSettings {
         name: name.into(),
         soft_limit_ms: 1000.0,
         earnings,
-        repeatable: false,
+        idempotent: false,
     };
-    Terms {
+    ControllerSettings {
         service: "portal".into(),
         zones: vec!["east".into(), "west".into()],
         classes: vec![class("view", 1.0), class("set", 2.0)],
-        shares: true,
-        most_waiting: 400.0,
+        admission_control: true,
+        max_queued_lines: 400.0,
         lines_per_s: 10_000.0,
-        way_ms: 20.0,
-        message_lines: 3.0,
-        most_messages: 0.0,
-        message_span_ms: 10_000.0,
-        writes_by_message: 1.0,
-        writes_by_joining: 0.0,
-        idle_ms: 15_000.0,
-        standing_lines: 4.0,
-        usual_pace: 0.3,
-        report_every_ms: 500.0,
+        message_latency_ms: 20.0,
+        message_overhead_lines: 3.0,
+        max_messages: 0.0,
+        message_window_ms: 10_000.0,
+        writes_per_message: 1.0,
+        writes_per_join: 0.0,
+        idle_timeout_ms: 15_000.0,
+        initial_servers: 4.0,
+        default_visits_per_s: 0.3,
+        report_interval_ms: 500.0,
         reports_per_s: 300.0,
-        cold_share: 0.15,
-        warm_after_ms: 16_000.0,
-        fall_multiple: 3.0,
-        grace_ms: 3_000.0,
-        dropped_may_stay: false,
-        usual_tries: FurtherTry::OnProof,
+        cold_capacity_share: 0.15,
+        warm_up_ms: 16_000.0,
+        overload_multiple: 3.0,
+        drain_grace_ms: 3_000.0,
+        keep_unlisted_servers: false,
+        default_retry_policy: RetryPolicy::OnProof,
         may_probe: false,
-        beat_ms: 1_000.0,
-        guard: dahliapoint_control::ward::Guarding::Hold,
+        heartbeat_interval_ms: 1_000.0,
+        guard_mode: dahliapoint_control::rollout::GuardMode::Enforce,
     }
 }
 
@@ -427,7 +431,7 @@
             (state >> 33) % n
         };
         let mut now = 1e6;
-        let mut controller = Controller::begun(now, seed, terms());
+        let mut controller = Controller::new(now, seed, terms());
         let mut streams: BTreeMap<u64, (usize, Session)> = BTreeMap::new();
         let mut holders: Vec<Holder> = (0..5)
             .map(|i| Holder::new("portal", &format!("p{i}"), "east", 0.3))
@@ -439,7 +443,7 @@
             let calm = step > 150;
             let mut inputs = Vec::new();
             if step % 7 == 0 && !calm {
-                let entry = |(i, n): (usize, &String)| Entry {
+                let entry = |(i, n): (usize, &String)| RosterEntry {
                     name: n.clone(),
                     address: format!("127.0.0.1:{}", 5000 + i),
                     zone: if i % 2 == 0 { "east" } else { "west" }.into(),
@@ -472,7 +476,7 @@
                             session: next,
                             proxy: format!("p{i}"),
                             zone: "east".into(),
-                            pace: Some(0.3),
+                            visits_per_s: Some(0.3),
                         });
                         streams.insert(next, (i, session));
                         next += 1;
@@ -497,7 +501,7 @@
                     Answer::Joined => unreachable!("joined once"),
                 }));
             }
-            for output in controller.take(now, inputs) {
+            for output in controller.handle(now, inputs) {
                 match output {
                     Output::Write(ids, m) => ids.iter().for_each(|id| {
                         if let Some((_, s)) = streams.get_mut(id) {
@@ -514,7 +518,7 @@
         for p in &view.proxies {
             let (i, session) = &streams[&p.session];
             assert_eq!(
-                p.unanswered,
+                p.unacknowledged,
                 0,
                 "seed {seed}: {p:?}, under way {}",
                 session.under_way()
@@ -526,7 +530,7 @@
             let mut wanted: Vec<_> = there
                 .map(|s| {
                     let weight = (s.weight * dahliapoint_xds::SCALE).round() as u32;
-                    (s.name.to_string(), weight, !s.shut)
+                    (s.name.to_string(), weight, !s.withdrawn)
                 })
                 .collect();
             wanted.sort();
@@ -552,9 +556,9 @@
         ("*", 3.0, Open),
         ("", 4.0, Open),
     ];
-    p.tell(&message(1, Scope::Whole(1), &odd));
+    p.tell(&message(1, Scope::Snapshot(1), &odd));
     assert_eq!(p.held().len(), 4, "{:?}", p.answers);
-    p.tell(&message(2, Scope::Part(1), &[("*", 3.0, Away)]));
+    p.tell(&message(2, Scope::Changes(1), &[("*", 3.0, Removed)]));
     let names: Vec<_> = p.held().into_iter().map(|l| l.0).collect();
     assert_eq!(names, ["", "a%2Fb", "a/b"]);
     assert!(names::line(&collection, "*").ends_with("%2A"));
