--- a/crates/intake/src/coverage.rs
+++ b/crates/intake/src/coverage.rs
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Records that a proxy reported, with the report interval it was told to use.
+    /// Records that a proxy reported, with the report interval it was told to use. Returns a change
+    /// if the proxy was silent.
     pub fn report_received(
         &mut self,
         now: f64,
@@ -74,17 +75,17 @@
         expired.into_iter().map(ReporterChange::Silent).collect()
     }
 
-    /// Ends a round for a server: lowers the average of proxies that reported in the round, but not
-    /// on this server.
+    /// Ends a round for a server: lowers the average of proxies that `reported` in the round, but
+    /// not on this server (`reported_server`).
     pub fn decay(
         &mut self,
         server: usize,
         reported: impl Fn(usize) -> bool,
-        told: impl Fn(usize) -> bool,
+        reported_server: impl Fn(usize) -> bool,
     ) {
         if let Some(reporters) = self.servers.get_mut(server) {
             for (proxy, tries) in reporters.iter_mut() {
-                if reported(*proxy) && !told(*proxy) {
+                if reported(*proxy) && !reported_server(*proxy) {
                     *tries *= 1.0 - SMOOTHING;
                 }
             }
--- a/crates/intake/src/estimates.rs
+++ b/crates/intake/src/estimates.rs
@@ -128,37 +128,37 @@
 
     /// Records an observation, spread evenly over the buckets of its window. Parts older than the
     /// rings are dropped, and the observation is counted in `expired_lines`.
-    pub fn record(&mut self, now: f64, n: &Observation) {
-        if n.zone >= self.zones || n.tries <= 0.0 {
+    pub fn record(&mut self, now: f64, observation: &Observation) {
+        if observation.zone >= self.zones || observation.tries <= 0.0 {
             return;
         }
         let bucket_ms = self.bucket_ms;
-        let span = (n.end - n.begin).max(1.0);
+        let span = (observation.end - observation.begin).max(1.0);
         let buckets = ((span / bucket_ms).round() as usize).clamp(1, crate::ring::BUCKETS);
         let share = 1.0 / buckets as f64;
-        let good = (n.tries - n.failed).max(0.0);
+        let good = (observation.tries - observation.failed).max(0.0);
         let mut times = QuantileSketch::default();
         if good > 0.0 {
-            times.add(n.good_ms / good, good * share);
+            times.add(observation.good_ms / good, good * share);
         }
         let totals = BucketTotals {
-            tries: n.tries * share,
-            failed: n.failed * share,
-            good_ms: n.good_ms * share,
-            variance: n.variance * share,
+            tries: observation.tries * share,
+            failed: observation.failed * share,
+            good_ms: observation.good_ms * share,
+            variance: observation.variance * share,
             times,
         };
-        let mut past = 0;
-        let ring = &mut self.server(n.server).zones[n.zone];
+        let mut expired = 0;
+        let ring = &mut self.server(observation.server).zones[observation.zone];
         for i in 0..buckets {
-            // The middle of each part, so that a window ending on a bucket boundary does not count
+            // Use the middle of each part, so that a window ending on a bucket boundary does not count
             // for the next bucket.
-            let at = n.end - (i as f64 + 0.5) * span * share;
+            let at = observation.end - (i as f64 + 0.5) * span * share;
             if !ring.add(now, at.min(now), &totals) {
-                past = 1;
+                expired = 1;
             }
         }
-        self.expired_lines += past;
+        self.expired_lines += expired;
     }
 
     /// Drops a server's data; its index may then be reused.
--- a/crates/intake/src/timeline.rs
+++ b/crates/intake/src/timeline.rs
@@ -13,15 +13,17 @@
 
 /// Clock drift, as a share, that is not taken for lateness.
 const MAX_DRIFT: f64 = 0.001;
-/// Reports arrive one by one if they are at least this share of their window apart; `STEADY_REPORTS` of
-/// them in a row show that none is delayed.
+/// Reports arrive one by one if they are at least this share of their window apart.
 const MIN_SPACING: f64 = 0.5;
+/// Number of reports in a row arriving one by one that shows that none is delayed.
 const STEADY_REPORTS: u32 = 4;
 
 /// A window of time on our clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Window {
+    /// Start of the window in milliseconds.
     pub begin: f64,
+    /// End of the window in milliseconds.
     pub end: f64,
 }
 
@@ -51,7 +53,7 @@
     }
 
     /// Places the window of a report that arrived now. Windows of one stream neither overlap nor
-    /// leave gaps. A late report is recognized by the end of its window.
+    /// leave gaps. The window of a late report ends in the past.
     pub fn place(&mut self, now: f64, window_ms: f64) -> Window {
         // Let the offset grow by the clock drift, so that a slow clock does not stay late forever.
         let elapsed = (now - self.updated).max(0.0);
--- a/crates/intake/src/trust.rs
+++ b/crates/intake/src/trust.rs
@@ -143,7 +143,8 @@
                 stale_evidence(self.servers.entry(*server).or_default(), sample)
             })
             .collect();
-        // A single suspect is judged however few servers there are.
+        // A single suspect counts however few servers there are: with few there are no others to
+        // compare it with.
         let suspected = evidence.iter().filter(|e| **e > 0.0).count();
         let too_many = suspected > 1 && suspected as f64 > MAX_SUSPECT_SHARE * samples.len() as f64;
         for ((server, sample), evidence) in samples.iter().zip(evidence) {
@@ -168,9 +169,9 @@
     /// same servers, and returns the flags that changed.
     pub fn observe_proxies(&mut self, views: &ProxyViews) -> Vec<TrustChange> {
         let mut all: BTreeMap<usize, (f64, f64)> = BTreeMap::new();
-        for (server, tries_by_server) in views.values().flatten() {
+        for (server, (tries, failed)) in views.values().flatten() {
             let sum = all.entry(*server).or_default();
-            (sum.0, sum.1) = (sum.0 + tries_by_server.0, sum.1 + tries_by_server.1);
+            (sum.0, sum.1) = (sum.0 + tries, sum.1 + failed);
         }
         let mut changes = Vec::new();
         for (proxy, tries_by_server) in views {
