--- a/crates/intake/src/estimates.rs
+++ b/crates/intake/src/estimates.rs
@@ -151,8 +151,8 @@
         let mut expired = 0;
         let ring = &mut self.server(observation.server).zones[observation.zone];
         for i in 0..buckets {
-            // Use the middle of each part, so that a window ending on a bucket boundary does not count
-            // for the next bucket.
+            // Use the middle of each part, so that a window ending on a bucket boundary does not
+            // count for the next bucket.
             let at = observation.end - (i as f64 + 0.5) * span * share;
             if !ring.add(now, at.min(now), &totals) {
                 expired = 1;
--- a/crates/intake/src/report_queue.rs
+++ b/crates/intake/src/report_queue.rs
@@ -270,9 +270,9 @@
         self.reporters.values().map(Reporter::line_count).sum()
     }
 
-    /// Reads about `max_lines` pending lines at most. The reporters that have waited longest are read
-    /// first, and whole. What does not fit stays pending and merges with later reports while it is
-    /// recent. Lines are sampled only if more than `max_lines` of them have waited too long.
+    /// Reads about `max_lines` pending lines at most. The reporters that have waited longest are
+    /// read first, and whole. What does not fit stays pending and merges with later reports while
+    /// it is recent. Lines are sampled only if more than `max_lines` of them have waited too long.
     pub fn read(&mut self, now: f64, max_lines: usize) -> Vec<MergedReport<R, K>> {
         if self.pending_lines() > max_lines {
             // Merge neighbouring windows of the same reporter before sampling any line out.
@@ -404,8 +404,8 @@
 }
 
 impl<K> Reporter<K> {
-    /// Merges all windows from bucket `recent_bucket` on into the newest of them, and all earlier ones into
-    /// the newest of those.
+    /// Merges all windows from bucket `recent_bucket` on into the newest of them, and all earlier
+    /// ones into the newest of those.
     fn merge_windows(&mut self, recent_bucket: u64, stats: &mut QueueStats)
     where
         K: Ord,
