--- a/crates/memory/src/restore.rs
+++ b/crates/memory/src/restore.rs
@@ -12,20 +12,20 @@
 use dahliapoint_control::{AdminState, RosterEntry};
 
 /// Half-life of a stored share that is not renewed, in multiples of the warm-up time.
-const HALF: f64 = 5.0;
+const SHARE_HALF_LIFE: f64 = 5.0;
 /// A share above this is treated as full weight.
-const NO_VERDICT: f64 = 0.95;
+const FULL_SHARE: f64 = 0.95;
 /// Assumed share of a server that was withdrawn and may have returned at an unknown time.
-const RETURNED: f64 = 0.1;
+const UNCERTAIN_RETURN_SHARE: f64 = 0.1;
 /// Maximum share of the ready servers' weight that stored facts may withhold at the start.
-const MOST: f64 = 0.35;
+const MAX_WITHHELD_SHARE: f64 = 0.35;
 
 /// A server of the roster with its stored fact.
 struct Case<'a> {
     entry: &'a RosterEntry,
     fact: Option<&'a ServerFact>,
     /// Time since the controller was last running; `None` if unknown.
-    gap_ms: Option<f64>,
+    downtime_ms: Option<f64>,
     now: &'a Timestamp,
     warm_ms: f64,
 }
@@ -48,44 +48,44 @@
 
 /// The rules in order; the first that applies decides.
 const RULES: [Rule; 6] = [
-    the_roster_knows_who_is_not_ready,
-    a_start_that_is_told_holds,
-    a_name_at_another_address_is_another_server,
-    who_was_not_known_is_new,
-    a_drain_stays_one_until_the_roster_says_otherwise,
-    a_verdict_fades,
+    roster_decides_unready,
+    recent_start_is_cold,
+    other_address_is_unknown,
+    no_fact_is_unknown,
+    returned_server_ramps,
+    stored_share_decays,
 ];
 
 /// Stored facts never make a server ready: only the roster says which servers are gone or draining.
-fn the_roster_knows_who_is_not_ready(c: &Case) -> Option<Restored> {
+fn roster_decides_unready(c: &Case) -> Option<Restored> {
     (c.entry.state != AdminState::Ready).then_some(Restored::AsListed)
 }
 
 /// A start time in the roster counts as it is: a server that started recently is cold, whatever is
 /// stored about it.
-fn a_start_that_is_told_holds(c: &Case) -> Option<Restored> {
+fn recent_start_is_cold(c: &Case) -> Option<Restored> {
     let fresh = c.entry.started.is_some_and(|(ago, _)| ago < c.warm_ms);
     fresh.then_some(Restored::AsListed)
 }
 
 /// Prevents another machine that took over the name during the downtime from receiving a warm
 /// server's visits.
-fn a_name_at_another_address_is_another_server(c: &Case) -> Option<Restored> {
+fn other_address_is_unknown(c: &Case) -> Option<Restored> {
     let other = c.fact.is_some_and(|f| f.address != c.entry.address);
     other.then(|| unknown(c))
 }
 
 /// A server without a stored fact.
-fn who_was_not_known_is_new(c: &Case) -> Option<Restored> {
+fn no_fact_is_unknown(c: &Case) -> Option<Restored> {
     c.fact.is_none().then(|| unknown(c))
 }
 
 /// A server without a valid fact. Within a warm-up time it cannot be warm; after a longer downtime
-/// it gets full weight, as at a start without stored facts. So it does if the length of the
-/// downtime is unknown, although the server may be cold.
+/// it gets full weight, as at a start without stored facts. It also gets full weight if the length
+/// of the downtime is unknown, although it may be cold.
 fn unknown(c: &Case) -> Restored {
-    match c.gap_ms {
-        Some(gap) if gap < c.warm_ms => Restored::New,
+    match c.downtime_ms {
+        Some(downtime) if downtime < c.warm_ms => Restored::New,
         _ => Restored::AsListed,
     }
 }
@@ -93,37 +93,41 @@
 /// A server that was draining, gone or withdrawn and is ready now may have just started, or may
 /// have been warm for long. Until a warm-up time has passed it returns through the ramp, as while
 /// the controller runs; from then on the doubt decays. The cost is a ramp that may not be needed.
-fn a_drain_stays_one_until_the_roster_says_otherwise(c: &Case) -> Option<Restored> {
+fn returned_server_ramps(c: &Case) -> Option<Restored> {
     let fact = c
         .fact
         .filter(|f| f.state != AdminState::Ready || f.withdrawn)?;
-    Some(match c.gap_ms {
-        Some(gap) if gap >= c.warm_ms => faded(RETURNED, Some(gap - c.warm_ms), c.warm_ms),
+    Some(match c.downtime_ms {
+        Some(downtime) if downtime >= c.warm_ms => decayed(
+            UNCERTAIN_RETURN_SHARE,
+            Some(downtime - c.warm_ms),
+            c.warm_ms,
+        ),
         Some(_) => Restored::Returning,
-        None => faded(RETURNED, c.now.since(&fact.since), c.warm_ms),
+        None => decayed(UNCERTAIN_RETURN_SHARE, c.now.since(&fact.since), c.warm_ms),
     })
 }
 
 /// A server that was slow or failing may still be so: it starts with its stored share, which
 /// approaches 1 with its age. A time in the future gives no age, so the share is ignored.
-fn a_verdict_fades(c: &Case) -> Option<Restored> {
-    let fact = c.fact.filter(|f| f.share < NO_VERDICT)?;
-    Some(faded(fact.share, c.now.since(&fact.judged), c.warm_ms))
+fn stored_share_decays(c: &Case) -> Option<Restored> {
+    let fact = c.fact.filter(|f| f.share < FULL_SHARE)?;
+    Some(decayed(fact.share, c.now.since(&fact.judged), c.warm_ms))
 }
 
 /// A stored share, brought closer to 1 the older it is.
-fn faded(share: f64, age: Option<f64>, warm_ms: f64) -> Restored {
-    let worth = age.map_or(0.0, |age| 0.5_f64.powf(age / (HALF * warm_ms)));
-    let left = 1.0 - (1.0 - share.clamp(0.0, 1.0)) * worth;
-    match left < NO_VERDICT {
-        true => Restored::Share(left),
+fn decayed(share: f64, age: Option<f64>, warm_ms: f64) -> Restored {
+    let confidence = age.map_or(0.0, |age| 0.5_f64.powf(age / (SHARE_HALF_LIFE * warm_ms)));
+    let share = 1.0 - (1.0 - share.clamp(0.0, 1.0)) * confidence;
+    match share < FULL_SHARE {
+        true => Restored::Share(share),
         false => Restored::AsListed,
     }
 }
 
 /// How doubtful a restored fact is; the most doubtful are dropped first if there are too many.
-fn doubt(recall: Restored) -> f64 {
-    match recall {
+fn doubt(restored: Restored) -> f64 {
+    match restored {
         Restored::AsListed | Restored::Returning => 0.0,
         Restored::Share(share) => 1.0 + share,
         Restored::New => 3.0,
@@ -138,65 +142,68 @@
     roster: &[RosterEntry],
     warm_ms: f64,
 ) -> (Vec<RosterEntry>, Vec<Restored>) {
-    let gap_ms = now.since(&facts.alive);
+    let downtime_ms = now.since(&facts.alive);
     let case = |entry| Case {
         entry,
         fact: facts.servers.get(&entry.name),
-        gap_ms,
+        downtime_ms,
         now,
         warm_ms,
     };
     let decide = |entry| {
         let case = case(entry);
-        let said = RULES.iter().find_map(|rule| rule(&case));
-        said.unwrap_or(Restored::AsListed)
+        let decision = RULES.iter().find_map(|rule| rule(&case));
+        decision.unwrap_or(Restored::AsListed)
     };
-    let mut recalled: Vec<Restored> = roster.iter().map(decide).collect();
-    not_too_much_at_once(roster, &mut recalled);
-    let told = roster.iter().zip(&recalled).filter_map(|(entry, recall)| {
-        let mut entry = entry.clone();
-        match recall {
-            Restored::AsListed => {}
-            Restored::Returning => entry.state = AdminState::Draining,
-            Restored::New => return None,
-            Restored::Share(share) => {
-                // A marker of its own, so that the roster's next start time replaces it.
-                entry.started = Some((warm_ms * share, u64::MAX));
+    let mut restored_all: Vec<Restored> = roster.iter().map(decide).collect();
+    limit_withheld_weight(roster, &mut restored_all);
+    let presented = roster
+        .iter()
+        .zip(&restored_all)
+        .filter_map(|(entry, restored)| {
+            let mut entry = entry.clone();
+            match restored {
+                Restored::AsListed => {}
+                Restored::Returning => entry.state = AdminState::Draining,
+                Restored::New => return None,
+                Restored::Share(share) => {
+                    // A marker of its own, so that the roster's next start time replaces it.
+                    entry.started = Some((warm_ms * share, u64::MAX));
+                }
             }
-        }
-        Some(entry)
-    });
-    (told.collect(), recalled)
+            Some(entry)
+        });
+    (presented.collect(), restored_all)
 }
 
 /// Limits the damage if the stored facts are wrong about many servers at once (the fleet was
 /// replaced during the downtime, or a whole site was slow): starting with a tenth of the weight is
 /// worse than starting as listed. The most doubtful facts are dropped first. If a third of the
 /// fleet is really cold, only the planner's own rule for cold servers remains.
-fn not_too_much_at_once(roster: &[RosterEntry], recalled: &mut [Restored]) {
+fn limit_withheld_weight(roster: &[RosterEntry], restored_all: &mut [Restored]) {
     let ready = |e: &RosterEntry| e.state == AdminState::Ready;
-    let all: f64 = roster.iter().filter(|e| ready(e)).map(|e| e.weight).sum();
-    let lost = |recall: &Restored, weight: f64| match recall {
+    let ready_weight: f64 = roster.iter().filter(|e| ready(e)).map(|e| e.weight).sum();
+    let withheld = |restored: &Restored, weight: f64| match restored {
         Restored::AsListed => 0.0,
         Restored::Share(share) => weight * (1.0 - share),
         Restored::Returning | Restored::New => weight,
     };
-    let mut sum: f64 = roster
+    let mut withheld_weight: f64 = roster
         .iter()
-        .zip(recalled.iter())
+        .zip(restored_all.iter())
         .filter(|(e, _)| ready(e))
-        .map(|(e, r)| lost(r, e.weight))
+        .map(|(e, r)| withheld(r, e.weight))
         .sum();
-    let mut order: Vec<usize> = (0..roster.len())
-        .filter(|i| doubt(recalled[*i]) > 0.0)
+    let mut doubtful: Vec<usize> = (0..roster.len())
+        .filter(|i| doubt(restored_all[*i]) > 0.0)
         .collect();
-    order.sort_by(|a, b| doubt(recalled[*b]).total_cmp(&doubt(recalled[*a])));
-    for i in order {
-        if sum <= MOST * all {
+    doubtful.sort_by(|a, b| doubt(restored_all[*b]).total_cmp(&doubt(restored_all[*a])));
+    for i in doubtful {
+        if withheld_weight <= MAX_WITHHELD_SHARE * ready_weight {
             return;
         }
-        sum -= lost(&recalled[i], roster[i].weight);
-        recalled[i] = Restored::AsListed;
+        withheld_weight -= withheld(&restored_all[i], roster[i].weight);
+        restored_all[i] = Restored::AsListed;
     }
 }
 
@@ -257,9 +264,9 @@
         if let Some(fact) = fact {
             facts.servers.insert(fact.name.clone(), fact);
         }
-        let (_, recalled) = restore_roster(&now, &facts, &roster, WARM);
-        assert!(recalled[1..].iter().all(|r| *r == Restored::AsListed));
-        recalled[0]
+        let (_, restored_all) = restore_roster(&now, &facts, &roster, WARM);
+        assert!(restored_all[1..].iter().all(|r| *r == Restored::AsListed));
+        restored_all[0]
     }
 
     #[test]
@@ -403,13 +410,13 @@
             }
             roster.push(entry(&name, Ready, None));
         }
-        let (told, recalled) = restore_roster(&at(1.0), &facts, &roster, WARM);
-        let new = recalled.iter().filter(|r| **r == Restored::New).count();
-        let slow = recalled
+        let (presented, restored_all) = restore_roster(&at(1.0), &facts, &roster, WARM);
+        let new = restored_all.iter().filter(|r| **r == Restored::New).count();
+        let slow = restored_all
             .iter()
             .filter(|r| matches!(r, Restored::Share(_)))
             .count();
         assert_eq!((new, slow), (2, 10), "the unknown are let go first");
-        assert_eq!(told.len(), 28);
+        assert_eq!(presented.len(), 28);
     }
 }
