--- a/crates/memory/src/directory.rs
+++ b/crates/memory/src/directory.rs
@@ -16,8 +16,8 @@
     /// Reads a whole file.
     ///
     /// # Errors
-    /// See [`Directory::list`]; also if the file is larger than `most`.
-    fn read(&mut self, name: &str, most: u64) -> io::Result<Vec<u8>>;
+    /// See [`Directory::list`]; also if the file is larger than `max_bytes`.
+    fn read(&mut self, name: &str, max_bytes: u64) -> io::Result<Vec<u8>>;
     /// Creates an empty file, replacing an existing one.
     ///
     /// # Errors
@@ -54,7 +54,7 @@
 pub struct FsDirectory {
     dir: PathBuf,
     files: HashMap<String, File>,
-    _held: Option<File>,
+    _lock: Option<File>,
 }
 
 impl FsDirectory {
@@ -64,15 +64,15 @@
     /// Returns the error of the file system; also if another process holds the lock.
     pub fn open(dir: &Path) -> io::Result<FsDirectory> {
         fs::create_dir_all(dir)?;
-        let held = File::create(dir.join("lock"))?;
-        held.try_lock().map_err(|_| {
+        let lock = File::create(dir.join("lock"))?;
+        lock.try_lock().map_err(|_| {
             let why = format!("{} is held by another process", dir.display());
             io::Error::new(io::ErrorKind::AlreadyExists, why)
         })?;
         Ok(FsDirectory {
             dir: dir.to_path_buf(),
             files: HashMap::new(),
-            _held: Some(held),
+            _lock: Some(lock),
         })
     }
 
@@ -85,7 +85,7 @@
         Ok(FsDirectory {
             dir: dir.to_path_buf(),
             files: HashMap::new(),
-            _held: None,
+            _lock: None,
         })
     }
 
@@ -101,18 +101,20 @@
     }
 }
 
-/// Reads a whole regular file of at most `most` bytes.
+/// Reads a whole regular file of at most `max_bytes` bytes.
 ///
 /// # Errors
 /// Returns the error of the file system; also if the file is larger or not a regular one.
-pub fn read_bounded(path: &Path, most: u64) -> io::Result<Vec<u8>> {
+pub fn read_bounded(path: &Path, max_bytes: u64) -> io::Result<Vec<u8>> {
     let file = File::open(path)?;
-    let about = file.metadata()?;
-    if !about.is_file() || about.len() > most {
-        return Err(io::Error::other("no plain file of a fitting size"));
+    let metadata = file.metadata()?;
+    if !metadata.is_file() || metadata.len() > max_bytes {
+        return Err(io::Error::other(format!(
+            "not a regular file, or larger than {max_bytes} bytes"
+        )));
     }
-    let mut bytes = Vec::with_capacity(about.len() as usize);
-    file.take(most).read_to_end(&mut bytes)?;
+    let mut bytes = Vec::with_capacity(metadata.len() as usize);
+    file.take(max_bytes).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
 
@@ -125,8 +127,8 @@
         Ok(names.collect())
     }
 
-    fn read(&mut self, name: &str, most: u64) -> io::Result<Vec<u8>> {
-        read_bounded(&self.dir.join(name), most)
+    fn read(&mut self, name: &str, max_bytes: u64) -> io::Result<Vec<u8>> {
+        read_bounded(&self.dir.join(name), max_bytes)
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
--- a/crates/memory/src/facts.rs
+++ b/crates/memory/src/facts.rs
@@ -5,21 +5,23 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A share that changes by less than `SLACK` is not written; an unchanged one below 1 is renewed
-/// after `RENEW_MS`.
-const SLACK: f64 = 0.02;
+/// A share that changes by no more than this is not written again.
+const MIN_SHARE_CHANGE: f64 = 0.02;
+/// A share below 1 that visits keep confirming is written again after this time.
 const RENEW_MS: f64 = 10_000.0;
-/// Longer names and values are rejected.
-const LONGEST: usize = 4_096;
-const LARGEST_KEPT: usize = 512 * 1024;
+/// Longer names are rejected.
+const MAX_NAME_BYTES: usize = 4_096;
+/// Longer values kept by hooks are rejected.
+const MAX_KEPT_BYTES: usize = 512 * 1024;
 
 /// A point in time that another process can compare with its own clock.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Timestamp {
     /// Wall-clock milliseconds since the Unix epoch.
     pub wall_ms: f64,
-    /// The boot ID of the machine and the uptime since that boot; the ID is empty if it is unknown.
+    /// The boot ID of the machine; empty if it is unknown.
     pub boot: String,
+    /// Uptime since that boot in milliseconds.
     pub up_ms: f64,
 }
 
@@ -27,16 +29,14 @@
     /// The time from `before` until this one: by uptime within one boot, whatever the wall clock
     /// did, else by the wall clock. `None` if that went backwards, so that the time is unknown.
     pub fn since(&self, before: &Timestamp) -> Option<f64> {
-        let same = !self.boot.is_empty() && self.boot == before.boot;
-        let gap = match same {
+        let same_boot = !self.boot.is_empty() && self.boot == before.boot;
+        let elapsed = match same_boot {
             true => self.up_ms - before.up_ms,
             false => self.wall_ms - before.wall_ms,
         };
-        (gap >= 0.0 && gap.is_finite()).then_some(gap)
+        (elapsed >= 0.0 && elapsed.is_finite()).then_some(elapsed)
     }
-}
 
-impl Timestamp {
     /// The point in time `ms` milliseconds earlier.
     pub fn before(&self, ms: f64) -> Timestamp {
         Timestamp {
@@ -107,8 +107,10 @@
     pub fn apply(&mut self, change: Change) -> Result<(), String> {
         match change {
             Change::Server(fact) => {
-                if fact.name.len() > LONGEST || !(fact.share >= 0.0 && fact.weight >= 0.0) {
-                    return Err("a server that nobody can have listed".into());
+                if fact.name.len() > MAX_NAME_BYTES || !(fact.share >= 0.0 && fact.weight >= 0.0) {
+                    return Err(
+                        "server with an overlong name, or a negative share or weight".into(),
+                    );
                 }
                 self.servers.insert(fact.name.clone(), fact);
             }
@@ -116,15 +118,22 @@
                 self.servers.remove(&name);
             }
             Change::Level(class, share, at) => {
-                if class.len() > LONGEST || !(0.0..=1.0).contains(&share) {
-                    return Err("a level that nobody can have set".into());
+                if class.len() > MAX_NAME_BYTES || !(0.0..=1.0).contains(&share) {
+                    return Err(
+                        "class with an overlong name, or an admitted share outside 0 to 1".into(),
+                    );
                 }
                 self.levels.insert(class, (share, at));
             }
             Change::Alive(at) => self.alive = at,
             Change::Kept(file, name, value) => {
-                if file.len() > LONGEST || name.len() > LONGEST || value.len() > LARGEST_KEPT {
-                    return Err("more than any hook keeps".into());
+                if file.len() > MAX_NAME_BYTES
+                    || name.len() > MAX_NAME_BYTES
+                    || value.len() > MAX_KEPT_BYTES
+                {
+                    return Err(
+                        "hook value that is too long, or has an overlong file or name".into(),
+                    );
                 }
                 match value.is_empty() {
                     true => self.kept.remove(&(file, name)),
@@ -152,7 +161,7 @@
 /// Finds the changes between the stored state and the controller's current one.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeTracker {
-    told: BTreeMap<String, ServerFact>,
+    last: BTreeMap<String, ServerFact>,
     levels: BTreeMap<String, f64>,
 }
 
@@ -161,7 +170,7 @@
     /// weights are published.
     pub fn from_facts(facts: &Facts) -> ChangeTracker {
         ChangeTracker {
-            told: facts.servers.clone(),
+            last: facts.servers.clone(),
             levels: BTreeMap::new(),
         }
     }
@@ -174,11 +183,11 @@
         levels: &[(String, f64)],
     ) -> Vec<Change> {
         let mut out = Vec::new();
-        let mut seen = BTreeMap::new();
+        let mut current = BTreeMap::new();
         // No share is known before the first weights are published.
-        let ordered = servers.iter().any(|s| s.weight > 0.0);
+        let published = servers.iter().any(|s| s.weight > 0.0);
         for s in servers {
-            let before = self.told.get(&*s.name);
+            let before = self.last.get(&*s.name);
             // A share that no visit has confirmed since the start keeps the age it was stored with:
             // passing a share on does not renew it.
             let judged = match (s.last_try_ago_ms, before) {
@@ -186,10 +195,10 @@
                 (None, Some(before)) => before.judged.clone(),
                 (None, None) => now.clone(),
             };
-            let line = (ordered && s.part.is_some() && s.listed_weight > 0.0)
+            let published_share = (published && s.part.is_some() && s.listed_weight > 0.0)
                 .then(|| (s.weight / s.listed_weight, judged));
-            let held = || before.map_or((1.0, now.clone()), |b| (b.share, b.judged.clone()));
-            let (share, judged) = line.unwrap_or_else(held);
+            let previous = || before.map_or((1.0, now.clone()), |b| (b.share, b.judged.clone()));
+            let (share, judged) = published_share.unwrap_or_else(previous);
             let mut fact = ServerFact {
                 name: s.name.to_string(),
                 address: s.address.to_string(),
@@ -208,27 +217,29 @@
             if let Some(before) = before.filter(|b| b.state == fact.state) {
                 fact.since = before.since.clone();
             }
-            let same = before.is_some_and(|b| {
-                let moved = (b.share - fact.share).abs() > SLACK;
-                let old = fact.share < 1.0 - SLACK
+            let unchanged = before.is_some_and(|b| {
+                let moved = (b.share - fact.share).abs() > MIN_SHARE_CHANGE;
+                let stale = fact.share < 1.0 - MIN_SHARE_CHANGE
                     && fact.judged != b.judged
-                    && now.since(&b.judged).is_none_or(|gap| gap >= RENEW_MS);
-                let like = |f: &ServerFact| ServerFact {
+                    && now
+                        .since(&b.judged)
+                        .is_none_or(|elapsed| elapsed >= RENEW_MS);
+                let without_share = |f: &ServerFact| ServerFact {
                     share: 0.0,
                     judged: Timestamp::default(),
                     ..f.clone()
                 };
-                !moved && !old && like(b) == like(&fact)
+                !moved && !stale && without_share(b) == without_share(&fact)
             });
-            match (same, before) {
+            match (unchanged, before) {
                 (true, Some(before)) => fact = before.clone(),
                 _ => out.push(Change::Server(fact.clone())),
             }
-            seen.insert(fact.name.clone(), fact);
+            current.insert(fact.name.clone(), fact);
         }
-        let gone = self.told.keys().filter(|n| !seen.contains_key(*n));
-        out.extend(gone.cloned().map(Change::Forgotten));
-        self.told = seen;
+        let removed = self.last.keys().filter(|n| !current.contains_key(*n));
+        out.extend(removed.cloned().map(Change::Forgotten));
+        self.last = current;
         for (class, share) in levels {
             if self.levels.get(class) != Some(share) {
                 self.levels.insert(class.clone(), *share);
--- a/crates/memory/src/frames.rs
+++ b/crates/memory/src/frames.rs
@@ -13,9 +13,9 @@
 /// The schema version that is written. Older versions are read; version 1 had no values kept by
 /// hooks.
 pub const SCHEMA: u8 = 2;
-const HEAD: usize = 24;
+const HEADER_BYTES: usize = 24;
 /// A longer frame is treated as corrupt.
-const LONGEST: usize = 1 << 20;
+const MAX_PAYLOAD_BYTES: usize = 1 << 20;
 
 /// The kind of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 
 impl Kind {
     /// The byte that marks the kind in the header.
-    fn letter(self) -> u8 {
+    fn tag(self) -> u8 {
         match self {
             Kind::Journal => b'J',
             Kind::Snapshot => b'S',
@@ -44,7 +44,7 @@
 #[derive(Clone)]
 pub struct FrameChain {
     generation: u64,
-    number: u64,
+    frame_number: u64,
     key: Key,
     mac: [u8; 32],
 }
@@ -54,74 +54,74 @@
     pub fn new(generation: u64, key: &Key) -> FrameChain {
         FrameChain {
             generation,
-            number: 0,
+            frame_number: 0,
             key: key.clone(),
             mac: [0; 32],
         }
     }
 
     /// The header of a file.
-    pub fn head(&self, kind: Kind) -> Vec<u8> {
+    pub fn header(&self, kind: Kind) -> Vec<u8> {
         let mut out = MAGIC.to_vec();
-        out.extend([SCHEMA, kind.letter(), u8::from(self.key.0.is_some())]);
+        out.extend([SCHEMA, kind.tag(), u8::from(self.key.0.is_some())]);
         out.extend([0; 5]);
         out.extend(self.generation.to_le_bytes());
         out
     }
 
     /// The checksum of the next frame with this payload.
-    fn crc(&self, bytes: &[u8]) -> u32 {
-        let mut sum = crc32fast::Hasher::new();
-        sum.update(&self.generation.to_le_bytes());
-        sum.update(&self.number.to_le_bytes());
-        sum.update(bytes);
-        sum.finalize()
+    fn crc(&self, payload: &[u8]) -> u32 {
+        let mut crc = crc32fast::Hasher::new();
+        crc.update(&self.generation.to_le_bytes());
+        crc.update(&self.frame_number.to_le_bytes());
+        crc.update(payload);
+        crc.finalize()
     }
 
     /// The MAC of the next frame with this payload; `None` without a key.
-    fn next_mac(&self, bytes: &[u8]) -> Option<[u8; 32]> {
+    fn next_mac(&self, payload: &[u8]) -> Option<[u8; 32]> {
         let key = self.key.0.as_ref()?;
         let mut mac = Hmac::<Sha256>::new_from_slice(key).ok()?;
         mac.update(&self.mac);
         mac.update(&self.generation.to_le_bytes());
-        mac.update(bytes);
+        mac.update(payload);
         Some(mac.finalize().into_bytes().into())
     }
 
     /// Appends a frame to `out`.
-    pub fn put(&mut self, out: &mut Vec<u8>, bytes: &[u8]) {
-        out.extend((bytes.len() as u32).to_le_bytes());
-        out.extend(self.crc(bytes).to_le_bytes());
-        if let Some(mac) = self.next_mac(bytes) {
+    pub fn append(&mut self, out: &mut Vec<u8>, payload: &[u8]) {
+        out.extend((payload.len() as u32).to_le_bytes());
+        out.extend(self.crc(payload).to_le_bytes());
+        if let Some(mac) = self.next_mac(payload) {
             out.extend(mac);
             self.mac = mac;
         }
-        out.extend(bytes);
-        self.number += 1;
+        out.extend(payload);
+        self.frame_number += 1;
     }
 
     /// Reads a frame; returns its payload and its length in the file. `None` if it is incomplete or
     /// does not belong here.
-    fn take<'a>(&mut self, from: &'a [u8]) -> Option<(&'a [u8], usize)> {
-        let keyed: usize = if self.key.0.is_some() { 32 } else { 0 };
-        let word = |at: usize| Some(u32::from_le_bytes(from.get(at..at + 4)?.try_into().ok()?));
-        let length = word(0)? as usize;
-        let begin = 8 + keyed;
-        if length > LONGEST {
+    fn next_frame<'a>(&mut self, from: &'a [u8]) -> Option<(&'a [u8], usize)> {
+        let mac_bytes: usize = if self.key.0.is_some() { 32 } else { 0 };
+        let read_u32 = |at: usize| Some(u32::from_le_bytes(from.get(at..at + 4)?.try_into().ok()?));
+        let length = read_u32(0)? as usize;
+        let payload_start = 8 + mac_bytes;
+        if length > MAX_PAYLOAD_BYTES {
             return None;
         }
-        let bytes = from.get(begin..begin.checked_add(length)?)?;
-        if word(4)? != self.crc(bytes) {
+        let payload = from.get(payload_start..payload_start.checked_add(length)?)?;
+        if read_u32(4)? != self.crc(payload) {
             return None;
         }
-        if let Some(mac) = self.next_mac(bytes) {
-            if from.get(8..8 + keyed)? != mac {
+        if let Some(mac) = self.next_mac(payload) {
+            if from.get(8..8 + mac_bytes)? != mac {
                 return None;
             }
             self.mac = mac;
         }
-        self.number += 1;
-        Some((bytes, begin + length))
+        self.frame_number += 1;
+        Some((payload, payload_start + length))
     }
 }
 
@@ -129,12 +129,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FileError {
     /// Written by a newer version, with this schema; the file is left untouched.
-    Newer(u8),
+    NewerSchema(u8),
     /// The file is keyed and we have no key or another one, or the file is not keyed and we have a
     /// key.
-    Key,
+    WrongKey,
     /// The header is missing or not of this kind.
-    NotOurs,
+    UnknownFormat,
 }
 
 /// The contents of a file.
@@ -144,7 +144,7 @@
     /// Payloads in file order.
     pub frames: Vec<&'a [u8]>,
     /// Number of bytes after the last valid frame.
-    pub left: usize,
+    pub trailing_bytes: usize,
 }
 
 /// Reads the frames of a file up to the first invalid one.
@@ -152,44 +152,46 @@
 /// # Errors
 /// Returns why the file is not read.
 pub fn read<'a>(bytes: &'a [u8], kind: Kind, key: &Key) -> Result<FileFrames<'a>, FileError> {
-    let head = bytes.get(..HEAD).ok_or(FileError::NotOurs)?;
-    if head[..8] != MAGIC[..] || head[9] != kind.letter() {
-        return Err(FileError::NotOurs);
+    let header = bytes.get(..HEADER_BYTES).ok_or(FileError::UnknownFormat)?;
+    if header[..8] != MAGIC[..] || header[9] != kind.tag() {
+        return Err(FileError::UnknownFormat);
     }
-    if head[8] > SCHEMA {
-        return Err(FileError::Newer(head[8]));
+    if header[8] > SCHEMA {
+        return Err(FileError::NewerSchema(header[8]));
     }
-    if (head[10] != 0) != key.0.is_some() {
-        return Err(FileError::Key);
+    if (header[10] != 0) != key.0.is_some() {
+        return Err(FileError::WrongKey);
     }
-    let number = head[16..24].try_into().map_err(|_| FileError::NotOurs)?;
-    let generation = u64::from_le_bytes(number);
+    let generation = header[16..24]
+        .try_into()
+        .map_err(|_| FileError::UnknownFormat)?;
+    let generation = u64::from_le_bytes(generation);
     let mut chain = FrameChain::new(generation, key);
-    let (mut at, mut frames) = (HEAD, Vec::new());
-    while let Some((frame, length)) = chain.take(&bytes[at..]) {
+    let (mut at, mut frames) = (HEADER_BYTES, Vec::new());
+    while let Some((frame, length)) = chain.next_frame(&bytes[at..]) {
         frames.push(frame);
         at += length;
     }
     // A complete first frame with a wrong MAC was written with another key; a torn one would be
     // incomplete.
-    if frames.is_empty() && key.0.is_some() && is_whole(&bytes[at..], generation) {
-        return Err(FileError::Key);
+    if frames.is_empty() && key.0.is_some() && first_frame_is_complete(&bytes[at..], generation) {
+        return Err(FileError::WrongKey);
     }
     Ok(FileFrames {
         generation,
         frames,
-        left: bytes.len() - at,
+        trailing_bytes: bytes.len() - at,
     })
 }
 
 /// Whether the first frame of a keyed file is complete, ignoring its MAC.
-fn is_whole(from: &[u8], generation: u64) -> bool {
+fn first_frame_is_complete(from: &[u8], generation: u64) -> bool {
     let length = from.get(..4).and_then(|b| b.try_into().ok());
     let length = length.map_or(usize::MAX, |b| u32::from_le_bytes(b) as usize);
-    let sum = from.get(4..8).and_then(|b| b.try_into().ok());
-    let bytes = 40_usize
+    let crc = from.get(4..8).and_then(|b| b.try_into().ok());
+    let payload = 40_usize
         .checked_add(length)
         .and_then(|end| from.get(40..end));
     let chain = FrameChain::new(generation, &Key::default());
-    bytes.is_some_and(|bytes| sum.map(u32::from_le_bytes) == Some(chain.crc(bytes)))
+    payload.is_some_and(|payload| crc.map(u32::from_le_bytes) == Some(chain.crc(payload)))
 }
--- a/crates/memory/src/store.rs
+++ b/crates/memory/src/store.rs
@@ -13,9 +13,9 @@
 use std::io;
 
 /// A larger file is not read.
-const LARGEST: u64 = 1 << 30;
+const MAX_FILE_BYTES: u64 = 1 << 30;
 /// Temporary name of a snapshot that is being written.
-const ASIDE: &str = "snapshot.aside";
+const TEMPORARY_NAME: &str = "snapshot.aside";
 
 /// The payload of a frame.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -27,7 +27,7 @@
 }
 
 /// The file name of a journal or snapshot.
-fn name_of(kind: Kind, generation: u64) -> String {
+fn file_name(kind: Kind, generation: u64) -> String {
     match kind {
         Kind::Journal => format!("journal-{generation:012}"),
         Kind::Snapshot => format!("snapshot-{generation:012}"),
@@ -35,24 +35,25 @@
 }
 
 /// The kind and generation of a file name; `None` for other files.
-fn generation_of(name: &str) -> Option<(Kind, u64)> {
+fn parse_file_name(name: &str) -> Option<(Kind, u64)> {
     let (kind, digits) = name.split_once('-')?;
     let kind = match kind {
         "journal" => Kind::Journal,
         "snapshot" => Kind::Snapshot,
         _ => return None,
     };
-    let ours = digits.len() == 12 && digits.bytes().all(|b| b.is_ascii_digit());
-    ours.then(|| Some((kind, digits.parse().ok()?)))?
+    let valid = digits.len() == 12 && digits.bytes().all(|b| b.is_ascii_digit());
+    valid.then(|| Some((kind, digits.parse().ok()?)))?
 }
 
 /// What recovery found in a directory.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Found {
-    /// The generation of the snapshot that was read, if any; then the journals and records read
-    /// after it.
+    /// Generation of the snapshot that was read, if any.
     pub snapshot: Option<u64>,
+    /// Journals read.
     pub journals: u64,
+    /// Records read from the snapshot and the journals.
     pub records: u64,
     /// Bytes after the last valid record of the journals: a torn write or corruption.
     pub torn_bytes: u64,
@@ -68,12 +69,12 @@
 /// # Errors
 /// Returns the error of the directory; also if a newer version, or one with another key, has
 /// written there, so that its data is not discarded.
-pub fn recover(layer: &mut dyn Directory, key: &Key) -> io::Result<(Facts, Found)> {
+pub fn recover(directory: &mut dyn Directory, key: &Key) -> io::Result<(Facts, Found)> {
     let mut found = Found::default();
-    let mut files: Vec<(Kind, u64)> = layer
+    let mut files: Vec<(Kind, u64)> = directory
         .list()?
         .iter()
-        .filter_map(|n| generation_of(n))
+        .filter_map(|n| parse_file_name(n))
         .collect();
     files.sort_by_key(|(_, generation)| *generation);
     found.newest = files.last().map_or(0, |(_, g)| *g);
@@ -83,15 +84,15 @@
         .rev()
         .filter(|(kind, _)| *kind == Kind::Snapshot);
     for (_, generation) in snapshots {
-        match snapshot(layer, *generation, key)? {
-            Ok((whole, records)) => {
-                facts = whole;
+        match read_snapshot(directory, *generation, key)? {
+            Ok((snapshot, records)) => {
+                facts = snapshot;
                 found.snapshot = Some(*generation);
                 found.records = records;
                 break;
             }
             Err(why) => {
-                let name = name_of(Kind::Snapshot, *generation);
+                let name = file_name(Kind::Snapshot, *generation);
                 found.passed_over.push(format!("{name}: {why}"));
             }
         }
@@ -101,29 +102,31 @@
         .iter()
         .filter(|(kind, g)| *kind == Kind::Journal && *g >= from);
     for (_, generation) in journals {
-        let name = name_of(Kind::Journal, *generation);
-        let bytes = layer.read(&name, LARGEST)?;
+        let name = file_name(Kind::Journal, *generation);
+        let bytes = directory.read(&name, MAX_FILE_BYTES)?;
         let journal = match read(&bytes, Kind::Journal, key) {
             Ok(journal) if journal.generation == *generation => journal,
-            Ok(_) | Err(FileError::NotOurs) => {
+            Ok(_) | Err(FileError::UnknownFormat) => {
                 // The header was not synced before a power failure.
                 found.torn_bytes += bytes.len() as u64;
-                found.passed_over.push(format!("{name}: no head of ours"));
+                found.passed_over.push(format!("{name}: no valid header"));
                 continue;
             }
-            Err(refused) => return Err(refusal(&name, &refused)),
+            Err(error) => return Err(open_error(&name, &error)),
         };
         found.journals += 1;
-        found.torn_bytes += journal.left as u64;
+        found.torn_bytes += journal.trailing_bytes as u64;
         for frame in journal.frames {
-            let taken = match postcard::from_bytes::<Record>(frame) {
+            let applied = match postcard::from_bytes::<Record>(frame) {
                 Ok(Record::Change(change)) => facts.apply(change),
-                Ok(Record::End(_)) => Err("an end in a journal".into()),
+                Ok(Record::End(_)) => Err("unexpected end marker".into()),
                 Err(e) => Err(e.to_string()),
             };
-            match taken {
+            match applied {
                 Ok(()) => found.records += 1,
-                Err(why) => found.passed_over.push(format!("{name}: a record: {why}")),
+                Err(why) => found
+                    .passed_over
+                    .push(format!("{name}: record skipped: {why}")),
             }
         }
     }
@@ -131,39 +134,45 @@
 }
 
 /// The error for a file that must not be touched.
-fn refusal(name: &str, refused: &FileError) -> io::Error {
-    let why = match refused {
-        FileError::Newer(version) => {
-            format!("{name}: schema {version} is of a newer program; nothing is touched")
+fn open_error(name: &str, error: &FileError) -> io::Error {
+    let why = match error {
+        FileError::NewerSchema(version) => {
+            format!(
+                "{name}: schema {version} was written by a newer version; the file is left untouched"
+            )
         }
-        FileError::Key => format!("{name}: it is sealed with another key, or with none"),
-        FileError::NotOurs => format!("{name}: it is none of ours"),
+        FileError::WrongKey => format!("{name}: it was written with another key, or without one"),
+        FileError::UnknownFormat => format!("{name}: not a file of this program"),
     };
     io::Error::new(io::ErrorKind::InvalidData, why)
 }
 
 /// The state in a snapshot and its number of records, or why the snapshot is unusable.
-type Snapshot = Result<(Facts, u64), String>;
+type SnapshotResult = Result<(Facts, u64), String>;
 
 /// Reads a snapshot file.
-fn snapshot(layer: &mut dyn Directory, generation: u64, key: &Key) -> io::Result<Snapshot> {
-    let name = name_of(Kind::Snapshot, generation);
-    let bytes = match layer.read(&name, LARGEST) {
+fn read_snapshot(
+    directory: &mut dyn Directory,
+    generation: u64,
+    key: &Key,
+) -> io::Result<SnapshotResult> {
+    let name = file_name(Kind::Snapshot, generation);
+    let bytes = match directory.read(&name, MAX_FILE_BYTES) {
         Ok(bytes) => bytes,
         Err(e) => return Ok(Err(e.to_string())),
     };
     let file = match read(&bytes, Kind::Snapshot, key) {
         Ok(file) => file,
-        Err(FileError::NotOurs) => return Ok(Err("no head of ours".into())),
-        Err(refused) => return Err(refusal(&name, &refused)),
+        Err(FileError::UnknownFormat) => return Ok(Err("no valid header".into())),
+        Err(error) => return Err(open_error(&name, &error)),
     };
-    Ok(whole(&file.frames, file.generation == generation))
+    Ok(decode_snapshot(&file.frames, file.generation == generation))
 }
 
 /// Decodes the records of a snapshot, which has to be complete.
-fn whole(frames: &[&[u8]], is_its_own: bool) -> Snapshot {
-    if !is_its_own {
-        return Err("of another generation".into());
+fn decode_snapshot(frames: &[&[u8]], generation_matches: bool) -> SnapshotResult {
+    if !generation_matches {
+        return Err("the header has another generation".into());
     }
     let mut facts = Facts::default();
     for (i, frame) in frames.iter().enumerate() {
@@ -172,28 +181,29 @@
             Record::End(count) if count == i as u64 && i + 1 == frames.len() => {
                 return Ok((facts, count));
             }
-            Record::End(_) => return Err("an end in the wrong place".into()),
+            Record::End(_) => return Err("misplaced end marker".into()),
         }
     }
-    Err("it has no end".into())
+    Err("incomplete: no end marker".into())
 }
 
 /// A snapshot that is being written.
-struct Writing {
+struct SnapshotInProgress {
     changes: Vec<Change>,
-    at: usize,
+    next: usize,
     chain: FrameChain,
 }
 
 /// A directory with its current generation.
 pub struct Store<L: Directory> {
-    layer: L,
+    directory: L,
     key: Key,
     generation: u64,
-    /// The position in the journal, and the journal's size in bytes.
+    /// The position in the journal.
     chain: FrameChain,
+    /// Size of the journal.
     pub journal_bytes: u64,
-    writing: Option<Writing>,
+    writing: Option<SnapshotInProgress>,
     /// Snapshots completed.
     pub snapshots: u64,
 }
@@ -203,10 +213,10 @@
     ///
     /// # Errors
     /// Returns the errors of [`recover`]; also if nothing can be written.
-    pub fn open(mut layer: L, key: Key) -> io::Result<(Store<L>, Facts, Found)> {
-        let (facts, found) = recover(&mut layer, &key)?;
+    pub fn open(mut directory: L, key: Key) -> io::Result<(Store<L>, Facts, Found)> {
+        let (facts, found) = recover(&mut directory, &key)?;
         let mut store = Store {
-            layer,
+            directory,
             chain: FrameChain::new(0, &key),
             key,
             generation: found.newest,
@@ -228,15 +238,15 @@
         self.writing = None;
         let generation = self.generation + 1;
         let chain = FrameChain::new(generation, &self.key);
-        let name = name_of(Kind::Journal, generation);
-        self.layer.create(&name)?;
+        let name = file_name(Kind::Journal, generation);
+        self.directory.create(&name)?;
         // The number is used up even if a later step fails.
         self.generation = generation;
-        let head = chain.head(Kind::Journal);
-        self.layer.append(&name, &head)?;
-        self.layer.sync(&name)?;
-        self.layer.sync_names()?;
-        (self.chain, self.journal_bytes) = (chain, head.len() as u64);
+        let header = chain.header(Kind::Journal);
+        self.directory.append(&name, &header)?;
+        self.directory.sync(&name)?;
+        self.directory.sync_names()?;
+        (self.chain, self.journal_bytes) = (chain, header.len() as u64);
         let servers = facts.servers.values().cloned().map(Change::Server);
         let levels = facts.levels.iter();
         let levels = levels.map(|(c, (share, at))| Change::Level(c.clone(), *share, at.clone()));
@@ -244,11 +254,12 @@
         let kept = kept.map(|((f, n), v)| Change::Kept(f.clone(), n.clone(), v.clone()));
         let alive = std::iter::once(Change::Alive(facts.alive.clone())).chain(kept);
         let chain = FrameChain::new(generation, &self.key);
-        self.layer.create(ASIDE)?;
-        self.layer.append(ASIDE, &chain.head(Kind::Snapshot))?;
-        self.writing = Some(Writing {
+        self.directory.create(TEMPORARY_NAME)?;
+        self.directory
+            .append(TEMPORARY_NAME, &chain.header(Kind::Snapshot))?;
+        self.writing = Some(SnapshotInProgress {
             changes: servers.chain(levels).chain(alive).collect(),
-            at: 0,
+            next: 0,
             chain,
         });
         Ok(())
@@ -259,44 +270,47 @@
         self.writing.is_some()
     }
 
-    /// Writes up to `many` records of the snapshot. Returns whether more are left.
+    /// Writes up to `max_records` records of the snapshot. Returns whether more are left.
     ///
     /// # Errors
     /// Returns the error of the directory; the older generation remains valid, and the journal is
     /// still written.
-    pub fn write_snapshot_records(&mut self, many: usize) -> io::Result<bool> {
+    pub fn write_snapshot_records(&mut self, max_records: usize) -> io::Result<bool> {
         let Some(mut writing) = self.writing.take() else {
             return Ok(false);
         };
-        let to = writing.at.saturating_add(many).min(writing.changes.len());
+        let end = writing
+            .next
+            .saturating_add(max_records)
+            .min(writing.changes.len());
         let mut out = Vec::new();
-        for change in &writing.changes[writing.at..to] {
+        for change in &writing.changes[writing.next..end] {
             writing
                 .chain
-                .put(&mut out, &bytes_of(&Record::Change(change.clone()))?);
+                .append(&mut out, &encode(&Record::Change(change.clone()))?);
         }
-        writing.at = to;
-        let ends = to == writing.changes.len();
-        if ends {
+        writing.next = end;
+        let complete = end == writing.changes.len();
+        if complete {
             writing
                 .chain
-                .put(&mut out, &bytes_of(&Record::End(to as u64))?);
+                .append(&mut out, &encode(&Record::End(end as u64))?);
         }
-        self.layer.append(ASIDE, &out)?;
-        if !ends {
+        self.directory.append(TEMPORARY_NAME, &out)?;
+        if !complete {
             self.writing = Some(writing);
             return Ok(true);
         }
-        self.layer.sync(ASIDE)?;
-        self.layer
-            .rename(ASIDE, &name_of(Kind::Snapshot, self.generation))?;
-        self.layer.sync_names()?;
+        self.directory.sync(TEMPORARY_NAME)?;
+        self.directory
+            .rename(TEMPORARY_NAME, &file_name(Kind::Snapshot, self.generation))?;
+        self.directory.sync_names()?;
         self.snapshots += 1;
         // Remove older files only after the snapshot has been read back.
-        if snapshot(&mut self.layer, self.generation, &self.key)?.is_ok() {
-            for name in self.layer.list()? {
-                if generation_of(&name).is_some_and(|(_, g)| g < self.generation) {
-                    self.layer.remove(&name)?;
+        if read_snapshot(&mut self.directory, self.generation, &self.key)?.is_ok() {
+            for name in self.directory.list()? {
+                if parse_file_name(&name).is_some_and(|(_, g)| g < self.generation) {
+                    self.directory.remove(&name)?;
                 }
             }
         }
@@ -313,17 +327,17 @@
         let mut out = Vec::new();
         for change in changes {
             self.chain
-                .put(&mut out, &bytes_of(&Record::Change(change.clone()))?);
+                .append(&mut out, &encode(&Record::Change(change.clone()))?);
         }
-        let name = name_of(Kind::Journal, self.generation);
-        self.layer.append(&name, &out)?;
-        self.layer.sync(&name)?;
+        let name = file_name(Kind::Journal, self.generation);
+        self.directory.append(&name, &out)?;
+        self.directory.sync(&name)?;
         self.journal_bytes += out.len() as u64;
         Ok(out.len() as u64)
     }
 }
 
 /// Encodes a record.
-fn bytes_of(record: &Record) -> io::Result<Vec<u8>> {
+fn encode(record: &Record) -> io::Result<Vec<u8>> {
     postcard::to_allocvec(record).map_err(io::Error::other)
 }
--- a/crates/memory/src/writer.rs
+++ b/crates/memory/src/writer.rs
@@ -15,49 +15,51 @@
 use tracing::{info, warn};
 
 /// Maximum number of queued groups of changes.
-const WAITING: usize = 256;
-/// The journal is compacted once it is `COMPACT` times as large as a snapshot of the state would
-/// be, estimated at `RECORD` bytes per server, but not below `SMALLEST` bytes.
-const COMPACT: u64 = 4;
-const SMALLEST: u64 = 256 * 1024;
-const RECORD: u64 = 200;
-/// Snapshot records written per slice, the scheduler's period, and the share of it that all slices
-/// may use.
-const SLICE: usize = 256;
+const MAX_QUEUED_GROUPS: usize = 256;
+/// The journal is compacted once it is `COMPACTION_FACTOR` times as large as a snapshot of the
+/// state would be, estimated at `RECORD_BYTES` bytes per server, but not below
+/// `MIN_COMPACTION_BYTES` bytes.
+const COMPACTION_FACTOR: u64 = 4;
+const MIN_COMPACTION_BYTES: u64 = 256 * 1024;
+const RECORD_BYTES: u64 = 200;
+/// Snapshot records written per slice.
+const SLICE_RECORDS: usize = 256;
+/// The scheduler's period.
 const PERIOD_MS: f64 = 100.0;
+/// Share of a period that all slices of a snapshot may use.
 const SNAPSHOT_SHARE: f64 = 0.2;
 /// The scheduler class of snapshots. Commits need none: the thread does them first in each
 /// iteration.
-const SNAPSHOT: usize = 0;
-/// Delay before a failed directory is tried again; it doubles with each failure, up to `DOUBLINGS`
-/// times.
-const AGAIN_MS: f64 = 500.0;
-const DOUBLINGS: u32 = 6;
+const SNAPSHOT_CLASS: usize = 0;
+/// Delay before a failed directory is tried again; it doubles with each failure, up to
+/// `MAX_DOUBLINGS` times.
+const RETRY_DELAY_MS: f64 = 500.0;
+const MAX_DOUBLINGS: u32 = 6;
 
 /// Queued groups of changes, and whether to stop.
 #[derive(Default)]
-struct Waiting {
+struct Queue {
     groups: VecDeque<Vec<Change>>,
-    over: bool,
+    stopping: bool,
 }
 
 /// Counters for the status page.
 #[derive(Clone, Debug, Default)]
-struct Tally {
+struct Counters {
     groups: u64,
     changes: u64,
     bytes: u64,
     snapshots: u64,
     longest_commit_ms: f64,
-    refused: u64,
+    rejected: u64,
     fault: Option<String>,
 }
 
 /// Handle to the writer thread; see the module documentation.
 pub struct JournalWriter {
-    waiting: Mutex<Waiting>,
-    bell: Condvar,
-    tally: Mutex<Tally>,
+    queue: Mutex<Queue>,
+    wakeup: Condvar,
+    counters: Mutex<Counters>,
     found: Found,
 }
 
@@ -67,15 +69,15 @@
 }
 
 /// State owned by the writer thread.
-struct Hand<L: Directory> {
+struct WriterState<L: Directory> {
     store: Store<L>,
     facts: Facts,
     scheduler: Scheduler,
-    snapshot_waits: bool,
+    snapshot_queued: bool,
     failures: u32,
     /// Set while the journal is unreliable: when to try a new generation.
-    mend_at: Option<f64>,
-    begun: Instant,
+    repair_at: Option<f64>,
+    started: Instant,
 }
 
 impl JournalWriter {
@@ -88,10 +90,10 @@
         facts: Facts,
         found: Found,
     ) -> std::io::Result<(Arc<JournalWriter>, JoinHandle<()>)> {
-        let keeper = Arc::new(JournalWriter {
-            waiting: Mutex::default(),
-            bell: Condvar::new(),
-            tally: Mutex::default(),
+        let writer = Arc::new(JournalWriter {
+            queue: Mutex::default(),
+            wakeup: Condvar::new(),
+            counters: Mutex::default(),
             found,
         });
         let budget = |ms| Budget {
@@ -99,19 +101,19 @@
             max_queued: 8,
         };
         let budgets = [budget(PERIOD_MS * SNAPSHOT_SHARE)];
-        let hand = Hand {
+        let state = WriterState {
             store,
             facts,
             scheduler: Scheduler::new(0.0, PERIOD_MS, &budgets),
-            snapshot_waits: false,
+            snapshot_queued: false,
             failures: 0,
-            mend_at: None,
-            begun: Instant::now(),
+            repair_at: None,
+            started: Instant::now(),
         };
-        let own = keeper.clone();
+        let handle = writer.clone();
         let thread = std::thread::Builder::new().name("memory".into());
-        let thread = thread.spawn(move || own.live(hand))?;
-        Ok((keeper, thread))
+        let thread = thread.spawn(move || handle.run(state))?;
+        Ok((writer, thread))
     }
 
     /// Queues a group of changes without blocking. Returns `false` if the queue is full; the caller
@@ -120,177 +122,178 @@
         if changes.is_empty() {
             return true;
         }
-        let mut waiting = lock(&self.waiting);
-        if waiting.groups.len() >= WAITING {
-            drop(waiting);
-            lock(&self.tally).refused += 1;
+        let mut queue = lock(&self.queue);
+        if queue.groups.len() >= MAX_QUEUED_GROUPS {
+            drop(queue);
+            lock(&self.counters).rejected += 1;
             return false;
         }
-        waiting.groups.push_back(changes);
-        self.bell.notify_all();
+        queue.groups.push_back(changes);
+        self.wakeup.notify_all();
         true
     }
 
     /// Stops the thread once all queued changes are written.
     pub fn stop(&self) {
-        lock(&self.waiting).over = true;
-        self.bell.notify_all();
+        lock(&self.queue).stopping = true;
+        self.wakeup.notify_all();
     }
 
     /// Counters and the last error, for the status page.
     pub fn status(&self) -> Value {
-        let waiting = lock(&self.waiting).groups.len();
-        let tally = lock(&self.tally).clone();
+        let waiting = lock(&self.queue).groups.len();
+        let counters = lock(&self.counters).clone();
         json!({
-            "found": self.found, "waiting": waiting, "groups": tally.groups,
-            "changes": tally.changes, "bytes": tally.bytes, "snapshots": tally.snapshots,
-            "longest_commit_ms": tally.longest_commit_ms, "not_taken": tally.refused,
-            "fault": tally.fault,
+            "found": self.found, "waiting": waiting, "groups": counters.groups,
+            "changes": counters.changes, "bytes": counters.bytes, "snapshots": counters.snapshots,
+            "longest_commit_ms": counters.longest_commit_ms, "not_taken": counters.rejected,
+            "fault": counters.fault,
         })
     }
 
     /// The thread's main loop.
-    fn live<L: Directory>(&self, mut hand: Hand<L>) {
+    fn run<L: Directory>(&self, mut state: WriterState<L>) {
         loop {
-            let now = hand.now_ms();
-            let mend = hand.mend_at.is_some_and(|at| now >= at);
-            if mend {
-                self.mend(&mut hand);
+            let now = state.now_ms();
+            let repair_due = state.repair_at.is_some_and(|at| now >= at);
+            if repair_due {
+                self.repair(&mut state);
             }
-            hand.plan_snapshot(now);
-            let next = hand.scheduler.next(now);
-            let until = match (next, hand.mend_at, hand.scheduler.wake_at()) {
+            state.plan_snapshot(now);
+            let next = state.scheduler.next(now);
+            let until = match (next, state.repair_at, state.scheduler.wake_at()) {
                 (Some(_), ..) => now,
                 (None, Some(at), _) => at,
                 (None, None, Some(at)) => at,
                 (None, None, None) => f64::INFINITY,
             };
-            let Some(groups) = self.take(until - now) else {
-                if hand.mend_at.is_some() {
-                    self.mend(&mut hand);
+            let Some(changes) = self.take(until - now) else {
+                if state.repair_at.is_some() {
+                    self.repair(&mut state);
                 }
                 return;
             };
-            if !groups.is_empty() {
-                self.commit(&mut hand, groups);
+            if !changes.is_empty() {
+                self.commit(&mut state, changes);
             }
-            if let Some((id, piece)) = next {
-                let begun = hand.now_ms();
-                let more = piece.class == SNAPSHOT && self.slice(&mut hand);
-                hand.snapshot_waits = more;
-                let now = hand.now_ms();
-                hand.scheduler.task_ran(now, id, now - begun, more);
+            if let Some((id, task)) = next {
+                let started = state.now_ms();
+                let more = task.class == SNAPSHOT_CLASS && self.write_slice(&mut state);
+                state.snapshot_queued = more;
+                let now = state.now_ms();
+                state.scheduler.task_ran(now, id, now - started, more);
             }
-            hand.scheduler.take_events();
+            state.scheduler.take_events();
         }
     }
 
     /// Takes all queued changes, waiting for some for `wait_ms` at most. `None` once the thread is
     /// to stop and the queue is empty.
     fn take(&self, wait_ms: f64) -> Option<Vec<Change>> {
-        let mut waiting = lock(&self.waiting);
-        if waiting.groups.is_empty() && !waiting.over && wait_ms > 0.0 {
-            let time = Duration::from_secs_f64(wait_ms.min(3.6e6) / 1e3);
-            let waited = self.bell.wait_timeout(waiting, time);
-            waiting = waited.unwrap_or_else(|e| e.into_inner()).0;
+        let mut queue = lock(&self.queue);
+        if queue.groups.is_empty() && !queue.stopping && wait_ms > 0.0 {
+            let timeout = Duration::from_secs_f64(wait_ms.min(3.6e6) / 1e3);
+            let waited = self.wakeup.wait_timeout(queue, timeout);
+            queue = waited.unwrap_or_else(|e| e.into_inner()).0;
         }
-        if waiting.groups.is_empty() && waiting.over {
+        if queue.groups.is_empty() && queue.stopping {
             return None;
         }
-        Some(waiting.groups.drain(..).flatten().collect())
+        Some(queue.groups.drain(..).flatten().collect())
     }
 
     /// Writes all queued changes as one group, with one sync.
-    fn commit<L: Directory>(&self, hand: &mut Hand<L>, changes: Vec<Change>) {
+    fn commit<L: Directory>(&self, state: &mut WriterState<L>, changes: Vec<Change>) {
         for change in &changes {
-            if let Err(why) = hand.facts.apply(change.clone()) {
-                warn!("memory: a change is passed over: {why}");
+            if let Err(why) = state.facts.apply(change.clone()) {
+                warn!("memory: skipped an invalid change: {why}");
             }
         }
-        if hand.mend_at.is_some() {
+        if state.repair_at.is_some() {
             // The changes are in `facts`; the generation that repairs the directory will contain
             // them.
             return;
         }
-        let begun = hand.now_ms();
-        match hand.store.commit(&changes) {
+        let started = state.now_ms();
+        match state.store.commit(&changes) {
             Ok(bytes) => {
-                let took = hand.now_ms() - begun;
-                let mut tally = lock(&self.tally);
-                tally.groups += 1;
-                tally.changes += changes.len() as u64;
-                tally.bytes += bytes;
-                tally.longest_commit_ms = tally.longest_commit_ms.max(took);
+                let took = state.now_ms() - started;
+                let mut counters = lock(&self.counters);
+                counters.groups += 1;
+                counters.changes += changes.len() as u64;
+                counters.bytes += bytes;
+                counters.longest_commit_ms = counters.longest_commit_ms.max(took);
             }
-            Err(e) => self.failed(hand, &e),
+            Err(e) => self.failed(state, &e),
         }
     }
 
     /// Records a write error and schedules the repair. Only the first of a row of errors is logged.
-    fn failed<L: Directory>(&self, hand: &mut Hand<L>, e: &std::io::Error) {
-        let doubled = f64::from(1_u32 << hand.failures.min(DOUBLINGS));
-        hand.mend_at = Some(hand.now_ms() + AGAIN_MS * doubled);
-        if hand.failures == 0 {
-            warn!(error = %e, "memory: it cannot be written; decisions go on, and it is tried again");
+    fn failed<L: Directory>(&self, state: &mut WriterState<L>, e: &std::io::Error) {
+        let factor = f64::from(1_u32 << state.failures.min(MAX_DOUBLINGS));
+        state.repair_at = Some(state.now_ms() + RETRY_DELAY_MS * factor);
+        if state.failures == 0 {
+            warn!(error = %e, "memory: cannot write; decisions continue, and writing is retried");
         }
-        hand.failures += 1;
-        lock(&self.tally).fault = Some(e.to_string());
+        state.failures += 1;
+        lock(&self.counters).fault = Some(e.to_string());
     }
 
     /// Repairs the directory by writing a new generation from the state in memory.
-    fn mend<L: Directory>(&self, hand: &mut Hand<L>) {
-        match hand.store.begin_generation(&hand.facts) {
-            Ok(()) => match hand.store.write_snapshot_records(usize::MAX) {
+    fn repair<L: Directory>(&self, state: &mut WriterState<L>) {
+        match state.store.begin_generation(&state.facts) {
+            Ok(()) => match state.store.write_snapshot_records(usize::MAX) {
                 Ok(_) => {
-                    (hand.mend_at, hand.failures) = (None, 0);
-                    lock(&self.tally).fault = None;
-                    info!("memory: it is written again");
+                    (state.repair_at, state.failures) = (None, 0);
+                    lock(&self.counters).fault = None;
+                    info!("memory: writing works again");
                 }
-                Err(e) => self.failed(hand, &e),
+                Err(e) => self.failed(state, &e),
             },
-            Err(e) => self.failed(hand, &e),
+            Err(e) => self.failed(state, &e),
         }
     }
 
     /// Writes a slice of a snapshot. Returns whether more is left.
-    fn slice<L: Directory>(&self, hand: &mut Hand<L>) -> bool {
-        if hand.mend_at.is_some() {
+    fn write_slice<L: Directory>(&self, state: &mut WriterState<L>) -> bool {
+        if state.repair_at.is_some() {
             return false;
         }
-        let begun = match hand.store.is_writing_snapshot() {
+        let begun = match state.store.is_writing_snapshot() {
             true => Ok(()),
-            false => hand.store.begin_generation(&hand.facts),
+            false => state.store.begin_generation(&state.facts),
         };
-        match begun.and_then(|()| hand.store.write_snapshot_records(SLICE)) {
+        match begun.and_then(|()| state.store.write_snapshot_records(SLICE_RECORDS)) {
             Ok(more) => {
-                lock(&self.tally).snapshots = hand.store.snapshots;
+                lock(&self.counters).snapshots = state.store.snapshots;
                 more
             }
             Err(e) => {
-                self.failed(hand, &e);
+                self.failed(state, &e);
                 false
             }
         }
     }
 }
 
-impl<L: Directory> Hand<L> {
+impl<L: Directory> WriterState<L> {
     /// Milliseconds since the thread was started.
     fn now_ms(&self) -> f64 {
-        self.begun.elapsed().as_secs_f64() * 1e3
+        self.started.elapsed().as_secs_f64() * 1e3
     }
 
     /// Submits a snapshot task if the journal has grown too large.
     fn plan_snapshot(&mut self, now: f64) {
-        let size = RECORD * self.facts.servers.len() as u64;
-        let due = self.store.journal_bytes > (COMPACT * size).max(SMALLEST);
-        if due && !self.snapshot_waits && self.mend_at.is_none() {
-            let piece = Task {
-                class: SNAPSHOT,
+        let snapshot_bytes = RECORD_BYTES * self.facts.servers.len() as u64;
+        let due = self.store.journal_bytes
+            > (COMPACTION_FACTOR * snapshot_bytes).max(MIN_COMPACTION_BYTES);
+        if due && !self.snapshot_queued && self.repair_at.is_none() {
+            let task = Task {
+                class: SNAPSHOT_CLASS,
                 owner: 0,
                 deadline: None,
             };
-            self.snapshot_waits = self.scheduler.submit(now, piece).is_some();
+            self.snapshot_queued = self.scheduler.submit(now, task).is_some();
         }
     }
 }
--- a/crates/memory/tests/store.rs
+++ b/crates/memory/tests/store.rs
@@ -342,7 +342,10 @@
         .err()
         .unwrap()
         .to_string();
-    assert!(why.contains("schema 9 is of a newer program"), "{why}");
+    assert!(
+        why.contains("schema 9 was written by a newer version"),
+        "{why}"
+    );
     assert_eq!(layer.0.lock().unwrap().now, before);
 }
 
