--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -10,7 +10,7 @@
 use tracing::{info, warn};
 
 /// Maximum number of facts taken from one peer.
-const MOST: usize = 100_000;
+const MAX_FACTS: usize = 100_000;
 
 /// Queries one peer. Returns the facts received, whatever ended the stream, and the error if there
 /// was one.
@@ -20,53 +20,53 @@
     clock: fn() -> Timestamp,
     until: Instant,
 ) -> (PeerFacts, Option<Status>) {
-    let begun = Instant::now();
-    let mut learned = PeerFacts::default();
-    let ended = listen(peer, service, clock, until, &mut learned).err();
-    learned.took_ms = begun.elapsed().as_secs_f64() * 1e3;
-    (learned, ended)
+    let started = Instant::now();
+    let mut answer = PeerFacts::default();
+    let error = collect(peer, service, clock, until, &mut answer).err();
+    answer.took_ms = started.elapsed().as_secs_f64() * 1e3;
+    (answer, error)
 }
 
 /// Opens the stream and collects facts until it ends.
-fn listen(
+fn collect(
     peer: SocketAddr,
     service: &str,
     clock: fn() -> Timestamp,
     until: Instant,
-    learned: &mut PeerFacts,
+    answer: &mut PeerFacts,
 ) -> Result<(), Status> {
-    let left = || until.saturating_duration_since(Instant::now());
+    let remaining = || until.saturating_duration_since(Instant::now());
     let limits = Limits {
-        patience: left().max(Duration::from_millis(1)),
+        patience: remaining().max(Duration::from_millis(1)),
         ..Limits::default()
     };
     let link = Link::dial(peer, limits)?;
-    let mut dialed = link.open(TELL_METHOD, Some(left()))?;
-    let question = Ask {
+    let mut call = link.open(TELL_METHOD, Some(remaining()))?;
+    let request = Ask {
         service: service.into(),
     };
-    let _ = dialed.outbound.send(&question);
-    dialed.outbound.half_close();
-    let (_outbound, mut inbound) = dialed.answered()?;
-    while let Some(word) = inbound.message::<Word>()? {
+    let _ = call.outbound.send(&request);
+    call.outbound.half_close();
+    let (_outbound, mut inbound) = call.answered()?;
+    while let Some(message) = inbound.message::<Word>()? {
         let now = clock();
-        match word.said {
+        match message.said {
             Some(Said::Head(head)) if head.service == service => {
-                learned.runs_ms = if head.runs_ms.is_finite() {
+                answer.runs_ms = if head.runs_ms.is_finite() {
                     head.runs_ms.max(0.0)
                 } else {
                     0.0
                 };
             }
-            Some(Said::Servers(all)) => {
-                let room = MOST.saturating_sub(learned.facts.len());
-                let sound = all.servers.iter().filter_map(|w| w.fact(&now));
-                learned.facts.extend(sound.take(room));
+            Some(Said::Servers(batch)) => {
+                let capacity = MAX_FACTS.saturating_sub(answer.facts.len());
+                let valid = batch.servers.iter().filter_map(|w| w.fact(&now));
+                answer.facts.extend(valid.take(capacity));
             }
-            Some(Said::End(end)) => learned.complete = end.servers == learned.facts.len() as u64,
+            Some(Said::End(end)) => answer.complete = end.servers == answer.facts.len() as u64,
             Some(Said::Head(head)) => {
-                learned.facts.clear();
-                let why = format!("it controls {:?}", head.service);
+                answer.facts.clear();
+                let why = format!("the peer controls service {:?}", head.service);
                 return Err(Status::new(Code::FailedPrecondition, why));
             }
             // Sent by a newer peer: unknown, and ignored.
@@ -86,31 +86,31 @@
     let until = Instant::now() + within;
     let mut best: Option<PeerFacts> = None;
     for (i, peer) in peers.iter().enumerate() {
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = until.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             break;
         }
         // Divide the remaining time, so that a peer that hangs leaves the others their share.
-        let own = Instant::now() + left / (peers.len() - i) as u32;
-        let (learned, ended) = query(*peer, service, clock, own);
-        match &ended {
-            None if learned.complete => {
-                info!(%peer, servers = learned.facts.len(), took_ms = learned.took_ms, "learned from a peer")
+        let deadline = Instant::now() + remaining / (peers.len() - i) as u32;
+        let (answer, error) = query(*peer, service, clock, deadline);
+        match &error {
+            None if answer.complete => {
+                info!(%peer, servers = answer.facts.len(), took_ms = answer.took_ms, "learned from a peer")
             }
-            None => warn!(%peer, servers = learned.facts.len(), "a peer's word does not add up"),
+            None => warn!(%peer, servers = answer.facts.len(), "a peer's answer is incomplete"),
             Some(status) => {
-                warn!(%peer, servers = learned.facts.len(), %status, "a peer did not tell all")
+                warn!(%peer, servers = answer.facts.len(), %status, "a peer's answer ended with an error")
             }
         }
-        let whole = learned.complete;
-        if whole
+        let complete = answer.complete;
+        if complete
             || best
                 .as_ref()
-                .is_none_or(|b| b.facts.len() < learned.facts.len())
+                .is_none_or(|b| b.facts.len() < answer.facts.len())
         {
-            best = Some(learned);
+            best = Some(answer);
         }
-        if whole {
+        if complete {
             break;
         }
     }
--- a/crates/peer/src/merge.rs
+++ b/crates/peer/src/merge.rs
@@ -9,7 +9,7 @@
 
 /// Running time, in multiples of the warm-up time, below which a peer cannot tell which servers are
 /// new: to it all are.
-const LIVED: f64 = 1.0;
+const MIN_WARM_UPS_RUN: f64 = 1.0;
 
 /// A peer's answer.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -47,27 +47,27 @@
 
 /// What is taken from the peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Takes {
+struct FromPeer {
     state: bool,
     share: bool,
 }
 
 /// Decides one aspect of what is taken from the peer.
-type Rule = fn(&Case, &mut Takes);
+type Rule = fn(&Case, &mut FromPeer);
 
 /// The rules, applied in order; the last may override the one before.
 const RULES: [Rule; 3] = [
-    the_fresher_eye_says_who_is_there,
-    the_fresher_judgement_says_how_well,
-    another_machine_is_judged_by_who_saw_it,
+    state_from_last_observer,
+    share_from_last_confirmation,
+    share_follows_address,
 ];
 
 /// State and address come from the side that looked last: a running peer looks now, our own facts
 /// ended with our last run. Prevents use of facts about a machine that was replaced during the
 /// downtime. If the peer's roster is behind ours the state is wrong, but the true roster follows at
 /// once.
-fn the_fresher_eye_says_who_is_there(c: &Case, takes: &mut Takes) {
-    takes.state = match c.now.since(c.own_alive) {
+fn state_from_last_observer(c: &Case, from_peer: &mut FromPeer) {
+    from_peer.state = match c.now.since(c.own_alive) {
         Some(age) => age > c.took_ms,
         None => true,
     };
@@ -76,9 +76,9 @@
 /// The share comes from the side that confirmed it last; at the same age from our own. An unknown
 /// age counts as older than any. Prevents hours-old shares of a peer that has had no visits since
 /// from replacing ours: a peer may be running and still know less.
-fn the_fresher_judgement_says_how_well(c: &Case, takes: &mut Takes) {
+fn share_from_last_confirmation(c: &Case, from_peer: &mut FromPeer) {
     let age = |f: &ServerFact| c.now.since(&f.judged);
-    takes.share = match (age(c.own), age(c.peers)) {
+    from_peer.share = match (age(c.own), age(c.peers)) {
         (Some(own), Some(peers)) => peers < own,
         (None, Some(_)) => true,
         (_, None) => false,
@@ -87,9 +87,9 @@
 
 /// A share belongs to a machine, not to a name: if the addresses differ, the share comes from the
 /// side whose address was taken.
-fn another_machine_is_judged_by_who_saw_it(c: &Case, takes: &mut Takes) {
+fn share_follows_address(c: &Case, from_peer: &mut FromPeer) {
     if c.own.address != c.peers.address {
-        takes.share = takes.state;
+        from_peer.share = from_peer.state;
     }
 }
 
@@ -97,60 +97,60 @@
 pub fn merge_facts(
     now: &Timestamp,
     own: &Facts,
-    learned: &PeerFacts,
+    answer: &PeerFacts,
     warm_ms: f64,
 ) -> (Facts, Counted) {
     let mut out = own.clone();
     let mut counted = Counted::default();
-    for told in &learned.facts {
-        let peers = aged(now, told, learned.took_ms);
-        let Some(kept) = own.servers.get(&peers.name) else {
+    for fact in &answer.facts {
+        let peers = aged(now, fact, answer.took_ms);
+        let Some(stored) = own.servers.get(&peers.name) else {
             counted.peers += 1;
             out.servers.insert(peers.name.clone(), peers);
             continue;
         };
         let case = Case {
             now,
-            own: kept,
+            own: stored,
             peers: &peers,
             own_alive: &own.alive,
-            took_ms: learned.took_ms,
+            took_ms: answer.took_ms,
         };
-        let mut takes = Takes::default();
-        RULES.iter().for_each(|rule| rule(&case, &mut takes));
-        let seen = if takes.state { &peers } else { kept };
-        let judged = if takes.share { &peers } else { kept };
-        match (takes.state, takes.share) {
+        let mut from_peer = FromPeer::default();
+        RULES.iter().for_each(|rule| rule(&case, &mut from_peer));
+        let state_source = if from_peer.state { &peers } else { stored };
+        let share_source = if from_peer.share { &peers } else { stored };
+        match (from_peer.state, from_peer.share) {
             (true, true) => counted.peers += 1,
             (false, false) => counted.own += 1,
             _ => counted.mixed += 1,
         }
         let fact = ServerFact {
-            share: judged.share,
-            judged: judged.judged.clone(),
-            ..seen.clone()
+            share: share_source.share,
+            judged: share_source.judged.clone(),
+            ..state_source.clone()
         };
         out.servers.insert(fact.name.clone(), fact);
     }
     // A server missing from the answer is new only if the peer had been running long enough and its
     // answer is complete. Otherwise the time of our own facts stands, and without any it is
     // unknown.
-    if learned.complete && learned.runs_ms >= LIVED * warm_ms && !learned.facts.is_empty() {
-        out.alive = timestamp_ago(now, learned.took_ms);
+    if answer.complete && answer.runs_ms >= MIN_WARM_UPS_RUN * warm_ms && !answer.facts.is_empty() {
+        out.alive = timestamp_ago(now, answer.took_ms);
     }
     (out, counted)
 }
 
 /// Ages a fact by the duration of the query. An unknown age stays unknown.
-fn aged(now: &Timestamp, told: &ServerFact, took_ms: f64) -> ServerFact {
+fn aged(now: &Timestamp, fact: &ServerFact, took_ms: f64) -> ServerFact {
     let older = |at: &Timestamp| match now.since(at) {
         Some(age) => timestamp_ago(now, age + took_ms.max(0.0)),
         None => at.clone(),
     };
     ServerFact {
-        since: older(&told.since),
-        judged: older(&told.judged),
-        ..told.clone()
+        since: older(&fact.since),
+        judged: older(&fact.judged),
+        ..fact.clone()
     }
 }
 
@@ -184,7 +184,7 @@
         }
     }
 
-    fn kept(alive_ms: f64, fact: Option<ServerFact>) -> Facts {
+    fn stored(alive_ms: f64, fact: Option<ServerFact>) -> Facts {
         Facts {
             servers: fact.into_iter().map(|f| (f.name.clone(), f)).collect(),
             alive: timestamp_ago(&now(), alive_ms),
@@ -266,8 +266,12 @@
         ];
         for (name, alive, own, peers, wanted) in cases {
             let one = |s: Said| fact(s.0, s.1, s.2, s.3);
-            let (out, _) =
-                merge_facts(&now(), &kept(alive, Some(one(own))), &told(one(peers)), 1e4);
+            let (out, _) = merge_facts(
+                &now(),
+                &stored(alive, Some(one(own))),
+                &told(one(peers)),
+                1e4,
+            );
             let f = &out.servers["s"];
             assert_eq!((f.state, f.share, f.address.as_str()), wanted, "{name}");
         }
@@ -303,8 +307,8 @@
                 Some(HOUR),
             ),
         ];
-        for (name, learned, alive) in cases {
-            let (out, _) = merge_facts(&now(), &kept(HOUR, None), &learned, 1e4);
+        for (name, answer, alive) in cases {
+            let (out, _) = merge_facts(&now(), &stored(HOUR, None), &answer, 1e4);
             let age = now().since(&out.alive).map(f64::round);
             assert_eq!(age, alive, "{name}");
         }
@@ -314,8 +318,8 @@
         /// Whatever the ages, the result has the share that was confirmed last, with its age.
         #[test]
         fn stale_never_counts_more_than_fresh(own in 0.0..1e8, peers in 0.0..1e8, took in 0.0..1e4, alive in 0.0..1e8) {
-            let learned = PeerFacts { took_ms: took, ..told(fact(Ready, 0.2, peers, "a")) };
-            let (out, _) = merge_facts(&now(), &kept(alive, Some(fact(Ready, 0.9, own, "a"))), &learned, 1e4);
+            let answer = PeerFacts { took_ms: took, ..told(fact(Ready, 0.2, peers, "a")) };
+            let (out, _) = merge_facts(&now(), &stored(alive, Some(fact(Ready, 0.9, own, "a"))), &answer, 1e4);
             let f = &out.servers["s"];
             let age = now().since(&f.judged).unwrap();
             let least = own.min(peers + took);
--- a/crates/peer/src/messages.rs
+++ b/crates/peer/src/messages.rs
@@ -4,8 +4,9 @@
 use dahliapoint_control::AdminState;
 use dahliapoint_memory::facts::{ServerFact, Timestamp};
 
-/// Path of the method, and the prefix of all methods of the service.
+/// Path of the method.
 pub const TELL_METHOD: &str = "/dahliapoint.peer.v1.Peer/Tell";
+/// Prefix of the paths of all methods of the service.
 pub const SERVICE_PREFIX: &str = "/dahliapoint.peer.v1.Peer/";
 
 /// The request.
@@ -20,6 +21,7 @@
 /// One message of the answer.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Word {
+    /// The contents; `None` if a newer peer sent an unknown kind.
     #[prost(oneof = "Said", tags = "1, 2, 3")]
     pub said: Option<Said>,
 }
@@ -52,6 +54,7 @@
 /// A batch of facts about servers.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Servers {
+    /// The facts.
     #[prost(message, repeated, tag = "1")]
     pub servers: Vec<ServerWord>,
 }
@@ -59,10 +62,13 @@
 /// A fact about one server; see [`ServerFact`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ServerWord {
+    /// The server's name.
     #[prost(string, tag = "1")]
     pub name: String,
+    /// The server's address.
     #[prost(string, tag = "2")]
     pub address: String,
+    /// The server's zone.
     #[prost(string, tag = "3")]
     pub zone: String,
     /// 0 ready, 1 draining, 2 gone.
@@ -71,13 +77,16 @@
     /// Time since the state began, in milliseconds; negative if unknown.
     #[prost(double, tag = "5")]
     pub since_ms: f64,
+    /// The listed weight.
     #[prost(double, tag = "6")]
     pub weight: f64,
+    /// The published weight as a share of the listed weight.
     #[prost(double, tag = "7")]
     pub share: f64,
     /// Time since the share was last confirmed by visits, in milliseconds; negative if unknown.
     #[prost(double, tag = "8")]
     pub judged_ms: f64,
+    /// Whether the server receives no visits.
     #[prost(bool, tag = "9")]
     pub shut: bool,
 }
@@ -91,7 +100,7 @@
 }
 
 /// Longer names and addresses are rejected.
-const LONGEST: usize = 4_096;
+const MAX_TEXT_BYTES: usize = 4_096;
 
 impl ServerWord {
     /// Converts a fact, with ages relative to `now`.
@@ -118,12 +127,12 @@
     /// time in the future.
     pub fn fact(&self, now: &Timestamp) -> Option<ServerFact> {
         let texts = [&self.name, &self.address, &self.zone];
-        let sound = |n: f64| n.is_finite() && n.abs() <= 1e15;
-        let fits = texts.iter().all(|t| t.len() <= LONGEST)
+        let in_range = |n: f64| n.is_finite() && n.abs() <= 1e15;
+        let fits = texts.iter().all(|t| t.len() <= MAX_TEXT_BYTES)
             && !self.name.is_empty()
             && [self.since_ms, self.judged_ms, self.weight, self.share]
                 .into_iter()
-                .all(sound)
+                .all(in_range)
             && self.weight >= 0.0
             && (0.0..=1.0).contains(&self.share);
         let state = match self.state {
--- a/crates/peer/src/service.rs
+++ b/crates/peer/src/service.rs
@@ -11,11 +11,11 @@
 use tracing::{debug, info};
 
 /// Facts per message.
-const BATCH: usize = 64;
+const FACTS_PER_MESSAGE: usize = 64;
 /// Maximum number of concurrent answers; further callers are rejected.
-const MOST: usize = 4;
+const MAX_CONCURRENT_CALLS: usize = 4;
 /// A share below this is a reduced weight.
-const VERDICT: f64 = 0.95;
+const REDUCED_SHARE: f64 = 0.95;
 
 /// The current facts; the owner updates them once a round, and the service reads them.
 #[derive(Clone, Default)]
@@ -31,8 +31,8 @@
 /// Sort key of a fact: withdrawn and draining servers first, then reduced weights, lowest first,
 /// then the rest.
 fn rank(f: &ServerFact) -> (u8, u64) {
-    let away = f.withdrawn || f.state != AdminState::Ready;
-    let class = match (away, f.share < VERDICT) {
+    let unavailable = f.withdrawn || f.state != AdminState::Ready;
+    let class = match (unavailable, f.share < REDUCED_SHARE) {
         (true, _) => 0,
         (false, true) => 1,
         (false, false) => 2,
@@ -51,53 +51,61 @@
 /// Answers queries of new controllers.
 pub struct PeerService {
     service: String,
-    known: SharedFacts,
-    begun: Instant,
+    facts: SharedFacts,
+    started: Instant,
     clock: fn() -> Timestamp,
-    at_work: AtomicUsize,
+    active_calls: AtomicUsize,
 }
 
 impl PeerService {
     /// Creates the service for the controller of `service`; `clock` gives the current time.
-    pub fn new(service: &str, known: SharedFacts, clock: fn() -> Timestamp) -> Arc<PeerService> {
+    pub fn new(service: &str, facts: SharedFacts, clock: fn() -> Timestamp) -> Arc<PeerService> {
         Arc::new(PeerService {
             service: service.into(),
-            known,
-            begun: Instant::now(),
+            facts,
+            started: Instant::now(),
             clock,
-            at_work: AtomicUsize::new(0),
+            active_calls: AtomicUsize::new(0),
         })
     }
 
     /// Reads the query and sends all facts. Returns their number.
-    fn tell(&self, call: &mut Call) -> Result<usize, Status> {
-        let ask: Ask = match call.inbound.message()? {
-            Some(ask) => ask,
-            None => return Err(Status::new(Code::InvalidArgument, "a question is wanted")),
+    fn answer(&self, call: &mut Call) -> Result<usize, Status> {
+        let request: Ask = match call.inbound.message()? {
+            Some(request) => request,
+            None => {
+                return Err(Status::new(
+                    Code::InvalidArgument,
+                    "the request message is missing",
+                ));
+            }
         };
-        if ask.service != self.service {
-            let why = format!("this controls {:?}, not {:?}", self.service, ask.service);
+        if request.service != self.service {
+            let why = format!(
+                "this controls service {:?}, not {:?}",
+                self.service, request.service
+            );
             return Err(Status::new(Code::FailedPrecondition, why));
         }
-        // Sends a copy, so that a slow reader does not hold the lock.
+        // Send a copy, so that a slow reader does not hold the lock.
         let now = (self.clock)();
-        let words = prioritized(&self.known.lock(), &now);
+        let facts = prioritized(&self.facts.lock(), &now);
         let head = Head {
             service: self.service.clone(),
-            runs_ms: self.begun.elapsed().as_secs_f64() * 1e3,
+            runs_ms: self.started.elapsed().as_secs_f64() * 1e3,
         };
-        let put = |said| Word { said: Some(said) };
-        call.outbound.send(&put(Said::Head(head)))?;
-        let many = words.len();
-        for batch in words.chunks(BATCH) {
+        let message = |said| Word { said: Some(said) };
+        call.outbound.send(&message(Said::Head(head)))?;
+        let count = facts.len();
+        for batch in facts.chunks(FACTS_PER_MESSAGE) {
             let servers = batch.to_vec();
             call.outbound
-                .send(&put(Said::Servers(Servers { servers })))?;
+                .send(&message(Said::Servers(Servers { servers })))?;
         }
-        call.outbound.send(&put(Said::End(End {
-            servers: many as u64,
+        call.outbound.send(&message(Said::End(End {
+            servers: count as u64,
         })))?;
-        Ok(many)
+        Ok(count)
     }
 }
 
@@ -107,21 +115,21 @@
             let status = Status::new(Code::Unimplemented, format!("no method {}", call.path));
             return call.outbound.finish(&status);
         }
-        if self.at_work.fetch_add(1, Ordering::SeqCst) >= MOST {
-            self.at_work.fetch_sub(1, Ordering::SeqCst);
-            let status = Status::new(Code::ResourceExhausted, "others are asking");
+        if self.active_calls.fetch_add(1, Ordering::SeqCst) >= MAX_CONCURRENT_CALLS {
+            self.active_calls.fetch_sub(1, Ordering::SeqCst);
+            let status = Status::new(Code::ResourceExhausted, "too many concurrent calls");
             return call.outbound.finish(&status);
         }
         let peer = call.peer;
-        let told = self.tell(&mut call);
-        self.at_work.fetch_sub(1, Ordering::SeqCst);
-        match told {
+        let result = self.answer(&mut call);
+        self.active_calls.fetch_sub(1, Ordering::SeqCst);
+        match result {
             Ok(servers) => {
-                info!(%peer, servers, "a newcomer was told what is known");
+                info!(%peer, servers, "answered a new controller");
                 call.outbound.finish(&Status::new(Code::Ok, ""));
             }
             Err(status) => {
-                debug!(%peer, %status, "a newcomer was not told");
+                debug!(%peer, %status, "could not answer a new controller");
                 call.outbound.finish(&status);
             }
         }
