--- a/crates/intake/src/timer_wheel.rs
+++ b/crates/intake/src/timer_wheel.rs
@@ -95,3 +95,6 @@
         self.due.is_empty()
     }
 }
+
+#[cfg(test)]
+mod tests;
