--- a/crates/intake/benches/structures.rs
+++ b/crates/intake/benches/structures.rs
@@ -142,7 +142,7 @@
 }
 
 /// `n` reports of ten lines between two rounds, and reading them.
-fn mouth(c: &mut Criterion) {
+fn report_queue(c: &mut Criterion) {
     let mut group = c.benchmark_group("reports of a round");
     for n in SIZES {
         let line = Line {
@@ -150,16 +150,16 @@
             good_ms: 60.0,
             ..Line::default()
         };
-        group.bench_function(BenchmarkId::new("mouth", n), |b| {
+        group.bench_function(BenchmarkId::new("report queue", n), |b| {
             b.iter(|| {
-                let mut mouth: ReportQueue<usize, usize> = ReportQueue::new(500.0, 1000, 1);
-                (0..50).for_each(|r| mouth.stream_started(0.0, r));
+                let mut queue: ReportQueue<usize, usize> = ReportQueue::new(500.0, 1000, 1);
+                (0..50).for_each(|r| queue.stream_started(0.0, r));
                 for i in 0..n {
                     let now = i as f64 * 500.0 / n as f64;
                     let lines = (0..10).map(|s| (s, line));
-                    let _ = mouth.push(now, &(i % 50), 10.0, lines, std::iter::empty());
+                    let _ = queue.push(now, &(i % 50), 10.0, lines, std::iter::empty());
                 }
-                black_box(mouth.read(500.0, 10_000))
+                black_box(queue.read(500.0, 10_000))
             });
         });
         group.bench_function(BenchmarkId::new("queue of reports", n), |b| {
@@ -182,17 +182,17 @@
 }
 
 /// The reporting share of each of `n` servers with twelve reporters each.
-fn index(c: &mut Criterion) {
-    let mut group = c.benchmark_group("share heard of every server");
+fn reporting_share(c: &mut Criterion) {
+    let mut group = c.benchmark_group("reporting share of every server");
     for n in SIZES {
         let mut coverage = Coverage::new(0.0, 500.0);
-        let mut plain: BTreeMap<(usize, usize), f64> = BTreeMap::new();
+        let mut map: BTreeMap<(usize, usize), f64> = BTreeMap::new();
         for server in 0..n {
             for i in 0..12 {
                 let proxy = (server * 7 + i * 13) % 400;
                 coverage.report_received(0.0, proxy, 500.0);
                 coverage.record_tries(proxy, server, 5.0);
-                plain.insert((proxy, server), 5.0);
+                map.insert((proxy, server), 5.0);
             }
         }
         group.bench_function(BenchmarkId::new("index by server", n), |b| {
@@ -201,8 +201,7 @@
         group.bench_function(BenchmarkId::new("map by proxy", n), |b| {
             b.iter(|| {
                 let mut sums = vec![0.0; n];
-                plain
-                    .iter()
+                map.iter()
                     .for_each(|((_, server), tries)| sums[*server] += tries);
                 black_box(sums)
             });
@@ -217,6 +216,6 @@
         .sample_size(10)
         .warm_up_time(Duration::from_millis(200))
         .measurement_time(Duration::from_millis(600));
-    targets = wheel, ring, sketch, mouth, index
+    targets = wheel, ring, sketch, report_queue, reporting_share
 }
 criterion_main!(structures);
--- a/crates/intake/tests/intake.rs
+++ b/crates/intake/tests/intake.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn quiet_reporters_are_read_whole_and_the_loud_share_the_rest() {
+fn quota_serves_small_claims_in_full_and_splits_the_rest() {
     let cases: [(&[usize], usize, usize); 6] = [
         (&[10, 10, 10], 30, usize::MAX),
         (&[10, 10, 1000], 100, 80),
@@ -30,22 +30,24 @@
         (&[], 10, usize::MAX),
         (&[7], 3, 3),
     ];
-    for (wanted, room, each) in cases {
-        assert_eq!(quota(wanted, room), each, "{wanted:?} in {room}");
+    for (wanted, max_lines, each) in cases {
+        assert_eq!(quota(wanted, max_lines), each, "{wanted:?} in {max_lines}");
     }
 }
 
 #[test]
-fn what_is_kept_stands_for_what_is_not() {
+fn sampled_sums_are_unbiased() {
     let sizes: Vec<f64> = (0..400).map(|i| f64::from(i % 40) + 1.0).collect();
     let truth: f64 = sizes.iter().sum();
-    let level = threshold(&sizes, 100);
-    let mut chance = Rng::from_seed(11);
+    let size_threshold = threshold(&sizes, 100);
+    let mut rng = Rng::from_seed(11);
     let (mut sums, mut kept, mut within) = (0.0, 0, 0);
     for _ in 0..500 {
         let (mut sum, mut variance) = (0.0, 0.0);
         for size in &sizes {
-            if let Some((factor, v)) = sample(*size, keep_probability(*size, level), &mut chance) {
+            if let Some((factor, v)) =
+                sample(*size, keep_probability(*size, size_threshold), &mut rng)
+            {
                 sum += size * factor;
                 variance += v;
                 kept += 1;
@@ -68,17 +70,17 @@
 }
 
 #[test]
-fn a_mouth_is_bounded_however_loud_a_reporter_is() {
-    let mut mouth: ReportQueue<u64, usize> = ReportQueue::new(500.0, 50, 1);
-    mouth.stream_started(0.0, 1);
-    mouth.stream_started(0.0, 2);
+fn queue_is_bounded_for_a_fast_reporter() {
+    let mut queue: ReportQueue<u64, usize> = ReportQueue::new(500.0, 50, 1);
+    queue.stream_started(0.0, 1);
+    queue.stream_started(0.0, 2);
     for i in 0..100_000 {
         let now = f64::from(i) / 10.0;
         let lines = (0..10).map(|s| (s, line(1.0, 0.0, 5.0)));
-        mouth.push(now, &1, 0.1, lines, std::iter::empty()).unwrap();
+        queue.push(now, &1, 0.1, lines, std::iter::empty()).unwrap();
     }
     let quiet = [(3, line(7.0, 7.0, 0.0))];
-    mouth
+    queue
         .push(
             10_000.0,
             &2,
@@ -88,19 +90,19 @@
         )
         .unwrap();
     assert!(
-        mouth.pending_lines() <= 8 * 10 + 1,
+        queue.pending_lines() <= 8 * 10 + 1,
         "{}",
-        mouth.pending_lines()
+        queue.pending_lines()
     );
-    let read = mouth.read(10_000.0, 1_000);
+    let read = queue.read(10_000.0, 1_000);
     let tries: f64 = read.iter().flat_map(|r| &r.lines).map(|l| l.1.tries).sum();
-    assert_eq!(tries, 1_000_007.0, "merged, not lost");
+    assert_eq!(tries, 1_000_007.0, "no tries are lost");
     let quiet = read.iter().find(|r| r.reporter == 2).unwrap();
     assert_eq!(quiet.lines, [(3, line(7.0, 7.0, 0.0), 0.0)]);
-    assert_eq!(mouth.pending_lines(), 0);
+    assert_eq!(queue.pending_lines(), 0);
     // Rejected reports leave everything else unchanged.
     let many = (0..51).map(|s| (s, Line::default()));
-    let many = mouth.push(0.0, &1, 1.0, many, std::iter::empty());
+    let many = queue.push(0.0, &1, 1.0, many, std::iter::empty());
     assert_eq!(many, Err(Refusal::TooManyServers));
     let none = || std::iter::empty::<(usize, Line)>();
     let empty = none().collect::<Vec<_>>();
@@ -113,50 +115,53 @@
             std::iter::empty(),
         )
     };
-    assert_eq!(put(&mut mouth, 9, 1.0), Err(Refusal::UnknownStream));
+    assert_eq!(put(&mut queue, 9, 1.0), Err(Refusal::UnknownStream));
     for window in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e9] {
-        assert_eq!(put(&mut mouth, 1, window), Err(Refusal::InvalidWindow));
+        assert_eq!(put(&mut queue, 1, window), Err(Refusal::InvalidWindow));
     }
-    mouth.stream_ended(&1);
-    assert_eq!(put(&mut mouth, 1, 1.0), Err(Refusal::UnknownStream));
+    queue.stream_ended(&1);
+    assert_eq!(put(&mut queue, 1, 1.0), Err(Refusal::UnknownStream));
 }
 
 #[test]
-fn what_does_not_fit_waits_and_merges_before_it_is_sampled() {
+fn excess_lines_are_merged_before_sampling() {
     // A hundred reporters with ten lines each; a round can read 400 of the 1,000 lines.
-    let mut mouth: ReportQueue<u64, usize> = ReportQueue::new(500.0, 50, 1);
-    (0..100).for_each(|r| mouth.stream_started(0.0, r));
-    let mut told = 0.0;
-    let mut heard = 0.0;
+    let mut queue: ReportQueue<u64, usize> = ReportQueue::new(500.0, 50, 1);
+    (0..100).for_each(|r| queue.stream_started(0.0, r));
+    let mut sent_tries = 0.0;
+    let mut read_tries = 0.0;
     for round in 1..41 {
         let now = f64::from(round) * 500.0;
         for r in 0..100 {
             let lines = (0..10).map(|s| (s, line(2.0, 0.0, 9.0)));
-            mouth
+            queue
                 .push(now, &r, 500.0, lines, std::iter::empty())
                 .unwrap();
-            told += 20.0;
+            sent_tries += 20.0;
         }
-        let read = mouth.read(now, 400);
+        let read = queue.read(now, 400);
         let reporters: std::collections::BTreeSet<u64> = read.iter().map(|r| r.reporter).collect();
         assert!(reporters.len() >= 13, "{}", reporters.len());
         let lines = read.iter().flat_map(|r| &r.lines);
-        heard += lines.map(|l| l.1.tries).sum::<f64>();
+        read_tries += lines.map(|l| l.1.tries).sum::<f64>();
     }
     // No load is lost: what has not been read is still pending.
-    assert!((heard / told - 1.0).abs() < 0.15, "{heard} of {told}");
+    assert!(
+        (read_tries / sent_tries - 1.0).abs() < 0.15,
+        "{read_tries} of {sent_tries}"
+    );
 }
 
 #[test]
-fn a_burst_after_a_stall_is_no_load_of_this_moment() {
-    let mut mouth: ReportQueue<u64, usize> = ReportQueue::new(500.0, 50, 1);
-    mouth.stream_started(0.0, 1);
+fn burst_after_a_stall_is_not_current_load() {
+    let mut queue: ReportQueue<u64, usize> = ReportQueue::new(500.0, 50, 1);
+    queue.stream_started(0.0, 1);
     let mut estimates = Estimates::new(500.0, 1);
     // Ten tries every half second; the stream stalls for thirty seconds and everything arrives at
     // once.
     for i in 0..60 {
         let tries = line(10.0, 0.0, 100.0);
-        let put = mouth.push(
+        let put = queue.push(
             30_000.0,
             &1,
             500.0,
@@ -165,7 +170,7 @@
         );
         assert_eq!(put, Ok(()), "{i}");
     }
-    for r in mouth.read(30_000.0, 1000) {
+    for r in queue.read(30_000.0, 1000) {
         for (server, l, variance) in r.lines {
             estimates.record(
                 30_000.0,
@@ -185,7 +190,7 @@
     let now = estimates.estimate(30_000.0, 0, 1_000.0).unwrap();
     assert!(
         (10.0..=40.0).contains(&now.tries),
-        "two or three halves: {}",
+        "load of two or three half seconds: {}",
         now.tries
     );
     assert!(now.age_ms <= 500.0);
@@ -195,7 +200,7 @@
 }
 
 #[test]
-fn the_interval_moves_before_anything_is_left_and_does_not_dance() {
+fn interval_adapts_without_oscillating() {
     let mut interval = ReportInterval::new(0.0, 500.0, 1_000.0);
     let mut moves = Vec::new();
     // Reporters send 1,500 lines per second at the usual interval, fewer at longer ones.
@@ -204,7 +209,7 @@
         let lines = 1_500.0 * 500.0 / interval.ms() / 2.0;
         moves.extend(interval.observe(now, lines, 500.0));
     }
-    assert!(moves.len() <= 3, "settles: {moves:?}");
+    assert!(moves.len() <= 3, "must settle: {moves:?}");
     assert!(interval.ms() > 500.0);
     // At low load the interval returns to the usual one and no lower.
     for i in 400..800 {
@@ -213,25 +218,25 @@
     assert_eq!(interval.ms(), 500.0);
 }
 
-fn words(own_ms: f64, queue: f64, measured_ms: f64) -> BTreeMap<usize, ServerSample> {
-    let word = ServerSample {
+fn samples(own_ms: f64, queue: f64, measured_ms: f64) -> BTreeMap<usize, ServerSample> {
+    let sample = ServerSample {
         own_ms: Some(own_ms),
         own_queue: Some(queue),
         measured_ms,
         tries: 50.0,
     };
-    [(0, word)].into()
+    [(0, sample)].into()
 }
 
 #[test]
-fn a_server_that_repeats_a_low_load_while_it_slows_is_flagged_and_an_idle_one_is_not() {
+fn stale_server_is_flagged_and_idle_one_is_not() {
     // Name; self-reported time and queue and measured time by period; whether the server must be
     // flagged within ten periods of half a second.
     type Case = (&'static str, fn(usize) -> (f64, f64, f64), bool);
     let cases: [Case; 6] = [
         ("idle", |i| (20.0 + (i % 3) as f64, 0.0, 22.0), false),
         (
-            "busy and says so",
+            "busy and reports it",
             |i| (40.0 + i as f64, 6.0, 290.0 + i as f64),
             false,
         ),
@@ -242,84 +247,84 @@
             true,
         ),
         (
-            "slow, and its word follows",
+            "slow and reports it",
             |i| (25.0 + 30.0 * i as f64, 1.0, 60.0 + 40.0 * i as f64),
             false,
         ),
         (
-            "steady to the digit and met so",
+            "exactly constant, as measured",
             |_| (20.0, 1.0, 30.0),
             false,
         ),
     ];
     for (name, at, wanted) in cases {
-        let mut belief = TrustTracker::default();
+        let mut tracker = TrustTracker::default();
         // A calm phase, followed by the case.
         for i in 0..20 {
-            belief.observe_servers(&words(20.0 + f64::from(i % 2), 0.0, 22.0));
+            tracker.observe_servers(&samples(20.0 + f64::from(i % 2), 0.0, 22.0));
         }
-        assert!(!belief.is_stale(0), "{name}: in calm");
+        assert!(!tracker.is_stale(0), "{name}: flagged in the calm phase");
         let raised = (0..10).position(|i| {
             let (own, queue, met) = at(i);
-            belief.observe_servers(&words(own, queue, met));
-            belief.is_stale(0)
+            tracker.observe_servers(&samples(own, queue, met));
+            tracker.is_stale(0)
         });
         assert_eq!(raised.is_some(), wanted, "{name}: {raised:?}");
         // The flag is cleared by sustained evidence, not by one period.
         if wanted {
-            belief.observe_servers(&words(21.0, 0.0, 22.0));
-            assert!(belief.is_stale(0), "{name}: one period is not enough");
+            tracker.observe_servers(&samples(21.0, 0.0, 22.0));
+            assert!(tracker.is_stale(0), "{name}: one period is not enough");
             for i in 0..14 {
-                belief.observe_servers(&words(20.0 + f64::from(i % 2), 0.0, 22.0));
+                tracker.observe_servers(&samples(20.0 + f64::from(i % 2), 0.0, 22.0));
             }
-            assert!(!belief.is_stale(0), "{name}: comes down");
+            assert!(!tracker.is_stale(0), "{name}: must clear");
         }
     }
 }
 
 #[test]
-fn a_slow_way_to_all_servers_flags_none_and_one_stale_server_among_them_is_flagged() {
+fn slow_network_flags_no_server_but_one_stale_server_is_flagged() {
     let round = |slow: &dyn Fn(usize) -> bool| {
-        let word = |server| ServerSample {
+        let sample = |server| ServerSample {
             own_ms: Some(20.0),
             own_queue: Some(0.0),
             measured_ms: if slow(server) { 300.0 } else { 22.0 },
             tries: 50.0,
         };
         (0..10)
-            .map(|server| (server, word(server)))
+            .map(|server| (server, sample(server)))
             .collect::<BTreeMap<_, _>>()
     };
-    let mut belief = TrustTracker::default();
-    assert!((0..40).all(|_| belief.observe_servers(&round(&|_| true)).is_empty()));
-    assert!((0..40).all(|_| belief.observe_servers(&round(&|s| s < 4)).is_empty()));
+    let mut tracker = TrustTracker::default();
+    assert!((0..40).all(|_| tracker.observe_servers(&round(&|_| true)).is_empty()));
+    assert!((0..40).all(|_| tracker.observe_servers(&round(&|s| s < 4)).is_empty()));
     let changes: Vec<_> = (0..6)
-        .flat_map(|_| belief.observe_servers(&round(&|s| s == 3)))
+        .flat_map(|_| tracker.observe_servers(&round(&|s| s == 3)))
         .collect();
     assert_eq!(changes, [TrustChange::StaleServer(3, true)]);
 }
 
 #[test]
-fn no_flag_rises_in_an_hour_of_calm() {
-    let mut chance = Rng::from_seed(5);
-    let mut belief = TrustTracker::default();
+fn no_flag_in_an_hour_of_normal_load() {
+    let mut rng = Rng::from_seed(5);
+    let mut tracker = TrustTracker::default();
     for _ in 0..7_200 {
-        let mut said = BTreeMap::new();
+        let mut samples = BTreeMap::new();
         let mut views = ProxyViews::new();
         for server in 0..20 {
-            let busy = chance.next_f64() * 0.8;
-            let own = 20.0 * (0.9 + 0.2 * chance.next_f64());
-            said.insert(
+            let busy = rng.next_f64() * 0.8;
+            let own = 20.0 * (0.9 + 0.2 * rng.next_f64());
+            samples.insert(
                 server,
                 ServerSample {
                     own_ms: Some(own),
                     own_queue: Some((busy * 3.0).floor()),
-                    measured_ms: own * (1.0 + busy * 2.0 * chance.next_f64()),
-                    tries: 5.0 + 40.0 * chance.next_f64(),
+                    measured_ms: own * (1.0 + busy * 2.0 * rng.next_f64()),
+                    tries: 5.0 + 40.0 * rng.next_f64(),
                 },
             );
             for proxy in 0..8 {
-                let failed = if chance.next_f64() < 0.02 { 2.0 } else { 0.0 };
+                let failed = if rng.next_f64() < 0.02 { 2.0 } else { 0.0 };
                 views
                     .entry(proxy)
                     .or_default()
@@ -327,15 +332,15 @@
             }
         }
         let changes = (
-            belief.observe_servers(&said),
-            belief.observe_proxies(&views),
+            tracker.observe_servers(&samples),
+            tracker.observe_proxies(&views),
         );
         assert_eq!(changes, (vec![], vec![]));
     }
 }
 
 #[test]
-fn a_proxy_that_contradicts_all_others_is_flagged_and_a_server_that_fails_for_all_flags_nobody() {
+fn contrary_proxy_is_flagged_and_failing_server_flags_no_proxy() {
     let views = |fails: &dyn Fn(usize, usize) -> bool| {
         let mut views = ProxyViews::new();
         for proxy in 0..5 {
@@ -349,18 +354,18 @@
         }
         views
     };
-    let mut belief = TrustTracker::default();
+    let mut tracker = TrustTracker::default();
     let one = views(&|proxy, _| proxy == 3);
-    let changes: Vec<_> = (0..4).flat_map(|_| belief.observe_proxies(&one)).collect();
+    let changes: Vec<_> = (0..4).flat_map(|_| tracker.observe_proxies(&one)).collect();
     assert_eq!(changes, [TrustChange::ContraryProxy(3, true)]);
-    let mut belief = TrustTracker::default();
+    let mut tracker = TrustTracker::default();
     let server = views(&|_, server| server == 2);
-    assert!((0..20).all(|_| belief.observe_proxies(&server).is_empty()));
+    assert!((0..20).all(|_| tracker.observe_proxies(&server).is_empty()));
     // A proxy that succeeds where all others fail.
-    let mut belief = TrustTracker::default();
+    let mut tracker = TrustTracker::default();
     let blind = views(&|proxy, _| proxy != 1);
-    (0..4).for_each(|_| drop(belief.observe_proxies(&blind)));
-    assert!(belief.is_contrary(1) && (0..5).filter(|p| belief.is_contrary(*p)).count() == 1);
+    (0..4).for_each(|_| drop(tracker.observe_proxies(&blind)));
+    assert!(tracker.is_contrary(1) && (0..5).filter(|p| tracker.is_contrary(*p)).count() == 1);
 }
 
 proptest! {
@@ -387,30 +392,30 @@
         for share in [0.5, 0.95] {
             let rank = (sorted.len() as f64 * share).ceil().max(1.0) as usize;
             let truth = sorted[rank - 1];
-            let said = whole.quantile(share).unwrap();
-            prop_assert!((said / truth - 1.0).abs() <= 2.1 * RELATIVE_ERROR, "{} for {}", said, truth);
+            let quantile = whole.quantile(share).unwrap();
+            prop_assert!((quantile / truth - 1.0).abs() <= 2.1 * RELATIVE_ERROR, "{} for {}", quantile, truth);
         }
     }
 
     /// Whatever is reported, in whatever order and however late: no estimate is negative, infinite
     /// or too old, and all pending lines are read in the end.
     #[test]
-    fn no_report_spoils_an_estimate(
+    fn estimates_stay_valid_for_any_reports(
         script in prop::collection::vec((0_u64..4, 0_usize..5, 0.0..20_000.0_f64, 0.0..1e6_f64, 0.0..1.0_f64, 0.0..3000.0_f64), 1..120),
-        room in 1_usize..60,
+        max_lines in 1_usize..60,
     ) {
-        let mut mouth: ReportQueue<u64, usize> = ReportQueue::new(500.0, 16, 3);
+        let mut queue: ReportQueue<u64, usize> = ReportQueue::new(500.0, 16, 3);
         let mut estimates = Estimates::new(500.0, 2);
         let mut now = 0.0;
-        (0..4).for_each(|r| mouth.stream_started(0.0, r));
+        (0..4).for_each(|r| queue.stream_started(0.0, r));
         for (reporter, server, window, tries, part, wait) in script {
             now += wait;
             if wait < 30.0 {
-                mouth.stream_started(now, reporter);
+                queue.stream_started(now, reporter);
             }
             let l = line(tries, tries * part, tries * (1.0 - part) * 12.0);
-            let _ = mouth.push(now, &reporter, window, [(server, l)].into_iter(), [(0, tries)].into_iter());
-            for r in mouth.read(now, room) {
+            let _ = queue.push(now, &reporter, window, [(server, l)].into_iter(), [(0, tries)].into_iter());
+            for r in queue.read(now, max_lines) {
                 prop_assert!(r.begin <= r.end && r.end <= now + 1e-6);
                 for (server, l, variance) in r.lines {
                     let zone = reporter as usize % 2;
@@ -431,10 +436,10 @@
         }
         // Pending lines have to be read, whole or sampled, after a bounded time.
         for later in 1..50 {
-            mouth.read(now + 2_000.0 * f64::from(later), room);
+            queue.read(now + 2_000.0 * f64::from(later), max_lines);
         }
-        prop_assert_eq!(mouth.pending_lines(), 0);
-        let t = mouth.stats;
+        prop_assert_eq!(queue.pending_lines(), 0);
+        let t = queue.stats;
         prop_assert!(t.read + t.sampled_out + t.merged <= t.lines);
     }
 }
