--- a/crates/intake/src/timeline.rs
+++ b/crates/intake/src/timeline.rs
@@ -12,16 +12,18 @@
 //! offset is raised by the smallest of their delays.
 
 /// Clock drift, as a share, that is not taken for lateness.
-const DRIFT: f64 = 0.001;
-/// Reports arrive one by one if they are at least this share of their window apart; `STEADY` of
-/// them in a row show that none is delayed.
-const APART: f64 = 0.5;
-const STEADY: u32 = 4;
+const MAX_DRIFT: f64 = 0.001;
+/// Reports arrive one by one if they are at least this share of their window apart.
+const MIN_SPACING: f64 = 0.5;
+/// Number of reports in a row arriving one by one that shows that none is delayed.
+const STEADY_REPORTS: u32 = 4;
 
 /// A window of time on our clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Window {
+    /// Start of the window in milliseconds.
     pub begin: f64,
+    /// End of the window in milliseconds.
     pub end: f64,
 }
 
@@ -32,10 +34,10 @@
     /// updated.
     clock: f64,
     offset: f64,
-    reckoned: f64,
+    updated: f64,
     /// Number of reports in a row that arrived one by one, and the smallest delay among them.
-    steady: u32,
-    least_late: f64,
+    steady_reports: u32,
+    min_delay: f64,
 }
 
 impl Timeline {
@@ -44,33 +46,33 @@
         Timeline {
             clock: 0.0,
             offset: now,
-            reckoned: now,
-            steady: 0,
-            least_late: f64::INFINITY,
+            updated: now,
+            steady_reports: 0,
+            min_delay: f64::INFINITY,
         }
     }
 
     /// Places the window of a report that arrived now. Windows of one stream neither overlap nor
-    /// leave gaps. A late report is recognized by the end of its window.
+    /// leave gaps. The window of a late report ends in the past.
     pub fn place(&mut self, now: f64, window_ms: f64) -> Window {
         // Let the offset grow by the clock drift, so that a slow clock does not stay late forever.
-        let since = (now - self.reckoned).max(0.0);
-        self.offset += since * DRIFT;
-        self.reckoned = now;
+        let elapsed = (now - self.updated).max(0.0);
+        self.offset += elapsed * MAX_DRIFT;
+        self.updated = now;
         self.clock += window_ms;
         // A report is never early, so a negative delay means that the offset was too large.
         self.offset = self.offset.min(now - self.clock);
-        let late = now - self.clock - self.offset;
-        match since >= window_ms * APART {
+        let delay = now - self.clock - self.offset;
+        match elapsed >= window_ms * MIN_SPACING {
             true => {
-                self.steady += 1;
-                self.least_late = self.least_late.min(late);
+                self.steady_reports += 1;
+                self.min_delay = self.min_delay.min(delay);
             }
-            false => (self.steady, self.least_late) = (0, f64::INFINITY),
+            false => (self.steady_reports, self.min_delay) = (0, f64::INFINITY),
         }
-        if self.steady >= STEADY {
-            self.offset += self.least_late;
-            (self.steady, self.least_late) = (0, f64::INFINITY);
+        if self.steady_reports >= STEADY_REPORTS {
+            self.offset += self.min_delay;
+            (self.steady_reports, self.min_delay) = (0, f64::INFINITY);
         }
         let end = self.clock + self.offset;
         Window {
@@ -81,67 +83,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn close(a: f64, b: f64) -> bool {
-        (a - b).abs() <= 0.001 * 60_000.0 * DRIFT + 1.0
-    }
-
-    #[test]
-    fn reports_in_time_end_when_they_come() {
-        let mut t = Timeline::new(0.0);
-        for i in 1..100 {
-            let now = f64::from(i) * 500.0;
-            let s = t.place(now, 500.0);
-            assert!(close(s.end, now) && s.end <= now, "{s:?} at {now}");
-            assert_eq!(s.end - s.begin, 500.0);
-        }
-    }
-
-    #[test]
-    fn a_burst_after_a_stall_is_laid_over_the_stall() {
-        let mut t = Timeline::new(0.0);
-        t.place(500.0, 500.0);
-        // Sixty reports are delayed for thirty seconds and arrive at once.
-        let ends: Vec<f64> = (0..60).map(|_| t.place(30_500.0, 500.0).end).collect();
-        assert!(close(ends[0], 1_000.0 + 30.0), "{}", ends[0]);
-        assert!(close(ends[59], 30_500.0), "{}", ends[59]);
-        assert!(ends.windows(2).all(|w| (w[1] - w[0] - 500.0).abs() <= 31.0));
-    }
-
-    #[test]
-    fn lateness_that_varies_is_taken_off_once_a_report_was_quick() {
-        let mut t = Timeline::new(0.0);
-        let late = [400.0, 300.0, 20.0, 900.0, 700.0, 50.0];
-        let mut last = 0.0;
-        for (i, late) in late.iter().enumerate() {
-            let truly = (i + 1) as f64 * 500.0;
-            last = t.place(truly + late, 500.0).end - truly;
-        }
-        assert!((0.0..=40.0).contains(&last), "{last}");
-    }
-
-    #[test]
-    fn a_reporter_that_tells_less_time_than_passes_does_not_fall_behind() {
-        let mut t = Timeline::new(0.0);
-        let mut behind: f64 = 0.0;
-        for i in 1..2_000 {
-            let now = f64::from(i) * 520.0;
-            behind = behind.max(now - t.place(now, 500.0).end);
-        }
-        assert!(behind < 200.0, "{behind}");
-    }
-
-    #[test]
-    fn a_clock_that_runs_slow_stays_near() {
-        // The reporter counts 499.8 ms for each 500 ms of ours.
-        let mut t = Timeline::new(0.0);
-        let mut behind: f64 = 0.0;
-        for i in 1..20_000 {
-            let now = f64::from(i) * 500.0;
-            behind = now - t.place(now, 499.8).end;
-        }
-        assert!((0.0..100.0).contains(&behind), "{behind}");
-    }
-}
+mod tests;
