--- a/crates/daemon/tests/rare.rs
+++ b/crates/daemon/tests/rare.rs
@@ -14,10 +14,21 @@
     /// Runs a closure while the process is stopped; what arrives meanwhile is queued in order.
     fn while_stopped<T>(&self, happens: impl FnOnce() -> T) -> T {
         self.signal("STOP");
+        assert!(wait_until(|| self.all_threads_stopped()));
         let out = happens();
         self.signal("CONT");
         out
     }
+
+    /// SIGSTOP takes effect only once a thread of the process handles it: until then others run on.
+    fn all_threads_stopped(&self) -> bool {
+        let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).unwrap();
+        tasks.flatten().all(|task| {
+            let stat = std::fs::read_to_string(task.path().join("stat")).unwrap_or_default();
+            let state = stat.rsplit(") ").next().unwrap_or_default();
+            state.starts_with('T')
+        })
+    }
 }
 
 /// Reads a socket to a clean end.
