--- a/crates/control/tests/controller.rs
+++ b/crates/control/tests/controller.rs
@@ -1,4 +1,5 @@
-//! The controller against a model of what proxies hold: tables of cases, and days drawn by chance.
+//! The controller against a model of the proxies that applies what it is sent: single cases and
+//! randomized days.
 
 use dahliapoint_control::record::{End, Header, Recorder, encode_outputs, replay};
 use dahliapoint_control::{
@@ -62,7 +63,7 @@
     }
 }
 
-/// What a proxy holds, by obeying.
+/// What a proxy holds after applying all messages.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Held {
     part: Option<usize>,
@@ -83,7 +84,7 @@
 }
 
 impl Day {
-    fn begun(terms: ControllerSettings) -> Day {
+    fn new(terms: ControllerSettings) -> Day {
         Day {
             controller: Controller::new(1e6, 7, terms),
             now: 1e6,
@@ -109,15 +110,22 @@
             match o {
                 Output::Write(sessions, m) => {
                     for s in sessions {
-                        let held = self.held.get_mut(s).expect("written to who is joined");
-                        assert!(m.serial > held.last, "serials rise");
+                        let held = self
+                            .held
+                            .get_mut(s)
+                            .expect("messages go to joined proxies only");
+                        assert!(m.serial > held.last, "serials grow");
                         held.last = m.serial;
                         if let Scope::Snapshot(part) = m.scope {
                             held.lines.clear();
                             held.part = Some(part);
                         }
                         if let Scope::Changes(part) = m.scope {
-                            assert_eq!(held.part, Some(part), "changes of the part bound to");
+                            assert_eq!(
+                                held.part,
+                                Some(part),
+                                "changes are of the part that the proxy is bound to"
+                            );
                         }
                         for l in &m.lines {
                             let name = l.server.to_string();
@@ -151,7 +159,7 @@
         out
     }
 
-    /// Lets time pass in steps; proxies answer what they were sent a step later.
+    /// Lets time pass in steps; proxies answer a message one step later.
     fn pass(&mut self, ms: f64, step: f64) {
         let end = self.now + ms;
         while self.now < end {
@@ -189,7 +197,7 @@
         self.tell(vec![Input::Roster(entries)]);
     }
 
-    /// Every bound proxy holds exactly what the controller says its part is.
+    /// Asserts that every bound proxy holds the table of its part.
     fn agrees(&self) {
         let view = self.controller.overview();
         for p in &view.proxies {
@@ -218,7 +226,7 @@
 use AdminState::{Draining, Gone, Ready};
 
 fn five() -> Day {
-    let mut day = Day::begun(terms());
+    let mut day = Day::new(terms());
     let names = ["a", "bb", "ccc", "dddd", "eeeee"];
     day.roster(&names.map(|n| (n, Ready)));
     day.join(1, "p1");
@@ -237,7 +245,7 @@
 }
 
 #[test]
-fn a_drain_goes_out_at_once_to_bound_and_to_waiting_proxies() {
+fn a_drain_is_sent_at_once_to_bound_and_to_unbound_proxies() {
     let mut day = five();
     day.roster(&[
         ("a", Draining),
@@ -253,8 +261,9 @@
         let open: Vec<_> = open.map(|(n, _)| n.as_str()).collect();
         assert_eq!(open, ["bb", "ccc", "dddd"], "draining and dropped alike");
     }
-    // The channel is full of what nobody answers: a joiner waits, but is told what is withdrawn.
-    let mut day = Day::begun(ControllerSettings {
+    // The channel is full of unanswered messages: a new proxy is not bound, but learns of
+    // withdrawals.
+    let mut day = Day::new(ControllerSettings {
         max_queued_lines: 150.0,
         ..terms()
     });
@@ -268,7 +277,7 @@
 }
 
 #[test]
-fn a_refused_message_is_told_again_withdrawals_first() {
+fn a_refused_message_is_sent_again_withdrawals_first() {
     let mut day = five();
     day.answering = false;
     day.roster(&[
@@ -283,10 +292,10 @@
         Output::Write(to, m) if to == &vec![1] => Some(m.clone()),
         _ => None,
     });
-    let again = again.expect("what was withdrawn is written again at once");
+    let again = again.expect("withdrawals are sent again at once");
     assert!(again.lines.iter().all(|l| l.state != LineState::Open));
     assert!(again.lines.iter().any(|l| &*l.server == "a"));
-    // The rest follows after the grace.
+    // The rest follows after the grace period.
     day.answering = true;
     day.pass(3_500.0, 100.0);
     let view = day.controller.overview();
@@ -296,7 +305,7 @@
 }
 
 #[test]
-fn odd_answers_and_second_streams_disturb_nobody() {
+fn unexpected_answers_and_second_streams_do_no_harm() {
     let mut day = five();
     let odd = [
         Input::Applied(1, 0),
@@ -308,14 +317,15 @@
     ];
     day.tell(odd.to_vec());
     assert_eq!(day.controller.overview().counters.unexpected_answers, 4);
-    // The same node again: the newer stream holds, the older one's late words count for nothing.
+    // The same proxy again: the newer stream replaces the older one, whose late messages are
+    // ignored.
     day.join(3, "p1");
     assert_eq!(day.closed, [1]);
     day.controller.handle(day.now, vec![Input::Left(1)]);
     day.pass(3000.0, 100.0);
     day.agrees();
     assert_eq!(day.controller.overview().proxies.len(), 2);
-    // A zone that nobody knows.
+    // An unknown zone.
     let input = Input::Joined {
         session: 9,
         proxy: "p9".into(),
@@ -327,7 +337,7 @@
 }
 
 #[test]
-fn a_proxy_that_answers_nothing_is_given_up_and_the_others_go_on() {
+fn a_proxy_that_does_not_answer_is_evicted_and_the_others_go_on() {
     let mut day = five();
     let mute = 2;
     let mut last = 0;
@@ -350,10 +360,10 @@
 }
 
 #[test]
-fn an_index_is_used_again_only_when_nothing_refers_to_it() {
+fn an_index_is_reused_only_when_nothing_refers_to_it() {
     let mut day = five();
     for round in 0..40 {
-        // Each day one server is replaced by one of a new name, of the same zone.
+        // Each round one server is replaced by one with a new name in the same zone.
         let name = format!(
             "{}{}",
             "n".repeat(2 + 2 * (round % 3)),
@@ -371,7 +381,7 @@
 }
 
 #[test]
-fn reports_that_cannot_be_are_refused_and_unknown_ones_counted() {
+fn impossible_reports_are_refused_and_unknown_lines_counted() {
     let mut day = five();
     let line = |server: &str, tries, failed, good_ms| ReportLine {
         server: server.into(),
@@ -408,14 +418,14 @@
     let accounts = day.controller.overview().counters;
     assert_eq!((accounts.report_lines, accounts.unknown_lines), (1, 1));
     assert_eq!(accounts.refused_reports, 6);
-    // A class that the terms do not have: counted as unknown, nothing else.
+    // A class that the settings do not have: the line counts as unknown.
     let odd = ReportLine {
         class: 9,
         ..line("a", 1.0, 0.0, 1.0)
     };
     day.tell(vec![Input::Reported("p1".into(), report(odd))]);
     assert_eq!(day.controller.overview().counters.unknown_lines, 2);
-    // Visits under way are those of each proxy's newest word.
+    // Visits in flight are those of the newest report of each proxy.
     let busy = |n: f64| ReportLine {
         in_flight: n,
         ..line("a", 1.0, 0.0, 1.0)
@@ -423,7 +433,7 @@
     for (proxy, many) in [("p1", 5.0), ("p2", 2.0), ("p1", 3.0)] {
         day.tell(vec![Input::Reported(proxy.into(), report(busy(many)))]);
     }
-    // What was met is told by class once the round has ended and its stretch is complete.
+    // Estimates by class appear once the round has ended and its window is complete.
     day.now += 1500.0;
     day.tell(vec![Input::RoundEnded]);
     let view = day.controller.overview();
@@ -442,12 +452,12 @@
     assert!(dahliapoint_control::report_error(&long).is_some());
 }
 
-/// All proxies of a grown site come back within a second: nobody is written more than the channel
-/// bears, and all are bound in the end.
+/// All proxies of a large site reconnect within a second: the lines in the channel stay within
+/// their limit, and all proxies are bound in the end.
 #[test]
-fn many_that_come_back_at_once_are_paced() {
+fn many_proxies_that_reconnect_at_once_are_paced() {
     let most_waiting = 4_000.0;
-    let mut day = Day::begun(ControllerSettings {
+    let mut day = Day::new(ControllerSettings {
         max_queued_lines: most_waiting,
         max_messages: 0.0,
         default_visits_per_s: 0.1,
@@ -482,9 +492,9 @@
     assert!(day.controller.overview().counters.most_waiting <= most_waiting);
 }
 
-/// The roster's clock jumps: the same start told with another age is no new start.
+/// The roster's clock jumps: the same start with another age must not count as a new start.
 #[test]
-fn a_clock_that_jumps_makes_no_new_start() {
+fn a_clock_jump_is_no_new_start() {
     let mut day = five();
     let started = |ago, stamp| RosterEntry {
         started: Some((ago, stamp)),
@@ -502,7 +512,7 @@
     };
     assert!(
         tell(&mut day, started(50.0, 1)) < 0.5,
-        "a new start is cold"
+        "a server that has just started is cold"
     );
     day.pass(30_000.0, 500.0);
     for ago in [0.0, 5.0, 1e7, 0.0] {
@@ -567,15 +577,14 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 96, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Whatever comes, in whatever order: no panic, tables held are those that were ordered, and
-    /// the day written down plays again to the same bytes; torn or damaged records end where they
-    /// must.
+    /// For any inputs in any order: no panic, proxies hold the ordered tables, and a replay of the
+    /// record gives the same bytes; truncated or corrupt records end where they must.
     #[test]
-    fn any_day_is_obeyed_and_plays_again(
+    fn any_day_is_applied_and_replays(
         moments in prop::collection::vec((prop::collection::vec(inputs(), 0..4), 1.0..4000.0_f64), 1..60),
         cut in 0.0..1.0_f64,
     ) {
-        let mut day = Day::begun(terms());
+        let mut day = Day::new(terms());
         let begin = Header { now: day.now, seed: 7, settings: terms() };
         let mut record = Recorder::create(Vec::new(), &begin).unwrap();
         let mut bytes = Vec::new();
@@ -583,7 +592,8 @@
         let mut live: BTreeMap<Session, Session> = BTreeMap::new();
         for (inputs, step) in moments {
             day.now += step;
-            // Streams are numbered once each; later words of a drawn number mean its newest stream.
+            // Each stream gets a new number; later inputs with a drawn number mean its newest
+            // stream.
             let inputs: Vec<_> = inputs.into_iter().map(|input| {
                 let of = |s: &Session| live.get(s).copied().unwrap_or(*s + 1000);
                 match input {
@@ -618,7 +628,7 @@
         let mut damaged = written.clone();
         damaged[cut.min(written.len() - 1)] ^= 0x40;
         if let Ok((_, end)) = replay(&damaged[..], |_, _| ()) {
-            prop_assert!(end != End::Complete, "damage is seen");
+            prop_assert!(end != End::Complete, "corruption is detected");
         }
     }
 }
--- a/crates/control/tests/rollout.rs
+++ b/crates/control/tests/rollout.rs
@@ -1,7 +1,7 @@
-//! The guard in the controller, in a closed loop: proxies apply what they are sent at different
-//! moments, their visits load the servers, reports tell of it, servers restart, drain and go, and
-//! the module's orders are spoiled by chance. What is looked at is what would cross the sockets:
-//! who holds what, and which server falls.
+//! The guard inside the controller, in a closed loop: proxies apply messages at different times,
+//! their visits load the servers, reports tell of it, servers restart, drain and go, and the
+//! planner's orders are altered at random. Checked is what crosses the sockets: which table each
+//! proxy holds, and which server is overloaded.
 
 use dahliapoint as planner;
 use dahliapoint_control::rollout::GuardMode;
@@ -75,7 +75,7 @@
     }
 }
 
-/// What the module is made to order for a while.
+/// A fault in the orders of the planner that lasts for a while.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Spoil {
     Nothing,
@@ -92,7 +92,7 @@
     state: AdminState,
     started: f64,
     stamp: u64,
-    /// Since when the roster says that it is not ready.
+    /// Time of the last change of its state.
     since: f64,
 }
 
@@ -102,13 +102,14 @@
 struct Proxy {
     bound: bool,
     table: Table,
-    /// What was sent and is not applied: when it will be, the serial, what it changes.
+    /// Messages in transit: when each is applied, its serial, whether it is a snapshot, its
+    /// changes.
     way: VecDeque<(f64, u64, bool, Changes)>,
     pace: f64,
     empty_since: Option<f64>,
 }
 
-/// What broke, by rule.
+/// Violations by rule.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Broken {
     empty: usize,
@@ -126,7 +127,7 @@
     spoil: std::sync::Arc<std::sync::Mutex<Spoil>>,
     load: f64,
     broken: Broken,
-    /// Tries by proxy and server in this round, and how many of them a server kept waiting.
+    /// Tries by proxy and server in this round, and how many of them an overloaded server delayed.
     met: BTreeMap<(usize, usize), (f64, f64)>,
     probes: Vec<usize>,
     looked: u64,
@@ -137,7 +138,7 @@
 }
 
 impl Day {
-    fn begun(guard: GuardMode, seed: u64) -> Day {
+    fn new(guard: GuardMode, seed: u64) -> Day {
         let now = 1e6;
         let truth = Truth {
             state: AdminState::Ready,
@@ -149,7 +150,7 @@
         let mut controller = Controller::new(now, seed, terms(guard));
         let told = spoil.clone();
         let (mut seen, mut wild, mut turn) = (BTreeSet::new(), Chance(seed), 0);
-        // What the module itself ordered: once it is right again, that is what it wants, all of it.
+        // What the planner ordered itself: once the fault is over, all of that is ordered again.
         let (mut own, mut own_shut, mut was_wrong) = (BTreeMap::new(), BTreeMap::new(), false);
         controller.inject_faults(Box::new(move |_, orders| {
             own.extend(orders.lines.iter().map(|l| ((l.0, l.1), l.2)));
@@ -171,7 +172,7 @@
                 Spoil::Flood(s) => orders.lines = all(&mut |x| if x == s { 10_000.0 } else { 0.0 }),
                 Spoil::Empty => orders.lines = all(&mut |_| 0.0),
                 Spoil::Wild => {
-                    // Now and then, so that there is something between.
+                    // Only every seventh time, so that other states occur in between.
                     if turn % 7 == 0 {
                         orders.lines = all(&mut |_| [0.0, 0.01, 1.0, 3.0, 10_000.0][wild.below(5)]);
                     }
@@ -257,7 +258,7 @@
                         .any(|w| w.1.retry == RetryPolicy::OnFailure);
                     self.broken.repeats += usize::from(repeats);
                     for session in sessions {
-                        // Each at its own moment, in order.
+                        // Each proxy applies it at its own time, in order.
                         let after = 20.0 + self.chance.below(1_500) as f64;
                         let p = &mut self.proxies[session as usize];
                         let at = p.way.back().map_or(0.0, |w| w.0).max(self.now + after);
@@ -282,7 +283,7 @@
         0.15 + 0.85 * age.min(1.0)
     }
 
-    /// One step: proxies apply what is due, visits run, rules are looked at, reports are told.
+    /// One step: proxies apply what is due, visits run, the rules are checked, reports are sent.
     fn step(&mut self) {
         self.now += STEP_MS;
         let mut inputs = Vec::new();
@@ -335,7 +336,7 @@
     fn look(&mut self) {
         let paces: f64 = self.proxies.iter().map(|p| p.pace).sum();
         let (mut loads, mut mets) = ([0.0; SERVERS], Vec::new());
-        // Somebody warm has been there for longer than any message is on its way.
+        // A warm server has been ready for longer than any message is in transit.
         let warm = (0..SERVERS).any(|s| {
             let t = &self.truth[s];
             t.state == AdminState::Ready && self.able(s) >= 1.0 && self.now - t.since > 5_000.0
@@ -354,8 +355,8 @@
                 mets.push(((i, *s), load * STEP_MS / 1e3));
                 self.looked += 1;
                 let t = &self.truth[*s];
-                // Applied within the grace and the way: what is sent at once is applied after 1.5 s
-                // at most, and what waits behind it.
+                // A withdrawal is applied within the grace period plus 1.5 s: what is sent at once
+                // is applied after at most 1.5 s, together with what queues behind it.
                 let late = self.now - t.since > GRACE_MS + 1_500.0;
                 self.broken.drains += usize::from(t.state != AdminState::Ready && late);
             }
@@ -385,9 +386,10 @@
         self.tell(vec![Input::Roster(roster)]);
     }
 
-    /// A day: something happens to the fleet, the module is wrong for a while, it is calm.
+    /// A day: three times the fleet changes, the orders are faulty for a while, and then all is
+    /// calm.
     fn whole(guard: GuardMode, seed: u64) -> Day {
-        let mut day = Day::begun(guard, seed);
+        let mut day = Day::new(guard, seed);
         day.news();
         for i in 0..PROXIES {
             let joined = Input::Joined {
@@ -403,7 +405,7 @@
             let many = [1, 2, 4, 6, 7][day.chance.below(5)];
             let whom: BTreeSet<usize> = (0..many).map(|_| day.chance.below(SERVERS)).collect();
             match day.chance.below(4) {
-                // A pod, or nearly all, restart together.
+                // A group of servers, or nearly all, restarts.
                 0 | 1 => {
                     whom.iter()
                         .for_each(|s| day.set(*s, AdminState::Gone, false));
@@ -430,7 +432,7 @@
             };
             *day.spoil.lock().unwrap() = spoil;
             day.news();
-            // Night and morning: the load goes slowly to something else.
+            // The load changes slowly, as between night and morning.
             let to = [30.0, 150.0, 400.0][day.chance.below(3)];
             for _ in 0..12 {
                 day.play(1_000.0);
@@ -454,10 +456,10 @@
 
 const DAYS: u64 = 40;
 
-/// Whatever the module is made to order and whatever the fleet does meanwhile, rules 1 to 4 hold;
-/// and each of them is broken on some of the same days without the guard.
+/// Whatever the faulty orders are and whatever the fleet does meanwhile, rules 1 to 4 hold; and
+/// each of them is broken on some of the same days without the guard.
 #[test]
-fn drawn_days_with_a_wrong_module_keep_the_rules() {
+fn random_days_with_faulty_orders_keep_the_rules() {
     let (mut bare, mut looked) = (Broken::default(), 0);
     for seed in 0..DAYS {
         let day = Day::whole(GuardMode::Enforce, seed);
@@ -469,21 +471,21 @@
         bare.falls += usize::from(b.falls > 0);
         bare.repeats += usize::from(b.repeats > 0);
     }
-    println!("{DAYS} days, {looked} lines looked at; without the guard, days that broke: {bare:?}");
+    println!("{DAYS} days, {looked} lines checked; without the guard, days that broke: {bare:?}");
     assert!(
         bare.empty > 2 && bare.drains > 2 && bare.falls > 2 && bare.repeats > 2,
         "{bare:?}"
     );
 }
 
-/// When the module is right again, its own table stands in the end: nothing that was held is left
-/// over, on any day.
+/// Once the orders are right again, the planner's own table is reached: nothing stays held back, on
+/// any day.
 #[test]
-fn what_was_held_is_let_go() {
+fn held_tables_are_released() {
     for seed in 0..DAYS {
         let mut day = Day::whole(GuardMode::Enforce, seed);
         day.play(40_000.0);
-        // A message of the planner's own may be on its way.
+        // A message of the planner may be in transit.
         for _ in 0..200 {
             if day.proxies.iter().any(|p| !p.way.is_empty()) {
                 day.step();
@@ -505,11 +507,11 @@
     }
 }
 
-/// The guard's own steps are bounded: a wanted table that cannot leave costs a message a pace, not
-/// one a moment.
+/// The guard's own steps are limited: a wanted table that cannot be sent costs one message per step
+/// interval, not one per moment.
 #[test]
-fn a_table_that_is_held_costs_few_messages() {
-    let mut day = Day::begun(GuardMode::Enforce, 5);
+fn a_held_table_costs_few_messages() {
+    let mut day = Day::new(GuardMode::Enforce, 5);
     day.news();
     (0..PROXIES).for_each(|i| {
         let joined = Input::Joined {
@@ -531,7 +533,7 @@
     day.play(10_000.0);
     let view = day.controller.overview();
     let messages = view.counters.messages - before;
-    // Paces of 1.6 s, to five proxies, and the planner's own ticks.
+    // Step intervals of 1.6 s, to five proxies, and the planner's own ticks.
     assert!(
         messages <= 100,
         "{messages} messages in 10 s: {:?}",
--- a/crates/guard/tests/oracle.rs
+++ b/crates/guard/tests/oracle.rs
@@ -1,5 +1,5 @@
-//! The guard against a slow, exact oracle that is written separately: it knows no sums that are
-//! kept, and goes through every mixture of the tables that proxies may hold.
+//! The guard against a slow and exact oracle that was written separately: it keeps no sums and goes
+//! through every mixture of the tables that proxies may hold.
 
 use dahliapoint_guard::{AdminState, Guard, Line, Reason, Server};
 use proptest::prelude::*;
@@ -9,7 +9,7 @@
 const SERVERS: usize = 9;
 const PARTS: usize = 2;
 
-/// What happens, in a fleet of a few servers and two parts.
+/// An event in a fleet of a few servers and two parts.
 #[derive(Clone, Debug)]
 enum Event {
     Server(usize, Server),
@@ -55,7 +55,7 @@
         next
     }
 
-    /// The load that a server can come to, over every choice of a table for each part.
+    /// The highest load of a server over every choice of a table for each part.
     fn worst(&self, server: usize, tables: &[Vec<Table>]) -> f64 {
         let choices = |p: usize| tables[p].len().max(1);
         let mut worst: f64 = 0.0;
@@ -158,7 +158,7 @@
     ]
 }
 
-/// Goes through a day; each table that is to leave is judged by both.
+/// Plays events; guard and oracle check each table before it is sent.
 fn play(events: &[Event], mut judged: impl FnMut(BTreeSet<Reason>, BTreeSet<Reason>)) {
     let (mut guard, mut oracle, mut serial) = (Guard::default(), Oracle::default(), 0);
     for e in events {
@@ -192,7 +192,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 3000, failure_persistence: None, rng_seed: RngSeed::Fixed(5), ..ProptestConfig::default() })]
     #[test]
-    fn every_danger_is_named_and_nothing_safe_is_refused(events in proptest::collection::vec(event(), 1..30)) {
+    fn every_violation_is_found_and_nothing_safe_is_refused(events in proptest::collection::vec(event(), 1..30)) {
         let mut differ = None;
         play(&events, |found, exact| {
             if found != exact {
@@ -203,7 +203,8 @@
     }
 }
 
-/// Each rule catches something that no other does, on drawn days; the confusion table is printed.
+/// Each rule catches something on random days that no other rule does; the confusion matrix is
+/// printed.
 #[test]
 fn every_rule_is_needed() {
     use proptest::strategy::ValueTree;
@@ -225,7 +226,7 @@
         "safe and passed {}, safe and refused {}, dangerous and passed {}, dangerous and refused {}",
         table[0][0], table[0][1], table[1][0], table[1][1]
     );
-    println!("caught by one rule alone: {alone:?}");
+    println!("caught by one rule only: {alone:?}");
     assert_eq!((table[0][1], table[1][0]), (0, 0));
     assert!(table[0][0] > 1_000 && table[1][1] > 1_000, "{table:?}");
     use Reason::{Cold, Empty, LargeStep, NotReady, OnlyCold, Overweight};
--- a/crates/guard/tests/steps.rs
+++ b/crates/guard/tests/steps.rs
@@ -1,6 +1,6 @@
-//! Steps: what leaves is safe by the rules, a safe table is never touched, the way ends; and by an
-//! exhaustive search over all orders in which proxies apply what they are sent, no cold server is
-//! ever pushed over.
+//! Steps: what is sent keeps the rules, a safe table is never changed, and steps come to an end. An
+//! exhaustive search over all orders in which proxies apply tables shows that no cold server is
+//! ever overloaded.
 
 use dahliapoint_guard::steps::Step;
 use dahliapoint_guard::{AdminState, Guard, Line, Reason, Server};
@@ -78,7 +78,7 @@
     all.map(|(s, w)| open(s, *w)).collect()
 }
 
-fn begun(fleet: &Fleet) -> Guard {
+fn guard_of(fleet: &Fleet) -> Guard {
     let mut guard = Guard::default();
     let all = fleet.servers.iter().enumerate();
     all.for_each(|(s, now)| guard.set_server(s, Some(0), *now));
@@ -94,8 +94,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 6000, failure_persistence: None, rng_seed: RngSeed::Fixed(9), ..ProptestConfig::default() })]
     #[test]
-    fn what_leaves_is_safe_and_the_way_ends(fleet in fleet()) {
-        let mut guard = begun(&fleet);
+    fn steps_are_safe_and_come_to_an_end(fleet in fleet()) {
+        let mut guard = guard_of(&fleet);
         let wanted = table(&fleet.wanted);
         let now = |s: usize| {
             let later = fleet.later.iter().rev().find(|(l, _)| *l == s);
@@ -108,17 +108,18 @@
             let found = guard.check(0, &leaves, true);
             let found: BTreeSet<Reason> = found.iter().map(|d| d.reason).filter(|r| *r != Reason::NotReady).collect();
             let borne: BTreeSet<Reason> = step.remaining.iter().map(|d| d.reason).collect();
-            prop_assert!(found.is_subset(&borne), "{:?} leaves with {:?}", step, found);
+            prop_assert!(found.is_subset(&borne), "{:?} is sent with {:?}", step, found);
             prop_assert!(!borne.contains(&Reason::Empty) && !borne.contains(&Reason::NotReady), "{:?}", step);
             let somebody = |kind: fn(&Server) -> bool| (0..SERVERS).any(|s| now(s).admin_state == AdminState::Ready && kind(&now(s)));
             let warm = somebody(|s| s.overload_per_s == f64::INFINITY);
-            // With a warm server there is always a table that keeps all but one server's share.
+            // With a warm server there is always a table that keeps all rules but the one on the
+            // share of one server.
             if warm {
                 prop_assert!(!borne.contains(&Reason::Cold) && !borne.contains(&Reason::OnlyCold), "{:?}", step);
             }
             if !step.partial {
                 let as_wanted: BTreeMap<usize, f64> = wanted.iter().filter(|l| l.open).map(|l| (l.server, l.weight)).collect();
-                prop_assert_eq!(&step.weights, &as_wanted, "a safe table is touched");
+                prop_assert_eq!(&step.weights, &as_wanted, "a safe table is changed");
             }
             if let Some(last) = &last && round >= 3 {
                 let near = |a: &BTreeMap<usize, f64>, b: &BTreeMap<usize, f64>| {
@@ -126,7 +127,7 @@
                     let share = |t: &BTreeMap<usize, f64>, s: usize| t.get(&s).copied().unwrap_or(0.0) / sum(t);
                     (0..SERVERS).all(|s| (share(a, s) - share(b, s)).abs() < 0.05)
                 };
-                prop_assert!(near(&last.weights, &step.weights), "after {} steps still moving: {:?} then {:?}", round, last, step);
+                prop_assert!(near(&last.weights, &step.weights), "after {} steps still changing: {:?} then {:?}", round, last, step);
             }
             send(&mut guard, &step, round + 2);
             guard.record_applied(0, round + 2);
@@ -135,8 +136,8 @@
     }
 }
 
-/// One state of the model: what each proxy has applied, what was sent, what the guard knows, what
-/// is wanted.
+/// One state of the model: the guard, the tables sent, what each proxy has applied, and the wanted
+/// table.
 #[derive(Clone)]
 struct World {
     guard: Guard,
@@ -152,12 +153,12 @@
     guarded: bool,
 }
 
-/// What an exploration found.
+/// Result of an exploration.
 #[derive(Default, Debug)]
 struct Found {
     states: usize,
     worst: BTreeMap<usize, f64>,
-    /// Longest row of steps without a new wish.
+    /// The most tables that were sent.
     ends: usize,
 }
 
@@ -177,7 +178,7 @@
         }
     }
 
-    /// What each server is brought in a state.
+    /// The load of a server in a state.
     fn brought(&self, world: &World, server: usize) -> f64 {
         let each = self.paces.iter().zip(&world.applied).map(|(pace, at)| {
             let table = &world.sent[*at];
@@ -191,8 +192,8 @@
         format!("{:?} {:?} {}", world.sent, world.applied, world.wish)
     }
 
-    /// Goes through every order: any proxy applies its next table, the controller takes a step, the
-    /// next wish comes.
+    /// Explores every order of events: a proxy applies its next table, the controller takes a step,
+    /// another table is wanted.
     fn explore(&self, first: &[Line]) -> Found {
         let mut found = Found::default();
         let (mut seen, mut todo) = (HashSet::new(), vec![self.begin(first)]);
@@ -244,11 +245,11 @@
     }
 }
 
-/// Wishes that would push a cold server over on the way, or at the end: the guard finds another
-/// way, whatever the order in which proxies apply it; without it the same wishes push the server
-/// over.
+/// Wanted tables that would overload a cold server on the way or at the end: the guard finds other
+/// steps, whatever the order in which proxies apply them; without it the same tables overload the
+/// server.
 #[test]
-fn no_order_of_arrivals_pushes_a_cold_server_over() {
+fn no_order_of_arrivals_overloads_a_cold_server() {
     let w = f64::INFINITY;
     type Weights<'a> = &'a [f64];
     let cases: [(&str, Vec<f64>, Weights, Vec<Weights>); 6] = [
@@ -259,31 +260,31 @@
             vec![&[1.0; 4]],
         ),
         (
-            "a flood, then sense",
+            "a flood, then a sensible table",
             vec![w, w, 12.0],
             &[1.0, 1.0, 0.1],
             vec![&[1.0, 1.0, 300.0], &[1.0, 1.0, 0.2]],
         ),
         (
-            "sense, then a flood",
+            "a sensible table, then a flood",
             vec![w, w, 12.0],
             &[1.0, 1.0, 0.1],
             vec![&[1.0, 1.0, 0.2], &[0.0, 0.0, 1.0]],
         ),
         (
-            "one by one to its limit",
+            "step by step to its limit",
             vec![w, w, 20.0],
             &[1.0, 1.0, 0.0],
             vec![&[1.0, 1.0, 0.3], &[1.0, 1.0, 0.6], &[0.2, 0.2, 0.6]],
         ),
         (
-            "from one cold one to the other",
+            "from one cold server to the other",
             vec![w, 20.0, 20.0],
             &[1.0, 0.15, 0.0],
             vec![&[1.0, 0.0, 0.9], &[1.0, 0.9, 0.0]],
         ),
         (
-            "a whole table thrown over",
+            "a whole table replaced",
             vec![w, w, w, 8.0],
             &[1.0, 0.0, 0.0, 0.05],
             vec![&[0.0, 0.0, 1.0, 1.0]],
@@ -312,7 +313,7 @@
                 "{name}: server {s}: {found:?}"
             );
         }
-        assert!(found.ends < 8, "{name}: it does not come to an end");
+        assert!(found.ends < 8, "{name}: the steps do not come to an end");
         assert!(found.states >= 8, "{name}: {found:?}");
         let bare = model(false).explore(&table(first));
         assert!(
@@ -322,10 +323,10 @@
     }
 }
 
-/// Who has become too heavy for a cold server by others' leaving is put right; the whole fleet cold
-/// shares by what each can take, and that is told.
+/// A cold server that is overloaded because others left is relieved. If the whole fleet is cold,
+/// the load is shared by what each server can take, and the violation is reported.
 #[test]
-fn what_stands_is_put_right_and_the_least_bad_is_told() {
+fn an_overloaded_table_is_corrected_and_remaining_violations_reported() {
     let mut guard = Guard::default();
     (0..3).for_each(|s| guard.set_server(s, Some(0), server(f64::INFINITY)));
     guard.set_server(3, Some(0), server(20.0));
@@ -336,7 +337,7 @@
     assert_eq!(
         guard.next_step(0, &all).violations,
         [],
-        "between the guard's limit and the fall nothing is stirred"
+        "between the guard's limit and the overload nothing changes"
     );
     let gone = Server {
         admin_state: AdminState::Gone,
@@ -355,8 +356,9 @@
     assert_eq!(step.remaining, []);
     let share = step.weights[&3] / step.weights.values().sum::<f64>();
     assert!((share - 16.0 / 120.0).abs() < 1e-9, "{share}");
-    assert_eq!(step.weights[&1], 1.0, "others stay as they are wanted");
-    // Nobody warm is left: by what each can take, and it is said that this pushes them over.
+    assert_eq!(step.weights[&1], 1.0, "other lines stay as wanted");
+    // No warm server is left: the load is shared by what each can take, and the overload is
+    // reported.
     guard.set_server(1, Some(0), server(10.0));
     guard.set_server(2, Some(0), server(20.0));
     let step = guard.next_step(0, &table(&[0.0, 1.0, 1.0, 1.0]));
