--- a/crates/control/tests/controller.rs
+++ b/crates/control/tests/controller.rs
@@ -10,7 +10,7 @@
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn terms() -> ControllerSettings {
+fn settings() -> ControllerSettings {
     let class = |name: &str, earnings| ClassSettings {
         name: name.into(),
         soft_limit_ms: 1000.0,
@@ -68,7 +68,7 @@
 struct Held {
     part: Option<usize>,
     lines: BTreeMap<String, (String, LineState)>,
-    shut: BTreeSet<String>,
+    withdrawn: BTreeSet<String>,
     last: u64,
     answered: u64,
 }
@@ -84,9 +84,9 @@
 }
 
 impl Day {
-    fn new(terms: ControllerSettings) -> Day {
+    fn new(settings: ControllerSettings) -> Day {
         Day {
-            controller: Controller::new(1e6, 7, terms),
+            controller: Controller::new(1e6, 7, settings),
             now: 1e6,
             held: BTreeMap::new(),
             closed: Vec::new(),
@@ -96,7 +96,7 @@
         }
     }
 
-    fn tell(&mut self, inputs: Vec<Input>) -> Vec<Output> {
+    fn send(&mut self, inputs: Vec<Input>) -> Vec<Output> {
         for input in &inputs {
             if let Input::Joined { session, .. } = input {
                 self.held.insert(*session, Held::default());
@@ -131,10 +131,10 @@
                             let name = l.server.to_string();
                             match (m.scope, l.state) {
                                 (Scope::Unbound, LineState::Withdrawn) => {
-                                    held.shut.insert(name);
+                                    held.withdrawn.insert(name);
                                 }
                                 (Scope::Unbound, _) => {
-                                    held.shut.remove(&name);
+                                    held.withdrawn.remove(&name);
                                 }
                                 (_, LineState::Removed) => {
                                     held.lines.remove(&name);
@@ -160,7 +160,7 @@
     }
 
     /// Lets time pass in steps; proxies answer a message one step later.
-    fn pass(&mut self, ms: f64, step: f64) {
+    fn run(&mut self, ms: f64, step: f64) {
         let end = self.now + ms;
         while self.now < end {
             self.now += step;
@@ -178,7 +178,7 @@
                     took_ms: 1.0,
                 });
             }
-            self.tell(inputs);
+            self.send(inputs);
         }
     }
 
@@ -189,16 +189,16 @@
             zone: "east".into(),
             visits_per_s: Some(50.0),
         };
-        self.tell(vec![input]);
+        self.send(vec![input]);
     }
 
     fn roster(&mut self, servers: &[(&str, AdminState)]) {
         let entries = servers.iter().map(|(n, s)| entry(n, *s)).collect();
-        self.tell(vec![Input::Roster(entries)]);
+        self.send(vec![Input::Roster(entries)]);
     }
 
     /// Asserts that every bound proxy holds the table of its part.
-    fn agrees(&self) {
+    fn assert_tables_agree(&self) {
         let view = self.controller.overview();
         for p in &view.proxies {
             let held = &self.held[&p.session];
@@ -225,20 +225,20 @@
 
 use AdminState::{Draining, Gone, Ready};
 
-fn five() -> Day {
-    let mut day = Day::new(terms());
+fn five_servers() -> Day {
+    let mut day = Day::new(settings());
     let names = ["a", "bb", "ccc", "dddd", "eeeee"];
     day.roster(&names.map(|n| (n, Ready)));
     day.join(1, "p1");
     day.join(2, "p2");
-    day.pass(3000.0, 100.0);
+    day.run(3000.0, 100.0);
     day
 }
 
 #[test]
 fn a_proxy_is_bound_and_holds_every_ready_server() {
-    let day = five();
-    day.agrees();
+    let day = five_servers();
+    day.assert_tables_agree();
     assert_eq!(day.held[&1].lines.len(), 5);
     assert_eq!(day.held[&1].lines, day.held[&2].lines);
     assert!(day.closed.is_empty());
@@ -246,7 +246,7 @@
 
 #[test]
 fn a_drain_is_sent_at_once_to_bound_and_to_unbound_proxies() {
-    let mut day = five();
+    let mut day = five_servers();
     day.roster(&[
         ("a", Draining),
         ("bb", Ready),
@@ -265,7 +265,7 @@
     // withdrawals.
     let mut day = Day::new(ControllerSettings {
         max_queued_lines: 150.0,
-        ..terms()
+        ..settings()
     });
     day.answering = false;
     day.roster(&["a", "bb", "ccc", "dddd", "eeeee"].map(|n| (n, Ready)));
@@ -273,12 +273,12 @@
     day.roster(&[("a", Draining), ("bb", Ready), ("ccc", Ready)]);
     day.join(10, "late");
     assert_eq!(day.held[&10].part, None);
-    assert!(day.held[&10].shut.contains("a"), "{:?}", day.held[&10]);
+    assert!(day.held[&10].withdrawn.contains("a"), "{:?}", day.held[&10]);
 }
 
 #[test]
 fn a_refused_message_is_sent_again_withdrawals_first() {
-    let mut day = five();
+    let mut day = five_servers();
     day.answering = false;
     day.roster(&[
         ("a", Draining),
@@ -287,27 +287,27 @@
         ("dddd", Ready),
     ]);
     let serial = day.held[&1].last;
-    let out = day.tell(vec![Input::Refused(1, serial, "unknown server".into())]);
-    let again = out.iter().find_map(|o| match o {
+    let out = day.send(vec![Input::Refused(1, serial, "unknown server".into())]);
+    let resent = out.iter().find_map(|o| match o {
         Output::Write(to, m) if to == &vec![1] => Some(m.clone()),
         _ => None,
     });
-    let again = again.expect("withdrawals are sent again at once");
-    assert!(again.lines.iter().all(|l| l.state != LineState::Open));
-    assert!(again.lines.iter().any(|l| &*l.server == "a"));
+    let resent = resent.expect("withdrawals are sent again at once");
+    assert!(resent.lines.iter().all(|l| l.state != LineState::Open));
+    assert!(resent.lines.iter().any(|l| &*l.server == "a"));
     // The rest follows after the grace period.
     day.answering = true;
-    day.pass(3_500.0, 100.0);
+    day.run(3_500.0, 100.0);
     let view = day.controller.overview();
     assert!(view.proxies.iter().all(|p| p.refusal.is_none()), "{view:?}");
     assert_eq!(view.counters.refused, 1);
-    day.agrees();
+    day.assert_tables_agree();
 }
 
 #[test]
 fn unexpected_answers_and_second_streams_do_no_harm() {
-    let mut day = five();
-    let odd = [
+    let mut day = five_servers();
+    let unexpected = [
         Input::Applied(1, 0),
         Input::Applied(1, 9999),
         Input::Applied(77, 1),
@@ -315,15 +315,15 @@
         Input::Left(77),
         Input::Reported("nobody".into(), LoadReport::default()),
     ];
-    day.tell(odd.to_vec());
+    day.send(unexpected.to_vec());
     assert_eq!(day.controller.overview().counters.unexpected_answers, 4);
     // The same proxy again: the newer stream replaces the older one, whose late messages are
     // ignored.
     day.join(3, "p1");
     assert_eq!(day.closed, [1]);
     day.controller.handle(day.now, vec![Input::Left(1)]);
-    day.pass(3000.0, 100.0);
-    day.agrees();
+    day.run(3000.0, 100.0);
+    day.assert_tables_agree();
     assert_eq!(day.controller.overview().proxies.len(), 2);
     // An unknown zone.
     let input = Input::Joined {
@@ -332,14 +332,14 @@
         zone: "mars".into(),
         visits_per_s: None,
     };
-    day.tell(vec![input]);
+    day.send(vec![input]);
     assert_eq!(day.closed, [1, 9]);
 }
 
 #[test]
 fn a_proxy_that_does_not_answer_is_evicted_and_the_others_go_on() {
-    let mut day = five();
-    let mute = 2;
+    let mut day = five_servers();
+    let unresponsive = 2;
     let mut last = 0;
     for i in 0..40 {
         let state = if i % 2 == 0 { Draining } else { Ready };
@@ -348,20 +348,20 @@
         if let Some(h) = day.held.get_mut(&1) {
             last = h.last;
         }
-        day.tell(vec![Input::Applied(1, last)]);
-        if day.closed.contains(&mute) {
+        day.send(vec![Input::Applied(1, last)]);
+        if day.closed.contains(&unresponsive) {
             break;
         }
     }
-    assert_eq!(day.closed, [mute]);
+    assert_eq!(day.closed, [unresponsive]);
     assert!(day.notes.iter().any(|n| n.contains("p2: does not answer")));
-    day.pass(15_000.0, 100.0);
-    day.agrees();
+    day.run(15_000.0, 100.0);
+    day.assert_tables_agree();
 }
 
 #[test]
 fn an_index_is_reused_only_when_nothing_refers_to_it() {
-    let mut day = five();
+    let mut day = five_servers();
     for round in 0..40 {
         // Each round one server is replaced by one with a new name in the same zone.
         let name = format!(
@@ -371,8 +371,8 @@
         );
         let names = [(name.as_str(), Ready), ("bb", Ready), ("dddd", Ready)];
         day.roster(&names);
-        day.pass(170_000.0, 1000.0);
-        day.agrees();
+        day.run(170_000.0, 1000.0);
+        day.assert_tables_agree();
     }
     let view = day.controller.overview();
     let known: Vec<_> = view.servers.iter().map(|s| s.name.to_string()).collect();
@@ -382,7 +382,7 @@
 
 #[test]
 fn impossible_reports_are_refused_and_unknown_lines_counted() {
-    let mut day = five();
+    let mut day = five_servers();
     let line = |server: &str, tries, failed, good_ms| ReportLine {
         server: server.into(),
         tries,
@@ -390,10 +390,10 @@
         success_ms: good_ms,
         ..ReportLine::default()
     };
-    let report = |met| LoadReport {
+    let report = |line| LoadReport {
         window_ms: 500.0,
         ended_ago_ms: 0.0,
-        lines: vec![met],
+        lines: vec![line],
         arrivals: vec![("view".into(), 3.0)],
     };
     let cases = [
@@ -406,36 +406,39 @@
         (line("a", 5.0, 5.0, 1.0), false),
         (line("a", 5.0, 0.0, f64::INFINITY), false),
     ];
-    for (met, fine) in &cases {
-        let report = report(met.clone());
+    for (line, valid) in &cases {
+        let report = report(line.clone());
         assert_eq!(
             dahliapoint_control::report_error(&report).is_none(),
-            *fine,
-            "{met:?}"
+            *valid,
+            "{line:?}"
         );
-        day.tell(vec![Input::Reported("p1".into(), report)]);
+        day.send(vec![Input::Reported("p1".into(), report)]);
     }
-    let accounts = day.controller.overview().counters;
-    assert_eq!((accounts.report_lines, accounts.unknown_lines), (1, 1));
-    assert_eq!(accounts.refused_reports, 6);
+    let counters = day.controller.overview().counters;
+    assert_eq!((counters.report_lines, counters.unknown_lines), (1, 1));
+    assert_eq!(counters.refused_reports, 6);
     // A class that the settings do not have: the line counts as unknown.
-    let odd = ReportLine {
+    let unexpected = ReportLine {
         class: 9,
         ..line("a", 1.0, 0.0, 1.0)
     };
-    day.tell(vec![Input::Reported("p1".into(), report(odd))]);
+    day.send(vec![Input::Reported("p1".into(), report(unexpected))]);
     assert_eq!(day.controller.overview().counters.unknown_lines, 2);
     // Visits in flight are those of the newest report of each proxy.
-    let busy = |n: f64| ReportLine {
+    let in_flight_line = |n: f64| ReportLine {
         in_flight: n,
         ..line("a", 1.0, 0.0, 1.0)
     };
-    for (proxy, many) in [("p1", 5.0), ("p2", 2.0), ("p1", 3.0)] {
-        day.tell(vec![Input::Reported(proxy.into(), report(busy(many)))]);
+    for (proxy, in_flight) in [("p1", 5.0), ("p2", 2.0), ("p1", 3.0)] {
+        day.send(vec![Input::Reported(
+            proxy.into(),
+            report(in_flight_line(in_flight)),
+        )]);
     }
     // Estimates by class appear once the round has ended and its window is complete.
     day.now += 1500.0;
-    day.tell(vec![Input::RoundEnded]);
+    day.send(vec![Input::RoundEnded]);
     let view = day.controller.overview();
     let a = view.servers.iter().find(|s| &*s.name == "a").unwrap();
     assert_eq!((a.by_class.len(), a.by_class[0].class), (1, 0));
@@ -461,7 +464,7 @@
         max_queued_lines: most_waiting,
         max_messages: 0.0,
         default_visits_per_s: 0.1,
-        ..terms()
+        ..settings()
     });
     let names: Vec<String> = (0..115)
         .map(|i| format!("server{}", "x".repeat(i)))
@@ -477,17 +480,17 @@
                 zone: if p % 2 == 0 { "east" } else { "west" }.into(),
                 visits_per_s: Some(2.0),
             };
-            day.tell(vec![input]);
+            day.send(vec![input]);
             let view = day.controller.overview();
             assert!(view.counters.waiting <= most_waiting, "{:?}", view.counters);
         }
-        day.pass(30_000.0, 100.0);
+        day.run(30_000.0, 100.0);
         let view = day.controller.overview();
         assert_eq!(
             view.proxies.iter().filter(|p| p.part.is_some()).count(),
             361
         );
-        day.agrees();
+        day.assert_tables_agree();
     }
     assert!(day.controller.overview().counters.most_waiting <= most_waiting);
 }
@@ -495,34 +498,37 @@
 /// The roster's clock jumps: the same start with another age must not count as a new start.
 #[test]
 fn a_clock_jump_is_no_new_start() {
-    let mut day = five();
+    let mut day = five_servers();
     let started = |ago, stamp| RosterEntry {
         started: Some((ago, stamp)),
         ..entry("a", Ready)
     };
     let rest = || ["bb", "ccc", "dddd", "eeeee"].map(|n| entry(n, Ready));
-    let tell = |day: &mut Day, first: RosterEntry| {
+    let weight_after = |day: &mut Day, first: RosterEntry| {
         let mut entries = vec![first];
         entries.extend(rest());
-        day.tell(vec![Input::Roster(entries)]);
-        day.pass(3_000.0, 100.0);
+        day.send(vec![Input::Roster(entries)]);
+        day.run(3_000.0, 100.0);
         let view = day.controller.overview();
         let a = view.servers.iter().find(|s| &*s.name == "a").unwrap();
         a.weight
     };
     assert!(
-        tell(&mut day, started(50.0, 1)) < 0.5,
+        weight_after(&mut day, started(50.0, 1)) < 0.5,
         "a server that has just started is cold"
     );
-    day.pass(30_000.0, 500.0);
+    day.run(30_000.0, 500.0);
     for ago in [0.0, 5.0, 1e7, 0.0] {
         assert_eq!(
-            tell(&mut day, started(ago, 1)),
+            weight_after(&mut day, started(ago, 1)),
             1.0,
             "the same start, {ago}"
         );
     }
-    assert!(tell(&mut day, started(0.0, 2)) < 0.5, "another start");
+    assert!(
+        weight_after(&mut day, started(0.0, 2)) < 0.5,
+        "another start"
+    );
 }
 
 fn inputs() -> impl Strategy<Value = Input> {
@@ -537,7 +543,7 @@
         });
     let roster = prop::collection::vec(one, 0..7);
     let session = 1_u64..6;
-    let met = ("[a-d]{1,4}", 0.0..50.0, 0.0..1.0, 0.0..3000.0).prop_map(
+    let line = ("[a-d]{1,4}", 0.0..50.0, 0.0..1.0, 0.0..3000.0).prop_map(
         |(server, tries, part, mean): (String, f64, f64, f64)| ReportLine {
             server,
             tries,
@@ -546,10 +552,10 @@
             ..ReportLine::default()
         },
     );
-    let report = prop::collection::vec(met, 0..5).prop_map(|met| LoadReport {
+    let report = prop::collection::vec(line, 0..5).prop_map(|lines| LoadReport {
         window_ms: 500.0,
         ended_ago_ms: 20.0,
-        lines: met,
+        lines,
         arrivals: vec![("view".into(), 9.0), ("none".into(), 1.0)],
     });
     prop_oneof![
@@ -566,9 +572,9 @@
         (session.clone(), 0_u64..60).prop_map(|(s, n)| Input::Refused(s, n, "no".into())),
         (session, report).prop_map(|(s, r)| Input::Reported(format!("p{}", s % 4), r)),
         Just(Input::RoundEnded),
-        ("[a-d]{1,4}", any::<bool>()).prop_map(|(server, fine)| Input::Probed {
+        ("[a-d]{1,4}", any::<bool>()).prop_map(|(server, healthy)| Input::Probed {
             server,
-            healthy: fine,
+            healthy,
             took_ms: 3.0
         }),
     ]
@@ -584,9 +590,9 @@
         moments in prop::collection::vec((prop::collection::vec(inputs(), 0..4), 1.0..4000.0_f64), 1..60),
         cut in 0.0..1.0_f64,
     ) {
-        let mut day = Day::new(terms());
-        let begin = Header { now: day.now, seed: 7, settings: terms() };
-        let mut record = Recorder::create(Vec::new(), &begin).unwrap();
+        let mut day = Day::new(settings());
+        let header = Header { now: day.now, seed: 7, settings: settings() };
+        let mut record = Recorder::create(Vec::new(), &header).unwrap();
         let mut bytes = Vec::new();
         let mut streams = 0;
         let mut live: BTreeMap<Session, Session> = BTreeMap::new();
@@ -609,25 +615,25 @@
                 }
             }).collect();
             record.append(day.now, &inputs).unwrap();
-            let out = day.tell(inputs);
+            let out = day.send(inputs);
             bytes.extend(encode_outputs(&out));
         }
-        day.agrees();
+        day.assert_tables_agree();
         let written = record.into_inner();
-        let mut again = Vec::new();
-        let (controller, end) = replay(&written[..], |_, out| again.extend(encode_outputs(out))).unwrap();
+        let mut replayed = Vec::new();
+        let (controller, end) = replay(&written[..], |_, out| replayed.extend(encode_outputs(out))).unwrap();
         prop_assert_eq!(end, End::Complete);
-        prop_assert!(bytes == again);
+        prop_assert!(bytes == replayed);
         prop_assert_eq!(controller.overview(), day.controller.overview());
         let cut = 8 + ((written.len() - 8) as f64 * cut) as usize;
         let mut part = Vec::new();
         if let Ok((_, end)) = replay(&written[..cut], |_, out| part.extend(encode_outputs(out))) {
             prop_assert!(end == End::Truncated || end == End::Complete);
-            prop_assert!(again.starts_with(&part));
+            prop_assert!(replayed.starts_with(&part));
         }
-        let mut damaged = written.clone();
-        damaged[cut.min(written.len() - 1)] ^= 0x40;
-        if let Ok((_, end)) = replay(&damaged[..], |_, _| ()) {
+        let mut corrupt = written.clone();
+        corrupt[cut.min(written.len() - 1)] ^= 0x40;
+        if let Ok((_, end)) = replay(&corrupt[..], |_, _| ()) {
             prop_assert!(end != End::Complete, "corruption is detected");
         }
     }
--- a/crates/control/tests/rollout.rs
+++ b/crates/control/tests/rollout.rs
@@ -19,7 +19,7 @@
 const STEP_MS: f64 = 50.0;
 const ROUND_MS: f64 = 500.0;
 
-fn terms(guard: GuardMode) -> ControllerSettings {
+fn settings(guard: GuardMode) -> ControllerSettings {
     ControllerSettings {
         service: "portal".into(),
         zones: vec!["east".into()],
@@ -55,9 +55,9 @@
     }
 }
 
-struct Chance(u64);
+struct Rng(u64);
 
-impl Chance {
+impl Rng {
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.0;
@@ -70,25 +70,26 @@
         (self.next() % n as u64) as usize
     }
 
-    fn is(&mut self, of: usize) -> bool {
-        self.below(of) == 0
+    fn one_in(&mut self, n: usize) -> bool {
+        self.below(n) == 0
     }
 }
 
 /// A fault in the orders of the planner that lasts for a while.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Spoil {
+enum Fault {
     Nothing,
-    AllEqual,
+    EqualWeights,
     Flood(usize),
     Empty,
-    Wild,
-    KeepsDrained,
-    Repeats,
+    Random,
+    KeepsDraining,
+    UnsafeRetries,
 }
 
+/// The simulated state of a server.
 #[derive(Clone, Debug, PartialEq)]
-struct Truth {
+struct ServerTruth {
     state: AdminState,
     started: f64,
     stamp: u64,
@@ -99,90 +100,100 @@
 type Table = BTreeMap<usize, f64>;
 type Changes = Vec<(usize, f64)>;
 
+/// A simulated proxy.
 struct Proxy {
     bound: bool,
     table: Table,
     /// Messages in transit: when each is applied, its serial, whether it is a snapshot, its
     /// changes.
-    way: VecDeque<(f64, u64, bool, Changes)>,
-    pace: f64,
+    in_transit: VecDeque<(f64, u64, bool, Changes)>,
+    rate_share: f64,
     empty_since: Option<f64>,
 }
 
 /// Violations by rule.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Broken {
+struct Violations {
     empty: usize,
     drains: usize,
-    falls: usize,
-    repeats: usize,
+    overloads: usize,
+    unsafe_retries: usize,
 }
 
+/// A controller with simulated servers and proxies.
 struct Day {
     controller: Controller,
-    chance: Chance,
+    rng: Rng,
     now: f64,
-    truth: Vec<Truth>,
+    servers: Vec<ServerTruth>,
     proxies: Vec<Proxy>,
-    spoil: std::sync::Arc<std::sync::Mutex<Spoil>>,
+    fault: std::sync::Arc<std::sync::Mutex<Fault>>,
     load: f64,
-    broken: Broken,
+    violations: Violations,
     /// Tries by proxy and server in this round, and how many of them an overloaded server delayed.
-    met: BTreeMap<(usize, usize), (f64, f64)>,
+    round_tries: BTreeMap<(usize, usize), (f64, f64)>,
     probes: Vec<usize>,
-    looked: u64,
+    checked_lines: u64,
 }
 
-fn number(name: &str) -> usize {
+fn server_index(name: &str) -> usize {
     name[1..].parse().unwrap()
 }
 
 impl Day {
     fn new(guard: GuardMode, seed: u64) -> Day {
         let now = 1e6;
-        let truth = Truth {
+        let server = ServerTruth {
             state: AdminState::Ready,
             started: now - 1e5,
             stamp: 0,
             since: now,
         };
-        let spoil = std::sync::Arc::new(std::sync::Mutex::new(Spoil::Nothing));
-        let mut controller = Controller::new(now, seed, terms(guard));
-        let told = spoil.clone();
-        let (mut seen, mut wild, mut turn) = (BTreeSet::new(), Chance(seed), 0);
+        let fault = std::sync::Arc::new(std::sync::Mutex::new(Fault::Nothing));
+        let mut controller = Controller::new(now, seed, settings(guard));
+        let shared_fault = fault.clone();
+        let (mut known_lines, mut fault_rng, mut calls) = (BTreeSet::new(), Rng(seed), 0);
         // What the planner ordered itself: once the fault is over, all of that is ordered again.
-        let (mut own, mut own_shut, mut was_wrong) = (BTreeMap::new(), BTreeMap::new(), false);
+        let (mut own_lines, mut own_withdrawals, mut was_faulty) =
+            (BTreeMap::new(), BTreeMap::new(), false);
         controller.inject_faults(Box::new(move |_, orders| {
-            own.extend(orders.lines.iter().map(|l| ((l.0, l.1), l.2)));
-            own_shut.extend(orders.withdrawals.iter().copied());
-            let spoil = *told.lock().unwrap();
-            if was_wrong && spoil == Spoil::Nothing {
-                orders.lines = own.iter().map(|((p, s), w)| (*p, *s, *w)).collect();
-                orders.withdrawals = own_shut.iter().map(|(s, shut)| (*s, *shut)).collect();
+            own_lines.extend(orders.lines.iter().map(|l| ((l.0, l.1), l.2)));
+            own_withdrawals.extend(orders.withdrawals.iter().copied());
+            let fault = *shared_fault.lock().unwrap();
+            if was_faulty && fault == Fault::Nothing {
+                orders.lines = own_lines.iter().map(|((p, s), w)| (*p, *s, *w)).collect();
+                orders.withdrawals = own_withdrawals
+                    .iter()
+                    .map(|(s, shut)| (*s, *shut))
+                    .collect();
             }
-            was_wrong = spoil != Spoil::Nothing;
-            seen.extend(orders.lines.iter().map(|l| (l.0, l.1)));
-            turn += 1;
+            was_faulty = fault != Fault::Nothing;
+            known_lines.extend(orders.lines.iter().map(|l| (l.0, l.1)));
+            calls += 1;
             let all = |weight: &mut dyn FnMut(usize) -> f64| {
-                seen.iter().map(|(p, s)| (*p, *s, weight(*s))).collect()
+                known_lines
+                    .iter()
+                    .map(|(p, s)| (*p, *s, weight(*s)))
+                    .collect()
             };
-            match spoil {
-                Spoil::Nothing => {}
-                Spoil::AllEqual => orders.lines = all(&mut |_| 1.0),
-                Spoil::Flood(s) => orders.lines = all(&mut |x| if x == s { 10_000.0 } else { 0.0 }),
-                Spoil::Empty => orders.lines = all(&mut |_| 0.0),
-                Spoil::Wild => {
+            match fault {
+                Fault::Nothing => {}
+                Fault::EqualWeights => orders.lines = all(&mut |_| 1.0),
+                Fault::Flood(s) => orders.lines = all(&mut |x| if x == s { 10_000.0 } else { 0.0 }),
+                Fault::Empty => orders.lines = all(&mut |_| 0.0),
+                Fault::Random => {
                     // Only every seventh time, so that other states occur in between.
-                    if turn % 7 == 0 {
-                        orders.lines = all(&mut |_| [0.0, 0.01, 1.0, 3.0, 10_000.0][wild.below(5)]);
+                    if calls % 7 == 0 {
+                        orders.lines =
+                            all(&mut |_| [0.0, 0.01, 1.0, 3.0, 10_000.0][fault_rng.below(5)]);
                     }
                 }
-                Spoil::KeepsDrained => {
+                Fault::KeepsDraining => {
                     orders.withdrawals.retain(|(_, shut)| !shut);
                     orders.lines.retain(|l| l.2 > 0.0);
                 }
-                Spoil::Repeats => {
-                    orders.levels = seen
+                Fault::UnsafeRetries => {
+                    orders.levels = known_lines
                         .iter()
                         .map(|(p, _)| (*p, 0, 1.0, planner::RetryPolicy::OnFailure))
                         .collect();
@@ -192,27 +203,27 @@
         let proxy = |i: usize| Proxy {
             bound: false,
             table: Table::new(),
-            way: VecDeque::new(),
-            pace: 1.0 + i as f64 / 2.0,
+            in_transit: VecDeque::new(),
+            rate_share: 1.0 + i as f64 / 2.0,
             empty_since: None,
         };
         Day {
             controller,
-            chance: Chance(seed ^ 0x5eed),
+            rng: Rng(seed ^ 0x5eed),
             now,
-            truth: vec![truth; SERVERS],
+            servers: vec![server; SERVERS],
             proxies: (0..PROXIES).map(proxy).collect(),
-            spoil,
+            fault,
             load: 300.0,
-            broken: Broken::default(),
-            met: BTreeMap::new(),
+            violations: Violations::default(),
+            round_tries: BTreeMap::new(),
             probes: Vec::new(),
-            looked: 0,
+            checked_lines: 0,
         }
     }
 
     fn roster(&self) -> Vec<RosterEntry> {
-        let entry = |(i, t): (usize, &Truth)| RosterEntry {
+        let entry = |(i, t): (usize, &ServerTruth)| RosterEntry {
             name: format!("s{i}"),
             address: format!("127.0.0.1:{}", i + 1),
             zone: "east".into(),
@@ -220,11 +231,11 @@
             weight: 1.0,
             started: Some((self.now - t.started, t.stamp)),
         };
-        self.truth.iter().enumerate().map(entry).collect()
+        self.servers.iter().enumerate().map(entry).collect()
     }
 
     fn set(&mut self, s: usize, state: AdminState, restarts: bool) {
-        let t = &mut self.truth[s];
+        let t = &mut self.servers[s];
         if t.state != state {
             t.since = self.now;
         }
@@ -234,7 +245,7 @@
         }
     }
 
-    fn tell(&mut self, inputs: Vec<Input>) {
+    fn send(&mut self, inputs: Vec<Input>) {
         for output in self.controller.handle(self.now, inputs) {
             match output {
                 Output::Write(sessions, m) => {
@@ -243,7 +254,7 @@
                         .iter()
                         .map(|l| {
                             (
-                                number(&l.server),
+                                server_index(&l.server),
                                 if l.state == LineState::Open {
                                     l.weight
                                 } else {
@@ -252,34 +263,39 @@
                             )
                         })
                         .collect();
-                    let repeats = m
+                    let unsafe_retries = m
                         .policies
                         .iter()
                         .any(|w| w.1.retry == RetryPolicy::OnFailure);
-                    self.broken.repeats += usize::from(repeats);
+                    self.violations.unsafe_retries += usize::from(unsafe_retries);
                     for session in sessions {
                         // Each proxy applies it at its own time, in order.
-                        let after = 20.0 + self.chance.below(1_500) as f64;
+                        let after = 20.0 + self.rng.below(1_500) as f64;
                         let p = &mut self.proxies[session as usize];
-                        let at = p.way.back().map_or(0.0, |w| w.0).max(self.now + after);
-                        let whole = matches!(m.scope, Scope::Snapshot(_));
+                        let at = p
+                            .in_transit
+                            .back()
+                            .map_or(0.0, |w| w.0)
+                            .max(self.now + after);
+                        let is_snapshot = matches!(m.scope, Scope::Snapshot(_));
                         let lines = if m.scope == Scope::Unbound {
                             Vec::new()
                         } else {
                             lines.clone()
                         };
-                        p.way.push_back((at, m.serial, whole, lines));
+                        p.in_transit.push_back((at, m.serial, is_snapshot, lines));
                     }
                 }
-                Output::Probe { server, .. } => self.probes.push(number(&server)),
+                Output::Probe { server, .. } => self.probes.push(server_index(&server)),
                 Output::Close(session, why) => panic!("{session} is closed: {why}"),
                 Output::Log(_) => {}
             }
         }
     }
 
-    fn able(&self, s: usize) -> f64 {
-        let age = (self.now - self.truth[s].started) / WARM_MS;
+    /// The share of its capacity that a server has now.
+    fn capacity_share(&self, s: usize) -> f64 {
+        let age = (self.now - self.servers[s].started) / WARM_MS;
         0.15 + 0.85 * age.min(1.0)
     }
 
@@ -288,9 +304,9 @@
         self.now += STEP_MS;
         let mut inputs = Vec::new();
         for (i, p) in self.proxies.iter_mut().enumerate() {
-            while p.way.front().is_some_and(|w| w.0 <= self.now) {
-                let (_, serial, whole, lines) = p.way.pop_front().unwrap();
-                if whole {
+            while p.in_transit.front().is_some_and(|w| w.0 <= self.now) {
+                let (_, serial, is_snapshot, lines) = p.in_transit.pop_front().unwrap();
+                if is_snapshot {
                     (p.bound, p.table) = (true, Table::new());
                 }
                 for (s, weight) in lines {
@@ -305,15 +321,15 @@
         for s in std::mem::take(&mut self.probes) {
             inputs.push(Input::Probed {
                 server: format!("s{s}"),
-                healthy: self.truth[s].state != AdminState::Gone,
+                healthy: self.servers[s].state != AdminState::Gone,
                 took_ms: 1.0,
             });
         }
-        self.look();
+        self.check_rules();
         if self.now % ROUND_MS < STEP_MS {
             for i in 0..PROXIES {
-                let mine = self.met.iter().filter(|((p, _), _)| *p == i);
-                let met = mine.map(|((_, s), (tries, late))| ReportLine {
+                let mine = self.round_tries.iter().filter(|((p, _), _)| *p == i);
+                let lines = mine.map(|((_, s), (tries, late))| ReportLine {
                     server: format!("s{s}"),
                     tries: *tries,
                     success_ms: (tries - late) * 30.0 + late * 3_000.0,
@@ -322,24 +338,27 @@
                 let report = LoadReport {
                     window_ms: ROUND_MS,
                     ended_ago_ms: 0.0,
-                    lines: met.collect(),
+                    lines: lines.collect(),
                     arrivals: Vec::new(),
                 };
                 inputs.push(Input::Reported(format!("p{i}"), report));
             }
             inputs.push(Input::RoundEnded);
-            self.met.clear();
+            self.round_tries.clear();
         }
-        self.tell(inputs);
+        self.send(inputs);
     }
 
-    fn look(&mut self) {
-        let paces: f64 = self.proxies.iter().map(|p| p.pace).sum();
-        let (mut loads, mut mets) = ([0.0; SERVERS], Vec::new());
+    /// Lets visits run for one step and counts violations.
+    fn check_rules(&mut self) {
+        let rate_total: f64 = self.proxies.iter().map(|p| p.rate_share).sum();
+        let (mut loads, mut tries_by_line) = ([0.0; SERVERS], Vec::new());
         // A warm server has been ready for longer than any message is in transit.
         let warm = (0..SERVERS).any(|s| {
-            let t = &self.truth[s];
-            t.state == AdminState::Ready && self.able(s) >= 1.0 && self.now - t.since > 5_000.0
+            let t = &self.servers[s];
+            t.state == AdminState::Ready
+                && self.capacity_share(s) >= 1.0
+                && self.now - t.since > 5_000.0
         });
         for (i, p) in self.proxies.iter_mut().enumerate().filter(|(_, p)| p.bound) {
             let sum: f64 = p.table.values().sum();
@@ -347,50 +366,52 @@
             if sum > 0.0 {
                 p.empty_since = None;
             } else if warm && self.now - begin > 2_000.0 {
-                self.broken.empty += 1;
+                self.violations.empty += 1;
             }
             for (s, w) in &p.table {
-                let load = self.load * p.pace / paces * w / sum;
+                let load = self.load * p.rate_share / rate_total * w / sum;
                 loads[*s] += load;
-                mets.push(((i, *s), load * STEP_MS / 1e3));
-                self.looked += 1;
-                let t = &self.truth[*s];
+                tries_by_line.push(((i, *s), load * STEP_MS / 1e3));
+                self.checked_lines += 1;
+                let t = &self.servers[*s];
                 // A withdrawal is applied within the grace period plus 1.5 s: what is sent at once
                 // is applied after at most 1.5 s, together with what queues behind it.
                 let late = self.now - t.since > GRACE_MS + 1_500.0;
-                self.broken.drains += usize::from(t.state != AdminState::Ready && late);
+                self.violations.drains += usize::from(t.state != AdminState::Ready && late);
             }
         }
-        for ((i, s), tries) in mets {
-            let over = loads[s] > self.able(s) * CAPACITY;
-            let met = self.met.entry((i, s)).or_default();
-            met.0 += tries;
-            met.1 += if over { tries } else { 0.0 };
+        for ((i, s), tries) in tries_by_line {
+            let over = loads[s] > self.capacity_share(s) * CAPACITY;
+            let sums = self.round_tries.entry((i, s)).or_default();
+            sums.0 += tries;
+            sums.1 += if over { tries } else { 0.0 };
         }
         for (s, load) in loads.iter().enumerate() {
-            let able = self.able(s);
-            let falls = able < 1.0 && self.truth[s].state == AdminState::Ready && warm;
-            self.broken.falls += usize::from(falls && *load > 3.0 * able * CAPACITY);
+            let capacity_share = self.capacity_share(s);
+            let checked =
+                capacity_share < 1.0 && self.servers[s].state == AdminState::Ready && warm;
+            self.violations.overloads +=
+                usize::from(checked && *load > 3.0 * capacity_share * CAPACITY);
         }
     }
 
-    fn play(&mut self, ms: f64) {
+    fn run(&mut self, ms: f64) {
         let end = self.now + ms;
         while self.now < end {
             self.step();
         }
     }
 
-    fn news(&mut self) {
+    fn send_roster(&mut self) {
         let roster = self.roster();
-        self.tell(vec![Input::Roster(roster)]);
+        self.send(vec![Input::Roster(roster)]);
     }
 
     /// A day: three times the fleet changes, the orders are faulty for a while, and then all is
     /// calm.
-    fn whole(guard: GuardMode, seed: u64) -> Day {
+    fn random_day(guard: GuardMode, seed: u64) -> Day {
         let mut day = Day::new(guard, seed);
-        day.news();
+        day.send_roster();
         for i in 0..PROXIES {
             let joined = Input::Joined {
                 session: i as u64,
@@ -398,57 +419,59 @@
                 zone: "east".into(),
                 visits_per_s: Some(60.0),
             };
-            day.tell(vec![joined]);
+            day.send(vec![joined]);
         }
-        day.play(8_000.0);
+        day.run(8_000.0);
         for _ in 0..3 {
-            let many = [1, 2, 4, 6, 7][day.chance.below(5)];
-            let whom: BTreeSet<usize> = (0..many).map(|_| day.chance.below(SERVERS)).collect();
-            match day.chance.below(4) {
+            let count = [1, 2, 4, 6, 7][day.rng.below(5)];
+            let affected: BTreeSet<usize> = (0..count).map(|_| day.rng.below(SERVERS)).collect();
+            match day.rng.below(4) {
                 // A group of servers, or nearly all, restarts.
                 0 | 1 => {
-                    whom.iter()
+                    affected
+                        .iter()
                         .for_each(|s| day.set(*s, AdminState::Gone, false));
-                    day.news();
-                    day.play(3_000.0);
-                    whom.iter()
+                    day.send_roster();
+                    day.run(3_000.0);
+                    affected
+                        .iter()
                         .for_each(|s| day.set(*s, AdminState::Ready, true));
                 }
-                2 => whom
+                2 => affected
                     .iter()
                     .for_each(|s| day.set(*s, AdminState::Draining, false)),
-                _ => whom
+                _ => affected
                     .iter()
                     .for_each(|s| day.set(*s, AdminState::Gone, false)),
             }
-            let spoil = match day.chance.below(7) {
-                0 => Spoil::AllEqual,
-                1 => Spoil::Flood(day.chance.below(SERVERS)),
-                2 => Spoil::Empty,
-                3 => Spoil::Wild,
-                4 => Spoil::KeepsDrained,
-                5 => Spoil::Repeats,
-                _ => Spoil::Nothing,
+            let fault = match day.rng.below(7) {
+                0 => Fault::EqualWeights,
+                1 => Fault::Flood(day.rng.below(SERVERS)),
+                2 => Fault::Empty,
+                3 => Fault::Random,
+                4 => Fault::KeepsDraining,
+                5 => Fault::UnsafeRetries,
+                _ => Fault::Nothing,
             };
-            *day.spoil.lock().unwrap() = spoil;
-            day.news();
+            *day.fault.lock().unwrap() = fault;
+            day.send_roster();
             // The load changes slowly, as between night and morning.
-            let to = [30.0, 150.0, 400.0][day.chance.below(3)];
+            let to = [30.0, 150.0, 400.0][day.rng.below(3)];
             for _ in 0..12 {
-                day.play(1_000.0);
+                day.run(1_000.0);
                 day.load += (to - day.load) * 0.15;
-                if day.chance.is(6) {
-                    day.news();
+                if day.rng.one_in(6) {
+                    day.send_roster();
                 }
             }
-            *day.spoil.lock().unwrap() = Spoil::Nothing;
-            day.play(4_000.0);
+            *day.fault.lock().unwrap() = Fault::Nothing;
+            day.run(4_000.0);
             (0..SERVERS).for_each(|s| {
-                let back = day.truth[s].state == AdminState::Gone;
-                day.set(s, AdminState::Ready, back);
+                let restarted = day.servers[s].state == AdminState::Gone;
+                day.set(s, AdminState::Ready, restarted);
             });
-            day.news();
-            day.play(6_000.0);
+            day.send_roster();
+            day.run(6_000.0);
         }
         day
     }
@@ -456,25 +479,31 @@
 
 const DAYS: u64 = 40;
 
-/// Whatever the faulty orders are and whatever the fleet does meanwhile, rules 1 to 4 hold; and
-/// each of them is broken on some of the same days without the guard.
+/// Whatever the faulty orders are and whatever the fleet does meanwhile, no table is empty, no drain
+/// is broken, no cold server is overloaded and no unsafe retry is ordered; and each of these happens
+/// on some of the same days without the guard.
 #[test]
 fn random_days_with_faulty_orders_keep_the_rules() {
-    let (mut bare, mut looked) = (Broken::default(), 0);
+    let (mut without_guard, mut checked_lines) = (Violations::default(), 0);
     for seed in 0..DAYS {
-        let day = Day::whole(GuardMode::Enforce, seed);
-        assert_eq!(day.broken, Broken::default(), "day {seed}");
-        looked += day.looked;
-        let b = Day::whole(GuardMode::Off, seed).broken;
-        bare.empty += usize::from(b.empty > 0);
-        bare.drains += usize::from(b.drains > 0);
-        bare.falls += usize::from(b.falls > 0);
-        bare.repeats += usize::from(b.repeats > 0);
+        let day = Day::random_day(GuardMode::Enforce, seed);
+        assert_eq!(day.violations, Violations::default(), "day {seed}");
+        checked_lines += day.checked_lines;
+        let b = Day::random_day(GuardMode::Off, seed).violations;
+        without_guard.empty += usize::from(b.empty > 0);
+        without_guard.drains += usize::from(b.drains > 0);
+        without_guard.overloads += usize::from(b.overloads > 0);
+        without_guard.unsafe_retries += usize::from(b.unsafe_retries > 0);
     }
-    println!("{DAYS} days, {looked} lines checked; without the guard, days that broke: {bare:?}");
+    println!(
+        "{DAYS} days, {checked_lines} lines checked; without the guard, days that broke: {without_guard:?}"
+    );
     assert!(
-        bare.empty > 2 && bare.drains > 2 && bare.falls > 2 && bare.repeats > 2,
-        "{bare:?}"
+        without_guard.empty > 2
+            && without_guard.drains > 2
+            && without_guard.overloads > 2
+            && without_guard.unsafe_retries > 2,
+        "{without_guard:?}"
     );
 }
 
@@ -483,25 +512,25 @@
 #[test]
 fn held_tables_are_released() {
     for seed in 0..DAYS {
-        let mut day = Day::whole(GuardMode::Enforce, seed);
-        day.play(40_000.0);
+        let mut day = Day::random_day(GuardMode::Enforce, seed);
+        day.run(40_000.0);
         // A message of the planner may be in transit.
         for _ in 0..200 {
-            if day.proxies.iter().any(|p| !p.way.is_empty()) {
+            if day.proxies.iter().any(|p| !p.in_transit.is_empty()) {
                 day.step();
             }
         }
         let view = day.controller.overview();
         assert!(view.guard.waits.is_empty(), "day {seed}: {:?}", view.guard);
         for p in &day.proxies {
-            assert!(p.way.is_empty(), "day {seed}");
-            let stands: Table = view
+            assert!(p.in_transit.is_empty(), "day {seed}");
+            let expected: Table = view
                 .servers
                 .iter()
                 .filter(|s| !s.withdrawn && s.weight > 0.0)
-                .map(|s| (number(&s.name), s.weight))
+                .map(|s| (server_index(&s.name), s.weight))
                 .collect();
-            assert_eq!(p.table, stands, "day {seed}");
+            assert_eq!(p.table, expected, "day {seed}");
             assert_eq!(p.table.len(), SERVERS, "day {seed}: all are ready and warm");
         }
     }
@@ -512,7 +541,7 @@
 #[test]
 fn a_held_table_costs_few_messages() {
     let mut day = Day::new(GuardMode::Enforce, 5);
-    day.news();
+    day.send_roster();
     (0..PROXIES).for_each(|i| {
         let joined = Input::Joined {
             session: i as u64,
@@ -520,17 +549,17 @@
             zone: "east".into(),
             visits_per_s: None,
         };
-        day.tell(vec![joined]);
+        day.send(vec![joined]);
     });
-    day.play(8_000.0);
+    day.run(8_000.0);
     day.set(0, AdminState::Gone, false);
-    day.news();
-    day.play(3_000.0);
+    day.send_roster();
+    day.run(3_000.0);
     day.set(0, AdminState::Ready, true);
-    day.news();
-    *day.spoil.lock().unwrap() = Spoil::Flood(0);
+    day.send_roster();
+    *day.fault.lock().unwrap() = Fault::Flood(0);
     let before = day.controller.overview().counters.messages;
-    day.play(10_000.0);
+    day.run(10_000.0);
     let view = day.controller.overview();
     let messages = view.counters.messages - before;
     // Step intervals of 1.6 s, to five proxies, and the planner's own ticks.
@@ -540,5 +569,5 @@
         view.guard
     );
     assert!(view.guard.held > 0, "{:?}", view.guard);
-    assert_eq!(day.broken.falls, 0);
+    assert_eq!(day.violations.overloads, 0);
 }
--- a/crates/guard/tests/oracle.rs
+++ b/crates/guard/tests/oracle.rs
@@ -15,7 +15,7 @@
     Server(usize, Server),
     Load(usize, f64),
     Send(usize, Vec<Line>, bool),
-    Settle(usize),
+    Apply(usize),
 }
 
 type Table = BTreeMap<usize, f64>;
@@ -56,21 +56,21 @@
     }
 
     /// The highest load of a server over every choice of a table for each part.
-    fn worst(&self, server: usize, tables: &[Vec<Table>]) -> f64 {
+    fn max_load(&self, server: usize, tables: &[Vec<Table>]) -> f64 {
         let choices = |p: usize| tables[p].len().max(1);
-        let mut worst: f64 = 0.0;
-        for mix in 0..choices(0) * choices(1) {
-            let at = [mix % choices(0), mix / choices(0)];
-            let brought = (0..PARTS).map(|p| {
+        let mut max_load: f64 = 0.0;
+        for combination in 0..choices(0) * choices(1) {
+            let at = [combination % choices(0), combination / choices(0)];
+            let load = (0..PARTS).map(|p| {
                 let table = tables[p].get(at[p]);
                 self.loads[p] * table.map_or(0.0, |t| share(t, server))
             });
-            worst = worst.max(brought.sum());
+            max_load = max_load.max(load.sum());
         }
-        worst
+        max_load
     }
 
-    fn judge(&self, part: usize, lines: &[Line], whole: bool) -> BTreeSet<Reason> {
+    fn check(&self, part: usize, lines: &[Line], whole: bool) -> BTreeSet<Reason> {
         let next = self.next(part, lines, whole);
         let before = self.held[part].last().cloned().unwrap_or_default();
         let is_ready = |s: &usize| self.server(*s).admin_state == AdminState::Ready;
@@ -95,14 +95,14 @@
         for s in next.keys().filter(|s| !is_warm(s) && is_ready(s)) {
             let grows = self.loads[part] * share(&next, *s)
                 > self.loads[part] * share(&before, *s) * (1.0 + 1e-9);
-            if grows && self.worst(*s, &tables) > 0.8 * self.server(*s).overload_per_s {
+            if grows && self.max_load(*s, &tables) > 0.8 * self.server(*s).overload_per_s {
                 out.insert(Reason::Cold);
             }
         }
         let listed: f64 = ready.iter().map(|s| self.server(*s).listed_weight).sum();
         for s in next.keys() {
-            let most = (6.0 * self.server(*s).listed_weight / listed.max(1e-9)).max(0.4);
-            if share(&next, *s) > most + 1e-9 && share(&next, *s) > share(&before, *s) + 1e-9 {
+            let limit = (6.0 * self.server(*s).listed_weight / listed.max(1e-9)).max(0.4);
+            if share(&next, *s) > limit + 1e-9 && share(&next, *s) > share(&before, *s) + 1e-9 {
                 out.insert(Reason::Overweight);
             }
         }
@@ -112,11 +112,11 @@
                 .map(|(s, w)| (*s, *w))
                 .collect()
         };
-        let (was, will) = (of_ready(&before), of_ready(&next));
-        if !was.is_empty() && !next.is_empty() {
-            let moved: f64 = was
+        let (before_ready, next_ready) = (of_ready(&before), of_ready(&next));
+        if !before_ready.is_empty() && !next.is_empty() {
+            let moved: f64 = before_ready
                 .keys()
-                .map(|s| (share(&was, *s) - share(&will, *s)).max(0.0))
+                .map(|s| (share(&before_ready, *s) - share(&next_ready, *s)).max(0.0))
                 .sum();
             if moved > 0.6 + 1e-9 {
                 out.insert(Reason::LargeStep);
@@ -141,25 +141,25 @@
 }
 
 fn event() -> impl Strategy<Value = Event> {
-    let standing = prop_oneof![
+    let admin_state = prop_oneof![
         4 => Just(AdminState::Ready),
         1 => Just(AdminState::Draining),
         1 => Just(AdminState::Gone)
     ];
-    let falls = prop_oneof![2 => Just(f64::INFINITY), 1 => Just(20.0), 1 => Just(500.0)];
-    let server = (0..SERVERS, standing, 1_u8..4, falls);
+    let overload_limits = prop_oneof![2 => Just(f64::INFINITY), 1 => Just(20.0), 1 => Just(500.0)];
+    let server = (0..SERVERS, admin_state, 1_u8..4, overload_limits);
     prop_oneof![
-        4 => server.prop_map(|(s, standing, listed, falls_at)| {
-            Event::Server(s, Server { admin_state: standing, listed_weight: f64::from(listed), overload_per_s: falls_at })
+        4 => server.prop_map(|(s, admin_state, listed, overload_per_s)| {
+            Event::Server(s, Server { admin_state, listed_weight: f64::from(listed), overload_per_s })
         }),
         1 => (0..PARTS, 0.0..200.0).prop_map(|(p, load)| Event::Load(p, load)),
         3 => (0..PARTS, lines(), any::<bool>()).prop_map(|(p, l, w)| Event::Send(p, l, w)),
-        1 => (0..PARTS).prop_map(Event::Settle),
+        1 => (0..PARTS).prop_map(Event::Apply),
     ]
 }
 
 /// Plays events; guard and oracle check each table before it is sent.
-fn play(events: &[Event], mut judged: impl FnMut(BTreeSet<Reason>, BTreeSet<Reason>)) {
+fn play(events: &[Event], mut compare: impl FnMut(BTreeSet<Reason>, BTreeSet<Reason>)) {
     let (mut guard, mut oracle, mut serial) = (Guard::default(), Oracle::default(), 0);
     for e in events {
         match e {
@@ -174,13 +174,13 @@
             Event::Send(p, lines, whole) => {
                 let found = guard.check(*p, lines, *whole);
                 let found = found.into_iter().map(|d| d.reason).collect();
-                judged(found, oracle.judge(*p, lines, *whole));
+                compare(found, oracle.check(*p, lines, *whole));
                 let next = oracle.next(*p, lines, *whole);
                 serial += 1;
                 guard.record_sent(*p, lines, *whole, serial);
                 oracle.held[*p].push(next);
             }
-            Event::Settle(p) => {
+            Event::Apply(p) => {
                 guard.record_applied(*p, serial);
                 let newest = oracle.held[*p].pop();
                 oracle.held[*p] = newest.into_iter().collect();
@@ -194,9 +194,9 @@
     #[test]
     fn every_violation_is_found_and_nothing_safe_is_refused(events in proptest::collection::vec(event(), 1..30)) {
         let mut differ = None;
-        play(&events, |found, exact| {
-            if found != exact {
-                differ = Some((found, exact));
+        play(&events, |found, expected| {
+            if found != expected {
+                differ = Some((found, expected));
             }
         });
         prop_assert!(differ.is_none(), "guard and oracle: {:?}", differ);
@@ -212,13 +212,13 @@
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(Config::default(), rng);
     let days = proptest::collection::vec(event(), 1..30);
-    let (mut alone, mut table) = (BTreeMap::<Reason, u64>::new(), [[0_u64; 2]; 2]);
+    let (mut by_one_rule, mut table) = (BTreeMap::<Reason, u64>::new(), [[0_u64; 2]; 2]);
     for _ in 0..4_000 {
         let day = days.new_tree(&mut runner).unwrap().current();
-        play(&day, |found, exact| {
-            table[usize::from(!exact.is_empty())][usize::from(!found.is_empty())] += 1;
+        play(&day, |found, expected| {
+            table[usize::from(!expected.is_empty())][usize::from(!found.is_empty())] += 1;
             if let (1, Some(reason)) = (found.len(), found.first()) {
-                *alone.entry(*reason).or_default() += 1;
+                *by_one_rule.entry(*reason).or_default() += 1;
             }
         });
     }
@@ -226,14 +226,14 @@
         "safe and passed {}, safe and refused {}, dangerous and passed {}, dangerous and refused {}",
         table[0][0], table[0][1], table[1][0], table[1][1]
     );
-    println!("caught by one rule only: {alone:?}");
+    println!("caught by one rule only: {by_one_rule:?}");
     assert_eq!((table[0][1], table[1][0]), (0, 0));
     assert!(table[0][0] > 1_000 && table[1][1] > 1_000, "{table:?}");
     use Reason::{Cold, Empty, LargeStep, NotReady, OnlyCold, Overweight};
     for reason in [Empty, NotReady, Cold, OnlyCold, Overweight, LargeStep] {
         assert!(
-            alone.contains_key(&reason),
-            "{reason:?} catches nothing by itself: {alone:?}"
+            by_one_rule.contains_key(&reason),
+            "{reason:?} catches nothing by itself: {by_one_rule:?}"
         );
     }
 }
--- a/crates/guard/tests/steps.rs
+++ b/crates/guard/tests/steps.rs
@@ -18,11 +18,11 @@
     }
 }
 
-fn server(falls_at: f64) -> Server {
+fn server(overload_per_s: f64) -> Server {
     Server {
         admin_state: AdminState::Ready,
         listed_weight: 1.0,
-        overload_per_s: falls_at,
+        overload_per_s,
     }
 }
 
@@ -44,31 +44,33 @@
     load: f64,
     before: Vec<f64>,
     wanted: Vec<f64>,
-    later: Vec<(usize, Server)>,
+    changes_after: Vec<(usize, Server)>,
 }
 
 fn fleet() -> impl Strategy<Value = Fleet> {
-    let standing = prop_oneof![
+    let admin_state = prop_oneof![
         6 => Just(AdminState::Ready), 1 => Just(AdminState::Draining), 1 => Just(AdminState::Gone)
     ];
-    let falls =
+    let overload_limits =
         prop_oneof![3 => Just(f64::INFINITY), 1 => Just(10.0), 1 => Just(40.0), 1 => Just(0.0)];
-    let server = (standing, 1_u8..4, falls).prop_map(|(standing, listed, falls_at)| Server {
-        admin_state: standing,
-        listed_weight: f64::from(listed),
-        overload_per_s: falls_at,
-    });
+    let server = (admin_state, 1_u8..4, overload_limits).prop_map(
+        |(admin_state, listed, overload_per_s)| Server {
+            admin_state,
+            listed_weight: f64::from(listed),
+            overload_per_s,
+        },
+    );
     let weight = || prop_oneof![1 => Just(0.0), 1 => Just(0.1), 3 => Just(1.0), 1 => Just(2.0), 1 => Just(10_000.0)];
     let weights = move || proptest::collection::vec(weight(), SERVERS);
     let servers = proptest::collection::vec(server.clone(), SERVERS);
-    let later = proptest::collection::vec((0..SERVERS, server), 0..3);
-    (servers, 0.0..200.0, weights(), weights(), later).prop_map(
-        |(servers, load, before, wanted, later)| Fleet {
+    let changes_after = proptest::collection::vec((0..SERVERS, server), 0..3);
+    (servers, 0.0..200.0, weights(), weights(), changes_after).prop_map(
+        |(servers, load, before, wanted, changes_after)| Fleet {
             servers,
             load,
             before,
             wanted,
-            later,
+            changes_after,
         },
     )
 }
@@ -85,7 +87,7 @@
     guard.set_load(0, fleet.load);
     guard.record_sent(0, &table(&fleet.before), true, 1);
     guard.record_applied(0, 1);
-    for (s, now) in &fleet.later {
+    for (s, now) in &fleet.changes_after {
         guard.set_server(*s, Some(0), *now);
     }
     guard
@@ -98,24 +100,24 @@
         let mut guard = guard_of(&fleet);
         let wanted = table(&fleet.wanted);
         let now = |s: usize| {
-            let later = fleet.later.iter().rev().find(|(l, _)| *l == s);
-            later.map_or(fleet.servers[s], |(_, now)| *now)
+            let changes_after = fleet.changes_after.iter().rev().find(|(l, _)| *l == s);
+            changes_after.map_or(fleet.servers[s], |(_, now)| *now)
         };
         let mut last: Option<Step> = None;
         for round in 0..4 {
             let step = guard.next_step(0, &wanted);
-            let leaves = lines(&step.weights);
-            let found = guard.check(0, &leaves, true);
+            let lines_sent = lines(&step.weights);
+            let found = guard.check(0, &lines_sent, true);
             let found: BTreeSet<Reason> = found.iter().map(|d| d.reason).filter(|r| *r != Reason::NotReady).collect();
-            let borne: BTreeSet<Reason> = step.remaining.iter().map(|d| d.reason).collect();
-            prop_assert!(found.is_subset(&borne), "{:?} is sent with {:?}", step, found);
-            prop_assert!(!borne.contains(&Reason::Empty) && !borne.contains(&Reason::NotReady), "{:?}", step);
-            let somebody = |kind: fn(&Server) -> bool| (0..SERVERS).any(|s| now(s).admin_state == AdminState::Ready && kind(&now(s)));
-            let warm = somebody(|s| s.overload_per_s == f64::INFINITY);
+            let remaining: BTreeSet<Reason> = step.remaining.iter().map(|d| d.reason).collect();
+            prop_assert!(found.is_subset(&remaining), "{:?} is sent with {:?}", step, found);
+            prop_assert!(!remaining.contains(&Reason::Empty) && !remaining.contains(&Reason::NotReady), "{:?}", step);
+            let any_ready = |kind: fn(&Server) -> bool| (0..SERVERS).any(|s| now(s).admin_state == AdminState::Ready && kind(&now(s)));
+            let warm = any_ready(|s| s.overload_per_s == f64::INFINITY);
             // With a warm server there is always a table that keeps all rules but the one on the
             // share of one server.
             if warm {
-                prop_assert!(!borne.contains(&Reason::Cold) && !borne.contains(&Reason::OnlyCold), "{:?}", step);
+                prop_assert!(!remaining.contains(&Reason::Cold) && !remaining.contains(&Reason::OnlyCold), "{:?}", step);
             }
             if !step.partial {
                 let as_wanted: BTreeMap<usize, f64> = wanted.iter().filter(|l| l.open).map(|l| (l.server, l.weight)).collect();
@@ -143,14 +145,14 @@
     guard: Guard,
     sent: Vec<BTreeMap<usize, f64>>,
     applied: Vec<usize>,
-    wish: usize,
+    wanted_index: usize,
 }
 
 struct Model {
-    paces: Vec<f64>,
+    visits_per_s: Vec<f64>,
     servers: Vec<Server>,
-    wishes: Vec<Vec<Line>>,
-    guarded: bool,
+    wanted_tables: Vec<Vec<Line>>,
+    with_guard: bool,
 }
 
 /// Result of an exploration.
@@ -159,70 +161,77 @@
     states: usize,
     worst: BTreeMap<usize, f64>,
     /// The most tables that were sent.
-    ends: usize,
+    most_tables_sent: usize,
 }
 
 impl Model {
-    fn begin(&self, first: &[Line]) -> World {
+    fn initial_world(&self, first: &[Line]) -> World {
         let mut guard = Guard::default();
         let all = self.servers.iter().enumerate();
         all.for_each(|(s, now)| guard.set_server(s, Some(0), *now));
-        guard.set_load(0, self.paces.iter().sum());
+        guard.set_load(0, self.visits_per_s.iter().sum());
         guard.record_sent(0, first, true, 0);
         let open = first.iter().filter(|l| l.open);
         World {
             guard,
             sent: vec![open.map(|l| (l.server, l.weight)).collect()],
-            applied: vec![0; self.paces.len()],
-            wish: 0,
+            applied: vec![0; self.visits_per_s.len()],
+            wanted_index: 0,
         }
     }
 
     /// The load of a server in a state.
-    fn brought(&self, world: &World, server: usize) -> f64 {
-        let each = self.paces.iter().zip(&world.applied).map(|(pace, at)| {
-            let table = &world.sent[*at];
-            let sum: f64 = table.values().sum();
-            pace * table.get(&server).copied().unwrap_or(0.0) / sum
-        });
+    fn server_load(&self, world: &World, server: usize) -> f64 {
+        let each = self
+            .visits_per_s
+            .iter()
+            .zip(&world.applied)
+            .map(|(visits_per_s, at)| {
+                let table = &world.sent[*at];
+                let sum: f64 = table.values().sum();
+                visits_per_s * table.get(&server).copied().unwrap_or(0.0) / sum
+            });
         each.sum()
     }
 
     fn key(world: &World) -> String {
-        format!("{:?} {:?} {}", world.sent, world.applied, world.wish)
+        format!(
+            "{:?} {:?} {}",
+            world.sent, world.applied, world.wanted_index
+        )
     }
 
     /// Explores every order of events: a proxy applies its next table, the controller takes a step,
     /// another table is wanted.
     fn explore(&self, first: &[Line]) -> Found {
         let mut found = Found::default();
-        let (mut seen, mut todo) = (HashSet::new(), vec![self.begin(first)]);
-        while let Some(world) = todo.pop() {
+        let (mut seen, mut pending) = (HashSet::new(), vec![self.initial_world(first)]);
+        while let Some(world) = pending.pop() {
             if !seen.insert(Model::key(&world)) {
                 continue;
             }
             found.states += 1;
             for (s, _) in self.servers.iter().enumerate() {
                 let worst = found.worst.entry(s).or_default();
-                *worst = worst.max(self.brought(&world, s));
+                *worst = worst.max(self.server_load(&world, s));
             }
-            found.ends = found.ends.max(world.sent.len());
-            for p in 0..self.paces.len() {
+            found.most_tables_sent = found.most_tables_sent.max(world.sent.len());
+            for p in 0..self.visits_per_s.len() {
                 if world.applied[p] + 1 < world.sent.len() {
                     let mut next = world.clone();
                     next.applied[p] += 1;
                     let all = next.applied.iter().min().copied().unwrap_or(0);
                     next.guard.record_applied(0, all as u64);
-                    todo.push(next);
+                    pending.push(next);
                 }
             }
-            if world.wish + 1 < self.wishes.len() {
+            if world.wanted_index + 1 < self.wanted_tables.len() {
                 let mut next = world.clone();
-                next.wish += 1;
-                todo.push(next);
+                next.wanted_index += 1;
+                pending.push(next);
             }
-            let wanted = &self.wishes[world.wish];
-            let step = match self.guarded {
+            let wanted = &self.wanted_tables[world.wanted_index];
+            let step = match self.with_guard {
                 true => world.guard.next_step(0, wanted),
                 false => Step {
                     weights: wanted
@@ -238,7 +247,7 @@
             if !next.guard.changes(0, &step).is_empty() && next.sent.len() < 8 {
                 send(&mut next.guard, &step, serial);
                 next.sent.push(step.weights);
-                todo.push(next);
+                pending.push(next);
             }
         }
         found
@@ -290,35 +299,38 @@
             vec![&[0.0, 0.0, 1.0, 1.0]],
         ),
     ];
-    for (name, falls, first, wishes) in cases {
-        let model = |guarded| Model {
-            paces: vec![50.0, 30.0, 20.0],
-            servers: falls.iter().map(|f| server(*f)).collect(),
-            wishes: wishes.iter().map(|w| table(w)).collect(),
-            guarded,
+    for (name, overload_limits, first, wanted_tables) in cases {
+        let model = |with_guard| Model {
+            visits_per_s: vec![50.0, 30.0, 20.0],
+            servers: overload_limits.iter().map(|f| server(*f)).collect(),
+            wanted_tables: wanted_tables.iter().map(|w| table(w)).collect(),
+            with_guard,
         };
-        let over = |found: &Found| {
-            let all = falls.iter().enumerate();
+        let overloaded_count = |found: &Found| {
+            let all = overload_limits.iter().enumerate();
             all.filter(|(s, f)| found.worst[s] > **f).count()
         };
         let found = model(true).explore(&table(first));
         println!(
             "{name}: {} states, {} tables at most, worst {:?}",
-            found.states, found.ends, found.worst
+            found.states, found.most_tables_sent, found.worst
         );
-        assert_eq!(over(&found), 0, "{name}: {found:?}");
-        for (s, falls) in falls.iter().enumerate() {
+        assert_eq!(overloaded_count(&found), 0, "{name}: {found:?}");
+        for (s, limit) in overload_limits.iter().enumerate() {
             assert!(
-                found.worst[&s] <= 0.8 * falls + 1e-6,
+                found.worst[&s] <= 0.8 * limit + 1e-6,
                 "{name}: server {s}: {found:?}"
             );
         }
-        assert!(found.ends < 8, "{name}: the steps do not come to an end");
+        assert!(
+            found.most_tables_sent < 8,
+            "{name}: the steps do not come to an end"
+        );
         assert!(found.states >= 8, "{name}: {found:?}");
-        let bare = model(false).explore(&table(first));
+        let without_guard = model(false).explore(&table(first));
         assert!(
-            over(&bare) > 0,
-            "{name}: harmless without the guard: {bare:?}"
+            overloaded_count(&without_guard) > 0,
+            "{name}: harmless without the guard: {without_guard:?}"
         );
     }
 }
