--- a/crates/control/src/delivery.rs
+++ b/crates/control/src/delivery.rs
@@ -7,8 +7,8 @@
 
 use crate::ControllerSettings;
 
-/// A proxy that does not answer is evicted after this many drain grace periods or this many message
-/// latencies, whichever is longer.
+/// A proxy that does not answer is evicted after this many drain grace periods, this many message
+/// latencies or the time in which a full channel empties twice, whichever is longest.
 const EVICT_GRACE_PERIODS: f64 = 4.0;
 const EVICT_LATENCIES: f64 = 30.0;
 /// Delay of the first redelivery after a refusal, as a share of the drain grace period. Withdrawals
@@ -35,6 +35,7 @@
 }
 
 impl DeliveryLimits {
+    /// The limits for a service.
     pub fn new(settings: &ControllerSettings) -> DeliveryLimits {
         let latencies_ms = settings.message_latency_ms * EVICT_LATENCIES;
         // A full channel empties in half of this time; a proxy whose messages are last in it must
@@ -123,6 +124,7 @@
     ResendTable,
 }
 
+/// Takes the state, the time, the lines that wait in the channel, and the limits.
 type Rule = fn(&mut DeliveryState, f64, f64, &DeliveryLimits) -> Option<Action>;
 
 const RULES: [Rule; 3] = [evict_unresponsive, resend_withdrawals, resend_table];
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -4,9 +4,10 @@
 //!
 //! Names end here: the planner (`dahliapoint::rules`) decides, and it works on small indices. This
 //! crate keeps what the planner does not know (names, sessions, what each proxy was sent and has
-//! answered) and decides only on dead proxies and on redelivery, in [`delivery`] and [`presence`].
-//! It reads no clock and no entropy: the same inputs give the same outputs, byte for byte, so that
-//! a day can be recorded ([`record`]) and replayed.
+//! answered) and decides only on the presence of proxies ([`presence`]) and on redelivery
+//! ([`delivery`]); [`rollout`] sends the planner's orders in steps that the guard finds safe. The
+//! crate reads no clock and no entropy: the same inputs give the same outputs, byte for byte, so
+//! that a day can be recorded ([`record`]) and replayed.
 
 mod controller;
 mod debug_text;
@@ -52,6 +53,7 @@
     pub message_overhead_lines: f64,
     /// Messages that one proxy may be sent within `message_window_ms`; 0: no limit.
     pub max_messages: f64,
+    /// Window of that limit.
     pub message_window_ms: f64,
     /// Writes that a front makes of one message at most, counted against `max_messages`.
     pub writes_per_message: f64,
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -36,6 +36,7 @@
         self.sent_times.push_back(message.sent_at);
     }
 
+    /// Forgets the times of messages that were sent before the window.
     fn expire(&mut self, now: f64, window_ms: f64) {
         while self
             .sent_times
--- a/crates/control/src/presence.rs
+++ b/crates/control/src/presence.rs
@@ -56,6 +56,7 @@
 /// An action on a proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
+    /// Add the proxy with this session.
     Join {
         session: Session,
         proxy: Arc<str>,
@@ -66,7 +67,7 @@
     Leave(Session, &'static str),
     /// Log that two processes share this name.
     DuplicateName(Arc<str>),
-    /// All state of this proxy is dropped.
+    /// The state of this proxy is dropped.
     Forget(Arc<str>),
 }
 
@@ -77,6 +78,7 @@
     by_name: BTreeMap<Arc<str>, HeartbeatState>,
 }
 
+/// Takes the state and the name of a proxy, the time, and the heartbeat interval.
 type Rule = fn(&mut HeartbeatState, &Arc<str>, f64, f64) -> Option<Action>;
 
 const RULES: [Rule; 6] = [
@@ -88,7 +90,7 @@
     forget_gone,
 ];
 
-/// A proxy that says goodbye is removed at once, without waiting until it counts as silent.
+/// A proxy that deregisters is removed at once, without waiting until it counts as silent.
 fn remove_deregistered(state: &mut HeartbeatState, _: &Arc<str>, _: f64, _: f64) -> Option<Action> {
     let leaves = std::mem::take(&mut state.leaving);
     (state.consecutive, state.joined) = if leaves {
@@ -192,7 +194,7 @@
 }
 
 impl Presence {
-    /// For proxies that send heartbeats at this interval.
+    /// Creates an empty state, for proxies that send heartbeats at this interval.
     pub fn new(interval_ms: f64) -> Presence {
         Presence {
             interval_ms,
@@ -200,8 +202,9 @@
         }
     }
 
-    /// Takes a heartbeat. A session other than the last one means that the proxy was restarted: the
-    /// old session is removed at once, by the action that is returned.
+    /// Takes a heartbeat; `on_stream`: a stream of that name is open. A session other than the last
+    /// one means that the proxy was restarted: the old session is removed at once, by the action
+    /// that is returned.
     pub fn heartbeat(
         &mut self,
         now: f64,
--- a/crates/control/tests/controller.rs
+++ b/crates/control/tests/controller.rs
@@ -455,6 +455,67 @@
     assert!(dahliapoint_control::report_error(&long).is_some());
 }
 
+/// The status page, hooks and scripts read the overview by these keys, whatever the fields are called
+/// in the code.
+#[test]
+fn the_overview_keeps_its_json_keys() {
+    let mut day = five_servers();
+    let report = LoadReport {
+        window_ms: 500.0,
+        ended_ago_ms: 0.0,
+        lines: vec![ReportLine {
+            server: "a".into(),
+            tries: 10.0,
+            success_ms: 90.0,
+            ..ReportLine::default()
+        }],
+        arrivals: Vec::new(),
+    };
+    day.send(vec![Input::Reported("p1".into(), report)]);
+    day.now += 1500.0;
+    day.send(vec![Input::RoundEnded]);
+    let view = serde_json::to_value(day.controller.overview()).unwrap();
+    let keys = |pointer: &str| {
+        let object = view.pointer(pointer).and_then(|v| v.as_object());
+        let object = object.unwrap_or_else(|| panic!("{pointer} is an object"));
+        let mut keys: Vec<&str> = object.keys().map(String::as_str).collect();
+        keys.sort_unstable();
+        keys.join(" ")
+    };
+    assert_eq!(keys(""), "accounts guard proxies servers ways");
+    assert_eq!(
+        keys("/accounts"),
+        "closed late_lines lines messages most_messages most_waiting odd_answers refused \
+         refused_reports report_lines unknown_lines vague waiting"
+    );
+    assert_eq!(
+        keys("/guard"),
+        "best dangerous held judged last mode steps waits withdrawn"
+    );
+    assert_eq!(view["guard"]["mode"], "hold");
+    assert_eq!(
+        keys("/servers/0"),
+        "address by_class estimate listed_weight met_ago_ms name part shut started_ago_ms state \
+         weight zone"
+    );
+    assert_eq!(
+        keys("/servers/0/estimate"),
+        "age_ms error_per_s failed_share heard_share in_flight mean_ms stale tail_ms tries_per_s"
+    );
+    assert_eq!(
+        keys("/servers/0/by_class/0"),
+        "class failed_share mean_ms tries_per_s"
+    );
+    assert_eq!(view["servers"][0]["state"], "Ready");
+    assert_eq!(
+        keys("/proxies/0"),
+        "contrary name part refusal session silent unanswered unanswered_lines zone"
+    );
+    assert_eq!(view["ways"][0][0], "view");
+    assert_eq!(keys("/ways/0/1"), "share tries");
+    assert_eq!(view["ways"][0][1]["tries"], "OnProof");
+}
+
 /// All proxies of a large site reconnect within a second: the lines in the channel stay within
 /// their limit, and all proxies are bound in the end.
 #[test]
