--- a/crates/control/src/record.rs
+++ b/crates/control/src/record.rs
@@ -26,6 +26,7 @@
     writer: W,
 }
 
+/// Writes one frame.
 fn write_frame<W: Write, T: Serialize>(writer: &mut W, value: &T) -> io::Result<()> {
     let bytes = postcard::to_allocvec(value).map_err(io::Error::other)?;
     let length = u32::try_from(bytes.len()).map_err(io::Error::other)?;
--- a/crates/control/src/reports.rs
+++ b/crates/control/src/reports.rs
@@ -70,7 +70,7 @@
     pub failed_share: f64,
     pub mean_ms: f64,
     pub tail_ms: f64,
-    /// Half of the 95 % confidence interval of `tries_per_s`.
+    /// Half the width of the 95 % confidence interval of `tries_per_s`.
     pub error_per_s: f64,
     pub age_ms: f64,
     /// The load that the server reports of itself does not explain what proxies measure.
@@ -115,6 +115,7 @@
 
 /// Result of a round.
 pub struct Round {
+    /// Sums for the planner, by server and zone.
     pub stats: Vec<TryStats>,
     pub arrivals: Vec<Arrivals>,
     /// Sums that were left out because they are too uncertain.
@@ -147,6 +148,7 @@
 }
 
 impl Reports {
+    /// Creates the state for reports at this interval.
     pub fn new(now: f64, interval_ms: f64, zones: usize, classes: usize) -> Reports {
         Reports {
             classes,
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -166,6 +166,7 @@
 }
 
 impl Rollout {
+    /// Creates the rollout for a service; nothing has been sent yet.
     pub fn new(settings: &ControllerSettings) -> Rollout {
         let limits = settings.classes.iter().map(|c| c.soft_limit_ms);
         Rollout {
@@ -198,10 +199,12 @@
         }
     }
 
+    /// Whether the guard is off.
     pub fn is_off(&self) -> bool {
         self.mode == GuardMode::Off
     }
 
+    /// Whether dangerous tables are held back.
     fn enforces(&self) -> bool {
         self.mode == GuardMode::Enforce
     }
--- a/crates/guard/benches/judging.rs
+++ b/crates/guard/benches/judging.rs
@@ -8,7 +8,7 @@
 /// Servers, parts, proxies.
 const SIZES: [(usize, usize, usize); 2] = [(115, 2, 361), (384, 3, 1203)];
 /// Tables of a part in transit at once.
-const UNDER_WAY: u64 = 3;
+const IN_TRANSIT: u64 = 3;
 
 fn server(i: usize) -> Server {
     Server {
@@ -30,11 +30,11 @@
     }
 }
 
-fn table(part: usize, servers: usize, parts: usize, turn: u64) -> Vec<Line> {
+fn table(part: usize, servers: usize, parts: usize, version: u64) -> Vec<Line> {
     let all = (0..servers).filter(|s| s % parts == part);
     let weight = |s: usize| {
         let cold = if s.is_multiple_of(10) { 0.1 } else { 1.0 };
-        cold * (1.0 + (s as u64 + turn) as f64 % 5.0 / 50.0)
+        cold * (1.0 + (s as u64 + version) as f64 % 5.0 / 50.0)
     };
     all.map(|s| line(s, weight(s))).collect()
 }
@@ -44,28 +44,28 @@
     (0..servers).for_each(|s| guard.set_server(s, Some(s % parts), server(s)));
     for part in 0..parts {
         guard.set_load(part, 866.0 / parts as f64);
-        for turn in 0..=UNDER_WAY {
-            guard.record_sent(part, &table(part, servers, parts, turn), true, turn);
+        for version in 0..=IN_TRANSIT {
+            guard.record_sent(part, &table(part, servers, parts, version), true, version);
         }
     }
     guard
 }
 
 /// Reference check: goes through the table of each proxy for each cold server.
-fn plainly(tables: &[Vec<Line>], load: f64) -> usize {
-    let mut over = 0;
+fn reference_check(tables: &[Vec<Line>], load: f64) -> usize {
+    let mut overloaded = 0;
     for server in tables[0].iter().filter(|l| l.server.is_multiple_of(10)) {
         let each = tables.iter().map(|t| {
             let sum: f64 = t.iter().map(|l| l.weight).sum();
             let own = t.iter().find(|l| l.server == server.server);
             load / tables.len() as f64 * own.map_or(0.0, |l| l.weight) / sum
         });
-        over += usize::from(each.sum::<f64>() > 4.0);
+        overloaded += usize::from(each.sum::<f64>() > 4.0);
     }
-    over
+    overloaded
 }
 
-fn judging(c: &mut Criterion) {
+fn checks(c: &mut Criterion) {
     for (servers, parts, proxies) in SIZES {
         let mut group = c.benchmark_group(format!("{servers} servers, {proxies} proxies"));
         let guard = fleet(servers, parts);
@@ -78,16 +78,16 @@
         group.bench_function("a dangerous table, and the step in its place", |b| {
             b.iter(|| black_box(guard.next_step(0, &flood)));
         });
-        group.bench_function("all judged anew", |b| {
+        group.bench_function("everything computed anew", |b| {
             b.iter(|| black_box(fleet(servers, parts).next_step(0, &wanted)));
         });
         let held: Vec<Vec<Line>> = (0..proxies / parts)
             .map(|p| table(0, servers, parts, p as u64 % 4))
             .collect();
-        group.bench_function("plainly, by every proxy's table", |b| {
-            b.iter(|| black_box(plainly(&held, 866.0)));
+        group.bench_function("reference check, by every proxy's table", |b| {
+            b.iter(|| black_box(reference_check(&held, 866.0)));
         });
-        group.bench_function("a table leaves and settles", |b| {
+        group.bench_function("a table is sent and applied", |b| {
             let mut guard = guard.clone();
             let mut serial = 100;
             b.iter(|| {
@@ -100,5 +100,5 @@
     }
 }
 
-criterion_group!(benches, judging);
+criterion_group!(benches, checks);
 criterion_main!(benches);
--- a/crates/guard/src/lib.rs
+++ b/crates/guard/src/lib.rs
@@ -104,6 +104,7 @@
 }
 
 impl Table {
+    /// Sets a line; one that is not open or has no weight is removed.
     fn set(&mut self, line: &Line) {
         let weight = if line.open { line.weight.max(0.0) } else { 0.0 };
         let before = match weight > 0.0 {
@@ -122,6 +123,7 @@
         self
     }
 
+    /// The share of a server, 0 in an empty table.
     fn share(&self, server: usize) -> f64 {
         match self.total > 0.0 {
             true => self.lines.get(&server).copied().unwrap_or(0.0) / self.total,
@@ -413,6 +415,7 @@
         self.parts.get(&part).is_some_and(|p| !p.older.is_empty())
     }
 
+    /// The state of a server; an unknown one counts as gone.
     fn server_of(&self, server: usize) -> Server {
         self.servers.get(&server).copied().unwrap_or_default()
     }
