--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -172,7 +172,7 @@
         },
         message_window_ms: settings.message_window_ms,
         report_interval_ms: settings.report_interval_ms,
-        report_lines_per_ms: settings.reports_per_s / 1000.0,
+        report_lines_per_ms: settings.report_lines_per_s / 1000.0,
         cold_capacity_share: settings.cold_capacity_share,
         warm_up_ms: settings.warm_up_ms,
         overload_multiple: settings.overload_multiple,
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -68,7 +68,7 @@
     /// Interval of the load reports of a proxy.
     pub report_interval_ms: f64,
     /// Report lines a second that the controller takes at most.
-    pub reports_per_s: f64,
+    pub report_lines_per_s: f64,
     /// A server that has just started has this share of its capacity ...
     pub cold_capacity_share: f64,
     /// ... has all of it after this long ...
--- a/crates/control/tests/controller.rs
+++ b/crates/control/tests/controller.rs
@@ -34,7 +34,7 @@
         initial_servers: 12.0,
         default_visits_per_s: 20.0,
         report_interval_ms: 500.0,
-        reports_per_s: 300.0,
+        report_lines_per_s: 300.0,
         cold_capacity_share: 0.15,
         warm_up_ms: 16_000.0,
         overload_multiple: 3.0,
--- a/crates/control/tests/rollout.rs
+++ b/crates/control/tests/rollout.rs
@@ -42,7 +42,7 @@
         initial_servers: 4.0,
         default_visits_per_s: 20.0,
         report_interval_ms: ROUND_MS,
-        reports_per_s: 10_000.0,
+        report_lines_per_s: 10_000.0,
         cold_capacity_share: 0.15,
         warm_up_ms: WARM_MS,
         overload_multiple: 3.0,
--- a/crates/daemon/src/deployment.rs
+++ b/crates/daemon/src/deployment.rs
@@ -263,7 +263,7 @@
             initial_servers: standing_lines,
             default_visits_per_s: usual_pace,
             report_interval_ms: report_every_ms,
-            reports_per_s,
+            report_lines_per_s: reports_per_s,
             cold_capacity_share: cold_share,
             warm_up_ms: warm_after_ms,
             overload_multiple: fall_multiple,
--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -222,7 +222,7 @@
         let budgets = [budget(READING_SHARE), budget(TELLING_SHARE)];
         let every_ms = terms.report_interval_ms;
         let work = Work {
-            interval: ReportInterval::new(now, every_ms, terms.reports_per_s),
+            interval: ReportInterval::new(now, every_ms, terms.report_lines_per_s),
             controller: Controller::new(now, seed, terms),
             record: recorder,
             hand,
@@ -428,7 +428,7 @@
 
     /// Takes what the mouth holds, as much as may be read in a round, and has it read in slices.
     fn begin_round(&self, work: &mut Work, now: f64) {
-        let per_ms = work.controller.settings().reports_per_s / 1e3;
+        let per_ms = work.controller.settings().report_lines_per_s / 1e3;
         let room = (per_ms * work.every_ms).max(1.0) as usize;
         let (read, tally) = {
             let mut mouth = lock(&self.mouth);
