--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -290,7 +290,7 @@
             self.reports.forget_server(s);
         }
         self.counters.waiting = self.proxies.values().map(|p| p.outstanding.lines()).sum();
-        self.counters.most_waiting = self.counters.most_waiting.max(self.counters.waiting);
+        self.counters.max_waiting = self.counters.max_waiting.max(self.counters.waiting);
         out
     }
 
@@ -604,7 +604,7 @@
     /// Ends a round of reports: passes its sums to the planner and logs changes of trust.
     fn end_round(&mut self, now: f64, out: &mut Vec<Output>) {
         let round = self.reports.end_round(now);
-        self.counters.vague += round.imprecise;
+        self.counters.imprecise += round.imprecise;
         self.latest_tries_per_s.clear();
         for stats in &round.stats {
             *self.latest_tries_per_s.entry(stats.server).or_default() +=
@@ -994,7 +994,7 @@
             let sent_in_window = proxy
                 .outstanding
                 .sent_within(now, self.settings.message_window_ms);
-            self.counters.most_messages = self.counters.most_messages.max(sent_in_window);
+            self.counters.max_messages = self.counters.max_messages.max(sent_in_window);
         }
         out.push(Output::Write(sessions, Arc::new(message)));
     }
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -93,9 +93,11 @@
     pub lines: u64,
     /// Lines that are sent and unanswered now, and the highest value of that.
     pub waiting: f64,
-    pub most_waiting: f64,
+    #[serde(rename = "most_waiting")]
+    pub max_waiting: f64,
     /// The most messages that any proxy was sent within the window of the rate limit.
-    pub most_messages: usize,
+    #[serde(rename = "most_messages")]
+    pub max_messages: usize,
     /// Messages that a proxy refused.
     pub refused: u64,
     /// Answers to messages that were not outstanding: late, duplicate, or of another stream.
@@ -112,5 +114,6 @@
     /// Report lines whose window ended too long ago for decisions.
     pub late_lines: u64,
     /// Sums that were too uncertain for decisions.
-    pub vague: u64,
+    #[serde(rename = "vague")]
+    pub imprecise: u64,
 }
--- a/crates/control/tests/controller.rs
+++ b/crates/control/tests/controller.rs
@@ -553,7 +553,7 @@
         );
         day.assert_tables_agree();
     }
-    assert!(day.controller.overview().counters.most_waiting <= most_waiting);
+    assert!(day.controller.overview().counters.max_waiting <= most_waiting);
 }
 
 /// The roster's clock jumps: the same start with another age must not count as a new start.
