--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -280,11 +280,11 @@
         self.update_guard(now, guard_inputs);
         self.execute(now, orders, gate, &mut out);
         self.apply_delivery_rules(now, &mut out);
-        let unanswered = self
+        let unacknowledged = self
             .proxies
             .values()
             .filter_map(|p| p.outstanding.oldest_serial());
-        let oldest_serial = unanswered.min().unwrap_or(u64::MAX);
+        let oldest_serial = unacknowledged.min().unwrap_or(u64::MAX);
         let after_ms = self.settings.warm_up_ms * FORGET_WARM_UPS;
         for s in self.servers.release_unused(now, after_ms, oldest_serial) {
             self.reports.forget_server(s);
@@ -526,7 +526,7 @@
         // The remaining messages were sent earlier, but their answers queue behind this one: the
         // timeout restarts.
         let oldest = proxy.outstanding.oldest_sent_at();
-        proxy.delivery.unanswered_since = oldest.map(|_| now);
+        proxy.delivery.unacknowledged_since = oldest.map(|_| now);
         for mark in sent.iter().filter_map(|m| m.mark) {
             self.planner.orders_applied(index, mark);
         }
@@ -987,7 +987,7 @@
             proxy
                 .outstanding
                 .record_sent(sent, self.settings.message_window_ms);
-            proxy.delivery.unanswered_since.get_or_insert(now);
+            proxy.delivery.unacknowledged_since.get_or_insert(now);
             sessions.push(proxy.session);
             self.counters.messages += 1;
             self.counters.lines += sent.lines as u64;
--- a/crates/control/src/delivery.rs
+++ b/crates/control/src/delivery.rs
@@ -57,7 +57,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DeliveryState {
     /// Since when an answer is due.
-    pub unanswered_since: Option<f64>,
+    pub unacknowledged_since: Option<f64>,
     /// Consecutive refusals.
     pub refusals: u32,
     /// Time of the last refusal.
@@ -102,7 +102,7 @@
     /// The next time at which a rule can fire if nothing else happens.
     pub fn next_deadline(&self, limits: &DeliveryLimits) -> Option<f64> {
         let evict = self
-            .unanswered_since
+            .unacknowledged_since
             .map(|at| at + limits.answer_timeout_ms);
         let withdrawals = self
             .owed_withdrawals
@@ -144,9 +144,9 @@
 
 /// Guards against a proxy that keeps its stream open but answers nothing: stopped, stuck, or behind
 /// a link that drops packets. Closing its stream makes it reconnect and receive everything again,
-/// and unanswered messages do not pile up here. Also catches proxies that lose answers. May harm on
-/// a channel so slow that good answers take longer, so the timeout covers emptying a full channel
-/// twice.
+/// and unacknowledged messages do not pile up here. Also catches proxies that lose answers. May
+/// harm on a channel so slow that good answers take longer, so the timeout covers emptying a full
+/// channel twice.
 fn evict_unresponsive(
     state: &mut DeliveryState,
     now: f64,
@@ -154,10 +154,10 @@
     limits: &DeliveryLimits,
 ) -> Option<Action> {
     let evict = state
-        .unanswered_since
+        .unacknowledged_since
         .is_some_and(|at| now - at >= limits.answer_timeout_ms);
     evict.then(|| {
-        state.unanswered_since = None;
+        state.unacknowledged_since = None;
         Action::Evict
     })
 }
--- a/crates/control/src/delivery/tests.rs
+++ b/crates/control/src/delivery/tests.rs
@@ -12,7 +12,7 @@
 fn each_rule_fires_on_its_condition_only() {
     let quiet = DeliveryState::default();
     let since = |at| DeliveryState {
-        unanswered_since: Some(at),
+        unacknowledged_since: Some(at),
         ..quiet
     };
     let refused = |times: u32, withdrawals| {
@@ -28,7 +28,7 @@
         (
             "eviction goes before redelivery",
             DeliveryState {
-                unanswered_since: Some(0.0),
+                unacknowledged_since: Some(0.0),
                 ..refused(1, true)
             },
             1000.0,
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -93,7 +93,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClassSettings {
     pub name: String,
-    /// Visits of the class are wanted to be answered within this time.
+    /// Time within which visits of the class should be answered.
     pub soft_limit_ms: f64,
     /// Worth of a visit that is answered in time, relative to other classes.
     pub earnings: f64,
--- a/crates/control/src/outstanding.rs
+++ b/crates/control/src/outstanding.rs
@@ -1,4 +1,4 @@
-//! Bookkeeping of the channel to the proxies: the unanswered messages of a proxy, the lines in
+//! Bookkeeping of the channel to the proxies: the unacknowledged messages of a proxy, the lines in
 //! them, and the messages it was sent within the window of the rate limit. Only sums are kept here;
 //! the planner decides who is written to.
 
@@ -21,17 +21,17 @@
     pub withdraws: bool,
 }
 
-/// The unanswered messages of one proxy, and when it was sent messages.
+/// The unacknowledged messages of one proxy, and when it was sent messages.
 #[derive(Clone, Debug, Default)]
 pub struct Outstanding {
-    unanswered: VecDeque<SentMessage>,
+    unacknowledged: VecDeque<SentMessage>,
     sent_times: VecDeque<f64>,
 }
 
 impl Outstanding {
     /// Records that a message was sent.
     pub fn record_sent(&mut self, message: SentMessage, window_ms: f64) {
-        self.unanswered.push_back(message);
+        self.unacknowledged.push_back(message);
         self.expire(message.sent_at, window_ms);
         self.sent_times.push_back(message.sent_at);
     }
@@ -50,30 +50,30 @@
     /// Takes the answer to a serial and returns what it answers: that message and all before it. A
     /// serial that is not outstanding (answered before, or of another stream) answers nothing.
     pub fn acknowledge(&mut self, serial: u64) -> Vec<SentMessage> {
-        match self.unanswered.iter().position(|m| m.serial == serial) {
-            Some(position) => self.unanswered.drain(..=position).collect(),
+        match self.unacknowledged.iter().position(|m| m.serial == serial) {
+            Some(position) => self.unacknowledged.drain(..=position).collect(),
             None => Vec::new(),
         }
     }
 
-    /// The lines in all unanswered messages.
+    /// The lines in all unacknowledged messages.
     pub fn lines(&self) -> f64 {
-        self.unanswered.iter().map(|m| m.lines).sum()
+        self.unacknowledged.iter().map(|m| m.lines).sum()
     }
 
-    /// The number of unanswered messages.
+    /// The number of unacknowledged messages.
     pub fn count(&self) -> usize {
-        self.unanswered.len()
+        self.unacknowledged.len()
     }
 
-    /// When the oldest unanswered message was sent.
+    /// When the oldest unacknowledged message was sent.
     pub fn oldest_sent_at(&self) -> Option<f64> {
-        self.unanswered.front().map(|m| m.sent_at)
+        self.unacknowledged.front().map(|m| m.sent_at)
     }
 
-    /// The serial of the oldest unanswered message.
+    /// The serial of the oldest unacknowledged message.
     pub fn oldest_serial(&self) -> Option<u64> {
-        self.unanswered.front().map(|m| m.serial)
+        self.unacknowledged.front().map(|m| m.serial)
     }
 
     /// Messages sent within the last `window_ms`.
@@ -91,7 +91,7 @@
     /// Messages sent, and the lines in them.
     pub messages: u64,
     pub lines: u64,
-    /// Lines that are sent and unanswered now, and the highest value of that.
+    /// Lines that are sent and unacknowledged now, and the highest value of that.
     pub waiting: f64,
     #[serde(rename = "most_waiting")]
     pub max_waiting: f64,
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -82,7 +82,7 @@
 /// How full the channel to a part's proxies is.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ChannelLoad {
-    /// Lines that are sent and unanswered, over all proxies.
+    /// Lines that are sent and unacknowledged, over all proxies.
     pub waiting_lines: f64,
     /// Proxies that receive the lines of the part.
     pub receivers: f64,
@@ -95,7 +95,7 @@
 /// table has reached all proxies, since reports lag by a round and messages by their latency.
 #[derive(Clone, Debug, Default)]
 struct LoadHistory {
-    /// The number of each bucket and the highest load in it.
+    /// By bucket: the number of the period that it holds, and the highest load in that period.
     ring: [(u64, f64); LOAD_BUCKETS],
     /// The loads of the last rounds.
     rounds: VecDeque<f64>,
--- a/crates/control/src/servers.rs
+++ b/crates/control/src/servers.rs
@@ -150,7 +150,7 @@
         &mut self,
         now: f64,
         after_ms: f64,
-        oldest_unanswered: u64,
+        oldest_unacknowledged: u64,
     ) -> Vec<usize> {
         let mut forgotten = Vec::new();
         for index in 0..self.slots.len() {
@@ -159,7 +159,7 @@
             let long_gone = slot.gone_since.is_some_and(|at| now - at >= after_ms);
             let unused =
                 slot.weight == 0.0 && slot.target_weight == 0.0 && slot.withdrawn && !slot.probing;
-            if known && long_gone && unused && slot.last_named_serial < oldest_unanswered {
+            if known && long_gone && unused && slot.last_named_serial < oldest_unacknowledged {
                 let (name, address) = (slot.name.clone(), slot.address.clone());
                 self.by_name.remove(&name);
                 if self.by_address.get(&address) == Some(&index) {
--- a/crates/control/tests/controller.rs
+++ b/crates/control/tests/controller.rs
@@ -520,9 +520,9 @@
 /// their limit, and all proxies are bound in the end.
 #[test]
 fn many_proxies_that_reconnect_at_once_are_paced() {
-    let most_waiting = 4_000.0;
+    let max_queued_lines = 4_000.0;
     let mut day = Day::new(ControllerSettings {
-        max_queued_lines: most_waiting,
+        max_queued_lines,
         max_messages: 0.0,
         default_visits_per_s: 0.1,
         ..settings()
@@ -543,7 +543,11 @@
             };
             day.send(vec![input]);
             let view = day.controller.overview();
-            assert!(view.counters.waiting <= most_waiting, "{:?}", view.counters);
+            assert!(
+                view.counters.waiting <= max_queued_lines,
+                "{:?}",
+                view.counters
+            );
         }
         day.run(30_000.0, 100.0);
         let view = day.controller.overview();
@@ -553,7 +557,7 @@
         );
         day.assert_tables_agree();
     }
-    assert!(day.controller.overview().counters.max_waiting <= most_waiting);
+    assert!(day.controller.overview().counters.max_waiting <= max_queued_lines);
 }
 
 /// The roster's clock jumps: the same start with another age must not count as a new start.
--- a/crates/control/tests/rollout.rs
+++ b/crates/control/tests/rollout.rs
@@ -164,7 +164,7 @@
                 orders.lines = own_lines.iter().map(|((p, s), w)| (*p, *s, *w)).collect();
                 orders.withdrawals = own_withdrawals
                     .iter()
-                    .map(|(s, shut)| (*s, *shut))
+                    .map(|(s, withdrawn)| (*s, *withdrawn))
                     .collect();
             }
             was_faulty = fault != Fault::Nothing;
@@ -189,7 +189,7 @@
                     }
                 }
                 Fault::KeepsDraining => {
-                    orders.withdrawals.retain(|(_, shut)| !shut);
+                    orders.withdrawals.retain(|(_, withdrawn)| !withdrawn);
                     orders.lines.retain(|l| l.2 > 0.0);
                 }
                 Fault::UnsafeRetries => {
--- a/crates/guard/src/capacity.rs
+++ b/crates/guard/src/capacity.rs
@@ -5,7 +5,7 @@
 //! [`CapacityEstimate::best_per_weight`] returns the highest load that one carried well, for a
 //! listed weight of 1. A server can carry what it has carried well; how much more it could is
 //! unknown. So the maximum over a long time counts: at night, when load is low, the maximum of the
-//! day still applies. A ring of fixed buckets holds the maximum of each stretch of time.
+//! day still applies. A ring of fixed buckets holds the maximum of each period.
 
 /// Buckets of the ring.
 const BUCKETS: usize = 32;
@@ -44,8 +44,8 @@
 #[derive(Clone, Debug)]
 pub struct CapacityEstimate {
     bucket_ms: f64,
-    /// The number of the stretch that each bucket is of, and the highest load in it, for a listed
-    /// weight of 1.
+    /// By bucket: the number of the period that it holds, and the highest load in that period for a
+    /// listed weight of 1.
     ring: [(u64, f64); BUCKETS],
 }
 
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The number of the stretch at that time.
+    /// The number of the period at that time.
     fn bucket_number(&self, now: f64) -> u64 {
         (now / self.bucket_ms) as u64
     }
--- a/crates/guard/src/tests.rs
+++ b/crates/guard/src/tests.rs
@@ -119,13 +119,13 @@
         overload_per_s: f64::INFINITY,
     };
     (0..2).for_each(|s| guard.set_server(s, Some(0), drains));
-    let shut = |server| Line {
+    let withdrawn = |server| Line {
         server,
         weight: 1.0,
         open: false,
     };
     assert_eq!(
-        guard.check(0, &[shut(0), shut(1)], false),
+        guard.check(0, &[withdrawn(0), withdrawn(1)], false),
         [],
         "two of three drain"
     );
@@ -136,5 +136,5 @@
     );
     // No server is ready: the table may be empty.
     (2..4).for_each(|s| guard.set_server(s, Some(0), drains));
-    assert_eq!(guard.check(0, &[0, 1, 2].map(shut), false), []);
+    assert_eq!(guard.check(0, &[0, 1, 2].map(withdrawn), false), []);
 }
