--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -172,7 +172,7 @@
         },
         message_window_ms: settings.message_window_ms,
         report_interval_ms: settings.report_interval_ms,
-        report_lines_per_ms: settings.reports_per_s / 1000.0,
+        report_lines_per_ms: settings.report_lines_per_s / 1000.0,
         cold_capacity_share: settings.cold_capacity_share,
         warm_up_ms: settings.warm_up_ms,
         overload_multiple: settings.overload_multiple,
@@ -280,17 +280,17 @@
         self.update_guard(now, guard_inputs);
         self.execute(now, orders, gate, &mut out);
         self.apply_delivery_rules(now, &mut out);
-        let unanswered = self
+        let unacknowledged = self
             .proxies
             .values()
             .filter_map(|p| p.outstanding.oldest_serial());
-        let oldest_serial = unanswered.min().unwrap_or(u64::MAX);
+        let oldest_serial = unacknowledged.min().unwrap_or(u64::MAX);
         let after_ms = self.settings.warm_up_ms * FORGET_WARM_UPS;
         for s in self.servers.release_unused(now, after_ms, oldest_serial) {
             self.reports.forget_server(s);
         }
         self.counters.waiting = self.proxies.values().map(|p| p.outstanding.lines()).sum();
-        self.counters.most_waiting = self.counters.most_waiting.max(self.counters.waiting);
+        self.counters.max_waiting = self.counters.max_waiting.max(self.counters.waiting);
         out
     }
 
@@ -526,7 +526,7 @@
         // The remaining messages were sent earlier, but their answers queue behind this one: the
         // timeout restarts.
         let oldest = proxy.outstanding.oldest_sent_at();
-        proxy.delivery.unanswered_since = oldest.map(|_| now);
+        proxy.delivery.unacknowledged_since = oldest.map(|_| now);
         for mark in sent.iter().filter_map(|m| m.mark) {
             self.planner.orders_applied(index, mark);
         }
@@ -604,7 +604,7 @@
     /// Ends a round of reports: passes its sums to the planner and logs changes of trust.
     fn end_round(&mut self, now: f64, out: &mut Vec<Output>) {
         let round = self.reports.end_round(now);
-        self.counters.vague += round.imprecise;
+        self.counters.imprecise += round.imprecise;
         self.latest_tries_per_s.clear();
         for stats in &round.stats {
             *self.latest_tries_per_s.entry(stats.server).or_default() +=
@@ -987,14 +987,14 @@
             proxy
                 .outstanding
                 .record_sent(sent, self.settings.message_window_ms);
-            proxy.delivery.unanswered_since.get_or_insert(now);
+            proxy.delivery.unacknowledged_since.get_or_insert(now);
             sessions.push(proxy.session);
             self.counters.messages += 1;
             self.counters.lines += sent.lines as u64;
             let sent_in_window = proxy
                 .outstanding
                 .sent_within(now, self.settings.message_window_ms);
-            self.counters.most_messages = self.counters.most_messages.max(sent_in_window);
+            self.counters.max_messages = self.counters.max_messages.max(sent_in_window);
         }
         out.push(Output::Write(sessions, Arc::new(message)));
     }
--- a/crates/control/src/delivery.rs
+++ b/crates/control/src/delivery.rs
@@ -7,8 +7,8 @@
 
 use crate::ControllerSettings;
 
-/// A proxy that does not answer is evicted after this many drain grace periods or this many message
-/// latencies, whichever is longer.
+/// A proxy that does not answer is evicted after this many drain grace periods, this many message
+/// latencies or the time in which a full channel empties twice, whichever is longest.
 const EVICT_GRACE_PERIODS: f64 = 4.0;
 const EVICT_LATENCIES: f64 = 30.0;
 /// Delay of the first redelivery after a refusal, as a share of the drain grace period. Withdrawals
@@ -35,6 +35,7 @@
 }
 
 impl DeliveryLimits {
+    /// The limits for a service.
     pub fn new(settings: &ControllerSettings) -> DeliveryLimits {
         let latencies_ms = settings.message_latency_ms * EVICT_LATENCIES;
         // A full channel empties in half of this time; a proxy whose messages are last in it must
@@ -56,7 +57,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DeliveryState {
     /// Since when an answer is due.
-    pub unanswered_since: Option<f64>,
+    pub unacknowledged_since: Option<f64>,
     /// Consecutive refusals.
     pub refusals: u32,
     /// Time of the last refusal.
@@ -101,7 +102,7 @@
     /// The next time at which a rule can fire if nothing else happens.
     pub fn next_deadline(&self, limits: &DeliveryLimits) -> Option<f64> {
         let evict = self
-            .unanswered_since
+            .unacknowledged_since
             .map(|at| at + limits.answer_timeout_ms);
         let withdrawals = self
             .owed_withdrawals
@@ -123,6 +124,7 @@
     ResendTable,
 }
 
+/// Takes the state, the time, the lines that wait in the channel, and the limits.
 type Rule = fn(&mut DeliveryState, f64, f64, &DeliveryLimits) -> Option<Action>;
 
 const RULES: [Rule; 3] = [evict_unresponsive, resend_withdrawals, resend_table];
@@ -142,9 +144,9 @@
 
 /// Guards against a proxy that keeps its stream open but answers nothing: stopped, stuck, or behind
 /// a link that drops packets. Closing its stream makes it reconnect and receive everything again,
-/// and unanswered messages do not pile up here. Also catches proxies that lose answers. May harm on
-/// a channel so slow that good answers take longer, so the timeout covers emptying a full channel
-/// twice.
+/// and unacknowledged messages do not pile up here. Also catches proxies that lose answers. May
+/// harm on a channel so slow that good answers take longer, so the timeout covers emptying a full
+/// channel twice.
 fn evict_unresponsive(
     state: &mut DeliveryState,
     now: f64,
@@ -152,10 +154,10 @@
     limits: &DeliveryLimits,
 ) -> Option<Action> {
     let evict = state
-        .unanswered_since
+        .unacknowledged_since
         .is_some_and(|at| now - at >= limits.answer_timeout_ms);
     evict.then(|| {
-        state.unanswered_since = None;
+        state.unacknowledged_since = None;
         Action::Evict
     })
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -4,9 +4,10 @@
 //!
 //! Names end here: the planner (`dahliapoint::rules`) decides, and it works on small indices. This
 //! crate keeps what the planner does not know (names, sessions, what each proxy was sent and has
-//! answered) and decides only on dead proxies and on redelivery, in [`delivery`] and [`presence`].
-//! It reads no clock and no entropy: the same inputs give the same outputs, byte for byte, so that
-//! a day can be recorded ([`record`]) and replayed.
+//! answered) and decides only on the presence of proxies ([`presence`]) and on redelivery
+//! ([`delivery`]); [`rollout`] sends the planner's orders in steps that the guard finds safe. The
+//! crate reads no clock and no entropy: the same inputs give the same outputs, byte for byte, so
+//! that a day can be recorded ([`record`]) and replayed.
 
 mod controller;
 mod debug_text;
@@ -52,6 +53,7 @@
     pub message_overhead_lines: f64,
     /// Messages that one proxy may be sent within `message_window_ms`; 0: no limit.
     pub max_messages: f64,
+    /// Window of that limit.
     pub message_window_ms: f64,
     /// Writes that a front makes of one message at most, counted against `max_messages`.
     pub writes_per_message: f64,
@@ -66,7 +68,7 @@
     /// Interval of the load reports of a proxy.
     pub report_interval_ms: f64,
     /// Report lines a second that the controller takes at most.
-    pub reports_per_s: f64,
+    pub report_lines_per_s: f64,
     /// A server that has just started has this share of its capacity ...
     pub cold_capacity_share: f64,
     /// ... has all of it after this long ...
@@ -91,7 +93,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClassSettings {
     pub name: String,
-    /// Visits of the class are wanted to be answered within this time.
+    /// Time within which visits of the class should be answered.
     pub soft_limit_ms: f64,
     /// Worth of a visit that is answered in time, relative to other classes.
     pub earnings: f64,
