--- a/crates/intake/src/timeline/tests.rs
+++ b/crates/intake/src/timeline/tests.rs
@@ -31,9 +31,9 @@
 #[test]
 fn varying_delay_is_removed_after_a_quick_report() {
     let mut timeline = Timeline::new(0.0);
-    let delay = [400.0, 300.0, 20.0, 900.0, 700.0, 50.0];
+    let delays = [400.0, 300.0, 20.0, 900.0, 700.0, 50.0];
     let mut last_delay = 0.0;
-    for (i, delay) in delay.iter().enumerate() {
+    for (i, delay) in delays.iter().enumerate() {
         let true_end = (i + 1) as f64 * 500.0;
         last_delay = timeline.place(true_end + delay, 500.0).end - true_end;
     }
--- a/crates/memory/src/restore/tests.rs
+++ b/crates/memory/src/restore/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use AdminState::{Draining, Gone, Ready};
 
-const WARM: f64 = 10_000.0;
+const WARM_UP_MS: f64 = 10_000.0;
 
 fn at(ms: f64) -> Timestamp {
     Timestamp {
@@ -37,7 +37,7 @@
 }
 
 /// Restores one server among twenty healthy ones, after a downtime that began at time 0.
-fn one(fact: Option<ServerFact>, entry: RosterEntry, now: Timestamp) -> Restored {
+fn restore_one(fact: Option<ServerFact>, entry: RosterEntry, now: Timestamp) -> Restored {
     let mut facts = Facts {
         alive: at(0.0),
         ..Facts::default()
@@ -53,87 +53,93 @@
     if let Some(fact) = fact {
         facts.servers.insert(fact.name.clone(), fact);
     }
-    let (_, restored_all) = restore_roster(&now, &facts, &roster, WARM);
+    let (_, restored_all) = restore_roster(&now, &facts, &roster, WARM_UP_MS);
     assert!(restored_all[1..].iter().all(|r| *r == Restored::AsListed));
     restored_all[0]
 }
 
 #[test]
-fn each_fact_ages_by_its_own_rule() {
+fn each_rule_decides_its_case() {
     use Restored::{AsListed, New, Returning, Share};
     let s = |state| entry("s", state, None);
     let moved = ServerFact {
         address: "2:2".into(),
         ..fact("s", Ready, 1.0)
     };
-    let elsewhere = Timestamp {
+    let other_boot = Timestamp {
         boot: "other".into(),
         ..at(-5_000.0)
     };
-    let leapt = Timestamp {
+    let clock_jumped = Timestamp {
         wall_ms: 0.0,
         ..at(1_000.0)
     };
     let cases = [
         (
-            "well before and now",
+            "healthy before and now",
             Some(fact("s", Ready, 1.0)),
             s(Ready),
             at(1e3),
             AsListed,
         ),
         (
-            "gone is the roster's word",
+            "gone in the roster",
             Some(fact("s", Ready, 0.3)),
             s(Gone),
             at(1e3),
             AsListed,
         ),
-        ("so is draining", None, s(Draining), at(1e3), AsListed),
         (
-            "a start that is told",
+            "draining in the roster",
+            None,
+            s(Draining),
+            at(1e3),
+            AsListed,
+        ),
+        (
+            "recent start in the roster",
             Some(fact("s", Ready, 0.3)),
             entry("s", Ready, Some(2e3)),
             at(1e3),
             AsListed,
         ),
         (
-            "a drain that is over",
+            "drained before, ready now",
             Some(fact("s", Draining, 1.0)),
             s(Ready),
             at(1e3),
             Returning,
         ),
         (
-            "gone, and back",
+            "gone before, ready now",
             Some(fact("s", Gone, 1.0)),
             s(Ready),
             at(9_999.0),
             Returning,
         ),
         (
-            "back perhaps for long",
+            "gone before, perhaps back for long",
             Some(fact("s", Gone, 1.0)),
             s(Ready),
             at(60_000.0),
             Share(0.55),
         ),
         (
-            "back for hours",
+            "gone before, hours ago",
             Some(fact("s", Gone, 1.0)),
             s(Ready),
             at(4.0 * 3.6e6),
             AsListed,
         ),
         (
-            "slow a second ago",
+            "slow just now",
             Some(fact("s", Ready, 0.2)),
             s(Ready),
             at(0.0),
             Share(0.2),
         ),
         (
-            "slow a while ago",
+            "slow one half-life ago",
             Some(fact("s", Ready, 0.2)),
             s(Ready),
             at(50_000.0),
@@ -146,43 +152,55 @@
             at(3.6e6),
             AsListed,
         ),
-        ("new since then", None, s(Ready), at(5e3), New),
-        ("unknown after long", None, s(Ready), at(10_000.0), AsListed),
-        ("another machine", Some(moved), s(Ready), at(5e3), New),
         (
-            "the wall clock leapt, the boot is the same",
+            "unknown after a short downtime",
+            None,
+            s(Ready),
+            at(5e3),
+            New,
+        ),
+        (
+            "unknown after a long downtime",
+            None,
+            s(Ready),
+            at(10_000.0),
+            AsListed,
+        ),
+        ("another address", Some(moved), s(Ready), at(5e3), New),
+        (
+            "wall clock jumped within the same boot",
             Some(fact("s", Ready, 0.2)),
             s(Ready),
-            leapt.clone(),
+            clock_jumped.clone(),
             Share(1.0 - 0.8 * 0.5_f64.powf(0.02)),
         ),
         (
-            "another boot, and a clock that went back",
+            "another boot, wall clock went backwards",
             Some(fact("s", Ready, 0.2)),
             s(Ready),
-            elsewhere.clone(),
+            other_boot.clone(),
             AsListed,
         ),
         (
-            "so is a drain's age",
+            "gone before, another boot, wall clock went backwards",
             Some(fact("s", Gone, 1.0)),
             s(Ready),
-            elsewhere,
+            other_boot,
             AsListed,
         ),
     ];
-    for (name, fact, entry, now, wanted) in cases {
-        let found = one(fact, entry, now);
-        let alike = match (found, wanted) {
+    for (name, fact, entry, now, expected) in cases {
+        let actual = restore_one(fact, entry, now);
+        let alike = match (actual, expected) {
             (Share(a), Share(b)) => (a - b).abs() < 1e-9,
             (a, b) => a == b,
         };
-        assert!(alike, "{name}: {found:?}, wanted {wanted:?}");
+        assert!(alike, "{name}: {actual:?}, expected {expected:?}");
     }
 }
 
 #[test]
-fn memory_never_starves_a_fleet() {
+fn stored_facts_never_withhold_too_much() {
     let mut facts = Facts {
         alive: at(0.0),
         ..Facts::default()
@@ -199,12 +217,12 @@
         }
         roster.push(entry(&name, Ready, None));
     }
-    let (presented, restored_all) = restore_roster(&at(1.0), &facts, &roster, WARM);
+    let (presented, restored_all) = restore_roster(&at(1.0), &facts, &roster, WARM_UP_MS);
     let new = restored_all.iter().filter(|r| **r == Restored::New).count();
     let slow = restored_all
         .iter()
         .filter(|r| matches!(r, Restored::Share(_)))
         .count();
-    assert_eq!((new, slow), (2, 10), "the unknown are let go first");
+    assert_eq!((new, slow), (2, 10), "unknown servers are dropped first");
     assert_eq!(presented.len(), 28);
 }
--- a/crates/memory/tests/store.rs
+++ b/crates/memory/tests/store.rs
@@ -16,7 +16,7 @@
 
 /// An operation that a power failure may undo.
 #[derive(Clone, Debug)]
-enum Undone {
+enum UnsyncedOp {
     Bytes(String, Vec<u8>),
     /// A new file, with those of its bytes that were synced.
     Create(String, Vec<u8>),
@@ -27,67 +27,67 @@
 #[derive(Default)]
 struct Disk {
     /// The contents as visible now, and those that survive a power failure.
-    now: BTreeMap<String, Vec<u8>>,
-    safe: BTreeMap<String, Vec<u8>>,
+    visible: BTreeMap<String, Vec<u8>>,
+    durable: BTreeMap<String, Vec<u8>>,
     /// Operations on names and on bytes that were not synced.
-    names: Vec<Undone>,
-    bytes: Vec<Undone>,
+    unsynced_names: Vec<UnsyncedOp>,
+    unsynced_bytes: Vec<UnsyncedOp>,
     /// Number of calls until the power fails, and until the disk is full.
-    left: Option<usize>,
-    full: Option<usize>,
+    calls_left: Option<usize>,
+    calls_until_full: Option<usize>,
 }
 
 /// A directory in memory that loses, tears and reorders unsynced writes.
 #[derive(Clone, Default)]
-struct Torn(Arc<Mutex<Disk>>);
+struct FaultyDirectory(Arc<Mutex<Disk>>);
 
-impl Torn {
+impl FaultyDirectory {
     fn call<T>(&self, change: impl FnOnce(&mut Disk) -> io::Result<T>) -> io::Result<T> {
         let mut disk = self.0.lock().unwrap();
-        if let Some(left) = &mut disk.left {
-            if *left == 0 {
+        if let Some(calls_left) = &mut disk.calls_left {
+            if *calls_left == 0 {
                 return Err(io::Error::other("no power"));
             }
-            *left -= 1;
+            *calls_left -= 1;
         }
-        if let Some(left) = &mut disk.full {
-            if *left == 0 {
+        if let Some(calls) = &mut disk.calls_until_full {
+            if *calls == 0 {
                 return Err(io::ErrorKind::StorageFull.into());
             }
-            *left -= 1;
+            *calls -= 1;
         }
         change(&mut disk)
     }
 
     /// The directory after a power failure: any part of the unsynced operations may have survived,
     /// chosen by the seed.
-    fn back(&self, seed: u64) -> Torn {
+    fn after_power_failure(&self, seed: u64) -> FaultyDirectory {
         let disk = self.0.lock().unwrap();
-        let mut chance = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
-        let mut draw = |most: usize| {
-            chance = chance
+        let mut random = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
+        let mut draw = |bound: usize| {
+            random = random
                 .wrapping_mul(6_364_136_223_846_793_005)
                 .wrapping_add(1_442_695_040_888_963_407);
-            (chance >> 33) as usize % most.max(1)
+            (random >> 33) as usize % bound.max(1)
         };
-        let mut files = disk.safe.clone();
-        for undone in disk.names.iter().chain(&disk.bytes) {
+        let mut files = disk.durable.clone();
+        for op in disk.unsynced_names.iter().chain(&disk.unsynced_bytes) {
             if draw(2) == 0 {
                 continue;
             }
-            match undone {
-                Undone::Create(name, bytes) => {
+            match op {
+                UnsyncedOp::Create(name, bytes) => {
                     files.insert(name.clone(), bytes.clone());
                 }
-                Undone::Rename(from, to) => {
+                UnsyncedOp::Rename(from, to) => {
                     if let Some(bytes) = files.remove(from) {
                         files.insert(to.clone(), bytes);
                     }
                 }
-                Undone::Remove(name) => {
+                UnsyncedOp::Remove(name) => {
                     files.remove(name);
                 }
-                Undone::Bytes(name, bytes) => {
+                UnsyncedOp::Bytes(name, bytes) => {
                     // A prefix of the bytes, whose end may be zeroed.
                     let mut part = bytes[..draw(bytes.len() + 1)].to_vec();
                     if draw(3) == 0 {
@@ -100,9 +100,9 @@
                 }
             }
         }
-        Torn(Arc::new(Mutex::new(Disk {
-            now: files.clone(),
-            safe: files,
+        FaultyDirectory(Arc::new(Mutex::new(Disk {
+            visible: files.clone(),
+            durable: files,
             ..Disk::default()
         })))
     }
@@ -112,48 +112,50 @@
     io::ErrorKind::NotFound.into()
 }
 
-impl Directory for Torn {
+impl Directory for FaultyDirectory {
     fn list(&mut self) -> io::Result<Vec<String>> {
-        self.call(|d| Ok(d.now.keys().cloned().collect()))
+        self.call(|d| Ok(d.visible.keys().cloned().collect()))
     }
 
     fn read(&mut self, name: &str, _: u64) -> io::Result<Vec<u8>> {
-        self.call(|d| d.now.get(name).cloned().ok_or_else(absent))
+        self.call(|d| d.visible.get(name).cloned().ok_or_else(absent))
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
         self.call(|d| {
-            d.now.insert(name.into(), Vec::new());
-            d.names.push(Undone::Create(name.into(), Vec::new()));
+            d.visible.insert(name.into(), Vec::new());
+            d.unsynced_names
+                .push(UnsyncedOp::Create(name.into(), Vec::new()));
             Ok(())
         })
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         self.call(|d| {
-            d.now.get_mut(name).ok_or_else(absent)?.extend(bytes);
-            d.bytes.push(Undone::Bytes(name.into(), bytes.to_vec()));
+            d.visible.get_mut(name).ok_or_else(absent)?.extend(bytes);
+            d.unsynced_bytes
+                .push(UnsyncedOp::Bytes(name.into(), bytes.to_vec()));
             Ok(())
         })
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
         self.call(|d| {
-            let whole = d.now.get(name).cloned().ok_or_else(absent)?;
+            let whole = d.visible.get(name).cloned().ok_or_else(absent)?;
             // The bytes are durable; the name may not be.
-            d.bytes
-                .retain(|u| !matches!(u, Undone::Bytes(n, _) if n == name));
+            d.unsynced_bytes
+                .retain(|u| !matches!(u, UnsyncedOp::Bytes(n, _) if n == name));
             let mut named = true;
-            for undone in &mut d.names {
-                match undone {
-                    Undone::Create(n, bytes) if n == name => {
+            for op in &mut d.unsynced_names {
+                match op {
+                    UnsyncedOp::Create(n, bytes) if n == name => {
                         (*bytes, named) = (whole.clone(), false);
                     }
                     _ => {}
                 }
             }
             if named {
-                d.safe.insert(name.into(), whole);
+                d.durable.insert(name.into(), whole);
             }
             Ok(())
         })
@@ -161,37 +163,38 @@
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         self.call(|d| {
-            let bytes = d.now.remove(from).ok_or_else(absent)?;
-            d.now.insert(to.into(), bytes);
-            d.names.push(Undone::Rename(from.into(), to.into()));
+            let bytes = d.visible.remove(from).ok_or_else(absent)?;
+            d.visible.insert(to.into(), bytes);
+            d.unsynced_names
+                .push(UnsyncedOp::Rename(from.into(), to.into()));
             Ok(())
         })
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
         self.call(|d| {
-            d.now.remove(name).ok_or_else(absent)?;
-            d.names.push(Undone::Remove(name.into()));
+            d.visible.remove(name).ok_or_else(absent)?;
+            d.unsynced_names.push(UnsyncedOp::Remove(name.into()));
             Ok(())
         })
     }
 
     fn sync_names(&mut self) -> io::Result<()> {
         self.call(|d| {
-            for undone in std::mem::take(&mut d.names) {
-                match undone {
-                    Undone::Create(name, bytes) => {
-                        d.safe.insert(name, bytes);
+            for op in std::mem::take(&mut d.unsynced_names) {
+                match op {
+                    UnsyncedOp::Create(name, bytes) => {
+                        d.durable.insert(name, bytes);
                     }
-                    Undone::Rename(from, to) => {
-                        if let Some(bytes) = d.safe.remove(&from) {
-                            d.safe.insert(to, bytes);
+                    UnsyncedOp::Rename(from, to) => {
+                        if let Some(bytes) = d.durable.remove(&from) {
+                            d.durable.insert(to, bytes);
                         }
                     }
-                    Undone::Remove(name) => {
-                        d.safe.remove(&name);
+                    UnsyncedOp::Remove(name) => {
+                        d.durable.remove(&name);
                     }
-                    Undone::Bytes(..) => {}
+                    UnsyncedOp::Bytes(..) => {}
                 }
             }
             Ok(())
@@ -218,10 +221,10 @@
 }
 
 /// The states before and after each change of a run.
-fn states(many: u64) -> Vec<Facts> {
+fn states(count: u64) -> Vec<Facts> {
     let mut facts = Facts::default();
     let mut out = vec![facts.clone()];
-    for n in 1..=many {
+    for n in 1..=count {
         facts.apply(change(n)).unwrap();
         out.push(facts.clone());
     }
@@ -234,65 +237,67 @@
 
 /// A scripted run of commits with compactions in between. Returns the last change committed for
 /// certain and the last one attempted.
-fn run(layer: &Torn, key: &Key, many: u64) -> (u64, u64) {
-    let (mut safe, mut tried) = (0, 0);
-    let Ok((mut store, mut facts, _)) = Store::open(layer.clone(), key.clone()) else {
+fn run(directory: &FaultyDirectory, key: &Key, count: u64) -> (u64, u64) {
+    let (mut committed, mut attempted) = (0, 0);
+    let Ok((mut store, mut facts, _)) = Store::open(directory.clone(), key.clone()) else {
         return (0, 0);
     };
-    for n in 1..=many {
-        tried = n;
+    for n in 1..=count {
+        attempted = n;
         let _ = facts.apply(change(n));
         if store.commit(&[change(n)]).is_err() {
-            return (safe, tried);
+            return (committed, attempted);
         }
-        safe = n;
+        committed = n;
         if n % 9 == 4 && store.begin_generation(&facts).is_err() {
-            return (safe, tried);
+            return (committed, attempted);
         }
         // Write the snapshot in slices, so that commits continue during a compaction.
         if store.write_snapshot_records(3).is_err() {
-            return (safe, tried);
+            return (committed, attempted);
         }
     }
-    (safe, tried)
+    (committed, attempted)
 }
 
 #[test]
-fn the_power_may_go_at_any_call() {
-    const MANY: u64 = 24;
-    let states = states(MANY);
+fn recovers_from_power_failure_at_any_call() {
+    const CHANGES: u64 = 24;
+    let states = states(CHANGES);
     for key in [Key::default(), key()] {
-        let whole = Torn::default();
-        assert_eq!(run(&whole, &key, MANY), (MANY, MANY));
+        let whole = FaultyDirectory::default();
+        assert_eq!(run(&whole, &key, CHANGES), (CHANGES, CHANGES));
         let calls = {
-            let counted = Torn::default();
-            counted.0.lock().unwrap().left = Some(usize::MAX);
-            run(&counted, &key, MANY);
-            usize::MAX - counted.0.lock().unwrap().left.unwrap()
+            let counted = FaultyDirectory::default();
+            counted.0.lock().unwrap().calls_left = Some(usize::MAX);
+            run(&counted, &key, CHANGES);
+            usize::MAX - counted.0.lock().unwrap().calls_left.unwrap()
         };
         assert!(calls > 60, "{calls} calls");
-        for left in 0..calls {
+        for calls_left in 0..calls {
             for seed in 0..12 {
-                let layer = Torn::default();
-                layer.0.lock().unwrap().left = Some(left);
-                let (safe, tried) = run(&layer, &key, MANY);
-                let mut back = layer.back(seed);
-                let what = format!("after {left} calls, seed {seed}: {safe} safe of {tried}");
-                let (facts, found) = recover(&mut back, &key).unwrap();
+                let directory = FaultyDirectory::default();
+                directory.0.lock().unwrap().calls_left = Some(calls_left);
+                let (committed, attempted) = run(&directory, &key, CHANGES);
+                let mut recovered = directory.after_power_failure(seed);
+                let what = format!(
+                    "after {calls_left} calls, seed {seed}: {committed} committed of {attempted}"
+                );
+                let (facts, found) = recover(&mut recovered, &key).unwrap();
                 let at = states.iter().position(|s| s.servers == facts.servers);
                 let at =
-                    at.unwrap_or_else(|| panic!("{what}: no state that was: {found:?}")) as u64;
+                    at.unwrap_or_else(|| panic!("{what}: not an earlier state: {found:?}")) as u64;
                 assert!(
-                    (safe..=tried).contains(&at),
+                    (committed..=attempted).contains(&at),
                     "{what}: state {at}, {found:?}"
                 );
                 // The directory can be opened again, also after two further power failures right at
                 // the start.
                 for _ in 0..2 {
-                    let (store, again, _) = Store::open(back.clone(), key.clone()).unwrap();
+                    let (store, again, _) = Store::open(recovered.clone(), key.clone()).unwrap();
                     assert_eq!(again.servers, facts.servers, "{what}");
                     drop(store);
-                    back = back.back(seed + 1);
+                    recovered = recovered.after_power_failure(seed + 1);
                 }
             }
         }
@@ -300,45 +305,47 @@
 }
 
 #[test]
-fn bent_and_planted_files_are_not_taken_for_ours() {
-    let layer = Torn::default();
-    run(&layer, &key(), 12);
-    let names = |l: &Torn| -> Vec<String> { l.0.lock().unwrap().now.keys().cloned().collect() };
+fn corrupt_and_forged_files_are_rejected() {
+    let directory = FaultyDirectory::default();
+    run(&directory, &key(), 12);
+    let names = |l: &FaultyDirectory| -> Vec<String> {
+        l.0.lock().unwrap().visible.keys().cloned().collect()
+    };
     let states = states(12);
-    for name in names(&layer) {
-        let length = layer.0.lock().unwrap().now[&name].len();
+    for name in names(&directory) {
+        let length = directory.0.lock().unwrap().visible[&name].len();
         for at in 0..length {
-            let mut bent = layer.back(0);
-            bent.0.lock().unwrap().now.get_mut(&name).unwrap()[at] ^= 0x10;
+            let mut corrupted = directory.after_power_failure(0);
+            corrupted.0.lock().unwrap().visible.get_mut(&name).unwrap()[at] ^= 0x10;
             // Either an error, or a state that existed.
-            if let Ok((facts, _)) = recover(&mut bent, &key()) {
+            if let Ok((facts, _)) = recover(&mut corrupted, &key()) {
                 let was = states.iter().any(|s| s.servers == facts.servers);
                 assert!(was, "{name} bent at {at}: {facts:?}");
             }
         }
     }
     // Without the key nobody can write what is read with it, and the other way round.
-    let planted = Torn::default();
-    run(&planted, &Key::default(), 3);
-    assert!(recover(&mut planted.clone(), &key()).is_err());
-    assert!(recover(&mut layer.clone(), &Key::default()).is_err());
+    let forged = FaultyDirectory::default();
+    run(&forged, &Key::default(), 3);
+    assert!(recover(&mut forged.clone(), &key()).is_err());
+    assert!(recover(&mut directory.clone(), &Key::default()).is_err());
     let other = Key(Some(b"another key than it".to_vec()));
     assert!(
-        recover(&mut layer.clone(), &other).is_err(),
-        "and nothing is thrown away"
+        recover(&mut directory.clone(), &other).is_err(),
+        "a file with another key must not be discarded"
     );
 }
 
 #[test]
-fn a_newer_programs_file_is_refused_and_left_alone() {
-    let layer = Torn::default();
-    run(&layer, &Key::default(), 3);
+fn newer_schema_is_refused_and_left_untouched() {
+    let directory = FaultyDirectory::default();
+    run(&directory, &Key::default(), 3);
     {
-        let mut disk = layer.0.lock().unwrap();
-        disk.now.values_mut().for_each(|bytes| bytes[8] = 9);
+        let mut disk = directory.0.lock().unwrap();
+        disk.visible.values_mut().for_each(|bytes| bytes[8] = 9);
     }
-    let before = layer.0.lock().unwrap().now.clone();
-    let why = Store::open(layer.clone(), Key::default())
+    let before = directory.0.lock().unwrap().visible.clone();
+    let why = Store::open(directory.clone(), Key::default())
         .err()
         .unwrap()
         .to_string();
@@ -346,26 +353,26 @@
         why.contains("schema 9 was written by a newer version"),
         "{why}"
     );
-    assert_eq!(layer.0.lock().unwrap().now, before);
+    assert_eq!(directory.0.lock().unwrap().visible, before);
 }
 
 /// Files of schema 1 are read, and values kept by hooks, which are new in schema 2, can be added to
 /// them.
 #[test]
-fn an_older_programs_file_is_read_and_gone_on_from() {
-    let layer = Torn::default();
-    run(&layer, &Key::default(), 3);
+fn older_schema_is_read_and_continued() {
+    let directory = FaultyDirectory::default();
+    run(&directory, &Key::default(), 3);
     {
-        let mut disk = layer.0.lock().unwrap();
-        disk.now.values_mut().for_each(|bytes| bytes[8] = 1);
+        let mut disk = directory.0.lock().unwrap();
+        disk.visible.values_mut().for_each(|bytes| bytes[8] = 1);
     }
-    let (before, _) = recover(&mut layer.clone(), &Key::default()).unwrap();
+    let (before, _) = recover(&mut directory.clone(), &Key::default()).unwrap();
     assert!(!before.servers.is_empty() && before.kept.is_empty());
     let kept = |value: &str| Change::Kept("night.hook".into(), "seen".into(), value.into());
-    let (mut store, facts, _) = Store::open(layer.clone(), Key::default()).unwrap();
+    let (mut store, facts, _) = Store::open(directory.clone(), Key::default()).unwrap();
     store.commit(&[kept("1"), kept("2")]).unwrap();
     drop(store);
-    let (mut store, mut facts_again, _) = Store::open(layer.clone(), Key::default()).unwrap();
+    let (mut store, mut facts_again, _) = Store::open(directory.clone(), Key::default()).unwrap();
     assert_eq!(facts.servers, facts_again.servers);
     let name = ("night.hook".to_string(), "seen".to_string());
     assert_eq!(facts_again.kept.get(&name).map(String::as_str), Some("2"));
@@ -373,8 +380,8 @@
     store.begin_generation(&facts_again).unwrap();
     while store.write_snapshot_records(1).unwrap() {}
     drop(store);
-    let (facts, _) = recover(&mut layer.clone(), &Key::default()).unwrap();
-    assert!(facts.kept.is_empty(), "an empty value is none");
+    let (facts, _) = recover(&mut directory.clone(), &Key::default()).unwrap();
+    assert!(facts.kept.is_empty(), "an empty value removes the name");
 }
 
 #[test]
@@ -394,30 +401,32 @@
 /// While the disk is full nothing blocks; afterwards the directory is repaired from the state in
 /// memory.
 #[test]
-fn a_full_disk_is_mended_and_costs_no_decision() {
-    let layer = Torn::default();
-    let (store, facts, found) = Store::open(layer.clone(), Key::default()).unwrap();
-    let (keeper, thread) = JournalWriter::start(store, facts, found).unwrap();
-    layer.0.lock().unwrap().full = Some(0);
+fn full_disk_is_repaired_without_blocking() {
+    let directory = FaultyDirectory::default();
+    let (store, facts, found) = Store::open(directory.clone(), Key::default()).unwrap();
+    let (writer, thread) = JournalWriter::start(store, facts, found).unwrap();
+    directory.0.lock().unwrap().calls_until_full = Some(0);
     for n in 1..=50 {
-        assert!(keeper.offer(vec![change(n)]));
+        assert!(writer.offer(vec![change(n)]));
     }
     let end = Instant::now() + Duration::from_secs(20);
     let until = |what: &str, met: &dyn Fn() -> bool| {
         while !met() {
-            assert!(Instant::now() < end, "{what}: {}", keeper.status());
+            assert!(Instant::now() < end, "{what}: {}", writer.status());
             std::thread::sleep(Duration::from_millis(5));
         }
     };
-    until("the fault is told", &|| {
-        keeper.status()["fault"].is_string()
+    until("the error is reported", &|| {
+        writer.status()["fault"].is_string()
+    });
+    directory.0.lock().unwrap().calls_until_full = None;
+    until("the directory is repaired", &|| {
+        writer.status()["fault"].is_null()
     });
-    layer.0.lock().unwrap().full = None;
-    until("it is mended", &|| keeper.status()["fault"].is_null());
-    assert!(keeper.offer(vec![change(51)]));
-    keeper.stop();
+    assert!(writer.offer(vec![change(51)]));
+    writer.stop();
     thread.join().unwrap();
-    let (facts, _) = recover(&mut layer.back(3), &Key::default()).unwrap();
+    let (facts, _) = recover(&mut directory.after_power_failure(3), &Key::default()).unwrap();
     assert_eq!(facts.servers, states(51).pop().unwrap().servers);
 }
 
@@ -425,18 +434,18 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: RngSeed::Fixed(5), ..ProptestConfig::default() })]
     /// Arbitrary bytes in our files cause neither a panic nor large allocations.
     #[test]
-    fn any_bytes_are_read_without_harm(bytes in proptest::collection::vec(any::<u8>(), 0..300), head in any::<bool>()) {
-        let layer = Torn::default();
-        run(&layer, &Key::default(), 2);
+    fn arbitrary_bytes_are_read_safely(bytes in proptest::collection::vec(any::<u8>(), 0..300), head in any::<bool>()) {
+        let directory = FaultyDirectory::default();
+        run(&directory, &Key::default(), 2);
         {
-            let mut disk = layer.0.lock().unwrap();
-            for file in disk.now.values_mut() {
+            let mut disk = directory.0.lock().unwrap();
+            for file in disk.visible.values_mut() {
                 let kept = if head { 24.min(file.len()) } else { 0 };
                 file.truncate(kept);
                 file.extend(&bytes);
             }
         }
-        if let Ok((facts, _)) = recover(&mut layer.clone(), &Key::default()) {
+        if let Ok((facts, _)) = recover(&mut directory.clone(), &Key::default()) {
             prop_assert!(facts.servers.len() < 300);
         }
     }
