--- a/crates/intake/src/estimates.rs
+++ b/crates/intake/src/estimates.rs
@@ -7,11 +7,11 @@
 
 /// Standard deviations of an error bound: it holds in 19 of 20 cases.
 const ERROR_DEVIATIONS: f64 = 2.0;
-/// An estimate is imprecise if its error bound exceeds this share of it ...
+/// An estimate is imprecise if its error bound exceeds this share of it.
 const MAX_RELATIVE_ERROR: f64 = 0.5;
-/// ... unless it has at most this many tries, too few for any decision to depend on.
+/// An estimate of at most this many tries is never imprecise: no decision depends on so few.
 const FEW_TRIES: f64 = 8.0;
-/// Report periods after whose end a window is no longer recent.
+/// Report periods for which a window counts as recent after its end.
 const RECENT_PERIODS: f64 = 4.0;
 /// Buckets before the current one whose reports may still be on their way.
 const INCOMPLETE_BUCKETS: u64 = 1;
@@ -48,8 +48,9 @@
     pub tries: f64,
     /// Tries that failed.
     pub failed: f64,
-    /// Mean time of the tries that did not fail, and their 95th percentile.
+    /// Mean time of the tries that did not fail.
     pub mean_ms: f64,
+    /// 95th percentile of the times of tries that did not fail.
     pub tail_ms: f64,
     /// Error bound: the true number of tries lies within it of the estimate in 19 of 20 cases.
     pub error: f64,
@@ -93,8 +94,9 @@
     pub server: usize,
     /// Index of the proxy's zone.
     pub zone: usize,
-    /// Begin and end of the window.
+    /// Begin of the window.
     pub begin: f64,
+    /// End of the window.
     pub end: f64,
     /// Number of tries.
     pub tries: f64,
--- a/crates/intake/src/interval.rs
+++ b/crates/intake/src/interval.rs
@@ -2,10 +2,10 @@
 //! and shortens it once there is capacity again. The first rule that applies decides, at most once
 //! per settling time.
 
-/// Load, as a share of the reading capacity, above which the interval grows and below which it
-/// shrinks. They are further apart than one step changes the load, so that the interval does not
-/// oscillate.
+/// Load, as a share of the reading capacity, above which the interval grows.
 const HIGH_LOAD: f64 = 0.8;
+/// Load below which the interval shrinks. The two are further apart than one step changes the load,
+/// so that the interval does not oscillate.
 const LOW_LOAD: f64 = 0.4;
 /// Factor by which one step changes the interval.
 const STEP_FACTOR: f64 = 1.5;
--- a/crates/intake/src/report_queue.rs
+++ b/crates/intake/src/report_queue.rs
@@ -28,10 +28,11 @@
     pub failed: f64,
     /// Total time of the tries that did not fail.
     pub good_ms: f64,
-    /// Number of answers that carried the server's self-reported load; `own_queue` and `own_ms` are
-    /// sums over them.
+    /// Number of answers that carried the server's self-reported load.
     pub self_reports: f64,
+    /// Sum of the self-reported queue lengths.
     pub own_queue: f64,
+    /// Sum of the self-reported times.
     pub own_ms: f64,
     /// Visits in flight at the end of the window. When lines are merged, the newest value replaces
     /// the others, since it is not a sum.
@@ -69,8 +70,9 @@
 pub struct MergedReport<R, K> {
     /// The reporter's key.
     pub reporter: R,
-    /// Begin and end of the window, on our clock.
+    /// Begin of the window, on our clock.
     pub begin: f64,
+    /// End of the window, on our clock.
     pub end: f64,
     /// Lines by server, each with the sampling variance of its tries.
     pub lines: Vec<(K, Line, f64)>,
@@ -309,7 +311,7 @@
         } else {
             let mut remaining = max_lines;
             for pending in &oldest_first {
-                // A reporter with more lines than `max_lines` is read alone.
+                // A reporter with more lines than `max_lines` is read by itself.
                 if pending.lines > remaining && remaining < max_lines {
                     break;
                 }
--- a/crates/intake/src/sampling.rs
+++ b/crates/intake/src/sampling.rs
@@ -26,12 +26,12 @@
     }
 }
 
-/// The maximum number of lines per claimant so that at most `room` lines are read in total, given
-/// how many each wants (max-min fairness). `usize::MAX` if all fit.
-pub fn quota(wanted: &[usize], room: usize) -> usize {
+/// The maximum number of lines per claimant so that at most `capacity` lines are read in total,
+/// given how many each wants (max-min fairness). `usize::MAX` if all fit.
+pub fn quota(wanted: &[usize], capacity: usize) -> usize {
     let mut sorted: Vec<usize> = wanted.to_vec();
     sorted.sort_unstable();
-    let (mut remaining, mut claimants) = (room, sorted.len());
+    let (mut remaining, mut claimants) = (capacity, sorted.len());
     for want in sorted {
         if want * claimants > remaining {
             return remaining / claimants;
--- a/crates/intake/src/timeline.rs
+++ b/crates/intake/src/timeline.rs
@@ -30,13 +30,15 @@
 /// The clock of one reporter's stream.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeline {
-    /// Sum of the windows so far; the smallest lag of that behind our clock; when that was last
-    /// updated.
+    /// Sum of the windows so far: the reporter's own clock.
     clock: f64,
+    /// Smallest lag of that clock behind ours.
     offset: f64,
+    /// When the offset was last updated.
     updated: f64,
-    /// Number of reports in a row that arrived one by one, and the smallest delay among them.
+    /// Number of reports in a row that arrived one by one.
     steady_reports: u32,
+    /// Smallest delay among them.
     min_delay: f64,
 }
 
--- a/crates/intake/src/trust.rs
+++ b/crates/intake/src/trust.rs
@@ -8,9 +8,9 @@
 
 use std::collections::BTreeMap;
 
-/// Suspicion, in periods of full evidence, at which a flag is raised, and the lower level at which
-/// it is cleared.
+/// Suspicion, in periods of full evidence, at which a flag is raised.
 const RAISE_LEVEL: f64 = 3.0;
+/// Suspicion at which a flag is cleared.
 const CLEAR_LEVEL: f64 = 0.5;
 /// Weight of the reports of a proxy that contradicts all others.
 const CONTRARY_WEIGHT: f64 = 0.25;
@@ -31,8 +31,9 @@
 /// A proxy contradicts the others at a server if its failure rate differs by this much from theirs.
 const MIN_FAILURE_DIFFERENCE: f64 = 0.4;
 /// A proxy is suspect if it contradicts the others at this share of the servers it shares with
-/// them, given at least `MIN_SHARED_SERVERS` such servers.
+/// them.
 const MIN_CONTRARY_SHARE: f64 = 0.7;
+/// A proxy that shares fewer servers with others is not judged.
 const MIN_SHARED_SERVERS: usize = 3;
 
 /// Suspicion level, and whether it has raised a flag.
@@ -64,8 +65,9 @@
 /// One server in one period: its self-reported load and what proxies measured.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerSample {
-    /// Means over the answers that carried a self-report; `None` if none did.
+    /// Mean self-reported time; `None` if no answer carried a self-report.
     pub own_ms: Option<f64>,
+    /// Mean self-reported queue length; `None` if no answer carried a self-report.
     pub own_queue: Option<f64>,
     /// Mean time that proxies measured.
     pub measured_ms: f64,
@@ -106,7 +108,7 @@
     pub fn is_stale(&self, server: usize) -> bool {
         self.servers
             .get(&server)
-            .is_some_and(|t| t.suspicion.flagged)
+            .is_some_and(|history| history.suspicion.flagged)
     }
 
     /// Whether a proxy is flagged as contradicting all others.
--- a/crates/intake/tests/intake.rs
+++ b/crates/intake/tests/intake.rs
@@ -265,8 +265,8 @@
         }
         assert!(!tracker.is_stale(0), "{name}: flagged in the calm phase");
         let raised = (0..10).position(|i| {
-            let (own, queue, met) = at(i);
-            tracker.observe_servers(&samples(own, queue, met));
+            let (own, queue, measured) = at(i);
+            tracker.observe_servers(&samples(own, queue, measured));
             tracker.is_stale(0)
         });
         assert_eq!(raised.is_some(), wanted, "{name}: {raised:?}");
--- a/crates/memory/examples/cost.rs
+++ b/crates/memory/examples/cost.rs
@@ -29,8 +29,8 @@
 }
 
 fn main() -> std::io::Result<()> {
-    let told = std::env::args().nth(1).map(PathBuf::from);
-    let dir = told.unwrap_or_else(std::env::temp_dir);
+    let argument = std::env::args().nth(1).map(PathBuf::from);
+    let dir = argument.unwrap_or_else(std::env::temp_dir);
     let dir = dir.join(format!("dahliapoint-cost-{}", std::process::id()));
     for key in [Key::default(), Key(Some(vec![7; 32]))] {
         let keyed = if key.0.is_some() { "keyed" } else { "plain" };
@@ -42,13 +42,13 @@
                 let group: Vec<_> = (0..servers)
                     .map(|i| server(i, 0.01 * round as f64))
                     .collect();
-                let begun = Instant::now();
+                let started = Instant::now();
                 bytes = store.commit(&group)?;
-                times.push(begun.elapsed());
+                times.push(started.elapsed());
             }
             times.sort();
             println!(
-                "{keyed}, {servers} servers, all lines moved: {bytes} bytes a round, commit median {:?}, worst {:?}",
+                "{keyed}, {servers} servers, all shares changed: {bytes} bytes per round, commit median {:?}, worst {:?}",
                 times[25], times[49]
             );
             drop(store);
@@ -66,17 +66,17 @@
             store.commit(&group)?;
         }
         drop(store);
-        let begun = Instant::now();
+        let started = Instant::now();
         let (_, found) = recover(&mut FsDirectory::open_read_only(&dir)?, &key)?;
         println!(
             "{keyed}, {} records read back in {:?}",
             found.records,
-            begun.elapsed()
+            started.elapsed()
         );
-        let begun = Instant::now();
+        let started = Instant::now();
         let (mut store, facts, _) = Store::open(FsDirectory::open(&dir)?, key.clone())?;
-        println!("{keyed}, opened and compacted in {:?}", begun.elapsed());
-        let begun = Instant::now();
+        println!("{keyed}, opened and compacted in {:?}", started.elapsed());
+        let started = Instant::now();
         store.begin_generation(&facts)?;
         let mut longest = std::time::Duration::ZERO;
         loop {
@@ -90,7 +90,7 @@
         println!(
             "{keyed}, a snapshot of {} servers: {:?}, its longest slice {longest:?}",
             facts.servers.len(),
-            begun.elapsed()
+            started.elapsed()
         );
         drop(store);
         std::fs::remove_dir_all(&dir)?;
--- a/crates/memory/src/writer.rs
+++ b/crates/memory/src/writer.rs
@@ -16,11 +16,11 @@
 
 /// Maximum number of queued groups of changes.
 const MAX_QUEUED_GROUPS: usize = 256;
-/// The journal is compacted once it is `COMPACTION_FACTOR` times as large as a snapshot of the
-/// state would be, estimated at `RECORD_BYTES` bytes per server, but not below
-/// `MIN_COMPACTION_BYTES` bytes.
+/// The journal is compacted once it is this many times as large as a snapshot would be.
 const COMPACTION_FACTOR: u64 = 4;
+/// A smaller journal is not compacted.
 const MIN_COMPACTION_BYTES: u64 = 256 * 1024;
+/// Estimated size of a server's record in a snapshot.
 const RECORD_BYTES: u64 = 200;
 /// Snapshot records written per slice.
 const SLICE_RECORDS: usize = 256;
@@ -31,9 +31,9 @@
 /// The scheduler class of snapshots. Commits need none: the thread does them first in each
 /// iteration.
 const SNAPSHOT_CLASS: usize = 0;
-/// Delay before a failed directory is tried again; it doubles with each failure, up to
-/// `MAX_DOUBLINGS` times.
+/// Delay before a failed directory is tried again; it doubles with each failure.
 const RETRY_DELAY_MS: f64 = 500.0;
+/// Maximum number of times the delay doubles.
 const MAX_DOUBLINGS: u32 = 6;
 
 /// Queued groups of changes, and whether to stop.
@@ -259,11 +259,11 @@
         if state.repair_at.is_some() {
             return false;
         }
-        let begun = match state.store.is_writing_snapshot() {
+        let ready = match state.store.is_writing_snapshot() {
             true => Ok(()),
             false => state.store.begin_generation(&state.facts),
         };
-        match begun.and_then(|()| state.store.write_snapshot_records(SLICE_RECORDS)) {
+        match ready.and_then(|()| state.store.write_snapshot_records(SLICE_RECORDS)) {
             Ok(more) => {
                 lock(&self.counters).snapshots = state.store.snapshots;
                 more
--- a/crates/memory/tests/store.rs
+++ b/crates/memory/tests/store.rs
@@ -26,14 +26,17 @@
 
 #[derive(Default)]
 struct Disk {
-    /// The contents as visible now, and those that survive a power failure.
+    /// The contents as visible now.
     visible: BTreeMap<String, Vec<u8>>,
+    /// The contents that survive a power failure.
     durable: BTreeMap<String, Vec<u8>>,
-    /// Operations on names and on bytes that were not synced.
+    /// Operations on names that were not synced.
     unsynced_names: Vec<UnsyncedOp>,
+    /// Appended bytes that were not synced.
     unsynced_bytes: Vec<UnsyncedOp>,
-    /// Number of calls until the power fails, and until the disk is full.
+    /// Number of calls until the power fails.
     calls_left: Option<usize>,
+    /// Number of calls until the disk is full.
     calls_until_full: Option<usize>,
 }
 
@@ -410,8 +413,8 @@
         assert!(writer.offer(vec![change(n)]));
     }
     let end = Instant::now() + Duration::from_secs(20);
-    let until = |what: &str, met: &dyn Fn() -> bool| {
-        while !met() {
+    let until = |what: &str, condition: &dyn Fn() -> bool| {
+        while !condition() {
             assert!(Instant::now() < end, "{what}: {}", writer.status());
             std::thread::sleep(Duration::from_millis(5));
         }
--- a/crates/peer/src/merge.rs
+++ b/crates/peer/src/merge.rs
@@ -40,8 +40,9 @@
     now: &'a Timestamp,
     own: &'a ServerFact,
     peers: &'a ServerFact,
-    /// When our own facts were last written, and the maximum age of the peer's.
+    /// When our own facts were last written.
     own_alive: &'a Timestamp,
+    /// Maximum age of the peer's view.
     took_ms: f64,
 }
 
@@ -133,7 +134,7 @@
         out.servers.insert(fact.name.clone(), fact);
     }
     // A server missing from the answer is new only if the peer had been running long enough and its
-    // answer is complete. Otherwise the time of our own facts stands, and without any it is
+    // answer is complete. Otherwise the time of our own facts is kept, and without any it is
     // unknown.
     if answer.complete && answer.runs_ms >= MIN_WARM_UPS_RUN * warm_ms && !answer.facts.is_empty() {
         out.alive = timestamp_ago(now, answer.took_ms);
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! Call [`Scheduler::submit`] for each task, [`Scheduler::next`] for the task to run now, and
 //! [`Scheduler::task_ran`] with the time it took and whether more of it is left. `next` applies
-//! [`RULES`] in order; the first that selects a task decides. [`Scheduler::take_events`] returns
+//! its rules in order; the first that selects a task decides. [`Scheduler::take_events`] returns
 //! the tasks that were dropped and the classes that were deferred. The crate reads no clock: times
 //! are milliseconds measured by the caller, so a scripted clock always gives the same order.
 
@@ -11,7 +11,7 @@
 
 /// Periods after which a waiting class gets one task run beyond its budget.
 const STARVATION_PERIODS: f64 = 4.0;
-/// A deadline nearer than this many periods goes before fairness between owners.
+/// A deadline nearer than this many periods takes precedence over fairness between owners.
 const NEAR_PERIODS: f64 = 1.0;
 /// Milliseconds of credit an owner gets when it returns after a pause; it does not get back the
 /// turns it did not use.
@@ -69,12 +69,15 @@
     deferred: bool,
     /// When a task of this class last ran, or when the class began to wait.
     last_run_ms: f64,
-    /// Queued tasks by owner, oldest first; and the run time each owner has had, as a map and in
-    /// order.
+    /// Queued tasks by owner, oldest first.
     by_owner: BTreeMap<OwnerId, VecDeque<TaskId>>,
+    /// Run time that each owner has had, in milliseconds.
     time_used: BTreeMap<OwnerId, f64>,
+    /// Owners with queued tasks, in the order of that time.
     owners_by_time: BTreeSet<(Bits, OwnerId)>,
+    /// Queued tasks with a deadline, in its order.
     deadlines: BTreeSet<(Bits, TaskId)>,
+    /// Number of queued tasks.
     count: usize,
 }
 
