--- a/crates/memory/src/restore.rs
+++ b/crates/memory/src/restore.rs
@@ -64,8 +64,8 @@
 /// A start time in the roster counts as it is: a server that started recently is cold, whatever is
 /// stored about it.
 fn recent_start_is_cold(c: &Case) -> Option<Restored> {
-    let fresh = c.entry.started.is_some_and(|(ago, _)| ago < c.warm_ms);
-    fresh.then_some(Restored::AsListed)
+    let recent = c.entry.started.is_some_and(|(ago, _)| ago < c.warm_ms);
+    recent.then_some(Restored::AsListed)
 }
 
 /// Prevents another machine that took over the name during the downtime from receiving a warm
