--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -9,15 +9,15 @@
 use std::time::{Duration, Instant};
 
 /// Polls a condition for up to 20 s and returns whether it became true.
-pub fn wait_until(mut comes: impl FnMut() -> bool) -> bool {
-    let end = Instant::now() + Duration::from_secs(20);
-    while Instant::now() < end {
-        if comes() {
+pub fn wait_until(mut condition: impl FnMut() -> bool) -> bool {
+    let deadline = Instant::now() + Duration::from_secs(20);
+    while Instant::now() < deadline {
+        if condition() {
             return true;
         }
         std::thread::sleep(Duration::from_millis(5));
     }
-    comes()
+    condition()
 }
 
 /// A fault that the relay injects into one call.
@@ -48,6 +48,7 @@
 }
 
 impl ConnectionCounts {
+    /// Counts a new connection.
     fn opened(&mut self) {
         self.open += 1;
         self.total += 1;
@@ -80,11 +81,11 @@
     pub silent: bool,
     pub follower_connections: ConnectionCounts,
     /// Connections accepted so far.
-    connections: usize,
+    connection_count: usize,
     /// Connections that follow the news.
     followers: Vec<TcpStream>,
     /// All connections.
-    callers: Vec<TcpStream>,
+    connections: Vec<TcpStream>,
 }
 
 impl RelayState {
@@ -92,18 +93,18 @@
     pub fn join(&mut self, proxy: usize) {
         self.joined.insert(proxy);
         self.bind_counts.remove(&proxy);
-        self.tell(&format!("* hello {proxy} a 2.5 1\r\n"));
+        self.broadcast(&format!("* hello {proxy} a 2.5 1\r\n"));
     }
 
     /// A proxy leaves: followers are notified.
     pub fn leave(&mut self, proxy: usize) {
         self.joined.remove(&proxy);
         self.bind_counts.remove(&proxy);
-        self.tell(&format!("* bye {proxy}\r\n"));
+        self.broadcast(&format!("* bye {proxy}\r\n"));
     }
 
     /// Sends a line to all followers, and drops those that fail.
-    fn tell(&mut self, line: &str) {
+    fn broadcast(&mut self, line: &str) {
         if self.silent {
             return;
         }
@@ -113,8 +114,8 @@
 
     /// Closes the connections of all followers, or of the oldest only.
     pub fn disconnect_followers(&mut self, all: bool) {
-        let many = if all { self.followers.len() } else { 1 };
-        for f in self.followers.drain(..many) {
+        let count = if all { self.followers.len() } else { 1 };
+        for f in self.followers.drain(..count) {
             let _ = f.shutdown(Shutdown::Both);
         }
     }
@@ -125,9 +126,9 @@
     }
 
     /// Executes an order; returns false if it is invalid.
-    fn take(&mut self, order: &str) -> bool {
-        let words: Vec<&str> = order.split(',').collect();
-        match words[..] {
+    fn execute(&mut self, order: &str) -> bool {
+        let parts: Vec<&str> = order.split(',').collect();
+        match parts[..] {
             ["share", _, server, weight] => match weight.parse() {
                 Ok(weight) => drop(self.weights.insert(server.into(), weight)),
                 Err(_) => return false,
@@ -141,7 +142,7 @@
             ["admit", _, _, _, _] => {}
             ["mark", mark, "0"] => {
                 for p in self.joined.clone() {
-                    self.tell(&format!("* ack {p} {mark} 1.0\r\n"));
+                    self.broadcast(&format!("* ack {p} {mark} 1.0\r\n"));
                 }
             }
             _ => return false,
@@ -176,8 +177,8 @@
 
 impl<T: Send + 'static> StandIn<T> {
     /// Listens on a free port and serves each connection on a thread of its own.
-    fn open(state: Arc<Mutex<T>>, serve: fn(&Arc<Mutex<T>>, TcpStream)) -> StandIn<T> {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port on loopback");
+    fn listen(state: Arc<Mutex<T>>, serve: fn(&Arc<Mutex<T>>, TcpStream)) -> StandIn<T> {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind a port on loopback");
         let address = listener
             .local_addr()
             .expect("a bound listener has an address");
@@ -193,8 +194,8 @@
     }
 
     /// Runs a closure on the locked state.
-    pub fn with_state<R>(&self, look: impl FnOnce(&mut T) -> R) -> R {
-        look(&mut lock(&self.state))
+    pub fn with_state<R>(&self, f: impl FnOnce(&mut T) -> R) -> R {
+        f(&mut lock(&self.state))
     }
 }
 
@@ -205,27 +206,27 @@
     /// Starts a relay that sends its followers a heartbeat each second.
     pub fn start() -> Relay {
         let state = Arc::new(Mutex::new(RelayState::default()));
-        let beats = Arc::downgrade(&state);
+        let heartbeat_state = Arc::downgrade(&state);
         std::thread::spawn(move || {
-            while let Some(state) = beats.upgrade() {
-                lock(&state).tell("*\r\n");
+            while let Some(state) = heartbeat_state.upgrade() {
+                lock(&state).broadcast("*\r\n");
                 drop(state);
                 std::thread::sleep(Duration::from_secs(1));
             }
         });
-        StandIn::open(state, relay)
+        StandIn::listen(state, serve_relay)
     }
 
     /// Opens another listener on the same state.
     pub fn at_another_address(&self) -> Relay {
-        StandIn::open(self.state.clone(), relay)
+        StandIn::listen(self.state.clone(), serve_relay)
     }
 
     /// Closes every connection, like an address that goes out of service.
     pub fn close_all(&self) {
-        self.with_state(|held| {
-            held.disconnect_followers(true);
-            for c in held.callers.drain(..) {
+        self.with_state(|relay| {
+            relay.disconnect_followers(true);
+            for c in relay.connections.drain(..) {
                 let _ = c.shutdown(Shutdown::Both);
             }
         });
@@ -233,45 +234,45 @@
 }
 
 /// Serves a connection and keeps the connection counts.
-fn relay(state: &Arc<Mutex<RelayState>>, socket: TcpStream) {
+fn serve_relay(state: &Arc<Mutex<RelayState>>, socket: TcpStream) {
     let Ok(mut out) = socket.try_clone() else {
         return;
     };
-    let mut held = lock(state);
-    held.connections += 1;
-    let number = held.connections;
-    held.callers.extend(socket.try_clone());
-    drop(held);
-    let mut follows = false;
-    serve(state, &mut out, socket, number, &mut follows);
-    lock(state).follower_connections.open -= usize::from(follows);
+    let mut relay = lock(state);
+    relay.connection_count += 1;
+    let number = relay.connection_count;
+    relay.connections.extend(socket.try_clone());
+    drop(relay);
+    let mut is_follower = false;
+    serve_relay_lines(state, &mut out, socket, number, &mut is_follower);
+    lock(state).follower_connections.open -= usize::from(is_follower);
 }
 
 /// Answers `follow` and `txn` lines until the connection ends.
-fn serve(
+fn serve_relay_lines(
     state: &Arc<Mutex<RelayState>>,
     out: &mut TcpStream,
     socket: TcpStream,
     number: usize,
-    follows: &mut bool,
+    is_follower: &mut bool,
 ) {
     for line in BufReader::new(socket).lines() {
         let Ok(line) = line else {
             return;
         };
         if line == "follow" {
-            let mut held = lock(state);
-            if !std::mem::replace(follows, true) {
-                held.follower_connections.opened();
+            let mut relay = lock(state);
+            if !std::mem::replace(is_follower, true) {
+                relay.follower_connections.opened();
             }
-            let mut stands = String::from("OK\r\n");
-            for p in &held.joined {
-                stands.push_str(&format!("* hello {p} a 2.5 0\r\n"));
+            let mut snapshot = String::from("OK\r\n");
+            for p in &relay.joined {
+                snapshot.push_str(&format!("* hello {p} a 2.5 0\r\n"));
             }
-            if out.write_all(stands.as_bytes()).is_ok()
+            if out.write_all(snapshot.as_bytes()).is_ok()
                 && let Ok(follower) = out.try_clone()
             {
-                held.followers.push(follower);
+                relay.followers.push(follower);
             }
             continue;
         }
@@ -279,9 +280,9 @@
             let _ = out.write_all(b"bad_request\r\n");
             continue;
         };
-        let mut held = lock(state);
-        let fault = held.faults.pop_front();
-        let most = match fault {
+        let mut relay = lock(state);
+        let fault = relay.faults.pop_front();
+        let max_orders = match fault {
             Some(RelayFault::TooManyCalls) => 0,
             Some(RelayFault::ExecuteFirst(n)) => n,
             Some(RelayFault::Disconnect { executed } | RelayFault::NoAnswer { executed })
@@ -291,15 +292,15 @@
             }
             _ => usize::MAX,
         };
-        held.calls.push(orders.to_string());
-        held.call_connections.push(number);
-        held.delayed_calls += usize::from(fault == Some(RelayFault::DelayAnswer));
-        let taken = orders
+        relay.calls.push(orders.to_string());
+        relay.call_connections.push(number);
+        relay.delayed_calls += usize::from(fault == Some(RelayFault::DelayAnswer));
+        let executed_count = orders
             .split(';')
-            .take(most)
-            .take_while(|o| held.take(o))
+            .take(max_orders)
+            .take_while(|o| relay.execute(o))
             .count();
-        drop(held);
+        drop(relay);
         let answer = match fault {
             Some(RelayFault::Disconnect { .. }) => {
                 let _ = out.shutdown(Shutdown::Both);
@@ -314,10 +315,12 @@
                 let _ = out.shutdown(Shutdown::Both);
                 return;
             }
-            Some(RelayFault::TrailingBytes(more)) => format!("OK {taken}\r\n{more}"),
+            Some(RelayFault::TrailingBytes(trailing)) => {
+                format!("OK {executed_count}\r\n{trailing}")
+            }
             Some(RelayFault::UnreadableAnswer) => "OK many\r\n".into(),
             Some(RelayFault::TooManyCalls) => "too_many_calls\r\n".into(),
-            Some(RelayFault::ExecuteFirst(_)) | None => format!("OK {taken}\r\n"),
+            Some(RelayFault::ExecuteFirst(_)) | None => format!("OK {executed_count}\r\n"),
         };
         let _ = out.write_all(answer.as_bytes());
     }
@@ -330,9 +333,10 @@
     pub index: u64,
     /// Status by name.
     pub servers: BTreeMap<String, &'static str>,
+    /// Watches that receive changes.
     watches: Vec<TcpStream>,
-    /// Silenced watches, kept open.
-    deaf: Vec<TcpStream>,
+    /// Watches that receive nothing more, kept open.
+    silenced_watches: Vec<TcpStream>,
     /// Watch requests received.
     pub requests: usize,
     /// New watch requests get no answer.
@@ -351,7 +355,7 @@
         )
     }
 
-    /// The whole list as one object.
+    /// The whole list as one JSON object.
     pub fn snapshot_json(&self) -> String {
         let all: Vec<String> = self
             .servers
@@ -374,13 +378,13 @@
             "{{\"index\":{},\"snapshot\":false,\"endpoints\":[{change}]}}\n",
             self.index
         );
-        self.tell(&line);
+        self.broadcast(&line);
     }
 
     /// Sends a line to all watches, and drops those that fail.
-    fn tell(&mut self, line: &str) {
+    fn broadcast(&mut self, line: &str) {
         let bytewise = self.bytewise;
-        self.watches.retain_mut(|w| chunk(w, line, bytewise));
+        self.watches.retain_mut(|w| send_chunked(w, line, bytewise));
     }
 
     /// Like [`DiscoveryState::set_status`], but without the final newline; then ends the body and the
@@ -393,7 +397,7 @@
             "{{\"index\":{},\"snapshot\":false,\"endpoints\":[{change}]}}",
             self.index
         );
-        self.tell(&line);
+        self.broadcast(&line);
         for mut w in self.watches.drain(..) {
             let _ = w.write_all(b"0\r\n\r\n");
             let _ = w.shutdown(Shutdown::Both);
@@ -410,7 +414,7 @@
 
     /// Sends nothing more to the current watches, and keeps their connections open.
     pub fn silence_watches(&mut self) {
-        self.deaf.append(&mut self.watches);
+        self.silenced_watches.append(&mut self.watches);
     }
 
     /// The number of watches that receive changes.
@@ -421,18 +425,18 @@
 
 /// Sends a text as two chunks, cut in the middle of the line, or with `bytewise` one byte per chunk and
 /// per write. Returns whether the writes succeeded.
-fn chunk(to: &mut TcpStream, text: &str, bytewise: bool) -> bool {
+fn send_chunked(stream: &mut TcpStream, text: &str, bytewise: bool) -> bool {
     if bytewise {
         let mut bytes = text
             .bytes()
             .flat_map(|b| [b'1', b'\r', b'\n', b, b'\r', b'\n']);
-        return bytes.all(|b| to.write_all(&[b]).is_ok());
+        return bytes.all(|b| stream.write_all(&[b]).is_ok());
     }
     let (first, second) = text.split_at(text.len() / 2);
     [first, second]
         .iter()
         .filter(|t| !t.is_empty())
-        .all(|t| write!(to, "{:x}\r\n{t}\r\n", t.len()).is_ok())
+        .all(|t| write!(stream, "{:x}\r\n{t}\r\n", t.len()).is_ok())
 }
 
 /// A stand-in of discovery.
@@ -441,37 +445,37 @@
 impl Discovery {
     /// Starts a discovery with these servers in status `up`; it sends a heartbeat every 2 s.
     pub fn start(servers: &[&str]) -> Discovery {
-        let up = servers.iter().map(|s| (s.to_string(), "up"));
-        let listing = DiscoveryState {
+        let servers = servers.iter().map(|s| (s.to_string(), "up"));
+        let discovery = DiscoveryState {
             index: 10,
-            servers: up.collect(),
+            servers: servers.collect(),
             ..DiscoveryState::default()
         };
-        let state = Arc::new(Mutex::new(listing));
-        let beats = Arc::downgrade(&state);
+        let state = Arc::new(Mutex::new(discovery));
+        let heartbeat_state = Arc::downgrade(&state);
         std::thread::spawn(move || {
-            while let Some(state) = beats.upgrade() {
-                lock(&state).tell("\n");
+            while let Some(state) = heartbeat_state.upgrade() {
+                lock(&state).broadcast("\n");
                 drop(state);
                 std::thread::sleep(Duration::from_secs(2));
             }
         });
-        StandIn::open(state, discovery)
+        StandIn::listen(state, serve_discovery)
     }
 
     /// Opens another listener on the same state.
     pub fn at_another_address(&self) -> Discovery {
-        StandIn::open(self.state.clone(), discovery)
+        StandIn::listen(self.state.clone(), serve_discovery)
     }
 }
 
 /// Answers a watch request and keeps the connection open until the client closes it.
-fn discovery(state: &Arc<Mutex<DiscoveryState>>, socket: TcpStream) {
+fn serve_discovery(state: &Arc<Mutex<DiscoveryState>>, socket: TcpStream) {
     let Ok(mut out) = socket.try_clone() else {
         return;
     };
     let mut lines = BufReader::new(socket).lines();
-    let Some(Ok(first)) = lines.next() else {
+    let Some(Ok(request_line)) = lines.next() else {
         return;
     };
     while let Some(Ok(line)) = lines.next() {
@@ -479,24 +483,24 @@
             break;
         }
     }
-    let after = first
+    let after = request_line
         .split_once("after=")
         .and_then(|(_, a)| a.split(' ').next()?.parse::<u64>().ok());
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    let mut listing = lock(state);
-    listing.requests += 1;
-    listing.watch_connections.opened();
-    if !listing.silent {
-        let mut told = out.write_all(head.as_bytes()).is_ok();
-        if after != Some(listing.index) {
-            let snapshot = listing.snapshot_json() + "\n";
-            told &= chunk(&mut out, &snapshot, listing.bytewise);
+    let mut discovery = lock(state);
+    discovery.requests += 1;
+    discovery.watch_connections.opened();
+    if !discovery.silent {
+        let mut sent = out.write_all(head.as_bytes()).is_ok();
+        if after != Some(discovery.index) {
+            let snapshot = discovery.snapshot_json() + "\n";
+            sent &= send_chunked(&mut out, &snapshot, discovery.bytewise);
         }
-        if told {
-            listing.watches.push(out);
+        if sent {
+            discovery.watches.push(out);
         }
     }
-    drop(listing);
+    drop(discovery);
     // No further request is expected: this waits for the end of the connection.
     while let Some(Ok(_)) = lines.next() {}
     lock(state).watch_connections.open -= 1;
@@ -509,21 +513,25 @@
     /// Each check detects a violation of its rule.
     #[test]
     fn the_checkers_see_what_they_are_for() {
-        let mut held = RelayState::default();
-        held.join(1);
-        held.join(2);
-        assert!(held.take("bind,1,0,*"));
-        assert_eq!(held.unbound(), [2], "a proxy that is not bound");
-        held.join(1);
+        let mut relay = RelayState::default();
+        relay.join(1);
+        relay.join(2);
+        assert!(relay.execute("bind,1,0,*"));
+        assert_eq!(relay.unbound(), [2], "a proxy that is not bound");
+        relay.join(1);
         assert_eq!(
-            held.unbound(),
+            relay.unbound(),
             [1, 2],
             "one that left and came back has lost its binding"
         );
-        assert!(!held.take("bind,9,0,*") && !held.take("share,0,s,x") && !held.take("nothing"));
-        held.calls.push("x".repeat(60_001));
-        assert_eq!(held.oversized_calls(), 1);
-        assert!(held.take("withdraw,s-1") && held.withdrawn.contains("s-1"));
-        assert!(held.take("restore,s-1") && !held.withdrawn.contains("s-1"));
+        assert!(
+            !relay.execute("bind,9,0,*")
+                && !relay.execute("share,0,s,x")
+                && !relay.execute("nothing")
+        );
+        relay.calls.push("x".repeat(60_001));
+        assert_eq!(relay.oversized_calls(), 1);
+        assert!(relay.execute("withdraw,s-1") && relay.withdrawn.contains("s-1"));
+        assert!(relay.execute("restore,s-1") && !relay.withdrawn.contains("s-1"));
     }
 }
