--- a/crates/files/src/front.rs
+++ b/crates/files/src/front.rs
@@ -427,9 +427,9 @@
 
     fn hear(&mut self, proxy: &str, said: Said) {
         let life = match &said {
-            Said::Beat(_) => None,
-            Said::Ack(ack) => Some(ack.life),
-            Said::Report(told) => Some(told.life),
+            Said::Heartbeat(_) => None,
+            Said::Ack(ack) => Some(ack.incarnation),
+            Said::Report(told) => Some(told.incarnation),
         };
         // Any word of a life is a sign of it.
         let seat = self.by_proxy.get(proxy).and_then(|s| self.seats.get(s));
@@ -437,15 +437,17 @@
             self.owner.send(seat.beat());
         }
         match said {
-            Said::Beat(beat) => {
-                let session = self.session(proxy, beat.life);
+            Said::Heartbeat(beat) => {
+                let session = self.session(proxy, beat.incarnation);
                 if let Some(seat) = self.seats.get_mut(&session) {
-                    (seat.zone, seat.pace) = (beat.zone.clone(), beat.pace);
+                    (seat.zone, seat.pace) = (beat.zone.clone(), beat.visits_per_s);
                 }
-                if let (Some(held), Some(p)) = (beat.holds, self.publishers.get_mut(proxy)) {
+                if let (Some(held), Some(p)) =
+                    (beat.applied_generation, self.publishers.get_mut(proxy))
+                {
                     p.above(held);
                 }
-                self.owner.send(match beat.leaves {
+                self.owner.send(match beat.leaving {
                     true => Input::Deregistered(session),
                     false => match self.seats.get(&session) {
                         Some(seat) => seat.beat(),
@@ -459,7 +461,7 @@
                 }
                 let session = self.by_proxy.get(proxy);
                 let seat = session.and_then(|s| self.seats.get_mut(s));
-                let seat = seat.filter(|s| s.life == ack.life);
+                let seat = seat.filter(|s| s.life == ack.incarnation);
                 if let Some(input) = seat.and_then(|s| s.answered(ack.generation, ack.refused)) {
                     self.owner.send(input);
                 }
@@ -468,7 +470,7 @@
                 let Some(session) = self.by_proxy.get(proxy).copied() else {
                     return;
                 };
-                let taken = told.report(&self.classes);
+                let taken = told.to_load_report(&self.classes);
                 let taken = taken.and_then(|report| self.owner.report(proxy, session, report));
                 if let Err(why) = taken {
                     warn!(proxy, "files: a report is refused: {why}");
--- a/crates/files/src/lib.rs
+++ b/crates/files/src/lib.rs
@@ -20,6 +20,7 @@
 pub mod disk;
 pub mod forms;
 pub mod front;
+pub mod messages;
 pub mod publish;
 pub mod reach;
 pub mod read;
@@ -27,7 +28,6 @@
 pub mod seat;
 pub mod sorting;
 pub mod spool;
-pub mod words;
 
 /// Whether a name can be a directory's: letters, digits, `-`, `_`, `.` and not first; nothing climbs out.
 pub fn is_plain(name: &str) -> bool {
--- a/crates/files/src/sorting.rs
+++ b/crates/files/src/sorting.rs
@@ -13,7 +13,7 @@
 /// What kind a file is, by its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    Beat,
+    Heartbeat,
     Ack(u64),
     Report(u64),
     /// Written aside: not yet for us.
@@ -30,7 +30,7 @@
             plain.then(|| digits.parse::<u64>().ok())?
         };
         match (name, number("ack-"), number("report-")) {
-            ("beat", ..) => Kind::Beat,
+            ("beat", ..) => Kind::Heartbeat,
             (_, Some(n), _) => Kind::Ack(n),
             (.., Some(n)) => Kind::Report(n),
             _ if name.starts_with('.') => Kind::Aside,
--- a/crates/files/src/spool.rs
+++ b/crates/files/src/spool.rs
@@ -3,9 +3,9 @@
 //! counted once, also over a kill.
 
 use crate::is_plain;
+use crate::messages::{Ack, Heartbeat, Report};
 use crate::seal::Keys;
 use crate::sorting::{Fate, Found, Kind, Taken, sort};
-use crate::words::{Ack, Beat, Told};
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 use std::fs::{self, Metadata};
@@ -26,9 +26,9 @@
 /// What a proxy said.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Said {
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     Ack(Ack),
-    Report(Told),
+    Report(Report),
 }
 
 /// What was taken and what was not, for people.
@@ -262,33 +262,33 @@
         let wrong = |e: serde_json::Error| e.to_string();
         let heard = self.heard.entry(proxy.into()).or_default();
         match kind {
-            Kind::Beat => {
-                let beat: Beat = serde_json::from_str(text).map_err(wrong)?;
+            Kind::Heartbeat => {
+                let beat: Heartbeat = serde_json::from_str(text).map_err(wrong)?;
                 if beat.proxy != proxy {
                     return Err(format!("it is of {:?}", beat.proxy));
                 }
-                if beat.life != heard.life {
-                    (heard.life, heard.count) = (beat.life, 0);
+                if beat.incarnation != heard.life {
+                    (heard.life, heard.count) = (beat.incarnation, 0);
                     *taken = Taken::default();
                 }
                 // The same beat again is no sign of life.
-                if beat.count <= heard.count && heard.count > 0 {
+                if beat.sequence <= heard.count && heard.count > 0 {
                     return Ok(None);
                 }
-                heard.count = beat.count;
-                Ok(Some(Said::Beat(beat)))
+                heard.count = beat.sequence;
+                Ok(Some(Said::Heartbeat(beat)))
             }
             Kind::Ack(n) => {
                 let ack: Ack = serde_json::from_str(text).map_err(wrong)?;
-                if ack.life != heard.life {
+                if ack.incarnation != heard.life {
                     return Ok(None);
                 }
                 taken.ack = Some(n);
                 Ok(Some(Said::Ack(ack)))
             }
             Kind::Report(n) => {
-                let told: Told = serde_json::from_str(text).map_err(wrong)?;
-                if told.life != heard.life {
+                let told: Report = serde_json::from_str(text).map_err(wrong)?;
+                if told.incarnation != heard.life {
                     return Ok(None);
                 }
                 taken.report = Some(n);
@@ -335,25 +335,25 @@
 }
 
 /// A proxy's side: writes words into its spool, aside and renamed.
-pub struct Mouth {
+pub struct SpoolWriter {
     dir: PathBuf,
     keys: Keys,
 }
 
-impl Mouth {
+impl SpoolWriter {
     /// # Errors
     /// When the spool cannot be made.
-    pub fn open(root: &Path, proxy: &str, keys: Keys) -> io::Result<Mouth> {
+    pub fn open(root: &Path, proxy: &str, keys: Keys) -> io::Result<SpoolWriter> {
         let dir = root.join("spool").join(proxy);
         fs::create_dir_all(&dir)?;
-        Ok(Mouth { dir, keys })
+        Ok(SpoolWriter { dir, keys })
     }
 
     /// Says a word under a name; when it was said by the disk's clock.
     ///
     /// # Errors
     /// Those of the disk.
-    pub fn say(&self, name: &str, word: &impl Serialize) -> io::Result<SystemTime> {
+    pub fn write(&self, name: &str, word: &impl Serialize) -> io::Result<SystemTime> {
         let text = self.keys.sealed(&serde_json::to_string(word)?);
         let aside = self.dir.join(format!(".{name}"));
         fs::write(&aside, text)?;
--- a/crates/files/tests/spool.rs
+++ b/crates/files/tests/spool.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::Folder;
+use dahliapoint_files::messages::{Ack, Heartbeat, Report};
 use dahliapoint_files::seal::Keys;
-use dahliapoint_files::spool::{Mouth, Said, Spool};
-use dahliapoint_files::words::{Ack, Beat, Told};
+use dahliapoint_files::spool::{Said, Spool, SpoolWriter};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::os::unix::fs::symlink;
@@ -14,13 +14,13 @@
 struct World {
     folder: Folder,
     spool: Spool,
-    mouth: Mouth,
+    mouth: SpoolWriter,
 }
 
 fn world(keys: &Keys) -> World {
     let folder = Folder::new();
     let spool = Spool::open(folder.path(), keys.clone(), 1_000.0).unwrap();
-    let mouth = Mouth::open(folder.path(), "p", keys.clone()).unwrap();
+    let mouth = SpoolWriter::open(folder.path(), "p", keys.clone()).unwrap();
     World {
         folder,
         spool,
@@ -28,21 +28,21 @@
     }
 }
 
-fn beat(life: u64, count: u64) -> Beat {
-    Beat {
+fn beat(life: u64, count: u64) -> Heartbeat {
+    Heartbeat {
         proxy: "p".into(),
         zone: "z".into(),
-        life,
-        count,
-        ..Beat::default()
+        incarnation: life,
+        sequence: count,
+        ..Heartbeat::default()
     }
 }
 
-fn told(life: u64) -> Told {
-    Told {
-        life,
+fn told(life: u64) -> Report {
+    Report {
+        incarnation: life,
         window_ms: 1_000.0,
-        ..Told::default()
+        ..Report::default()
     }
 }
 
@@ -54,7 +54,7 @@
 
     fn take_at(&mut self, now: SystemTime) -> String {
         let said = self.spool.look("p", now).into_iter().map(|s| match s {
-            Said::Beat(b) => format!("beat {}", b.count),
+            Said::Heartbeat(b) => format!("beat {}", b.sequence),
             Said::Ack(a) => format!("ack {}", a.generation),
             Said::Report(_) => "report".to_string(),
         });
@@ -76,24 +76,24 @@
 fn words_are_taken_once_in_their_order_and_of_the_present_life() {
     let mut w = world(&Keys::default());
     assert_eq!(w.spool.proxies(), ["p"]);
-    w.mouth.say("report-1", &told(7)).unwrap();
+    w.mouth.write("report-1", &told(7)).unwrap();
     let ack = |life, generation| Ack {
-        life,
+        incarnation: life,
         generation,
         refused: None,
     };
-    w.mouth.say("ack-2", &ack(7, 42)).unwrap();
-    w.mouth.say("ack-10", &ack(7, 43)).unwrap();
-    w.mouth.say("beat", &beat(7, 1)).unwrap();
+    w.mouth.write("ack-2", &ack(7, 42)).unwrap();
+    w.mouth.write("ack-10", &ack(7, 43)).unwrap();
+    w.mouth.write("beat", &beat(7, 1)).unwrap();
     assert_eq!(w.take(), "beat 1, ack 42, ack 43, report");
-    w.mouth.say("report-1", &told(7)).unwrap();
-    w.mouth.say("ack-3", &ack(7, 44)).unwrap();
-    w.mouth.say("beat", &beat(7, 1)).unwrap();
+    w.mouth.write("report-1", &told(7)).unwrap();
+    w.mouth.write("ack-3", &ack(7, 44)).unwrap();
+    w.mouth.write("beat", &beat(7, 1)).unwrap();
     assert_eq!(w.take(), "", "said before");
     // Another life begins its numbers anew; what the old one left says nothing.
-    w.mouth.say("beat", &beat(8, 1)).unwrap();
-    w.mouth.say("report-1", &told(8)).unwrap();
-    w.mouth.say("report-2", &told(7)).unwrap();
+    w.mouth.write("beat", &beat(8, 1)).unwrap();
+    w.mouth.write("report-1", &told(8)).unwrap();
+    w.mouth.write("report-2", &told(7)).unwrap();
     assert_eq!(w.take(), "beat 1, report");
     // What a kill left in the inbox is not counted: it may have been.
     std::fs::write(w.folder.path().join("inbox/p~report-3"), "x").unwrap();
@@ -106,7 +106,7 @@
     );
     drop(again);
     // Old reports say nothing of now.
-    w.mouth.say("report-3", &told(8)).unwrap();
+    w.mouth.write("report-3", &told(8)).unwrap();
     assert_eq!(w.take_at(SystemTime::now() + Duration::from_secs(31)), "");
     assert_eq!(w.put_away(), 0);
 }
@@ -129,16 +129,16 @@
     std::fs::write(w.own("report-7"), Keys::default().sealed("{\"life\":")).unwrap();
     std::fs::write(w.own("..report"), "aside").unwrap();
     std::fs::write(w.own("evil\n2027 ERROR"), "x").unwrap();
-    let other = Beat {
+    let other = Heartbeat {
         proxy: "q".into(),
         ..beat(7, 1)
     };
-    w.mouth.say("beat", &other).unwrap();
+    w.mouth.write("beat", &other).unwrap();
     assert_eq!(w.take(), "");
     assert_eq!(w.put_away(), 8 + pipes);
     assert_eq!(std::fs::read_to_string(&secret).unwrap(), "not for you");
-    w.mouth.say("beat", &beat(7, 1)).unwrap();
-    w.mouth.say("report-8", &told(7)).unwrap();
+    w.mouth.write("beat", &beat(7, 1)).unwrap();
+    w.mouth.write("report-8", &told(7)).unwrap();
     assert_eq!(w.take(), "beat 1, report");
     // The quarantine is bounded.
     for i in 0..300 {
@@ -164,9 +164,9 @@
 fn a_flood_waits_and_beats_pass() {
     let mut w = world(&Keys::default());
     for i in 1..=100 {
-        w.mouth.say(&format!("report-{i}"), &told(7)).unwrap();
+        w.mouth.write(&format!("report-{i}"), &told(7)).unwrap();
     }
-    w.mouth.say("beat", &beat(7, 1)).unwrap();
+    w.mouth.write("beat", &beat(7, 1)).unwrap();
     let taken = w.take();
     assert!(taken.starts_with("beat 1"), "{taken}");
     assert_eq!(taken.matches("report").count(), 15, "{taken}");
@@ -178,15 +178,15 @@
 fn unsigned_words_are_refused_where_a_key_is_configured() {
     let keys = Keys::parse("k", "a = 000102030405060708090a0b0c0d0e0f").unwrap();
     let mut w = world(&keys);
-    let forger = Mouth::open(w.folder.path(), "p", Keys::default()).unwrap();
-    forger.say("beat", &beat(7, 1)).unwrap();
+    let forger = SpoolWriter::open(w.folder.path(), "p", Keys::default()).unwrap();
+    forger.write("beat", &beat(7, 1)).unwrap();
     assert_eq!(w.take(), "");
     assert!(
         w.spool.notes.iter().any(|n| n.contains("not signed")),
         "{:?}",
         w.spool.notes
     );
-    w.mouth.say("beat", &beat(7, 1)).unwrap();
+    w.mouth.write("beat", &beat(7, 1)).unwrap();
     assert_eq!(w.take(), "beat 1");
 }
 
--- a/crates/proxy/src/filed.rs
+++ b/crates/proxy/src/filed.rs
@@ -7,10 +7,10 @@
 use dahliapoint_control::RetryPolicy;
 use dahliapoint_files::forms::Table;
 use dahliapoint_files::front::{ALIVE, keys};
+use dahliapoint_files::messages::{Ack, ClassReport, Heartbeat, Report, ServerStats};
 use dahliapoint_files::read::{Look, Reader};
 use dahliapoint_files::seal::Keys;
-use dahliapoint_files::spool::Mouth;
-use dahliapoint_files::words::{Ack, Beat, ClassMet, Met, Told};
+use dahliapoint_files::spool::SpoolWriter;
 use dahliapoint_xds::{ClusterTally, Held, HeldLine, SCALE, names};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -51,7 +51,7 @@
     spooled: Spooled,
     alive: PathBuf,
     keys: Keys,
-    mouth: Mouth,
+    mouth: SpoolWriter,
     reader: Reader,
     table: Option<Table>,
     life: u64,
@@ -72,7 +72,7 @@
         let keys = spooled.keys.as_deref().map(keys).transpose()?;
         let keys = keys.unwrap_or_default();
         let name = &plane.described.name;
-        let mouth = Mouth::open(&spooled.dir, name, keys.clone());
+        let mouth = SpoolWriter::open(&spooled.dir, name, keys.clone());
         let mouth = mouth.map_err(|e| format!("{}: {e}", spooled.dir.display()))?;
         let tables = spooled.dir.join("tables").join(name);
         let own = Arc::new(Filed {
@@ -205,16 +205,16 @@
     fn beat(&mut self, leaves: bool) -> Option<SystemTime> {
         let d = &self.own.plane.described;
         self.beats += 1;
-        let beat = Beat {
+        let beat = Heartbeat {
             proxy: d.name.clone(),
             zone: d.zone.clone(),
-            pace: Some(d.pace),
-            life: self.life,
-            count: self.beats,
-            holds: self.reader.held(),
-            leaves,
+            visits_per_s: Some(d.pace),
+            incarnation: self.life,
+            sequence: self.beats,
+            applied_generation: self.reader.held(),
+            leaving: leaves,
         };
-        let said = self.mouth.say("beat", &beat);
+        let said = self.mouth.write("beat", &beat);
         said.map_err(|e| warn!(error = %e, "the sign of life cannot be written"))
             .ok()
     }
@@ -240,11 +240,11 @@
         if generation > 0 {
             self.acks += 1;
             let ack = Ack {
-                life: self.life,
+                incarnation: self.life,
                 generation,
                 refused,
             };
-            if let Err(e) = self.mouth.say(&format!("ack-{}", self.acks), &ack) {
+            if let Err(e) = self.mouth.write(&format!("ack-{}", self.acks), &ack) {
                 warn!(error = %e, "the answer for a table cannot be written");
             }
         }
@@ -294,38 +294,38 @@
     fn report(&mut self, window: Duration) {
         let tallies = self.own.plane.tallies();
         self.reports += 1;
-        let told = Told {
-            life: self.life,
+        let told = Report {
+            incarnation: self.life,
             window_ms: (window.as_secs_f64() * 1e3).max(1.0),
             classes: tallies.iter().map(|t| self.class_met(t)).collect(),
         };
-        if let Err(e) = self.mouth.say(&format!("report-{}", self.reports), &told) {
+        if let Err(e) = self.mouth.write(&format!("report-{}", self.reports), &told) {
             warn!(error = %e, "a report cannot be written; it is added to the next");
             self.own.plane.untold(tallies);
         }
     }
 
-    fn class_met(&self, tally: &ClusterTally) -> ClassMet {
+    fn class_met(&self, tally: &ClusterTally) -> ClassReport {
         let service = &self.own.plane.described.service;
         let issued: u64 = tally.endpoints.iter().map(|e| e.issued).sum();
         let dropped: u64 = tally.dropped.values().sum();
         let met = tally.endpoints.iter().map(|e| {
             let word = |name: &str| e.words.get(name).copied().unwrap_or_default();
-            Met {
+            ServerStats {
                 server: e.address.clone(),
-                good: e.good,
-                failed: e.failed,
-                good_ms: e.good_ms,
+                successes: e.good,
+                failures: e.failed,
+                success_ms_sum: e.good_ms,
                 in_flight: e.in_progress,
-                words: word(OWN_MS).0,
-                own_queue: word(OWN_QUEUE).1,
-                own_ms: word(OWN_MS).1,
+                load_samples: word(OWN_MS).0,
+                queue_sum: word(OWN_QUEUE).1,
+                service_ms_sum: word(OWN_MS).1,
             }
         });
-        ClassMet {
+        ClassReport {
             class: names::class_of(service, &tally.cluster).unwrap_or_default(),
-            came: issued + dropped,
-            met: met.collect(),
+            arrivals: issued + dropped,
+            servers: met.collect(),
         }
     }
 }
