--- a/crates/daemon/src/memory.rs
+++ b/crates/daemon/src/memory.rs
@@ -1,6 +1,6 @@
 //! Memory as the daemon and its command line open it.
 
-use dahliapoint_files::seal::Keys;
+use dahliapoint_files::integrity::Keys;
 use dahliapoint_memory::clock;
 use dahliapoint_memory::directory::FsDirectory;
 use dahliapoint_memory::facts::Facts;
@@ -16,7 +16,7 @@
     };
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
-    Ok(Key(Keys::parse(&name, &text)?.first()))
+    Ok(Key(Keys::parse(&name, &text)?.signing_key()))
 }
 
 /// Opens a directory to write to it.
--- a/crates/files/src/front.rs
+++ b/crates/files/src/front.rs
@@ -4,9 +4,9 @@
 
 use crate::disk::{Disk, Plain};
 use crate::forms::Form;
+use crate::integrity::Keys;
 use crate::publish::Publisher;
 use crate::read::{Look, Reader};
-use crate::seal::Keys;
 use crate::seat::{Seat, Wants};
 use crate::spool::{Said, Spool};
 use dahliapoint_control::{ControllerHandle, ControllerSettings, Input, Message, Output, Session};
@@ -294,7 +294,7 @@
     fn say_alive(&mut self) -> io::Result<()> {
         let text = json!({"count": self.rounds, "life": self.life}).to_string();
         let aside = self.place.dir.join(".alive");
-        std::fs::write(&aside, self.place.keys.sealed(&text))?;
+        std::fs::write(&aside, self.place.keys.add_tag(&text))?;
         self.disk_now = std::fs::metadata(&aside)?.modified()?;
         std::fs::rename(&aside, self.place.dir.join(ALIVE))
     }
--- a/crates/files/src/seal.rs
+++ b/crates/files/src/integrity.rs
@@ -29,7 +29,7 @@
 }
 
 /// The SHA-256 of bytes, in hexadecimal.
-pub fn sum(bytes: &[u8]) -> String {
+pub fn sha256_hex(bytes: &[u8]) -> String {
     hex(&Sha256::digest(bytes))
 }
 
@@ -84,14 +84,14 @@
     }
 
     /// The key that seals, by itself.
-    pub fn first(&self) -> Option<Vec<u8>> {
+    pub fn signing_key(&self) -> Option<Vec<u8>> {
         self.0.first().map(|(_, key)| key.clone())
     }
 
     /// A seal for a text: `sha256 <sum>`, or `hmac <key's name> <sum>`.
-    pub fn seal(&self, text: &[u8]) -> String {
+    pub fn tag(&self, text: &[u8]) -> String {
         match self.0.first() {
-            None => format!("sha256 {}", sum(text)),
+            None => format!("sha256 {}", sha256_hex(text)),
             Some((name, key)) => {
                 let sum = hex(&Keys::mac(key, text).finalize().into_bytes());
                 format!("hmac {name} {sum}")
@@ -103,10 +103,10 @@
     ///
     /// # Errors
     /// Why not.
-    pub fn check(&self, text: &[u8], seal: &str) -> Result<(), String> {
+    pub fn verify_tag(&self, text: &[u8], seal: &str) -> Result<(), String> {
         let words: Vec<&str> = seal.split(' ').collect();
         match (words.as_slice(), self.0.is_empty()) {
-            (["sha256", told], true) if *told == sum(text) => Ok(()),
+            (["sha256", told], true) if *told == sha256_hex(text) => Ok(()),
             (["sha256", _], true) => Err("the checksum differs".into()),
             (["sha256", _], false) => Err("it is not signed".into()),
             (["hmac", ..], true) => Err("it is signed, and no key is configured".into()),
@@ -122,19 +122,19 @@
     }
 
     /// A text and its seal, on two lines: what is put into a spool.
-    pub fn sealed(&self, text: &str) -> String {
-        format!("{text}\n{}\n", self.seal(text.as_bytes()))
+    pub fn add_tag(&self, text: &str) -> String {
+        format!("{text}\n{}\n", self.tag(text.as_bytes()))
     }
 
-    /// The text of what [`Keys::sealed`] gave.
+    /// The text of what [`Keys::add_tag`] gave.
     ///
     /// # Errors
     /// What is wrong with it.
-    pub fn opened<'a>(&self, bytes: &'a [u8]) -> Result<&'a str, String> {
+    pub fn verified_text<'a>(&self, bytes: &'a [u8]) -> Result<&'a str, String> {
         let text = std::str::from_utf8(bytes).map_err(|_| "no text")?;
         let whole = text.strip_suffix('\n').ok_or("cut off")?;
         let (said, seal) = whole.rsplit_once('\n').ok_or("no seal")?;
-        self.check(said.as_bytes(), seal).map(|()| said)
+        self.verify_tag(said.as_bytes(), seal).map(|()| said)
     }
 }
 
@@ -160,13 +160,13 @@
             ("another key", &b, &a, false),
         ];
         for (name, from, to, fine) in cases {
-            let sealed = from.sealed("said");
-            assert_eq!(to.opened(sealed.as_bytes()).is_ok(), fine, "{name}");
-            for i in 0..sealed.len() {
+            let sealed = from.add_tag("said");
+            assert_eq!(to.verified_text(sealed.as_bytes()).is_ok(), fine, "{name}");
+            for i in 0..add_tag.len() {
                 let mut bent = sealed.clone().into_bytes();
                 bent[i] ^= 1;
-                assert!(to.opened(&bent).is_err(), "{name}: bent at {i}");
-                assert!(to.opened(&bent[..i]).is_err(), "{name}: cut at {i}");
+                assert!(to.verified_text(&bent).is_err(), "{name}: bent at {i}");
+                assert!(to.verified_text(&bent[..i]).is_err(), "{name}: cut at {i}");
             }
         }
         for (text, line) in [("", 1), ("a = 00", 1), ("# k\na 00", 2)] {
--- a/crates/files/src/messages.rs
+++ b/crates/files/src/messages.rs
@@ -1,4 +1,4 @@
-//! Messages that a proxy writes into its spool: JSON on one line, its integrity tag on the next ([`crate::seal`]).
+//! Messages that a proxy writes into its spool: JSON on one line, its integrity tag on the next ([`crate::integrity`]).
 
 use dahliapoint_control::{LoadReport, ReportLine, report_error};
 use serde::{Deserialize, Serialize};
--- a/crates/files/src/publish.rs
+++ b/crates/files/src/publish.rs
@@ -4,7 +4,7 @@
 use crate::cost::{Choice, Published, choose};
 use crate::disk::Disk;
 use crate::forms::{Form, Patch, Table};
-use crate::seal::{Keys, sum};
+use crate::integrity::{Keys, sha256_hex};
 use serde::{Deserialize, Serialize};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -176,7 +176,7 @@
         let part = |name: &str, text: &str| Part {
             name: name.into(),
             bytes: text.len() as u64,
-            sha256: sum(text.as_bytes()),
+            sha256: sha256_hex(text.as_bytes()),
         };
         let chosen = choose(&choice);
         match (chosen, patch, &self.base) {
@@ -205,7 +205,7 @@
             valid_ms,
             files: parts,
         };
-        let manifest = self.keys.sealed(&serde_json::to_string(&manifest)?);
+        let manifest = self.keys.add_tag(&serde_json::to_string(&manifest)?);
         disk.write(&aside.join(MANIFEST), manifest.as_bytes(), synced)?;
         if synced {
             disk.sync(aside)?;
--- a/crates/files/src/read.rs
+++ b/crates/files/src/read.rs
@@ -3,8 +3,8 @@
 //! named when it was read.
 
 use crate::forms::{FORM, Patch, Table};
+use crate::integrity::{Keys, sha256_hex};
 use crate::publish::{BASE, CURRENT, MANIFEST, Manifest, PATCH, TABLE, generation_of};
-use crate::seal::{Keys, sum};
 use std::fs::File;
 use std::io::{self, Read};
 use std::path::{Path, PathBuf};
@@ -100,7 +100,7 @@
 
     fn take(&self, generation: u64, dir: &Path, fresh: Option<SystemTime>) -> Result<Table, Wrong> {
         let (bytes, written) = read(&dir.join(MANIFEST))?;
-        let text = self.keys.opened(&bytes).map_err(Wrong::Bad)?;
+        let text = self.keys.verified_text(&bytes).map_err(Wrong::Bad)?;
         let manifest: Manifest = parsed(text.as_bytes(), MANIFEST)?;
         if manifest.form != FORM {
             return bad(format!("form {} is not known", manifest.form));
@@ -120,7 +120,7 @@
             let listed = manifest.files.iter().find(|p| p.name == name);
             listed.map(|listed| {
                 let (bytes, _) = read(&dir.join(name))?;
-                match bytes.len() as u64 == listed.bytes && sum(&bytes) == listed.sha256 {
+                match bytes.len() as u64 == listed.bytes && sha256_hex(&bytes) == listed.sha256 {
                     true => Ok(bytes),
                     false => bad(format!("{name} is not what the manifest lists")),
                 }
--- a/crates/files/src/spool.rs
+++ b/crates/files/src/spool.rs
@@ -2,9 +2,9 @@
 //! inbox, where only the controller writes, looked at again there, read and removed: what is counted is
 //! counted once, also over a kill.
 
+use crate::integrity::Keys;
 use crate::is_plain;
 use crate::messages::{Ack, Heartbeat, Report};
-use crate::seal::Keys;
 use crate::sorting::{Fate, Found, Kind, Taken, sort};
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
@@ -258,7 +258,7 @@
         bytes: &[u8],
         taken: &mut Taken,
     ) -> Result<Option<Said>, String> {
-        let text = self.keys.opened(bytes)?;
+        let text = self.keys.verified_text(bytes)?;
         let wrong = |e: serde_json::Error| e.to_string();
         let heard = self.heard.entry(proxy.into()).or_default();
         match kind {
@@ -354,7 +354,7 @@
     /// # Errors
     /// Those of the disk.
     pub fn write(&self, name: &str, word: &impl Serialize) -> io::Result<SystemTime> {
-        let text = self.keys.sealed(&serde_json::to_string(word)?);
+        let text = self.keys.add_tag(&serde_json::to_string(word)?);
         let aside = self.dir.join(format!(".{name}"));
         fs::write(&aside, text)?;
         let at = fs::metadata(&aside)?.modified()?;
--- a/crates/files/tests/publication.rs
+++ b/crates/files/tests/publication.rs
@@ -5,9 +5,9 @@
 use common::{Folder, table};
 use dahliapoint_files::disk::{Disk, Plain};
 use dahliapoint_files::forms::{Form, Table};
+use dahliapoint_files::integrity::Keys;
 use dahliapoint_files::publish::Publisher;
 use dahliapoint_files::read::{Look, Reader};
-use dahliapoint_files::seal::Keys;
 use std::io;
 use std::path::Path;
 use std::sync::Arc;
@@ -302,7 +302,7 @@
     // Whoever can write files but has no key: the manifest's own sums are no help.
     let current = dir.join(std::fs::read_link(dir.join("current")).unwrap());
     let manifest = std::fs::read_to_string(current.join("manifest.json")).unwrap();
-    let forged = Keys::default().sealed(manifest.lines().next().unwrap());
+    let forged = Keys::default().add_tag(manifest.lines().next().unwrap());
     std::fs::write(current.join("manifest.json"), forged).unwrap();
     assert!(matches!(look(keys(&[OLD])), Look::Bad(_, why) if why.contains("not signed")));
 }
--- a/crates/files/tests/spool.rs
+++ b/crates/files/tests/spool.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::Folder;
+use dahliapoint_files::integrity::Keys;
 use dahliapoint_files::messages::{Ack, Heartbeat, Report};
-use dahliapoint_files::seal::Keys;
 use dahliapoint_files::spool::{Said, Spool, SpoolWriter};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -126,7 +126,7 @@
     let pipes = usize::from(pipe.is_ok_and(|s| s.success()));
     std::fs::write(w.own("report-5"), vec![b'x'; (1 << 20) + 1]).unwrap();
     std::fs::write(w.own("report-6"), "{}\nno seal\n").unwrap();
-    std::fs::write(w.own("report-7"), Keys::default().sealed("{\"life\":")).unwrap();
+    std::fs::write(w.own("report-7"), Keys::default().add_tag("{\"life\":")).unwrap();
     std::fs::write(w.own("..report"), "aside").unwrap();
     std::fs::write(w.own("evil\n2027 ERROR"), "x").unwrap();
     let other = Heartbeat {
@@ -204,7 +204,7 @@
     #[test]
     fn any_sealed_text(text in "\\PC{0,80}") {
         let mut w = world(&Keys::default());
-        std::fs::write(w.own("report-1"), Keys::default().sealed(&text)).unwrap();
+        std::fs::write(w.own("report-1"), Keys::default().add_tag(&text)).unwrap();
         w.take();
         prop_assert!(!w.own("report-1").exists());
     }
--- a/crates/proxy/src/filed.rs
+++ b/crates/proxy/src/filed.rs
@@ -7,9 +7,9 @@
 use dahliapoint_control::RetryPolicy;
 use dahliapoint_files::forms::Table;
 use dahliapoint_files::front::{ALIVE, keys};
+use dahliapoint_files::integrity::Keys;
 use dahliapoint_files::messages::{Ack, ClassReport, Heartbeat, Report, ServerStats};
 use dahliapoint_files::read::{Look, Reader};
-use dahliapoint_files::seal::Keys;
 use dahliapoint_files::spool::SpoolWriter;
 use dahliapoint_xds::{ClusterTally, Held, HeldLine, SCALE, names};
 use std::path::PathBuf;
@@ -180,7 +180,7 @@
 
     fn look_for_the_controller(&mut self) {
         let bytes = std::fs::read(&self.alive).unwrap_or_default();
-        if let Ok(text) = self.keys.opened(&bytes)
+        if let Ok(text) = self.keys.verified_text(&bytes)
             && self.seen.as_ref().is_none_or(|(last, _)| last != text)
         {
             let life = |t: &str| t.split("\"life\":").nth(1).map(str::to_string);
--- a/crates/standins/tests/kills.rs
+++ b/crates/standins/tests/kills.rs
@@ -1,7 +1,7 @@
 //! A publisher that is killed outright, two hundred times, while readers run flat out.
 
+use dahliapoint_files::integrity::Keys;
 use dahliapoint_files::read::{Look, Reader};
-use dahliapoint_files::seal::Keys;
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
 use std::sync::Arc;
