--- a/crates/daemon/src/deployment.rs
+++ b/crates/daemon/src/deployment.rs
@@ -6,8 +6,8 @@
 use crate::resolving::DnsPlace;
 use dahliapoint_control::rollout::GuardMode;
 use dahliapoint_control::{ClassSettings, ControllerSettings, RetryPolicy};
+use dahliapoint_files::drain_timing::{DrainCheck, DrainTiming};
 use dahliapoint_files::forms::Form;
-use dahliapoint_files::reach::{Promise, Reach};
 use dahliapoint_hooks::host::Bounds;
 use dahliapoint_hooks::run::Allowance;
 use dahliapoint_import::Kind;
@@ -79,7 +79,7 @@
     pub dir: PathBuf,
     /// Forms that are written beside the table of our own.
     pub forms: Vec<Form>,
-    pub reach: Reach,
+    pub reach: DrainTiming,
     pub beat_ms: f64,
     pub valid_ms: f64,
     /// The keys, one or two, that tables and reports are sealed with.
@@ -425,10 +425,10 @@
     let every = at.field("every");
     let every_ms = every.time(10.0..=600_000.0, Some(200.0));
     let read = at.field("read_every");
-    let reach = Reach {
-        every_ms,
-        read_every_ms: read.time(10.0..=600_000.0, Some(500.0)),
-        grace_ms,
+    let reach = DrainTiming {
+        write_interval_ms: every_ms,
+        read_interval_ms: read.time(10.0..=600_000.0, Some(500.0)),
+        drain_grace_ms: grace_ms,
     };
     let keys = at.field("keys");
     let keys = keys.is_there().then(|| folder.join(keys.text(None)));
@@ -440,7 +440,7 @@
         valid_ms: at.field("valid").time(1_000.0..=8.64e8, Some(600_000.0)),
         keys,
     };
-    if let Promise::Broken(why) = reach.promise() {
+    if let DrainCheck::TooSlow(why) = reach.check() {
         read.wrong(why);
     }
     at.close();
--- a/crates/daemon/src/life.rs
+++ b/crates/daemon/src/life.rs
@@ -8,8 +8,8 @@
 use crate::resolving::Resolving;
 use crate::roster::{Look, Watch};
 use dahliapoint_control::{ControllerHandle, Input, Output, RosterEntry};
+use dahliapoint_files::drain_timing::DrainCheck;
 use dahliapoint_files::front::{self as files, Place};
-use dahliapoint_files::reach::Promise;
 use dahliapoint_grpc::{Call, Handler, Limits, Server};
 use dahliapoint_memory::clock;
 use dahliapoint_memory::facts::{Change, ChangeTracker, Facts};
@@ -152,7 +152,7 @@
         let files = match &deployment.files {
             None => None,
             Some(f) => {
-                if let Promise::Narrow(why) = f.reach.promise() {
+                if let DrainCheck::Tight(why) = f.reach.check() {
                     warn!("files: {why}");
                 }
                 let keys = f.keys.as_deref().map(files::keys).transpose()?;
@@ -160,7 +160,7 @@
                     dir: f.dir.clone(),
                     forms: f.forms.clone(),
                     keys: keys.unwrap_or_default(),
-                    every_ms: f.reach.every_ms,
+                    every_ms: f.reach.write_interval_ms,
                     valid_ms: f.valid_ms,
                 };
                 let started = files::Front::start(place, shared.clone(), FILES, &terms);
--- a/crates/files/src/lib.rs
+++ b/crates/files/src/lib.rs
@@ -2,7 +2,7 @@
 //! controller, its decisions and its rules with the first.
 //!
 //! Free of I/O: [`forms`] (what is written), [`cost`] (whole or patched), [`sorting`] (what is taken from a
-//! spool), [`reach`] (what can be promised). Around them: [`disk`] (the calls, each of which may fail),
+//! spool), [`drain_timing`] (what can be promised). Around them: [`disk`] (the calls, each of which may fail),
 //! [`publish`] (one proxy's directory), [`read`] (a reader of it), [`spool`] (the way back), [`front`].
 //!
 //! The layout, below one directory:
@@ -18,12 +18,12 @@
 
 pub mod cost;
 pub mod disk;
+pub mod drain_timing;
 pub mod forms;
 pub mod front;
 pub mod integrity;
 pub mod messages;
 pub mod publish;
-pub mod reach;
 pub mod read;
 pub mod seat;
 pub mod sorting;
