--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -7,7 +7,7 @@
 use crate::{guarding, hooking, hooks, memory, sample, status};
 use clap::{Parser, Subcommand};
 use dahliapoint_control::record::{End, encode_outputs, replay};
-use dahliapoint_files::forms::Form;
+use dahliapoint_files::formats::Format;
 use dahliapoint_import::Kind;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -443,9 +443,9 @@
     }
     let text = match form {
         Written::Json => serde_json::to_string_pretty(&table).map_err(wrong)? + "\n",
-        Written::Balancer => Form::Balancer.write(&table),
-        Written::Workers => Form::Workers.write(&table),
-        Written::State => Form::State.write(&table),
+        Written::Balancer => Format::Balancer.render(&table),
+        Written::Workers => Format::Workers.render(&table),
+        Written::State => Format::HaproxyState.render(&table),
     };
     let _ = std::io::stdout().write_all(text.as_bytes());
     Ok(())
--- a/crates/daemon/src/deployment.rs
+++ b/crates/daemon/src/deployment.rs
@@ -7,7 +7,7 @@
 use dahliapoint_control::rollout::GuardMode;
 use dahliapoint_control::{ClassSettings, ControllerSettings, RetryPolicy};
 use dahliapoint_files::drain_timing::{DrainCheck, DrainTiming};
-use dahliapoint_files::forms::Form;
+use dahliapoint_files::formats::Format;
 use dahliapoint_hooks::host::Bounds;
 use dahliapoint_hooks::run::Allowance;
 use dahliapoint_import::Kind;
@@ -78,7 +78,7 @@
 pub struct Files {
     pub dir: PathBuf,
     /// Forms that are written beside the table of our own.
-    pub forms: Vec<Form>,
+    pub forms: Vec<Format>,
     pub reach: DrainTiming,
     pub beat_ms: f64,
     pub valid_ms: f64,
@@ -415,7 +415,7 @@
     let forms = at.field("forms");
     let mut listed = Vec::new();
     for place in forms.list() {
-        let names = Form::ALL.map(|f| (f.name(), f));
+        let names = Format::ALL.map(|f| (f.name(), f));
         let form = place.choice(&names, None);
         if listed.contains(&form) {
             place.wrong("each form once is wanted");
--- a/crates/daemon/src/status.rs
+++ b/crates/daemon/src/status.rs
@@ -1,6 +1,6 @@
 //! `dahliapoint status`: asks a controller by CSDS, tells it as a table or as JSON.
 
-use dahliapoint_files::forms::{FORM, Table, TableLine};
+use dahliapoint_files::formats::{TABLE_FORMAT_VERSION, Table, TableLine};
 use dahliapoint_grpc::{Limits, Link, Status};
 use dahliapoint_xds::pb::status::{ClientStatusRequest, ClientStatusResponse};
 use dahliapoint_xds::{ResourceState, StatusRow, read_status};
@@ -47,7 +47,7 @@
         Some((line.server.clone(), line))
     });
     Table {
-        form: FORM,
+        format_version: TABLE_FORMAT_VERSION,
         service: text(&overview["service"]),
         bound: true,
         lines: lines.collect(),
--- a/crates/daemon/tests/import.rs
+++ b/crates/daemon/tests/import.rs
@@ -3,7 +3,7 @@
 use dahliapoint_control::ControllerHandle;
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
-use dahliapoint_files::forms::{FORM, Form, Table, TableLine};
+use dahliapoint_files::formats::{Format, TABLE_FORMAT_VERSION, Table, TableLine};
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -240,13 +240,13 @@
         open: i != 1,
     };
     let table = Table {
-        form: FORM,
+        format_version: TABLE_FORMAT_VERSION,
         service: "portal".into(),
         lines: (0..4).map(line).map(|l| (l.server.clone(), l)).collect(),
         ..Table::default()
     };
-    for (form, name) in [(Form::Balancer, "apache"), (Form::Workers, "mod_jk")] {
-        place.put("exported", &form.write(&table));
+    for (form, name) in [(Format::Balancer, "apache"), (Format::Workers, "mod_jk")] {
+        place.put("exported", &form.render(&table));
         let (code, yaml) = place.run(&["import", "exported", "--form", name, "--zone", "east"]);
         assert_eq!(code, Some(0), "{yaml}");
         let rows: Vec<&str> = yaml.lines().skip(1).collect();
--- a/crates/files/src/front.rs
+++ b/crates/files/src/front.rs
@@ -3,7 +3,7 @@
 //! refreshing what grows old; so 361 directories on a slow disk do not hold a drain up.
 
 use crate::disk::{Disk, Plain};
-use crate::forms::Form;
+use crate::formats::Format;
 use crate::integrity::Keys;
 use crate::publish::Publisher;
 use crate::read::{Look, Reader};
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 pub struct Place {
     pub dir: PathBuf,
-    pub forms: Vec<Form>,
+    pub forms: Vec<Format>,
     pub keys: Keys,
     pub every_ms: f64,
     pub valid_ms: f64,
--- a/crates/files/src/integrity.rs
+++ b/crates/files/src/integrity.rs
@@ -162,7 +162,7 @@
         for (name, from, to, fine) in cases {
             let sealed = from.add_tag("said");
             assert_eq!(to.verified_text(sealed.as_bytes()).is_ok(), fine, "{name}");
-            for i in 0..add_tag.len() {
+            for i in 0..sealed.len() {
                 let mut bent = sealed.clone().into_bytes();
                 bent[i] ^= 1;
                 assert!(to.verified_text(&bent).is_err(), "{name}: bent at {i}");
--- a/crates/files/src/lib.rs
+++ b/crates/files/src/lib.rs
@@ -1,7 +1,7 @@
 //! The second front: tables as files, swapped atomically, and the way back by a spool. It shares the
 //! controller, its decisions and its rules with the first.
 //!
-//! Free of I/O: [`forms`] (what is written), [`cost`] (whole or patched), [`sorting`] (what is taken from a
+//! Free of I/O: [`formats`] (what is written), [`cost`] (whole or patched), [`sorting`] (what is taken from a
 //! spool), [`drain_timing`] (what can be promised). Around them: [`disk`] (the calls, each of which may fail),
 //! [`publish`] (one proxy's directory), [`read`] (a reader of it), [`spool`] (the way back), [`front`].
 //!
@@ -19,7 +19,7 @@
 pub mod cost;
 pub mod disk;
 pub mod drain_timing;
-pub mod forms;
+pub mod formats;
 pub mod front;
 pub mod integrity;
 pub mod messages;
--- a/crates/files/src/publish.rs
+++ b/crates/files/src/publish.rs
@@ -3,7 +3,7 @@
 
 use crate::cost::{Choice, Published, choose};
 use crate::disk::Disk;
-use crate::forms::{Form, Patch, Table};
+use crate::formats::{Format, Patch, Table};
 use crate::integrity::{Keys, sha256_hex};
 use serde::{Deserialize, Serialize};
 use std::io;
@@ -41,7 +41,8 @@
 /// What a generation consists of.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Manifest {
-    pub form: u32,
+    #[serde(rename = "form")]
+    pub format_version: u32,
     pub proxy: String,
     pub generation: u64,
     /// When it was written, by the controller's clock: for people.
@@ -65,7 +66,7 @@
     dir: PathBuf,
     proxy: String,
     keys: Keys,
-    forms: Vec<Form>,
+    forms: Vec<Format>,
     /// The newest number that was used, for whatever came of it.
     generation: u64,
     /// The generation in force, and those before it that are still there, oldest first.
@@ -79,7 +80,7 @@
 impl Publisher {
     /// For a proxy's directory, with what an earlier life left there. `least` is a number that all new
     /// generations lie above.
-    pub fn new(dir: PathBuf, proxy: &str, keys: Keys, forms: &[Form], least: u64) -> Publisher {
+    pub fn new(dir: PathBuf, proxy: &str, keys: Keys, forms: &[Format], least: u64) -> Publisher {
         let names = std::fs::read_dir(&dir).into_iter().flatten().flatten();
         let names = names.filter_map(|e| generation_of(e.file_name().to_str()?));
         let mut there: Vec<u64> = names.collect();
@@ -163,7 +164,7 @@
     ) -> io::Result<()> {
         disk.make_dir(&self.dir)?;
         let whole = serde_json::to_string(&table)?;
-        let patch = self.base.as_ref().map(|b| Patch::between(&b.table, &table));
+        let patch = self.base.as_ref().map(|b| Patch::diff(&b.table, &table));
         let patch = patch.map(|p| serde_json::to_string(&p)).transpose()?;
         let choice = Choice {
             whole: whole.len(),
@@ -193,12 +194,12 @@
             }
         }
         for form in &self.forms {
-            let text = form.write(&table);
-            disk.write(&aside.join(form.file()), text.as_bytes(), synced)?;
-            parts.push(part(form.file(), &text));
+            let text = form.render(&table);
+            disk.write(&aside.join(form.file_name()), text.as_bytes(), synced)?;
+            parts.push(part(form.file_name(), &text));
         }
         let manifest = Manifest {
-            form: table.form,
+            format_version: table.format_version,
             proxy: self.proxy.clone(),
             generation: table.generation,
             at_ms,
--- a/crates/files/src/read.rs
+++ b/crates/files/src/read.rs
@@ -2,7 +2,7 @@
 //! or says what is wrong. It never mixes generations: all files come from the directory that the link
 //! named when it was read.
 
-use crate::forms::{FORM, Patch, Table};
+use crate::formats::{Patch, TABLE_FORMAT_VERSION, Table};
 use crate::integrity::{Keys, sha256_hex};
 use crate::publish::{BASE, CURRENT, MANIFEST, Manifest, PATCH, TABLE, generation_of};
 use std::fs::File;
@@ -102,8 +102,8 @@
         let (bytes, written) = read(&dir.join(MANIFEST))?;
         let text = self.keys.verified_text(&bytes).map_err(Wrong::Bad)?;
         let manifest: Manifest = parsed(text.as_bytes(), MANIFEST)?;
-        if manifest.form != FORM {
-            return bad(format!("form {} is not known", manifest.form));
+        if manifest.format_version != TABLE_FORMAT_VERSION {
+            return bad(format!("form {} is not known", manifest.format_version));
         }
         if manifest.proxy != self.proxy || manifest.generation != generation {
             return bad("the manifest is of another proxy or generation".into());
@@ -131,7 +131,7 @@
             (None, Some(base), Some(patch)) => {
                 let (base, patch): (Table, Patch) =
                     (parsed(&base?, BASE)?, parsed(&patch?, PATCH)?);
-                patch.onto(base).map_err(Wrong::Bad)?
+                patch.apply_to(base).map_err(Wrong::Bad)?
             }
             _ => return bad("the manifest lists no table".into()),
         };
--- a/crates/files/src/seat.rs
+++ b/crates/files/src/seat.rs
@@ -1,7 +1,7 @@
 //! What one proxy of this front is to have, free of I/O: messages come in, a table comes out, answers go
 //! back as the controller's own marks.
 
-use crate::forms::{ClassWay, FORM, Table, TableLine};
+use crate::formats::{TABLE_FORMAT_VERSION, Table, TableClass, TableLine};
 use dahliapoint_control::{Input, LineState, Message, Scope, Session};
 use std::collections::VecDeque;
 
@@ -52,7 +52,7 @@
         before: Option<Table>,
     ) -> Seat {
         let mut table = before.unwrap_or_default();
-        table.form = FORM;
+        table.format_version = TABLE_FORMAT_VERSION;
         table.service = service.into();
         table.serial = 0;
         Seat {
@@ -87,9 +87,9 @@
         table.serial = table.serial.max(message.serial);
         for (class, way) in &message.policies {
             if let Some(name) = classes.get(*class) {
-                let way = ClassWay {
-                    share: way.admitted_share,
-                    tries: way.retry,
+                let way = TableClass {
+                    admitted_share: way.admitted_share,
+                    retry: way.retry,
                 };
                 table.classes.insert(name.clone(), way);
             }
@@ -98,23 +98,25 @@
         match message.scope {
             Scope::Unbound => lines.for_each(|l| {
                 match l.state {
-                    LineState::Removed => table.shut.remove(&*l.server),
-                    _ => table.shut.insert(l.server.to_string()),
+                    LineState::Removed => table.withdrawn.remove(&*l.server),
+                    _ => table.withdrawn.insert(l.server.to_string()),
                 };
             }),
             Scope::Snapshot(part) => {
                 self.part = Some(part);
                 table.bound = true;
                 // The table now says itself what is withdrawn.
-                table.shut.clear();
+                table.withdrawn.clear();
                 table.lines = lines
-                    .map(|l| (l.server.to_string(), TableLine::of(l)))
+                    .map(|l| (l.server.to_string(), TableLine::from_line(l)))
                     .collect();
             }
             Scope::Changes(part) if self.part == Some(part) => lines.for_each(|l| {
                 match l.state {
                     LineState::Removed => table.lines.remove(&*l.server),
-                    _ => table.lines.insert(l.server.to_string(), TableLine::of(l)),
+                    _ => table
+                        .lines
+                        .insert(l.server.to_string(), TableLine::from_line(l)),
                 };
             }),
             // A part that it is not bound to: told before it was bound anew.
@@ -253,7 +255,7 @@
                 false => format!("({})", l.server),
             });
             let shown: Vec<String> = shown.collect();
-            let shut: Vec<String> = table.shut.iter().cloned().collect();
+            let shut: Vec<String> = table.withdrawn.iter().cloned().collect();
             assert_eq!(format!("{}/{}", shown.join(","), shut.join(",")), *lines);
             seat.published(0.0, 100 + i as u64);
         }
--- a/crates/files/tests/common/mod.rs
+++ b/crates/files/tests/common/mod.rs
@@ -1,4 +1,4 @@
-use dahliapoint_files::forms::{FORM, Table, TableLine};
+use dahliapoint_files::formats::{TABLE_FORMAT_VERSION, Table, TableLine};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -43,7 +43,7 @@
     };
     let lines = (0..lines).map(line).map(|l| (l.server.clone(), l));
     Table {
-        form: FORM,
+        format_version: TABLE_FORMAT_VERSION,
         service: "s".into(),
         serial: mark,
         bound: true,
--- a/crates/files/tests/publication.rs
+++ b/crates/files/tests/publication.rs
@@ -4,7 +4,7 @@
 
 use common::{Folder, table};
 use dahliapoint_files::disk::{Disk, Plain};
-use dahliapoint_files::forms::{Form, Table};
+use dahliapoint_files::formats::{Format, Table};
 use dahliapoint_files::integrity::Keys;
 use dahliapoint_files::publish::Publisher;
 use dahliapoint_files::read::{Look, Reader};
@@ -115,7 +115,7 @@
         dir,
         "p",
         Keys::default(),
-        &[Form::Balancer, Form::Workers],
+        &[Format::Balancer, Format::Workers],
         0,
     )
 }
--- a/crates/proxy/src/filed.rs
+++ b/crates/proxy/src/filed.rs
@@ -5,7 +5,7 @@
 use crate::described::Spooled;
 use crate::plane::Plane;
 use dahliapoint_control::RetryPolicy;
-use dahliapoint_files::forms::Table;
+use dahliapoint_files::formats::Table;
 use dahliapoint_files::front::{ALIVE, keys};
 use dahliapoint_files::integrity::Keys;
 use dahliapoint_files::messages::{Ack, ClassReport, Heartbeat, Report, ServerStats};
@@ -261,7 +261,7 @@
             .lines
             .keys()
             .filter(|s| !table.lines.contains_key(*s));
-        let shut = before.shut.symmetric_difference(&table.shut);
+        let shut = before.withdrawn.symmetric_difference(&table.withdrawn);
         let lines = changed.count() + gone.count() + shut.count();
         let serial = table.serial.to_string();
         let crossed = Crossed {
@@ -283,7 +283,7 @@
         }
         let held = (table.bound || !table.lines.is_empty()).then(|| held(&table));
         own.plane
-            .swap(held.as_ref(), &|s| table.shut.contains(s), lines);
+            .swap(held.as_ref(), &|s| table.withdrawn.contains(s), lines);
         own.applied.fetch_add(1, Ordering::SeqCst);
         self.table = Some(table);
         around.took(&crossed, came, false);
@@ -340,7 +340,7 @@
     });
     let classes = table.classes.iter();
     let retry_on = classes.clone().map(|(class, way)| {
-        let on = match way.tries {
+        let on = match way.retry {
             RetryPolicy::Never => "",
             RetryPolicy::OnProof => "connect-failure,refused-stream",
             RetryPolicy::OnFailure => "5xx",
@@ -350,7 +350,7 @@
     Held {
         lines: lines.collect(),
         shares: classes
-            .map(|(class, way)| (class.clone(), way.share))
+            .map(|(class, way)| (class.clone(), way.admitted_share))
             .collect(),
         retry_on: retry_on.collect(),
     }
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -14,7 +14,7 @@
 use clap::{Parser, Subcommand, ValueEnum};
 use dahliapoint_control::AdminState;
 use dahliapoint_files::disk::Plain;
-use dahliapoint_files::forms::{FORM, Form, Table, TableLine};
+use dahliapoint_files::formats::{Format, TABLE_FORMAT_VERSION, Table, TableLine};
 use dahliapoint_files::integrity::Keys;
 use dahliapoint_files::publish::Publisher;
 use dahliapoint_memory::directory::FsDirectory;
@@ -266,7 +266,7 @@
 
 /// Tables whose lines all tell the same mark: a reader sees whether one is mixed.
 fn publish(dir: PathBuf, lines: usize, many: u64) -> std::io::Result<()> {
-    let mut publisher = Publisher::new(dir, "p", Keys::default(), &[Form::Workers], 0);
+    let mut publisher = Publisher::new(dir, "p", Keys::default(), &[Format::Workers], 0);
     let mut disk = Plain::default();
     for mark in 0..many {
         let line = |i: usize| TableLine {
@@ -280,7 +280,7 @@
             open: true,
         };
         let table = Table {
-            form: FORM,
+            format_version: TABLE_FORMAT_VERSION,
             serial: mark,
             bound: true,
             lines: (0..lines)
