--- a/crates/files/src/disk.rs
+++ b/crates/files/src/disk.rs
@@ -25,7 +25,7 @@
     ///
     /// # Errors
     /// See [`Disk::make_dir`].
-    fn point(&mut self, link: &Path, to: &str) -> io::Result<()>;
+    fn symlink(&mut self, link: &Path, to: &str) -> io::Result<()>;
     /// # Errors
     /// See [`Disk::make_dir`].
     fn rename(&mut self, from: &Path, to: &Path) -> io::Result<()>;
@@ -43,7 +43,7 @@
 
 /// The system's own; counts what it is asked for.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Plain {
+pub struct SystemDisk {
     pub calls: u64,
     pub bytes: u64,
 }
@@ -55,7 +55,7 @@
     }
 }
 
-impl Disk for Plain {
+impl Disk for SystemDisk {
     fn make_dir(&mut self, path: &Path) -> io::Result<()> {
         self.calls += 1;
         match fs::create_dir(path) {
@@ -84,7 +84,7 @@
         fs::hard_link(from, to)
     }
 
-    fn point(&mut self, link: &Path, to: &str) -> io::Result<()> {
+    fn symlink(&mut self, link: &Path, to: &str) -> io::Result<()> {
         self.calls += 1;
         std::os::unix::fs::symlink(to, link)
     }
--- a/crates/files/src/front.rs
+++ b/crates/files/src/front.rs
@@ -2,7 +2,7 @@
 //! What it does next is the scheduler's to say: withdrawals first, then new tables, then spools, then
 //! refreshing what grows old; so 361 directories on a slow disk do not hold a drain up.
 
-use crate::disk::{Disk, Plain};
+use crate::disk::{Disk, SystemDisk};
 use crate::formats::Format;
 use crate::integrity::Keys;
 use crate::publish::Publisher;
@@ -140,7 +140,7 @@
         let hand = Hand {
             scheduler: Scheduler::new(0.0, place.every_ms, &budgets),
             place,
-            disk: Plain::default(),
+            disk: SystemDisk::default(),
             owner,
             classes: terms.classes.iter().map(|c| c.name.clone()).collect(),
             service: terms.service.clone(),
--- a/crates/files/src/publish.rs
+++ b/crates/files/src/publish.rs
@@ -212,7 +212,7 @@
             disk.sync(aside)?;
         }
         let pointer = self.dir.join(format!(".{}", name_of(table.generation)));
-        disk.point(&pointer, &name_of(table.generation))?;
+        disk.symlink(&pointer, &name_of(table.generation))?;
         if let Err(e) = disk.rename(&pointer, &self.dir.join(CURRENT)) {
             let _ = disk.remove(&pointer);
             return Err(e);
--- a/crates/files/tests/publication.rs
+++ b/crates/files/tests/publication.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Folder, table};
-use dahliapoint_files::disk::{Disk, Plain};
+use dahliapoint_files::disk::{Disk, SystemDisk};
 use dahliapoint_files::formats::{Format, Table};
 use dahliapoint_files::integrity::Keys;
 use dahliapoint_files::publish::Publisher;
@@ -17,7 +17,7 @@
 /// Calls are let through until one of them fails: after half of what it does, and all later ones with it if
 /// the process is killed there.
 struct Failing {
-    plain: Plain,
+    plain: SystemDisk,
     left: usize,
     killed: bool,
     over: bool,
@@ -26,7 +26,7 @@
 impl Failing {
     fn after(calls: usize, killed: bool) -> Failing {
         Failing {
-            plain: Plain::default(),
+            plain: SystemDisk::default(),
             left: calls,
             killed,
             over: false,
@@ -76,9 +76,9 @@
         }
     }
 
-    fn point(&mut self, link: &Path, to: &str) -> io::Result<()> {
+    fn symlink(&mut self, link: &Path, to: &str) -> io::Result<()> {
         if self.goes() {
-            self.plain.point(link, to)
+            self.plain.symlink(link, to)
         } else {
             Err(full())
         }
@@ -148,7 +148,7 @@
             loop {
                 let folder = Folder::new();
                 let mut first = publisher(&folder);
-                publish(&mut first, &mut Plain::default(), table(1, lines)).unwrap();
+                publish(&mut first, &mut SystemDisk::default(), table(1, lines)).unwrap();
                 let mut slow = reader(&folder);
                 assert_eq!(mark_of(slow.look(None)), 1);
                 let mut disk = Failing::after(at, killed);
@@ -165,7 +165,7 @@
                 }
                 // The next life, or the next round: all goes on.
                 let mut next = if killed { publisher(&folder) } else { first };
-                publish(&mut next, &mut Plain::default(), table(3, lines)).unwrap();
+                publish(&mut next, &mut SystemDisk::default(), table(3, lines)).unwrap();
                 assert_eq!(mark_of(slow.look(None)), 3, "{what}");
                 at += 1;
             }
@@ -178,7 +178,7 @@
 fn readers_that_run_flat_out_never_see_half_a_table() {
     let folder = Folder::new();
     let mut p = publisher(&folder);
-    publish(&mut p, &mut Plain::default(), table(1, 60)).unwrap();
+    publish(&mut p, &mut SystemDisk::default(), table(1, 60)).unwrap();
     let over = Arc::new(AtomicBool::new(false));
     let readers: Vec<_> = (0..3)
         .map(|_| {
@@ -197,7 +197,7 @@
         })
         .collect();
     for mark in 2..=200 {
-        publish(&mut p, &mut Plain::default(), table(mark, 60)).unwrap();
+        publish(&mut p, &mut SystemDisk::default(), table(mark, 60)).unwrap();
     }
     over.store(true, Ordering::SeqCst);
     let reads: Vec<u64> = readers.into_iter().map(|r| r.join().unwrap()).collect();
@@ -215,7 +215,7 @@
     let folder = Folder::new();
     let dir = folder.path().join("p");
     let mut p = publisher(&folder);
-    let mut disk = Plain::default();
+    let mut disk = SystemDisk::default();
     publish(&mut p, &mut disk, table(1, 200)).unwrap();
     let mut r = reader(&folder);
     assert_eq!(mark_of(r.look(None)), 1);
@@ -262,14 +262,14 @@
 fn a_table_that_is_out_of_date_is_not_begun_with_and_one_in_use_stays() {
     let folder = Folder::new();
     let mut p = publisher(&folder);
-    publish(&mut p, &mut Plain::default(), table(1, 3)).unwrap();
+    publish(&mut p, &mut SystemDisk::default(), table(1, 3)).unwrap();
     let later = SystemTime::now() + Duration::from_secs(120);
     assert!(
         matches!(reader(&folder).look(Some(later)), Look::Bad(_, why) if why.contains("out of date"))
     );
     let mut r = reader(&folder);
     assert_eq!(mark_of(r.look(Some(SystemTime::now()))), 1);
-    publish(&mut p, &mut Plain::default(), table(2, 3)).unwrap();
+    publish(&mut p, &mut SystemDisk::default(), table(2, 3)).unwrap();
     assert_eq!(
         mark_of(r.look(Some(later))),
         2,
@@ -279,7 +279,7 @@
     let mut next = publisher(&folder);
     next.above(1_000);
     assert_eq!(
-        publish(&mut next, &mut Plain::default(), table(3, 3)).unwrap(),
+        publish(&mut next, &mut SystemDisk::default(), table(3, 3)).unwrap(),
         1_001
     );
 }
@@ -292,7 +292,7 @@
     let folder = Folder::new();
     let dir = folder.path().join("p");
     let mut p = Publisher::new(dir.clone(), "p", keys(&[OLD]), &[], 0);
-    publish(&mut p, &mut Plain::default(), table(1, 3)).unwrap();
+    publish(&mut p, &mut SystemDisk::default(), table(1, 3)).unwrap();
     let look = |keys| Reader::new(dir.clone(), "p", keys).look(None);
     assert_eq!(mark_of(look(keys(&[OLD]))), 1);
     assert_eq!(mark_of(look(keys(&[NEW, OLD]))), 1);
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -13,7 +13,7 @@
 
 use clap::{Parser, Subcommand, ValueEnum};
 use dahliapoint_control::AdminState;
-use dahliapoint_files::disk::Plain;
+use dahliapoint_files::disk::SystemDisk;
 use dahliapoint_files::formats::{Format, TABLE_FORMAT_VERSION, Table, TableLine};
 use dahliapoint_files::integrity::Keys;
 use dahliapoint_files::publish::Publisher;
@@ -267,7 +267,7 @@
 /// Tables whose lines all tell the same mark: a reader sees whether one is mixed.
 fn publish(dir: PathBuf, lines: usize, many: u64) -> std::io::Result<()> {
     let mut publisher = Publisher::new(dir, "p", Keys::default(), &[Format::Workers], 0);
-    let mut disk = Plain::default();
+    let mut disk = SystemDisk::default();
     for mark in 0..many {
         let line = |i: usize| TableLine {
             server: format!("s{i:03}"),
