--- a/crates/files/src/cost.rs
+++ b/crates/files/src/cost.rs
@@ -1,64 +1,66 @@
-//! Whether a table is published whole or as a patch beside its base, free of I/O: an ordered list of short
-//! rules, the first that says something decides. Called once for each publication of a proxy.
+//! Chooses whether a table is published as a snapshot or as a patch next to its base. An ordered list of rules, the
+//! first that applies decides. Free of I/O; called once for each publication of a proxy.
 
-/// What one publication would cost, in bytes, and how the base stands.
+/// Sizes of the possible encodings of one publication, and the age of the base.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Choice {
-    /// The table whole, and the patch from the base to it; no patch where there is no base.
-    pub whole: usize,
-    pub patch: Option<usize>,
-    /// The base as it was written, which every reader of a patch reads too.
-    pub base: usize,
-    /// Patches published since the base, and lines of the table.
-    pub since_base: u32,
+pub struct PublicationCost {
+    pub snapshot_bytes: usize,
+    /// The patch against the base; `None` without a base.
+    pub patch_bytes: Option<usize>,
+    /// The base, which readers of a patch read too.
+    pub base_bytes: usize,
+    pub patches_since_base: u32,
 }
 
+/// How a table is written.
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Published {
-    Whole,
-    Patched,
+pub enum Encoding {
+    Snapshot,
+    Patch,
 }
 
-/// A file costs about so many bytes' worth beyond its own: opened, synced, listed in the manifest. A patch
-/// is one file more (the base, linked).
-const FILE: f64 = 400.0;
-/// What a reader pays counts this much of what the writer pays: it reads from memory, it does not sync.
-const READER: f64 = 0.1;
-/// A base is renewed after so many patches, so that what is wrong with one does not last.
-const LONGEST: u32 = 64;
+/// The cost of one more file (opened, synced, listed in the manifest), as a number of bytes. A patch has one file
+/// more than a snapshot: the linked base.
+const FILE_COST_BYTES: f64 = 400.0;
+/// Cost of a byte for a reader relative to the writer: readers read from the page cache and don't sync.
+const READER_WEIGHT: f64 = 0.1;
+/// The base is replaced after so many patches, which bounds how long a corrupt one lasts.
+const MAX_PATCHES_PER_BASE: u32 = 64;
 
-type Rule = fn(&Choice) -> Option<Published>;
+type Rule = fn(&PublicationCost) -> Option<Encoding>;
 
 const RULES: [Rule; 3] = [
-    whole_without_a_base,
-    whole_after_many_patches,
-    whatever_is_cheaper,
+    snapshot_without_base,
+    snapshot_after_many_patches,
+    cheaper_encoding,
 ];
 
-/// The rules, from the top.
-pub fn choose(choice: &Choice) -> Published {
-    let said = RULES.iter().find_map(|rule| rule(choice));
-    said.unwrap_or(Published::Whole)
+/// The encoding that the first applicable rule gives.
+pub fn choose_encoding(cost: &PublicationCost) -> Encoding {
+    let encoding = RULES.iter().find_map(|rule| rule(cost));
+    encoding.unwrap_or(Encoding::Snapshot)
 }
 
-fn whole_without_a_base(c: &Choice) -> Option<Published> {
-    c.patch.is_none().then_some(Published::Whole)
+fn snapshot_without_base(c: &PublicationCost) -> Option<Encoding> {
+    c.patch_bytes.is_none().then_some(Encoding::Snapshot)
 }
 
-/// Guards against a base that a disk has bent without anybody reading it whole again.
-fn whole_after_many_patches(c: &Choice) -> Option<Published> {
-    (c.since_base >= LONGEST).then_some(Published::Whole)
+/// Guards against a base that was corrupted on disk after it was written.
+fn snapshot_after_many_patches(c: &PublicationCost) -> Option<Encoding> {
+    (c.patches_since_base >= MAX_PATCHES_PER_BASE).then_some(Encoding::Snapshot)
 }
 
-/// Compacts too: a patch holds all changes since its base, so it grows until the whole is cheaper.
-fn whatever_is_cheaper(c: &Choice) -> Option<Published> {
-    let patch = c.patch? as f64;
-    let whole = c.whole as f64 * (1.0 + READER);
-    let patched = patch * (1.0 + READER) + c.base as f64 * READER + FILE;
-    Some(if patched < whole {
-        Published::Patched
+/// Also compacts: a patch has all changes since its base, so it grows until a snapshot is cheaper.
+fn cheaper_encoding(c: &PublicationCost) -> Option<Encoding> {
+    let patch_bytes = c.patch_bytes? as f64;
+    let snapshot = c.snapshot_bytes as f64 * (1.0 + READER_WEIGHT);
+    let patch =
+        patch_bytes * (1.0 + READER_WEIGHT) + c.base_bytes as f64 * READER_WEIGHT + FILE_COST_BYTES;
+    Some(if patch < snapshot {
+        Encoding::Patch
     } else {
-        Published::Whole
+        Encoding::Snapshot
     })
 }
 
@@ -67,36 +69,40 @@
     use super::*;
 
     #[test]
-    fn each_rule_decides_where_it_should() {
-        use Published::{Patched, Whole};
-        let choice = |whole, patch, base, since_base| Choice {
-            whole,
-            patch,
-            base,
-            since_base,
+    fn each_rule_decides_its_cases() {
+        use Encoding::{Patch, Snapshot};
+        let cost = |snapshot_bytes, patch_bytes, base_bytes, patches_since_base| PublicationCost {
+            snapshot_bytes,
+            patch_bytes,
+            base_bytes,
+            patches_since_base,
         };
         let cases = [
-            ("no base", choice(50_000, None, 0, 0), Whole),
+            ("no base", cost(50_000, None, 0, 0), Snapshot),
+            (
+                "one changed line of many",
+                cost(50_000, Some(300), 50_000, 3),
+                Patch,
+            ),
+            ("a small table", cost(700, Some(300), 700, 3), Snapshot),
             (
-                "a line of many",
-                choice(50_000, Some(300), 50_000, 3),
-                Patched,
+                "most lines changed",
+                cost(50_000, Some(45_500), 50_000, 3),
+                Snapshot,
             ),
-            ("a small table", choice(700, Some(300), 700, 3), Whole),
-            ("most of it", choice(50_000, Some(45_500), 50_000, 3), Whole),
             (
                 "many patches",
-                choice(50_000, Some(300), 50_000, LONGEST),
-                Whole,
+                cost(50_000, Some(300), 50_000, MAX_PATCHES_PER_BASE),
+                Snapshot,
             ),
             (
-                "a base that was far larger",
-                choice(5_000, Some(400), 500_000, 3),
-                Whole,
+                "a much larger base",
+                cost(5_000, Some(400), 500_000, 3),
+                Snapshot,
             ),
         ];
-        for (name, choice, wanted) in cases {
-            assert_eq!(choose(&choice), wanted, "{name}");
+        for (name, cost, expected) in cases {
+            assert_eq!(choose_encoding(&cost), expected, "{name}");
         }
     }
 }
--- a/crates/files/src/front.rs
+++ b/crates/files/src/front.rs
@@ -6,7 +6,7 @@
 use crate::formats::Format;
 use crate::integrity::Keys;
 use crate::publish::Publisher;
-use crate::read::{Look, Reader};
+use crate::reader::{ReadResult, Reader};
 use crate::seat::{Seat, Wants};
 use crate::spool::{Said, Spool};
 use dahliapoint_control::{ControllerHandle, ControllerSettings, Input, Message, Output, Session};
@@ -373,7 +373,7 @@
             Some(Work::Write(session)) => self.publish(session),
             Some(Work::Listen(proxy)) => {
                 self.listening.remove(&proxy);
-                for said in self.spool.look(&proxy, self.disk_now) {
+                for said in self.spool.poll(&proxy, self.disk_now) {
                     self.hear(&proxy, said);
                 }
             }
@@ -445,7 +445,7 @@
                 if let (Some(held), Some(p)) =
                     (beat.applied_generation, self.publishers.get_mut(proxy))
                 {
-                    p.above(held);
+                    p.raise_generation(held);
                 }
                 self.owner.send(match beat.leaving {
                     true => Input::Deregistered(session),
@@ -457,7 +457,7 @@
             }
             Said::Ack(ack) => {
                 if let (Some(_), Some(p)) = (&ack.refused, self.publishers.get_mut(proxy)) {
-                    p.renew();
+                    p.discard_base();
                 }
                 let session = self.by_proxy.get(proxy);
                 let seat = session.and_then(|s| self.seats.get_mut(s));
@@ -489,9 +489,9 @@
         let session = self.next_session;
         self.next_session += 1;
         let dir = self.place.dir.join("tables").join(proxy);
-        let before = match Reader::new(dir.clone(), proxy, self.place.keys.clone()).look(None) {
-            Look::New(table) => Some(*table),
-            Look::Same | Look::Bad(..) => None,
+        let before = match Reader::new(dir.clone(), proxy, self.place.keys.clone()).poll(None) {
+            ReadResult::Updated(table) => Some(*table),
+            ReadResult::Unchanged | ReadResult::Invalid(..) => None,
         };
         let (keys, forms) = (self.place.keys.clone(), &self.place.forms);
         let least = self.least;
@@ -510,7 +510,8 @@
 
     fn view(&self) -> Value {
         let publishers = self.publishers.values();
-        let (whole, patched) = publishers.fold((0, 0), |(w, p), x| (w + x.whole, p + x.patched));
+        let (whole, patched) =
+            publishers.fold((0, 0), |(w, p), x| (w + x.snapshots, p + x.patches));
         json!({
             "proxies": self.seats.len(),
             "unanswered": self.seats.values().map(Seat::unanswered).sum::<usize>(),
--- a/crates/files/src/lib.rs
+++ b/crates/files/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! Free of I/O: [`formats`] (what is written), [`cost`] (whole or patched), [`sorting`] (what is taken from a
 //! spool), [`drain_timing`] (what can be promised). Around them: [`disk`] (the calls, each of which may fail),
-//! [`publish`] (one proxy's directory), [`read`] (a reader of it), [`spool`] (the way back), [`front`].
+//! [`publish`] (one proxy's directory), [`reader`] (a reader of it), [`spool`] (the way back), [`front`].
 //!
 //! The layout, below one directory:
 //!
@@ -24,7 +24,7 @@
 pub mod integrity;
 pub mod messages;
 pub mod publish;
-pub mod read;
+pub mod reader;
 pub mod seat;
 pub mod sorting;
 pub mod spool;
--- a/crates/files/src/spool.rs
+++ b/crates/files/src/spool.rs
@@ -122,7 +122,7 @@
     }
 
     /// All that one proxy has said since the last look; `now` by the disk's own clock.
-    pub fn look(&mut self, proxy: &str, now: SystemTime) -> Vec<Said> {
+    pub fn poll(&mut self, proxy: &str, now: SystemTime) -> Vec<Said> {
         let dir = self.root.join("spool").join(proxy);
         match self.listed(proxy, &dir, now) {
             Ok(names) => {
--- a/crates/files/tests/publication.rs
+++ b/crates/files/tests/publication.rs
@@ -7,7 +7,7 @@
 use dahliapoint_files::formats::{Format, Table};
 use dahliapoint_files::integrity::Keys;
 use dahliapoint_files::publish::Publisher;
-use dahliapoint_files::read::{Look, Reader};
+use dahliapoint_files::reader::{ReadResult, Reader};
 use std::io;
 use std::path::Path;
 use std::sync::Arc;
@@ -128,9 +128,9 @@
     p.publish(disk, table, 0, 60_000, true)
 }
 
-fn mark_of(look: Look) -> u64 {
+fn mark_of(look: ReadResult) -> u64 {
     match look {
-        Look::New(found) => {
+        ReadResult::Updated(found) => {
             let whole = table(found.serial, found.lines.len());
             assert_eq!(found.lines, whole.lines, "a mixed table");
             found.serial
@@ -150,10 +150,10 @@
                 let mut first = publisher(&folder);
                 publish(&mut first, &mut SystemDisk::default(), table(1, lines)).unwrap();
                 let mut slow = reader(&folder);
-                assert_eq!(mark_of(slow.look(None)), 1);
+                assert_eq!(mark_of(slow.poll(None)), 1);
                 let mut disk = Failing::after(at, killed);
                 let done = publish(&mut first, &mut disk, table(2, lines));
-                let found = mark_of(reader(&folder).look(None));
+                let found = mark_of(reader(&folder).poll(None));
                 let what = format!("killed {killed}, {lines} lines, call {at}");
                 assert!(
                     found == 2 || found == 1 && done.is_err(),
@@ -166,7 +166,7 @@
                 // The next life, or the next round: all goes on.
                 let mut next = if killed { publisher(&folder) } else { first };
                 publish(&mut next, &mut SystemDisk::default(), table(3, lines)).unwrap();
-                assert_eq!(mark_of(slow.look(None)), 3, "{what}");
+                assert_eq!(mark_of(slow.poll(None)), 3, "{what}");
                 at += 1;
             }
             assert!(at >= 8, "{at} calls could fail");
@@ -187,7 +187,7 @@
                 let (mut reads, mut last) = (0_u64, 0);
                 while !over.load(Ordering::SeqCst) {
                     // A reader that has seen nothing looks at all there is, each time.
-                    let found = mark_of(Reader::new(dir.clone(), "p", Keys::default()).look(None));
+                    let found = mark_of(Reader::new(dir.clone(), "p", Keys::default()).poll(None));
                     assert!(found >= last, "{found} after {last}");
                     last = found;
                     reads += 1;
@@ -203,10 +203,10 @@
     let reads: Vec<u64> = readers.into_iter().map(|r| r.join().unwrap()).collect();
     assert!(reads.iter().all(|n| *n > 10), "{reads:?}");
     assert!(
-        p.patched > 100 && p.whole > 1,
+        p.patches > 100 && p.snapshots > 1,
         "{} patched, {} whole",
-        p.patched,
-        p.whole
+        p.patches,
+        p.snapshots
     );
 }
 
@@ -218,36 +218,40 @@
     let mut disk = SystemDisk::default();
     publish(&mut p, &mut disk, table(1, 200)).unwrap();
     let mut r = reader(&folder);
-    assert_eq!(mark_of(r.look(None)), 1);
+    assert_eq!(mark_of(r.poll(None)), 1);
 
     // Removed under way: a patch has no base any more; the next round writes it whole.
     std::fs::remove_dir_all(&dir).unwrap();
     assert!(publish(&mut p, &mut disk, table(2, 200)).is_err());
-    assert_eq!(r.look(None), Look::Same, "the reader keeps what it holds");
+    assert_eq!(
+        r.poll(None),
+        ReadResult::Unchanged,
+        "the reader keeps what it holds"
+    );
     publish(&mut p, &mut disk, table(2, 200)).unwrap();
-    assert_eq!(mark_of(r.look(None)), 2);
+    assert_eq!(mark_of(r.poll(None)), 2);
 
     // A file bent by hand.
     let current = std::fs::read_link(dir.join("current")).unwrap();
     std::fs::write(dir.join(&current).join("table.json"), "{}").unwrap();
     assert!(
-        matches!(reader(&folder).look(None), Look::Bad(_, why) if why.contains("manifest lists"))
+        matches!(reader(&folder).poll(None), ReadResult::Invalid(_, why) if why.contains("manifest lists"))
     );
 
     // It is the base of the next one too, until a reader's refusal has come back.
     publish(&mut p, &mut disk, table(3, 200)).unwrap();
-    assert!(matches!(r.look(None), Look::Bad(_, why) if why.contains("manifest lists")));
-    p.renew();
+    assert!(matches!(r.poll(None), ReadResult::Invalid(_, why) if why.contains("manifest lists")));
+    p.discard_base();
 
     // An older generation put in force again, to a reader that has a newer one.
     publish(&mut p, &mut disk, table(3, 200)).unwrap();
-    assert_eq!(mark_of(r.look(None)), 3);
+    assert_eq!(mark_of(r.poll(None)), 3);
     std::fs::remove_file(dir.join("current")).unwrap();
     std::os::unix::fs::symlink(&current, dir.join("current")).unwrap();
     assert!(
-        matches!(r.look(None), Look::Bad(_, why) if why.contains("manifest") || why.contains("back"))
+        matches!(r.poll(None), ReadResult::Invalid(_, why) if why.contains("manifest") || why.contains("back"))
     );
-    assert_eq!(r.look(None), Look::Same, "said once");
+    assert_eq!(r.poll(None), ReadResult::Unchanged, "said once");
 
     // The directory is a link to somewhere else: nothing is written there.
     let elsewhere = folder.path().join("elsewhere");
@@ -265,19 +269,19 @@
     publish(&mut p, &mut SystemDisk::default(), table(1, 3)).unwrap();
     let later = SystemTime::now() + Duration::from_secs(120);
     assert!(
-        matches!(reader(&folder).look(Some(later)), Look::Bad(_, why) if why.contains("out of date"))
+        matches!(reader(&folder).poll(Some(later)), ReadResult::Invalid(_, why) if why.contains("out of date"))
     );
     let mut r = reader(&folder);
-    assert_eq!(mark_of(r.look(Some(SystemTime::now()))), 1);
+    assert_eq!(mark_of(r.poll(Some(SystemTime::now()))), 1);
     publish(&mut p, &mut SystemDisk::default(), table(2, 3)).unwrap();
     assert_eq!(
-        mark_of(r.look(Some(later))),
+        mark_of(r.poll(Some(later))),
         2,
         "a reader's clock takes nothing away"
     );
     // Another life of the controller goes on above what readers hold.
     let mut next = publisher(&folder);
-    next.above(1_000);
+    next.raise_generation(1_000);
     assert_eq!(
         publish(&mut next, &mut SystemDisk::default(), table(3, 3)).unwrap(),
         1_001
@@ -293,16 +297,18 @@
     let dir = folder.path().join("p");
     let mut p = Publisher::new(dir.clone(), "p", keys(&[OLD]), &[], 0);
     publish(&mut p, &mut SystemDisk::default(), table(1, 3)).unwrap();
-    let look = |keys| Reader::new(dir.clone(), "p", keys).look(None);
+    let look = |keys| Reader::new(dir.clone(), "p", keys).poll(None);
     assert_eq!(mark_of(look(keys(&[OLD]))), 1);
     assert_eq!(mark_of(look(keys(&[NEW, OLD]))), 1);
     for refused in [keys(&[NEW]), Keys::default()] {
-        assert!(matches!(look(refused), Look::Bad(..)));
+        assert!(matches!(look(refused), ReadResult::Invalid(..)));
     }
     // Whoever can write files but has no key: the manifest's own sums are no help.
     let current = dir.join(std::fs::read_link(dir.join("current")).unwrap());
     let manifest = std::fs::read_to_string(current.join("manifest.json")).unwrap();
     let forged = Keys::default().add_tag(manifest.lines().next().unwrap());
     std::fs::write(current.join("manifest.json"), forged).unwrap();
-    assert!(matches!(look(keys(&[OLD])), Look::Bad(_, why) if why.contains("not signed")));
+    assert!(
+        matches!(look(keys(&[OLD])), ReadResult::Invalid(_, why) if why.contains("not signed"))
+    );
 }
--- a/crates/files/tests/spool.rs
+++ b/crates/files/tests/spool.rs
@@ -53,7 +53,7 @@
     }
 
     fn take_at(&mut self, now: SystemTime) -> String {
-        let said = self.spool.look("p", now).into_iter().map(|s| match s {
+        let said = self.spool.poll("p", now).into_iter().map(|s| match s {
             Said::Heartbeat(b) => format!("beat {}", b.sequence),
             Said::Ack(a) => format!("ack {}", a.generation),
             Said::Report(_) => "report".to_string(),
--- a/crates/proxy/src/filed.rs
+++ b/crates/proxy/src/filed.rs
@@ -9,7 +9,7 @@
 use dahliapoint_files::front::{ALIVE, keys};
 use dahliapoint_files::integrity::Keys;
 use dahliapoint_files::messages::{Ack, ClassReport, Heartbeat, Report, ServerStats};
-use dahliapoint_files::read::{Look, Reader};
+use dahliapoint_files::reader::{ReadResult, Reader};
 use dahliapoint_files::spool::SpoolWriter;
 use dahliapoint_xds::{ClusterTally, Held, HeldLine, SCALE, names};
 use std::path::PathBuf;
@@ -211,7 +211,7 @@
             visits_per_s: Some(d.pace),
             incarnation: self.life,
             sequence: self.beats,
-            applied_generation: self.reader.held(),
+            applied_generation: self.reader.applied_generation(),
             leaving: leaves,
         };
         let said = self.mouth.write("beat", &beat);
@@ -222,16 +222,16 @@
     fn look_for_a_table(&mut self) {
         self.own.plane.around().reads();
         // Only the first table can be out of date: one in use stays.
-        let fresh = match self.reader.held() {
+        let fresh = match self.reader.applied_generation() {
             Some(_) => None,
             None => std::fs::metadata(&self.alive)
                 .and_then(|m| m.modified())
                 .ok(),
         };
-        let (generation, refused) = match self.reader.look(fresh) {
-            Look::Same => return,
-            Look::New(table) => (table.generation, self.take(*table).err()),
-            Look::Bad(generation, why) => (generation, Some(why)),
+        let (generation, refused) = match self.reader.poll(fresh) {
+            ReadResult::Unchanged => return,
+            ReadResult::Updated(table) => (table.generation, self.take(*table).err()),
+            ReadResult::Invalid(generation, why) => (generation, Some(why)),
         };
         if let Some(why) = &refused {
             self.own.refused.fetch_add(1, Ordering::SeqCst);
--- a/crates/standins/tests/kills.rs
+++ b/crates/standins/tests/kills.rs
@@ -1,7 +1,7 @@
 //! A publisher that is killed outright, two hundred times, while readers run flat out.
 
 use dahliapoint_files::integrity::Keys;
-use dahliapoint_files::read::{Look, Reader};
+use dahliapoint_files::reader::{ReadResult, Reader};
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
 use std::sync::Arc;
@@ -14,9 +14,9 @@
 
 /// Reads all of the table in force, by a reader that knows nothing; its generation.
 fn read(dir: &std::path::Path) -> Option<u64> {
-    match Reader::new(dir.join("p"), "p", Keys::default()).look(None) {
-        Look::Same => None,
-        Look::New(table) => {
+    match Reader::new(dir.join("p"), "p", Keys::default()).poll(None) {
+        ReadResult::Unchanged => None,
+        ReadResult::Updated(table) => {
             let whole = table.lines.len() == LINES;
             let same = table.lines.values().enumerate().all(|(i, l)| {
                 let mark = table.serial;
@@ -30,7 +30,7 @@
             assert!(whole && same, "a mixed table: {table:?}");
             Some(table.generation)
         }
-        Look::Bad(generation, why) => panic!("generation {generation}: {why}"),
+        ReadResult::Invalid(generation, why) => panic!("generation {generation}: {why}"),
     }
 }
 
