--- a/crates/daemon/src/life.rs
+++ b/crates/daemon/src/life.rs
@@ -9,7 +9,7 @@
 use crate::roster::{Look, Watch};
 use dahliapoint_control::{ControllerHandle, Input, Output, RosterEntry};
 use dahliapoint_files::drain_timing::DrainCheck;
-use dahliapoint_files::front::{self as files, Place};
+use dahliapoint_files::transport::{self as files, FileSettings};
 use dahliapoint_grpc::{Call, Handler, Limits, Server};
 use dahliapoint_memory::clock;
 use dahliapoint_memory::facts::{Change, ChangeTracker, Facts};
@@ -50,7 +50,7 @@
     ending: Arc<AtomicBool>,
     watcher: Option<JoinHandle<()>>,
     resolver: Option<JoinHandle<()>>,
-    files: Option<(Arc<files::Front>, JoinHandle<()>)>,
+    files: Option<(Arc<files::FileTransport>, JoinHandle<()>)>,
     memory: Option<(Arc<JournalWriter>, JoinHandle<()>)>,
     hooks: Option<(Arc<Hooking>, JoinHandle<()>)>,
 }
@@ -155,18 +155,18 @@
                 if let DrainCheck::Tight(why) = f.reach.check() {
                     warn!("files: {why}");
                 }
-                let keys = f.keys.as_deref().map(files::keys).transpose()?;
-                let place = Place {
+                let keys = f.keys.as_deref().map(files::read_keys).transpose()?;
+                let place = FileSettings {
                     dir: f.dir.clone(),
-                    forms: f.forms.clone(),
+                    formats: f.forms.clone(),
                     keys: keys.unwrap_or_default(),
-                    every_ms: f.reach.write_interval_ms,
+                    interval_ms: f.reach.write_interval_ms,
                     valid_ms: f.valid_ms,
                 };
-                let started = files::Front::start(place, shared.clone(), FILES, &terms);
+                let started = files::FileTransport::start(place, shared.clone(), FILES, &terms);
                 let started = started.map_err(|e| format!("{}: {e}", f.dir.display()))?;
                 let shown = started.0.clone();
-                engine.shows("files", Box::new(move || shown.view()));
+                engine.shows("files", Box::new(move || shown.status()));
                 Some(started)
             }
         };
@@ -180,7 +180,7 @@
                     None
                 }
                 other => front.carry_out(other).and_then(|rest| match &filed {
-                    Some(filed) => filed.carry_out(rest),
+                    Some(filed) => filed.handle_output(rest),
                     None => Some(rest),
                 }),
             })
@@ -279,7 +279,7 @@
         self.engine.close();
         let _ = self.owner.join();
         if let Some((front, thread)) = self.files {
-            front.end();
+            front.stop();
             let _ = thread.join();
         }
         if let Some((keeper, thread)) = self.memory {
--- a/crates/files/src/disk.rs
+++ b/crates/files/src/disk.rs
@@ -1,57 +1,59 @@
-//! The calls that a publication makes, one by one, so that each can be made to fail.
+//! The file system calls of a publication, as a trait, so that tests can make each of them fail.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::Path;
 
-/// A disk, as far as publishing needs one.
+/// The file system operations that publishing needs. All errors are those of the system.
 pub trait Disk: Send {
-    /// Makes a directory; fine if there is one.
+    /// Creates a directory; succeeds if it exists.
     ///
     /// # Errors
-    /// Those of the system; so for all calls here.
+    /// Any error of the system, here and in all other calls.
     fn make_dir(&mut self, path: &Path) -> io::Result<()>;
-    /// Writes a new file, and syncs what is in it if asked to.
+    /// Writes a new file, and syncs its content if `synced`.
     ///
     /// # Errors
     /// See [`Disk::make_dir`].
     fn write(&mut self, path: &Path, bytes: &[u8], synced: bool) -> io::Result<()>;
-    /// A second name for a file.
+    /// Creates a hard link.
     ///
     /// # Errors
     /// See [`Disk::make_dir`].
     fn link(&mut self, from: &Path, to: &Path) -> io::Result<()>;
-    /// A symbolic link to a neighbour.
+    /// Creates a symbolic link to a name in the same directory.
     ///
     /// # Errors
     /// See [`Disk::make_dir`].
     fn symlink(&mut self, link: &Path, to: &str) -> io::Result<()>;
+    /// Renames a file or link, replacing the target.
+    ///
     /// # Errors
     /// See [`Disk::make_dir`].
     fn rename(&mut self, from: &Path, to: &Path) -> io::Result<()>;
-    /// Removes a file, or a directory with all that is in it; fine if it is not there.
+    /// Removes a file, or a directory with its content; succeeds if it doesn't exist.
     ///
     /// # Errors
     /// See [`Disk::make_dir`].
     fn remove(&mut self, path: &Path) -> io::Result<()>;
-    /// Syncs a file's bytes, or a directory's names.
+    /// Syncs a file's content, or a directory's entries.
     ///
     /// # Errors
     /// See [`Disk::make_dir`].
     fn sync(&mut self, path: &Path) -> io::Result<()>;
 }
 
-/// The system's own; counts what it is asked for.
+/// The file system of the machine; counts system calls and written bytes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemDisk {
     pub calls: u64,
     pub bytes: u64,
 }
 
-fn absent_is_fine(done: io::Result<()>) -> io::Result<()> {
-    match done {
+fn ignore_not_found(result: io::Result<()>) -> io::Result<()> {
+    match result {
         Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(()),
-        done => done,
+        result => result,
     }
 }
 
@@ -59,21 +61,21 @@
     fn make_dir(&mut self, path: &Path) -> io::Result<()> {
         self.calls += 1;
         match fs::create_dir(path) {
-            // A link to a directory elsewhere is none.
+            // A link to a directory does not count as one.
             Err(e) if e.kind() == io::ErrorKind::AlreadyExists => {
                 match fs::symlink_metadata(path)?.is_dir() {
                     true => Ok(()),
                     false => Err(e),
                 }
             }
-            done => done,
+            result => result,
         }
     }
 
     fn write(&mut self, path: &Path, bytes: &[u8], synced: bool) -> io::Result<()> {
         self.calls += 3 + u64::from(synced);
         self.bytes += bytes.len() as u64;
-        // Made new: a link that somebody put there is not followed.
+        // `create_new` does not follow a link that somebody else put there.
         let mut file = OpenOptions::new().write(true).create_new(true).open(path)?;
         file.write_all(bytes)?;
         if synced { file.sync_data() } else { Ok(()) }
@@ -97,9 +99,9 @@
     fn remove(&mut self, path: &Path) -> io::Result<()> {
         self.calls += 2;
         match fs::symlink_metadata(path) {
-            Ok(at) if at.is_dir() => absent_is_fine(fs::remove_dir_all(path)),
-            Ok(_) => absent_is_fine(fs::remove_file(path)),
-            Err(e) => absent_is_fine(Err(e)),
+            Ok(metadata) if metadata.is_dir() => ignore_not_found(fs::remove_dir_all(path)),
+            Ok(_) => ignore_not_found(fs::remove_file(path)),
+            Err(e) => ignore_not_found(Err(e)),
         }
     }
 
--- a/crates/files/src/lib.rs
+++ b/crates/files/src/lib.rs
@@ -1,36 +1,39 @@
-//! The second front: tables as files, swapped atomically, and the way back by a spool. It shares the
-//! controller, its decisions and its rules with the first.
+//! Transport by files: tables are published as files that are swapped atomically, and proxies answer through a spool.
+//! It shares the controller, its decisions and its rules with the transport by streams.
 //!
-//! Free of I/O: [`formats`] (what is written), [`cost`] (whole or patched), [`sorting`] (what is taken from a
-//! spool), [`drain_timing`] (what can be promised). Around them: [`disk`] (the calls, each of which may fail),
-//! [`publish`] (one proxy's directory), [`reader`] (a reader of it), [`spool`] (the way back), [`front`].
+//! Free of I/O: [`formats`] (the table and its formats), [`cost`] (snapshot or patch), [`proxy_session`] (the table of a
+//! proxy and when to write it), [`spool_rules`] (which files of a spool are taken), [`drain_timing`] (whether drains keep
+//! their grace), [`messages`] (what proxies write). With I/O: [`disk`] (the file system calls, each of which may fail),
+//! [`publish`] (writes a proxy's directory), [`reader`] (reads it), [`spool`] (the way back), [`transport`] (the thread).
+//! [`integrity`] has checksums and signatures.
 //!
 //! The layout, below one directory:
 //!
 //! ```text
-//! alive                          the controller's sign of life, rewritten
-//! tables/PROXY/current           a link to the generation in force, swapped last
-//! tables/PROXY/g-0000000042/     a generation: its files, and manifest.json over them
-//! spool/PROXY/                   the proxy's own: beat, ack-*, report-*
+//! alive                          the controller's heartbeat, rewritten
+//! tables/PROXY/current           a link to the current generation, replaced last
+//! tables/PROXY/g-000000000042/   a generation: its files, and manifest.json that lists them
+//! spool/PROXY/                   written by the proxy: beat, ack-*, report-*
 //! inbox/                         files taken out of spools, until they are read
-//! quarantine/                    what was refused, the newest of it
+//! quarantine/                    refused files, the newest of them
 //! ```
 
 pub mod cost;
 pub mod disk;
 pub mod drain_timing;
 pub mod formats;
-pub mod front;
 pub mod integrity;
 pub mod messages;
+pub mod proxy_session;
 pub mod publish;
 pub mod reader;
-pub mod seat;
-pub mod sorting;
 pub mod spool;
+pub mod spool_rules;
+pub mod transport;
 
-/// Whether a name can be a directory's: letters, digits, `-`, `_`, `.` and not first; nothing climbs out.
-pub fn is_plain(name: &str) -> bool {
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    !name.is_empty() && name.len() <= 100 && !name.starts_with('.') && name.chars().all(plain)
+/// Whether a name is safe as the name of a directory: letters, digits, `-`, `_`, `.`, at most 100 of them, and no
+/// leading `.`, so that no path leaves its parent.
+pub fn is_valid_name(name: &str) -> bool {
+    let valid = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    !name.is_empty() && name.len() <= 100 && !name.starts_with('.') && name.chars().all(valid)
 }
--- a/crates/files/src/reader.rs
+++ b/crates/files/src/reader.rs
@@ -113,7 +113,10 @@
             .map_err(LoadError::Invalid)?;
         let manifest: Manifest = parse_json(text.as_bytes(), MANIFEST)?;
         if manifest.format_version != TABLE_FORMAT_VERSION {
-            return invalid(format!("format version {} is not supported", manifest.format_version));
+            return invalid(format!(
+                "format version {} is not supported",
+                manifest.format_version
+            ));
         }
         if manifest.proxy != self.proxy || manifest.generation != generation {
             return invalid("the manifest is of another proxy or generation".into());
--- a/crates/files/src/spool.rs
+++ b/crates/files/src/spool.rs
@@ -1,11 +1,11 @@
-//! The way back: takes beats, answers and reports out of the proxies' spools. Each file is renamed into the
-//! inbox, where only the controller writes, looked at again there, read and removed: what is counted is
-//! counted once, also over a kill.
+//! Reads heartbeats, acks and reports from the proxies' spools. Each file is first renamed into the inbox, where only
+//! the controller writes, examined again there, read and removed: each report counts at most once, also when the
+//! controller is killed.
 
 use crate::integrity::Keys;
-use crate::is_plain;
+use crate::is_valid_name;
 use crate::messages::{Ack, Heartbeat, Report};
-use crate::sorting::{Fate, Found, Kind, Taken, sort};
+use crate::spool_rules::{Decision, FileInfo, FileKind, Progress, decide};
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 use std::fs::{self, Metadata};
@@ -14,162 +14,167 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
 
-/// Refused files that are kept, the newest of them.
-const QUARANTINE: usize = 200;
-/// Names of one spool that are looked at in one round, and spools.
-const MOST_NAMES: usize = 4_096;
-const MOST_SPOOLS: usize = 20_000;
-/// A directory that changed so shortly before it was read may change again within the same tick of the
-/// disk's clock.
-const TICK: Duration = Duration::from_millis(50);
+/// Quarantined files that are kept; the oldest are removed.
+const MAX_QUARANTINED: usize = 200;
+/// Files of one spool that are examined in one round.
+const MAX_FILES_PER_ROUND: usize = 4_096;
+const MAX_SPOOLS: usize = 20_000;
+/// A directory changed so shortly before it was read may change again without a new modification time: the disk's
+/// clock has a coarse resolution.
+const CLOCK_RESOLUTION: Duration = Duration::from_millis(50);
 
-/// What a proxy said.
+/// A message of a proxy.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum SpoolMessage {
     Heartbeat(Heartbeat),
     Ack(Ack),
     Report(Report),
 }
 
-/// What was taken and what was not, for people.
+/// Counters for the status page.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Tally {
+pub struct SpoolCounters {
     pub taken: u64,
-    /// By why.
+    /// Removed unread, by reason.
     pub dropped: BTreeMap<&'static str, u64>,
     pub quarantined: u64,
-    /// Whole spools that could not be read.
+    /// Attempts to read a spool that failed as a whole.
     pub unread: u64,
 }
 
+/// What is known of one proxy's spool.
 #[derive(Default)]
-struct Heard {
-    life: u64,
-    count: u64,
-    taken: Taken,
-    /// The directory's time when all of it had been taken.
-    quiet: Option<SystemTime>,
-    /// What was last said of the spool itself.
-    fault: Option<String>,
+struct SpoolState {
+    incarnation: u64,
+    /// The sequence number of the last heartbeat.
+    sequence: u64,
+    progress: Progress,
+    /// The directory's modification time when it was found empty.
+    empty_since: Option<SystemTime>,
+    /// The last reported error of the spool itself.
+    error: Option<String>,
 }
 
-/// See the module's head.
+/// The spools of all proxies, with the inbox and the quarantine.
 pub struct Spool {
     root: PathBuf,
     keys: Keys,
-    every_ms: f64,
-    heard: BTreeMap<String, Heard>,
-    kept: VecDeque<PathBuf>,
-    put_away: u64,
-    pub tally: Tally,
-    /// To be told to people.
-    pub notes: Vec<String>,
+    report_interval_ms: f64,
+    states: BTreeMap<String, SpoolState>,
+    /// Files in the quarantine, oldest first.
+    quarantine: VecDeque<PathBuf>,
+    quarantine_sequence: u64,
+    pub counters: SpoolCounters,
+    /// Warnings that the caller is to log and remove.
+    pub warnings: Vec<String>,
 }
 
-fn found(kind: Kind, about: &Metadata, now: SystemTime) -> Found {
-    let age = about
+fn file_info(kind: FileKind, metadata: &Metadata, now: SystemTime) -> FileInfo {
+    let age = metadata
         .modified()
         .ok()
         .and_then(|at| now.duration_since(at).ok());
-    Found {
+    FileInfo {
         kind,
-        plain: about.file_type().is_file(),
-        names: about.nlink(),
-        bytes: about.len(),
+        is_regular: metadata.file_type().is_file(),
+        links: metadata.nlink(),
+        bytes: metadata.len(),
         age_ms: age.unwrap_or_default().as_secs_f64() * 1e3,
     }
 }
 
 impl Spool {
-    /// Makes the directories that it needs; what an earlier life left in the inbox is gone: it may have
-    /// been counted.
+    /// Creates the directories. Files that an earlier run left in the inbox are removed, since they may have been
+    /// counted.
     ///
     /// # Errors
-    /// When they cannot be made, or are links.
-    pub fn open(root: &Path, keys: Keys, every_ms: f64) -> io::Result<Spool> {
+    /// When the directories cannot be created, or are links.
+    pub fn open(root: &Path, keys: Keys, report_interval_ms: f64) -> io::Result<Spool> {
         for name in ["tables", "spool", "inbox", "quarantine"] {
             let dir = root.join(name);
             fs::create_dir_all(&dir)?;
             if !fs::symlink_metadata(&dir)?.is_dir() {
-                let why = format!("{} is a link; a directory is wanted", dir.display());
+                let why = format!("{} is a link; a directory is expected", dir.display());
                 return Err(io::Error::other(why));
             }
         }
-        for left in fs::read_dir(root.join("inbox"))?.flatten() {
-            let _ = fs::remove_file(left.path());
+        for file in fs::read_dir(root.join("inbox"))?.flatten() {
+            let _ = fs::remove_file(file.path());
         }
-        let kept = fs::read_dir(root.join("quarantine"))?.flatten();
-        let mut kept: Vec<PathBuf> = kept.map(|e| e.path()).collect();
-        kept.sort();
+        let quarantine = fs::read_dir(root.join("quarantine"))?.flatten();
+        let mut quarantine: Vec<PathBuf> = quarantine.map(|e| e.path()).collect();
+        quarantine.sort();
         Ok(Spool {
             root: root.to_path_buf(),
             keys,
-            every_ms,
-            heard: BTreeMap::new(),
-            kept: kept.into(),
-            put_away: 0,
-            tally: Tally::default(),
-            notes: Vec::new(),
+            report_interval_ms,
+            states: BTreeMap::new(),
+            quarantine: quarantine.into(),
+            quarantine_sequence: 0,
+            counters: SpoolCounters::default(),
+            warnings: Vec::new(),
         })
     }
 
     /// The proxies that have a spool.
     pub fn proxies(&mut self) -> Vec<String> {
-        let listed = fs::read_dir(self.root.join("spool"));
-        let names = listed.into_iter().flatten().flatten().take(MOST_SPOOLS);
+        let entries = fs::read_dir(self.root.join("spool"));
+        let names = entries.into_iter().flatten().flatten().take(MAX_SPOOLS);
         let names = names.filter_map(|e| e.file_name().into_string().ok());
-        names.filter(|n| is_plain(n)).collect()
+        names.filter(|n| is_valid_name(n)).collect()
     }
 
-    /// All that one proxy has said since the last look; `now` by the disk's own clock.
-    pub fn poll(&mut self, proxy: &str, now: SystemTime) -> Vec<Said> {
+    /// Takes the new messages of a proxy; `now` is the time by the disk's clock.
+    pub fn poll(&mut self, proxy: &str, now: SystemTime) -> Vec<SpoolMessage> {
         let dir = self.root.join("spool").join(proxy);
-        match self.listed(proxy, &dir, now) {
+        match self.list(proxy, &dir, now) {
             Ok(names) => {
-                self.heard.entry(proxy.into()).or_default().fault = None;
+                self.states.entry(proxy.into()).or_default().error = None;
                 self.take_all(proxy, &dir, &names, now)
             }
             Err(why) => {
-                self.tally.unread += 1;
-                let heard = self.heard.entry(proxy.into()).or_default();
-                if heard.fault.as_ref() != Some(&why) {
-                    self.notes.push(format!("spool of {proxy}: {why}"));
-                    heard.fault = Some(why);
+                self.counters.unread += 1;
+                let state = self.states.entry(proxy.into()).or_default();
+                if state.error.as_ref() != Some(&why) {
+                    self.warnings.push(format!("spool of {proxy}: {why}"));
+                    state.error = Some(why);
                 }
                 Vec::new()
             }
         }
     }
 
-    /// The names in a spool in the order in which they are taken; none if nothing can have come.
-    fn listed(
+    /// The files of a spool in the order in which they are taken; empty if the directory hasn't changed.
+    fn list(
         &mut self,
         proxy: &str,
         dir: &Path,
         now: SystemTime,
-    ) -> Result<Vec<(Kind, String)>, String> {
-        let about = fs::symlink_metadata(dir).map_err(|e| e.to_string())?;
-        if !about.is_dir() {
+    ) -> Result<Vec<(FileKind, String)>, String> {
+        let metadata = fs::symlink_metadata(dir).map_err(|e| e.to_string())?;
+        if !metadata.is_dir() {
             return Err("it is no directory".into());
         }
-        let changed = about.modified().map_err(|e| e.to_string())?;
-        let heard = self.heard.entry(proxy.into()).or_default();
-        if heard.quiet == Some(changed) {
+        let modified = metadata.modified().map_err(|e| e.to_string())?;
+        let state = self.states.entry(proxy.into()).or_default();
+        if state.empty_since == Some(modified) {
             return Ok(Vec::new());
         }
         let entries = fs::read_dir(dir).map_err(|e| e.to_string())?;
         let mut names = Vec::new();
-        for entry in entries.take(MOST_NAMES) {
+        for entry in entries.take(MAX_FILES_PER_ROUND) {
             let name = entry.map_err(|e| e.to_string())?.file_name();
-            // What is no text is strange, under a name that is.
+            // A name that is not UTF-8 is of unknown kind; its lossy form is used in messages.
             let name = name
                 .into_string()
                 .unwrap_or_else(|n| n.to_string_lossy().into());
-            names.push((Kind::of(&name), name));
+            names.push((FileKind::of(&name), name));
         }
         names.sort();
-        let settled = now.duration_since(changed).is_ok_and(|age| age > TICK);
-        heard.quiet = (settled && names.is_empty()).then_some(changed);
+        let settled = now
+            .duration_since(modified)
+            .is_ok_and(|age| age > CLOCK_RESOLUTION);
+        state.empty_since = (settled && names.is_empty()).then_some(modified);
         Ok(names)
     }
 
@@ -177,188 +182,196 @@
         &mut self,
         proxy: &str,
         dir: &Path,
-        names: &[(Kind, String)],
+        names: &[(FileKind, String)],
         now: SystemTime,
-    ) -> Vec<Said> {
-        let mut said = Vec::new();
-        let mut taken = self.heard.get(proxy).map(|h| h.taken).unwrap_or_default();
-        taken.round = 0;
+    ) -> Vec<SpoolMessage> {
+        let mut messages = Vec::new();
+        let state = self.states.get(proxy);
+        let mut progress = state.map(|s| s.progress).unwrap_or_default();
+        progress.taken_this_round = 0;
         for (kind, name) in names {
             let path = dir.join(name);
-            let Ok(about) = fs::symlink_metadata(&path) else {
+            let Ok(metadata) = fs::symlink_metadata(&path) else {
                 continue;
             };
-            let fate = match sort(&found(*kind, &about, now), &taken, self.every_ms) {
-                Fate::Take => self.take(proxy, *kind, name, &path, &mut taken, now),
-                fate => Ok((fate, None)),
+            let info = file_info(*kind, &metadata, now);
+            let result = match decide(&info, &progress, self.report_interval_ms) {
+                Decision::Take => self.take(proxy, *kind, name, &path, &mut progress, now),
+                decision => Ok((decision, None)),
             };
-            match fate {
-                Ok((Fate::Take, Some(word))) => {
-                    self.tally.taken += 1;
-                    taken.round += 1;
-                    said.push(word);
+            match result {
+                Ok((Decision::Take, Some(message))) => {
+                    self.counters.taken += 1;
+                    progress.taken_this_round += 1;
+                    messages.push(message);
                 }
-                Ok((Fate::Drop(why), _)) => {
-                    *self.tally.dropped.entry(why).or_default() += 1;
+                Ok((Decision::Drop(why), _)) => {
+                    *self.counters.dropped.entry(why).or_default() += 1;
                     let _ = fs::remove_file(&path);
                 }
-                Ok((Fate::Quarantine(why), _)) => self.put_away(proxy, name, &path, why),
+                Ok((Decision::Quarantine(why), _)) => self.quarantine(proxy, name, &path, why),
                 Ok(_) => {}
-                Err(why) => self.put_away(proxy, name, &self.inbox(proxy, name), &why),
+                Err(why) => self.quarantine(proxy, name, &self.inbox(proxy, name), &why),
             }
         }
-        self.heard.entry(proxy.into()).or_default().taken = taken;
-        said
+        self.states.entry(proxy.into()).or_default().progress = progress;
+        messages
     }
 
     fn inbox(&self, proxy: &str, name: &str) -> PathBuf {
         self.root.join("inbox").join(format!("{proxy}~{name}"))
     }
 
-    /// Takes one file; what is wrong with it is an error, and it lies in the inbox then.
+    /// Takes one file. An error says what is wrong with it; the file is in the inbox then.
     fn take(
         &mut self,
         proxy: &str,
-        kind: Kind,
+        kind: FileKind,
         name: &str,
         path: &Path,
-        taken: &mut Taken,
+        progress: &mut Progress,
         now: SystemTime,
-    ) -> Result<(Fate, Option<Said>), String> {
+    ) -> Result<(Decision, Option<SpoolMessage>), String> {
         let inbox = self.inbox(proxy, name);
         if fs::rename(path, &inbox).is_err() {
-            // Gone again, or not to be moved: at the next look it is seen anew.
-            return Ok((Fate::Leave, None));
+            // Removed meanwhile, or not movable: the next round examines it again.
+            return Ok((Decision::Leave, None));
         }
-        // Whoever owns the spool may have put another file there in between.
-        let about = fs::symlink_metadata(&inbox).map_err(|e| e.to_string())?;
-        match sort(&found(kind, &about, now), taken, self.every_ms) {
-            Fate::Take => {}
-            Fate::Quarantine(why) => return Err(why.into()),
-            Fate::Drop(_) | Fate::Leave => {
+        // The owner of the spool may have replaced the file since it was examined.
+        let metadata = fs::symlink_metadata(&inbox).map_err(|e| e.to_string())?;
+        let info = file_info(kind, &metadata, now);
+        match decide(&info, progress, self.report_interval_ms) {
+            Decision::Take => {}
+            Decision::Quarantine(why) => return Err(why.into()),
+            Decision::Drop(_) | Decision::Leave => {
                 let _ = fs::remove_file(&inbox);
-                *self
-                    .tally
-                    .dropped
-                    .entry("another file came in between")
-                    .or_default() += 1;
-                return Ok((Fate::Leave, None));
+                let why = "another file came in between";
+                *self.counters.dropped.entry(why).or_default() += 1;
+                return Ok((Decision::Leave, None));
             }
         }
         let bytes = fs::read(&inbox).map_err(|e| e.to_string())?;
-        let word = self.read(proxy, kind, &bytes, taken)?;
+        let message = self.parse(proxy, kind, &bytes, progress)?;
         let _ = fs::remove_file(&inbox);
-        Ok((Fate::Take, word))
+        Ok((Decision::Take, message))
     }
 
-    fn read(
+    /// Verifies and parses a file; `None` for a valid message that is outdated.
+    fn parse(
         &mut self,
         proxy: &str,
-        kind: Kind,
+        kind: FileKind,
         bytes: &[u8],
-        taken: &mut Taken,
-    ) -> Result<Option<Said>, String> {
+        progress: &mut Progress,
+    ) -> Result<Option<SpoolMessage>, String> {
         let text = self.keys.verified_text(bytes)?;
-        let wrong = |e: serde_json::Error| e.to_string();
-        let heard = self.heard.entry(proxy.into()).or_default();
+        let invalid = |e: serde_json::Error| e.to_string();
+        let state = self.states.entry(proxy.into()).or_default();
         match kind {
-            Kind::Heartbeat => {
-                let beat: Heartbeat = serde_json::from_str(text).map_err(wrong)?;
-                if beat.proxy != proxy {
-                    return Err(format!("it is of {:?}", beat.proxy));
+            FileKind::Heartbeat => {
+                let heartbeat: Heartbeat = serde_json::from_str(text).map_err(invalid)?;
+                if heartbeat.proxy != proxy {
+                    return Err(format!("it is of proxy {:?}", heartbeat.proxy));
                 }
-                if beat.incarnation != heard.life {
-                    (heard.life, heard.count) = (beat.incarnation, 0);
-                    *taken = Taken::default();
+                if heartbeat.incarnation != state.incarnation {
+                    (state.incarnation, state.sequence) = (heartbeat.incarnation, 0);
+                    *progress = Progress::default();
                 }
-                // The same beat again is no sign of life.
-                if beat.sequence <= heard.count && heard.count > 0 {
+                // A repeated heartbeat doesn't show that the proxy is alive.
+                if heartbeat.sequence <= state.sequence && state.sequence > 0 {
                     return Ok(None);
                 }
-                heard.count = beat.sequence;
-                Ok(Some(Said::Heartbeat(beat)))
+                state.sequence = heartbeat.sequence;
+                Ok(Some(SpoolMessage::Heartbeat(heartbeat)))
             }
-            Kind::Ack(n) => {
-                let ack: Ack = serde_json::from_str(text).map_err(wrong)?;
-                if ack.incarnation != heard.life {
+            FileKind::Ack(n) => {
+                let ack: Ack = serde_json::from_str(text).map_err(invalid)?;
+                if ack.incarnation != state.incarnation {
                     return Ok(None);
                 }
-                taken.ack = Some(n);
-                Ok(Some(Said::Ack(ack)))
+                progress.last_ack = Some(n);
+                Ok(Some(SpoolMessage::Ack(ack)))
             }
-            Kind::Report(n) => {
-                let told: Report = serde_json::from_str(text).map_err(wrong)?;
-                if told.incarnation != heard.life {
+            FileKind::Report(n) => {
+                let report: Report = serde_json::from_str(text).map_err(invalid)?;
+                if report.incarnation != state.incarnation {
                     return Ok(None);
                 }
-                taken.report = Some(n);
-                Ok(Some(Said::Report(told)))
+                progress.last_report = Some(n);
+                Ok(Some(SpoolMessage::Report(report)))
             }
-            Kind::Aside | Kind::Strange => Ok(None),
+            FileKind::Temporary | FileKind::Unknown => Ok(None),
         }
     }
 
-    fn put_away(&mut self, proxy: &str, name: &str, from: &Path, why: &str) {
-        self.tally.quarantined += 1;
-        self.put_away += 1;
-        let stamp = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-        let stamp = stamp.map_or(0, |d| d.as_millis());
+    /// Moves a file into the quarantine and removes the oldest files there beyond the limit.
+    fn quarantine(&mut self, proxy: &str, name: &str, from: &Path, why: &str) {
+        self.counters.quarantined += 1;
+        self.quarantine_sequence += 1;
+        let unix_ms = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
+        let unix_ms = unix_ms.map_or(0, |d| d.as_millis());
+        // No character of the name may forge a line of the log or leave the directory.
         let name: String = name
             .chars()
-            .map(|c| if is_plain(&format!("x{c}")) { c } else { '_' })
+            .map(|c| match is_valid_name(&format!("x{c}")) {
+                true => c,
+                false => '_',
+            })
             .take(60)
             .collect();
         let to = format!(
-            "{stamp:014}-{:06}-{proxy}~{name}",
-            self.put_away % 1_000_000
+            "{unix_ms:014}-{:06}-{proxy}~{name}",
+            self.quarantine_sequence % 1_000_000
         );
         let to = self.root.join("quarantine").join(to);
         match fs::rename(from, &to) {
             Ok(()) => {
-                self.notes
-                    .push(format!("spool of {proxy}: {name} is put away: {why}"));
-                self.kept.push_back(to);
+                self.warnings
+                    .push(format!("spool of {proxy}: {name} is quarantined: {why}"));
+                self.quarantine.push_back(to);
             }
-            Err(e) => self.notes.push(format!(
-                "spool of {proxy}: {name}: {why}; it cannot be put away: {e}"
+            Err(e) => self.warnings.push(format!(
+                "spool of {proxy}: {name}: {why}; it cannot be quarantined: {e}"
             )),
         }
-        while self.kept.len() > QUARANTINE {
-            if let Some(old) = self.kept.pop_front() {
-                let _ = match fs::symlink_metadata(&old).is_ok_and(|m| m.is_dir()) {
-                    true => fs::remove_dir_all(&old),
-                    false => fs::remove_file(&old),
+        while self.quarantine.len() > MAX_QUARANTINED {
+            if let Some(oldest) = self.quarantine.pop_front() {
+                let _ = match fs::symlink_metadata(&oldest).is_ok_and(|m| m.is_dir()) {
+                    true => fs::remove_dir_all(&oldest),
+                    false => fs::remove_file(&oldest),
                 };
             }
         }
     }
 }
 
-/// A proxy's side: writes words into its spool, aside and renamed.
+/// The proxy's side of a spool: writes messages to temporary files and renames them.
 pub struct SpoolWriter {
     dir: PathBuf,
     keys: Keys,
 }
 
 impl SpoolWriter {
+    /// Creates the spool of a proxy.
+    ///
     /// # Errors
-    /// When the spool cannot be made.
+    /// When the spool cannot be created.
     pub fn open(root: &Path, proxy: &str, keys: Keys) -> io::Result<SpoolWriter> {
         let dir = root.join("spool").join(proxy);
         fs::create_dir_all(&dir)?;
         Ok(SpoolWriter { dir, keys })
     }
 
-    /// Says a word under a name; when it was said by the disk's clock.
+    /// Writes a message under a file name and returns the time of the write by the disk's clock.
     ///
     /// # Errors
-    /// Those of the disk.
-    pub fn write(&self, name: &str, word: &impl Serialize) -> io::Result<SystemTime> {
-        let text = self.keys.add_tag(&serde_json::to_string(word)?);
-        let aside = self.dir.join(format!(".{name}"));
-        fs::write(&aside, text)?;
-        let at = fs::metadata(&aside)?.modified()?;
-        fs::rename(&aside, self.dir.join(name))?;
+    /// Any disk error.
+    pub fn write(&self, name: &str, message: &impl Serialize) -> io::Result<SystemTime> {
+        let text = self.keys.add_tag(&serde_json::to_string(message)?);
+        let temporary = self.dir.join(format!(".{name}"));
+        fs::write(&temporary, text)?;
+        let at = fs::metadata(&temporary)?.modified()?;
+        fs::rename(&temporary, self.dir.join(name))?;
         Ok(at)
     }
 }
--- a/crates/files/tests/spool.rs
+++ b/crates/files/tests/spool.rs
@@ -5,7 +5,7 @@
 use common::Folder;
 use dahliapoint_files::integrity::Keys;
 use dahliapoint_files::messages::{Ack, Heartbeat, Report};
-use dahliapoint_files::spool::{Said, Spool, SpoolWriter};
+use dahliapoint_files::spool::{Spool, SpoolMessage, SpoolWriter};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::os::unix::fs::symlink;
@@ -54,9 +54,9 @@
 
     fn take_at(&mut self, now: SystemTime) -> String {
         let said = self.spool.poll("p", now).into_iter().map(|s| match s {
-            Said::Heartbeat(b) => format!("beat {}", b.sequence),
-            Said::Ack(a) => format!("ack {}", a.generation),
-            Said::Report(_) => "report".to_string(),
+            SpoolMessage::Heartbeat(b) => format!("beat {}", b.sequence),
+            SpoolMessage::Ack(a) => format!("ack {}", a.generation),
+            SpoolMessage::Report(_) => "report".to_string(),
         });
         said.collect::<Vec<_>>().join(", ")
     }
@@ -153,9 +153,9 @@
     std::fs::write(moved.join("x"), "x").unwrap();
     assert_eq!(w.take(), "");
     assert!(moved.join("x").exists());
-    assert!(w.spool.notes.iter().any(|n| n.contains("no directory")));
+    assert!(w.spool.warnings.iter().any(|n| n.contains("no directory")));
     assert!(
-        w.spool.notes.iter().all(|n| !n.contains('\n')),
+        w.spool.warnings.iter().all(|n| !n.contains('\n')),
         "no line of a log is forged"
     );
 }
@@ -182,9 +182,9 @@
     forger.write("beat", &beat(7, 1)).unwrap();
     assert_eq!(w.take(), "");
     assert!(
-        w.spool.notes.iter().any(|n| n.contains("not signed")),
+        w.spool.warnings.iter().any(|n| n.contains("not signed")),
         "{:?}",
-        w.spool.notes
+        w.spool.warnings
     );
     w.mouth.write("beat", &beat(7, 1)).unwrap();
     assert_eq!(w.take(), "beat 1");
--- a/crates/proxy/src/filed.rs
+++ b/crates/proxy/src/filed.rs
@@ -6,11 +6,11 @@
 use crate::plane::Plane;
 use dahliapoint_control::RetryPolicy;
 use dahliapoint_files::formats::Table;
-use dahliapoint_files::front::{ALIVE, keys};
 use dahliapoint_files::integrity::Keys;
 use dahliapoint_files::messages::{Ack, ClassReport, Heartbeat, Report, ServerStats};
 use dahliapoint_files::reader::{ReadResult, Reader};
 use dahliapoint_files::spool::SpoolWriter;
+use dahliapoint_files::transport::{ALIVE_FILE, read_keys};
 use dahliapoint_xds::{ClusterTally, Held, HeldLine, SCALE, names};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -69,7 +69,7 @@
         plane: Arc<Plane>,
         spooled: Spooled,
     ) -> Result<(Arc<Filed>, JoinHandle<()>), String> {
-        let keys = spooled.keys.as_deref().map(keys).transpose()?;
+        let keys = spooled.keys.as_deref().map(read_keys).transpose()?;
         let keys = keys.unwrap_or_default();
         let name = &plane.described.name;
         let mouth = SpoolWriter::open(&spooled.dir, name, keys.clone());
@@ -86,7 +86,7 @@
         let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
         let hand = Hand {
             own: own.clone(),
-            alive: spooled.dir.join(ALIVE),
+            alive: spooled.dir.join(ALIVE_FILE),
             mouth,
             reader: Reader::new(tables, name, keys.clone()),
             keys,
