--- a/crates/files/src/integrity.rs
+++ b/crates/files/src/integrity.rs
@@ -1,16 +1,16 @@
-//! Checksums and signatures of what is published and what comes back.
+//! Integrity tags of published files and spool messages: an HMAC where keys are configured, else a checksum.
 //!
 //! A key file has one or two lines, each `name = hex of at least 16 bytes`. The first key signs; all of them
-//! verify, so keys are changed in three steps: the new one second everywhere, then first, then alone.
+//! verify. So a key is rotated in three steps: add the new one as the second everywhere, swap the two, remove the old.
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::{Digest, Sha256};
 use std::fmt::Write;
 
-const SHORTEST: usize = 16;
+const MIN_KEY_BYTES: usize = 16;
 const MOST_KEYS: usize = 2;
 
-/// The hexadecimal text of bytes.
+/// Bytes in hexadecimal.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut out, b| {
         let _ = write!(out, "{b:02x}");
@@ -24,21 +24,21 @@
         let text = std::str::from_utf8(p).ok()?;
         u8::from_str_radix(text, 16).ok()
     };
-    let whole = digits.len().is_multiple_of(2) && digits.iter().all(u8::is_ascii_hexdigit);
-    whole.then(|| digits.chunks(2).map(pair).collect())?
+    let valid = digits.len().is_multiple_of(2) && digits.iter().all(u8::is_ascii_hexdigit);
+    valid.then(|| digits.chunks(2).map(pair).collect())?
 }
 
-/// The SHA-256 of bytes, in hexadecimal.
+/// The SHA-256 checksum of bytes, in hexadecimal.
 pub fn sha256_hex(bytes: &[u8]) -> String {
     hex(&Sha256::digest(bytes))
 }
 
-/// The keys in use; none: checksums alone.
+/// The configured keys, each with its name; without any, tags are checksums.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct Keys(Vec<(String, Vec<u8>)>);
 
 impl std::fmt::Debug for Keys {
-    /// Names alone: what keys are goes into no log.
+    /// Names only, so that no key is logged.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_list().entries(self.0.iter().map(|k| &k.0)).finish()
     }
@@ -48,7 +48,7 @@
     /// Reads a key file's text.
     ///
     /// # Errors
-    /// The line, and what is wanted there.
+    /// The file and line, and what is expected there.
     pub fn parse(file: &str, text: &str) -> Result<Keys, String> {
         let mut keys: Vec<(String, Vec<u8>)> = Vec::new();
         for (i, line) in text.lines().enumerate() {
@@ -56,39 +56,41 @@
             if line.is_empty() || line.starts_with('#') {
                 continue;
             }
-            let wrong = |what: &str| format!("{file}:{}: {what}", i + 1);
+            let error = |what: &str| format!("{file}:{}: {what}", i + 1);
             let (name, key) = line
                 .split_once('=')
-                .ok_or_else(|| wrong("`name = hexadecimal key` is wanted"))?;
+                .ok_or_else(|| error("`name = hexadecimal key` is expected"))?;
             let (name, key) = (name.trim().to_string(), unhex(key.trim()));
-            let key = key.filter(|k| k.len() >= SHORTEST);
+            let key = key.filter(|k| k.len() >= MIN_KEY_BYTES);
             let key =
-                key.ok_or_else(|| wrong("hexadecimal digits of at least 16 bytes are wanted"))?;
+                key.ok_or_else(|| error("hexadecimal digits of at least 16 bytes are expected"))?;
             if name.is_empty() || keys.iter().any(|(n, _)| *n == name) {
-                return Err(wrong("a name that no other key has is wanted"));
+                return Err(error("the name is empty or used by another key"));
             }
             keys.push((name, key));
         }
         match keys.len() {
-            0 => Err(format!("{file}:1: at least one key is wanted")),
-            n if n > MOST_KEYS => Err(format!("{file}: one key is wanted, or two during a change")),
+            0 => Err(format!("{file}:1: at least one key is expected")),
+            n if n > MOST_KEYS => Err(format!(
+                "{file}: one key is expected, or two during a rotation"
+            )),
             _ => Ok(Keys(keys)),
         }
     }
 
     fn mac(key: &[u8], text: &[u8]) -> Hmac<Sha256> {
-        // HMAC takes keys of any length.
+        // HMAC accepts keys of any length.
         let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("any length");
         mac.update(text);
         mac
     }
 
-    /// The key that seals, by itself.
+    /// The key that signs, without its name.
     pub fn signing_key(&self) -> Option<Vec<u8>> {
         self.0.first().map(|(_, key)| key.clone())
     }
 
-    /// A seal for a text: `sha256 <sum>`, or `hmac <key's name> <sum>`.
+    /// The tag of a text: `sha256 <checksum>`, or `hmac <key's name> <signature>`.
     pub fn tag(&self, text: &[u8]) -> String {
         match self.0.first() {
             None => format!("sha256 {}", sha256_hex(text)),
@@ -99,42 +101,44 @@
         }
     }
 
-    /// Whether a seal is one of ours for that text.
+    /// Verifies the tag of a text.
     ///
     /// # Errors
-    /// Why not.
-    pub fn verify_tag(&self, text: &[u8], seal: &str) -> Result<(), String> {
-        let words: Vec<&str> = seal.split(' ').collect();
+    /// Why it is refused.
+    pub fn verify_tag(&self, text: &[u8], tag: &str) -> Result<(), String> {
+        let words: Vec<&str> = tag.split(' ').collect();
         match (words.as_slice(), self.0.is_empty()) {
-            (["sha256", told], true) if *told == sha256_hex(text) => Ok(()),
+            (["sha256", received], true) if *received == sha256_hex(text) => Ok(()),
             (["sha256", _], true) => Err("the checksum differs".into()),
             (["sha256", _], false) => Err("it is not signed".into()),
             (["hmac", ..], true) => Err("it is signed, and no key is configured".into()),
-            (["hmac", name, told], false) => {
+            (["hmac", name, received], false) => {
                 let key = self.0.iter().find(|(n, _)| n == name);
                 let (_, key) = key.ok_or_else(|| format!("no key {name:?} is known"))?;
-                let told = unhex(told).ok_or("the signature is no hexadecimal text")?;
-                let verified = Keys::mac(key, text).verify_slice(&told);
-                verified.map_err(|_| "the signature is not ours".to_string())
+                let received = unhex(received).ok_or("the signature is not hexadecimal")?;
+                let verified = Keys::mac(key, text).verify_slice(&received);
+                verified.map_err(|_| "the signature does not match".to_string())
             }
-            _ => Err("no seal".into()),
+            _ => Err("no integrity tag".into()),
         }
     }
 
-    /// A text and its seal, on two lines: what is put into a spool.
+    /// A text of one line, followed by its tag on the next.
     pub fn add_tag(&self, text: &str) -> String {
         format!("{text}\n{}\n", self.tag(text.as_bytes()))
     }
 
-    /// The text of what [`Keys::add_tag`] gave.
+    /// Verifies what [`Keys::add_tag`] returned and gives the text without the tag.
     ///
     /// # Errors
     /// What is wrong with it.
     pub fn verified_text<'a>(&self, bytes: &'a [u8]) -> Result<&'a str, String> {
-        let text = std::str::from_utf8(bytes).map_err(|_| "no text")?;
-        let whole = text.strip_suffix('\n').ok_or("cut off")?;
-        let (said, seal) = whole.rsplit_once('\n').ok_or("no seal")?;
-        self.verify_tag(said.as_bytes(), seal).map(|()| said)
+        let text = std::str::from_utf8(bytes).map_err(|_| "not UTF-8")?;
+        let complete = text
+            .strip_suffix('\n')
+            .ok_or("truncated: no newline at the end")?;
+        let (text, tag) = complete.rsplit_once('\n').ok_or("no integrity tag")?;
+        self.verify_tag(text.as_bytes(), tag).map(|()| text)
     }
 }
 
@@ -146,27 +150,33 @@
     const B: &str = "b = ff0102030405060708090a0b0c0d0e0f\n";
 
     #[test]
-    fn seals_hold_for_their_text_and_keys_alone() {
+    fn tags_are_valid_for_their_text_and_keys_only() {
         let keys = |text: &str| Keys::parse("k", text).unwrap();
         let (none, a, b) = (Keys::default(), keys(A), keys(B));
         let both = keys(&format!("{B}{A}"));
         let cases = [
             ("no keys", &none, &none, true),
             ("one key", &a, &a, true),
-            ("during a change: the old one signs", &a, &both, true),
-            ("the new one signs", &both, &b, true),
-            ("unsigned where keys are", &none, &a, false),
-            ("signed where none are", &a, &none, false),
+            ("during a rotation: the old key signs", &a, &both, true),
+            ("during a rotation: the new key signs", &both, &b, true),
+            ("unsigned with keys configured", &none, &a, false),
+            ("signed without keys configured", &a, &none, false),
             ("another key", &b, &a, false),
         ];
         for (name, from, to, fine) in cases {
-            let sealed = from.add_tag("said");
-            assert_eq!(to.verified_text(sealed.as_bytes()).is_ok(), fine, "{name}");
-            for i in 0..sealed.len() {
-                let mut bent = sealed.clone().into_bytes();
-                bent[i] ^= 1;
-                assert!(to.verified_text(&bent).is_err(), "{name}: bent at {i}");
-                assert!(to.verified_text(&bent[..i]).is_err(), "{name}: cut at {i}");
+            let tagged = from.add_tag("text");
+            assert_eq!(to.verified_text(tagged.as_bytes()).is_ok(), fine, "{name}");
+            for i in 0..tagged.len() {
+                let mut changed = tagged.clone().into_bytes();
+                changed[i] ^= 1;
+                assert!(
+                    to.verified_text(&changed).is_err(),
+                    "{name}: changed at {i}"
+                );
+                assert!(
+                    to.verified_text(&changed[..i]).is_err(),
+                    "{name}: truncated at {i}"
+                );
             }
         }
         for (text, line) in [("", 1), ("a = 00", 1), ("# k\na 00", 2)] {
--- a/crates/files/src/spool_rules.rs
+++ b/crates/files/src/spool_rules.rs
@@ -211,13 +211,13 @@
                 "a report twice",
                 report,
                 progress,
-                Drop("that number was progress before"),
+                Drop("that number was taken before"),
             ),
             (
                 "an ack twice",
                 of("ack-4"),
                 progress,
-                Drop("that number was progress before"),
+                Drop("that number was taken before"),
             ),
             ("a new ack", of("ack-5"), progress, Take),
             (
--- a/crates/files/tests/common/mod.rs
+++ b/crates/files/tests/common/mod.rs
@@ -4,7 +4,7 @@
 
 static COUNT: AtomicU64 = AtomicU64::new(0);
 
-/// A directory of its own, removed at the end.
+/// A temporary directory, removed on drop.
 pub struct Folder(PathBuf);
 
 impl Folder {
@@ -27,13 +27,13 @@
     }
 }
 
-/// A table whose lines all weigh what its mark is: a mixed one is seen.
+/// A table whose weights all follow from its mark, so that a mix of two generations is noticed.
 #[allow(dead_code)]
 pub fn table(mark: u64, lines: usize) -> Table {
     let line = |i: usize| TableLine {
         server: format!("s{i:03}"),
         address: format!("127.0.0.1:{}", 1000 + i),
-        // One line in eight changes from mark to mark, all of them from ten to ten.
+        // One line in eight changes with each mark, all others with every tenth.
         weight: if i.is_multiple_of(8) {
             mark as f64
         } else {
--- a/crates/files/tests/publication.rs
+++ b/crates/files/tests/publication.rs
@@ -1,4 +1,4 @@
-//! Publications that fail at every call, and readers that run flat out meanwhile.
+//! Publications that fail at each file system call, and readers that read continuously meanwhile.
 
 mod common;
 
@@ -14,97 +14,97 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, SystemTime};
 
-/// Calls are let through until one of them fails: after half of what it does, and all later ones with it if
-/// the process is killed there.
-struct Failing {
-    plain: SystemDisk,
-    left: usize,
+/// Lets calls through until one fails, a write after half of its bytes; if `killed`, all later calls fail as well, as
+/// if the process had been killed there.
+struct FailingDisk {
+    disk: SystemDisk,
+    calls_left: usize,
     killed: bool,
-    over: bool,
+    has_failed: bool,
 }
 
-impl Failing {
-    fn after(calls: usize, killed: bool) -> Failing {
-        Failing {
-            plain: SystemDisk::default(),
-            left: calls,
+impl FailingDisk {
+    fn after(calls: usize, killed: bool) -> FailingDisk {
+        FailingDisk {
+            disk: SystemDisk::default(),
+            calls_left: calls,
             killed,
-            over: false,
+            has_failed: false,
         }
     }
 
-    fn goes(&mut self) -> bool {
-        if self.over && self.killed {
+    fn succeeds(&mut self) -> bool {
+        if self.has_failed && self.killed {
             return false;
         }
-        let goes = self.left > 0 || self.over;
-        self.left = self.left.saturating_sub(1);
-        self.over |= !goes;
-        goes
+        let succeeds = self.calls_left > 0 || self.has_failed;
+        self.calls_left = self.calls_left.saturating_sub(1);
+        self.has_failed |= !succeeds;
+        succeeds
     }
 }
 
-fn full() -> io::Error {
+fn disk_full() -> io::Error {
     io::ErrorKind::StorageFull.into()
 }
 
-impl Disk for Failing {
+impl Disk for FailingDisk {
     fn make_dir(&mut self, path: &Path) -> io::Result<()> {
-        if self.goes() {
-            self.plain.make_dir(path)
+        if self.succeeds() {
+            self.disk.make_dir(path)
         } else {
-            Err(full())
+            Err(disk_full())
         }
     }
 
     fn write(&mut self, path: &Path, bytes: &[u8], synced: bool) -> io::Result<()> {
-        let was_over = self.over;
-        if self.goes() {
-            return self.plain.write(path, bytes, synced);
+        let had_failed = self.has_failed;
+        if self.succeeds() {
+            return self.disk.write(path, bytes, synced);
         }
-        if !was_over {
-            let _ = self.plain.write(path, &bytes[..bytes.len() / 2], synced);
+        if !had_failed {
+            let _ = self.disk.write(path, &bytes[..bytes.len() / 2], synced);
         }
-        Err(full())
+        Err(disk_full())
     }
 
     fn link(&mut self, from: &Path, to: &Path) -> io::Result<()> {
-        if self.goes() {
-            self.plain.link(from, to)
+        if self.succeeds() {
+            self.disk.link(from, to)
         } else {
-            Err(full())
+            Err(disk_full())
         }
     }
 
     fn symlink(&mut self, link: &Path, to: &str) -> io::Result<()> {
-        if self.goes() {
-            self.plain.symlink(link, to)
+        if self.succeeds() {
+            self.disk.symlink(link, to)
         } else {
-            Err(full())
+            Err(disk_full())
         }
     }
 
     fn rename(&mut self, from: &Path, to: &Path) -> io::Result<()> {
-        if self.goes() {
-            self.plain.rename(from, to)
+        if self.succeeds() {
+            self.disk.rename(from, to)
         } else {
-            Err(full())
+            Err(disk_full())
         }
     }
 
     fn remove(&mut self, path: &Path) -> io::Result<()> {
-        if self.goes() {
-            self.plain.remove(path)
+        if self.succeeds() {
+            self.disk.remove(path)
         } else {
-            Err(full())
+            Err(disk_full())
         }
     }
 
     fn sync(&mut self, path: &Path) -> io::Result<()> {
-        if self.goes() {
-            self.plain.sync(path)
+        if self.succeeds() {
+            self.disk.sync(path)
         } else {
-            Err(full())
+            Err(disk_full())
         }
     }
 }
@@ -128,20 +128,20 @@
     p.publish(disk, table, 0, 60_000, true)
 }
 
-fn mark_of(look: ReadResult) -> u64 {
-    match look {
+fn mark_of(result: ReadResult) -> u64 {
+    match result {
         ReadResult::Updated(found) => {
-            let whole = table(found.serial, found.lines.len());
-            assert_eq!(found.lines, whole.lines, "a mixed table");
+            let expected = table(found.serial, found.lines.len());
+            assert_eq!(found.lines, expected.lines, "a mixed table");
             found.serial
         }
         other => panic!("{other:?}"),
     }
 }
 
-/// Killed, or the disk full, at each call of a whole table's and of a patch's publication.
+/// The process is killed, or the disk is full, at each call of the publication of a snapshot and of a patch.
 #[test]
-fn whatever_call_fails_readers_find_the_old_table_or_the_new_one() {
+fn readers_find_the_old_or_the_new_table_whichever_call_fails() {
     for killed in [true, false] {
         for lines in [3, 200] {
             let mut at = 0;
@@ -151,19 +151,19 @@
                 publish(&mut first, &mut SystemDisk::default(), table(1, lines)).unwrap();
                 let mut slow = reader(&folder);
                 assert_eq!(mark_of(slow.poll(None)), 1);
-                let mut disk = Failing::after(at, killed);
-                let done = publish(&mut first, &mut disk, table(2, lines));
+                let mut disk = FailingDisk::after(at, killed);
+                let result = publish(&mut first, &mut disk, table(2, lines));
                 let found = mark_of(reader(&folder).poll(None));
                 let what = format!("killed {killed}, {lines} lines, call {at}");
                 assert!(
-                    found == 2 || found == 1 && done.is_err(),
-                    "{what}: {found}, {done:?}"
+                    found == 2 || found == 1 && result.is_err(),
+                    "{what}: {found}, {result:?}"
                 );
-                if done.is_ok() && !disk.over {
-                    // Nothing was left to fail.
+                if result.is_ok() && !disk.has_failed {
+                    // No call was left to fail.
                     break;
                 }
-                // The next life, or the next round: all goes on.
+                // The next run of the controller, or the next round, publishes again.
                 let mut next = if killed { publisher(&folder) } else { first };
                 publish(&mut next, &mut SystemDisk::default(), table(3, lines)).unwrap();
                 assert_eq!(mark_of(slow.poll(None)), 3, "{what}");
@@ -175,18 +175,18 @@
 }
 
 #[test]
-fn readers_that_run_flat_out_never_see_half_a_table() {
+fn continuous_readers_never_see_a_partial_table() {
     let folder = Folder::new();
     let mut p = publisher(&folder);
     publish(&mut p, &mut SystemDisk::default(), table(1, 60)).unwrap();
-    let over = Arc::new(AtomicBool::new(false));
+    let stop = Arc::new(AtomicBool::new(false));
     let readers: Vec<_> = (0..3)
         .map(|_| {
-            let (dir, over) = (folder.path().join("p"), over.clone());
+            let (dir, stop) = (folder.path().join("p"), stop.clone());
             std::thread::spawn(move || {
                 let (mut reads, mut last) = (0_u64, 0);
-                while !over.load(Ordering::SeqCst) {
-                    // A reader that has seen nothing looks at all there is, each time.
+                while !stop.load(Ordering::SeqCst) {
+                    // A new reader loads the current table each time.
                     let found = mark_of(Reader::new(dir.clone(), "p", Keys::default()).poll(None));
                     assert!(found >= last, "{found} after {last}");
                     last = found;
@@ -199,7 +199,7 @@
     for mark in 2..=200 {
         publish(&mut p, &mut SystemDisk::default(), table(mark, 60)).unwrap();
     }
-    over.store(true, Ordering::SeqCst);
+    stop.store(true, Ordering::SeqCst);
     let reads: Vec<u64> = readers.into_iter().map(|r| r.join().unwrap()).collect();
     assert!(reads.iter().all(|n| *n > 10), "{reads:?}");
     assert!(
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn what_others_did_to_the_directory_is_met() {
+fn changes_by_others_in_the_directory_are_handled() {
     let folder = Folder::new();
     let dir = folder.path().join("p");
     let mut p = publisher(&folder);
@@ -220,7 +220,7 @@
     let mut r = reader(&folder);
     assert_eq!(mark_of(r.poll(None)), 1);
 
-    // Removed under way: a patch has no base any more; the next round writes it whole.
+    // Removed meanwhile: a patch lacks its base; the next publication is a snapshot.
     std::fs::remove_dir_all(&dir).unwrap();
     assert!(publish(&mut p, &mut disk, table(2, 200)).is_err());
     assert_eq!(
@@ -231,19 +231,19 @@
     publish(&mut p, &mut disk, table(2, 200)).unwrap();
     assert_eq!(mark_of(r.poll(None)), 2);
 
-    // A file bent by hand.
+    // A file edited by hand.
     let current = std::fs::read_link(dir.join("current")).unwrap();
     std::fs::write(dir.join(&current).join("table.json"), "{}").unwrap();
     assert!(
         matches!(reader(&folder).poll(None), ReadResult::Invalid(_, why) if why.contains("manifest lists"))
     );
 
-    // It is the base of the next one too, until a reader's refusal has come back.
+    // It is the base of the next generation too, until a reader has refused that one.
     publish(&mut p, &mut disk, table(3, 200)).unwrap();
     assert!(matches!(r.poll(None), ReadResult::Invalid(_, why) if why.contains("manifest lists")));
     p.discard_base();
 
-    // An older generation put in force again, to a reader that has a newer one.
+    // An older generation made current again, for a reader that has a newer one.
     publish(&mut p, &mut disk, table(3, 200)).unwrap();
     assert_eq!(mark_of(r.poll(None)), 3);
     std::fs::remove_file(dir.join("current")).unwrap();
@@ -251,9 +251,9 @@
     assert!(
         matches!(r.poll(None), ReadResult::Invalid(_, why) if why.contains("manifest") || why.contains("back"))
     );
-    assert_eq!(r.poll(None), ReadResult::Unchanged, "said once");
+    assert_eq!(r.poll(None), ReadResult::Unchanged, "reported once");
 
-    // The directory is a link to somewhere else: nothing is written there.
+    // The directory is replaced by a link to another one: nothing is written there.
     let elsewhere = folder.path().join("elsewhere");
     std::fs::rename(&dir, &elsewhere).unwrap();
     std::os::unix::fs::symlink(&elsewhere, &dir).unwrap();
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn a_table_that_is_out_of_date_is_not_begun_with_and_one_in_use_stays() {
+fn an_expired_table_is_refused_at_the_start_only() {
     let folder = Folder::new();
     let mut p = publisher(&folder);
     publish(&mut p, &mut SystemDisk::default(), table(1, 3)).unwrap();
@@ -277,9 +277,9 @@
     assert_eq!(
         mark_of(r.poll(Some(later))),
         2,
-        "a reader's clock takes nothing away"
+        "a table in use does not expire"
     );
-    // Another life of the controller goes on above what readers hold.
+    // Another run of the controller publishes above the generation that readers use.
     let mut next = publisher(&folder);
     next.raise_generation(1_000);
     assert_eq!(
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn signed_tables_are_taken_with_either_key_of_a_change_and_no_other() {
+fn signed_tables_are_accepted_with_either_key_of_a_rotation_and_no_other() {
     const OLD: &str = "old = 000102030405060708090a0b0c0d0e0f";
     const NEW: &str = "new = 101112131415161718191a1b1c1d1e1f";
     let keys = |lines: &[&str]| Keys::parse("k", &lines.join("\n")).unwrap();
@@ -303,7 +303,7 @@
     for refused in [keys(&[NEW]), Keys::default()] {
         assert!(matches!(look(refused), ReadResult::Invalid(..)));
     }
-    // Whoever can write files but has no key: the manifest's own sums are no help.
+    // An attacker who can write files but has no key: the checksums in the manifest don't help.
     let current = dir.join(std::fs::read_link(dir.join("current")).unwrap());
     let manifest = std::fs::read_to_string(current.join("manifest.json")).unwrap();
     let forged = Keys::default().add_tag(manifest.lines().next().unwrap());
