--- a/crates/daemon/src/deployment.rs
+++ b/crates/daemon/src/deployment.rs
@@ -300,7 +300,7 @@
 fn dns(at: &At, zones: &[String]) -> DnsPlace {
     let name = at.field("name");
     let told = name.text(None);
-    if let Err(why) = dahliapoint_dns::lookup::name(&told) {
+    if let Err(why) = dahliapoint_dns::lookup::parse_name(&told) {
         name.wrong(format!(
             "a name such as _portal._tcp.example.org is wanted: {why}"
         ));
--- a/crates/daemon/src/resolving.rs
+++ b/crates/daemon/src/resolving.rs
@@ -1,9 +1,9 @@
 //! DNS beside the roster: a thread that looks up, and the one list that both make. The roster has the last word.
 
 use dahliapoint_control::{AdminState, RosterEntry};
-use dahliapoint_dns::agree::{Agree, Disagreement, Listed};
-use dahliapoint_dns::lookup::look;
-use dahliapoint_dns::refresh::{Refresh, Worth};
+use dahliapoint_dns::lookup::lookup_srv;
+use dahliapoint_dns::reconcile::{Disagreement, Reconciler, RosterState};
+use dahliapoint_dns::refresh::{Freshness, Refresh};
 use dahliapoint_dns::{Answer, Target};
 use dahliapoint_memory::facts::Change;
 use dahliapoint_memory::writer::JournalWriter;
@@ -29,7 +29,7 @@
 }
 
 struct Both {
-    agree: Agree,
+    agree: Reconciler,
     refresh: Refresh,
     roster: Vec<RosterEntry>,
     disagree: BTreeMap<String, Disagreement>,
@@ -46,11 +46,11 @@
     memory: Option<Arc<JournalWriter>>,
 }
 
-fn listed(state: AdminState) -> Listed {
+fn listed(state: AdminState) -> RosterState {
     match state {
-        AdminState::Ready => Listed::Ready,
-        AdminState::Draining => Listed::Draining,
-        AdminState::Gone => Listed::Gone,
+        AdminState::Ready => RosterState::Ready,
+        AdminState::Draining => RosterState::Draining,
+        AdminState::Gone => RosterState::Gone,
     }
 }
 
@@ -64,10 +64,10 @@
 }
 
 impl Kept {
-    fn text(targets: &[Target], alone: &[SocketAddr], agree: &Agree) -> String {
+    fn text(targets: &[Target], alone: &[SocketAddr], agree: &Reconciler) -> String {
         let one = |t: &Target| json!([t.name, t.address, t.priority, t.weight]);
         let targets: Vec<Value> = targets.iter().map(one).collect();
-        let (names, addresses) = agree.known();
+        let (names, addresses) = agree.known_hosts();
         json!([targets, alone, names, addresses]).to_string()
     }
 
@@ -104,7 +104,7 @@
     ) -> Arc<Resolving> {
         let text = kept.get(&(KEPT.0.to_string(), KEPT.1.to_string()));
         let known = text.and_then(|t| Kept::of(t));
-        let mut agree = Agree::new(place.adds);
+        let mut agree = Reconciler::new(place.adds);
         // Hosts that were there by DNS alone are not the roster's.
         let empty = Kept::default();
         let of = known.as_ref().unwrap_or(&empty);
@@ -112,15 +112,15 @@
             before.filter_map(|(name, address)| Some((name, address.parse::<SocketAddr>().ok()?)));
         let hosts: Vec<(String, SocketAddr)> =
             hosts.filter(|(_, at)| !of.alone.contains(at)).collect();
-        agree.remembers(of.names.clone(), of.addresses.clone());
-        agree.remembers(hosts.iter().map(|h| h.0.clone()), hosts.iter().map(|h| h.1));
+        agree.add_known(of.names.clone(), of.addresses.clone());
+        agree.add_known(hosts.iter().map(|h| h.0.clone()), hosts.iter().map(|h| h.1));
         let known = known.map(|k| k.targets);
         Arc::new(Resolving {
             place,
             begun: Instant::now(),
             both: Mutex::new(Both {
                 agree,
-                refresh: known.map_or_else(Refresh::default, Refresh::since),
+                refresh: known.map_or_else(Refresh::default, Refresh::restored),
                 roster: Vec::new(),
                 disagree: BTreeMap::new(),
                 added: 0,
@@ -141,23 +141,23 @@
     /// A roster came: the list that holds.
     pub fn roster(&self, entries: Vec<RosterEntry>) -> Vec<RosterEntry> {
         let mut both = self.lock();
-        let hosts: Vec<(String, SocketAddr, Listed)> = entries
+        let hosts: Vec<(String, SocketAddr, RosterState)> = entries
             .iter()
             .filter_map(|e| Some((e.name.clone(), e.address.parse().ok()?, listed(e.state))))
             .collect();
-        both.agree.roster(&hosts);
+        both.agree.set_roster(&hosts);
         both.roster = entries;
         self.merge(&mut both)
     }
 
     fn merge(&self, both: &mut Both) -> Vec<RosterEntry> {
-        let (targets, worth) = both.refresh.listed(self.now_ms());
-        let (added, disagree) = both.agree.merged(targets, worth == Worth::Fresh);
+        let (targets, worth) = both.refresh.targets(self.now_ms());
+        let (added, disagree) = both.agree.reconcile(targets, worth == Freshness::Fresh);
         for (name, why) in disagree
             .iter()
             .filter(|(n, w)| both.disagree.get(*n) != Some(w))
         {
-            warn!(target: "dns", "{name}: {}", why.told());
+            warn!(target: "dns", "{name}: {}", why.message());
         }
         let mut out = both.roster.clone();
         both.added = added.len();
@@ -192,46 +192,49 @@
 
     /// Looks up if that is due; tells whether the list that holds may be another.
     pub fn look(&self) -> bool {
-        if self.now_ms() < self.lock().refresh.due() {
+        if self.now_ms() < self.lock().refresh.next_lookup_at() {
             return false;
         }
         // Nobody waits for the lock while a server does not answer.
         let within = Duration::from_secs_f64(self.place.within_ms / 1e3);
-        let answer = look(self.place.server, &self.place.name, within);
+        let answer = lookup_srv(self.place.server, &self.place.name, within);
         let mut both = self.lock();
         if let Answer::Failed(why) = &answer
-            && both.refresh.last_fault.as_ref() != Some(why)
+            && both.refresh.last_error.as_ref() != Some(why)
         {
             warn!(target: "dns", "{}: {why}; what stood stands", self.place.name);
         }
         let now = self.now_ms();
-        if !both.refresh.answered(now, &answer) {
+        if !both.refresh.handle_answer(now, &answer) {
             return false;
         }
-        let (targets, _) = both.refresh.listed(now);
+        let (targets, _) = both.refresh.targets(now);
         info!(target: "dns", targets = targets.len(), "{} says something new", self.place.name);
         true
     }
 
     pub fn view(&self) -> Value {
         let both = self.lock();
-        let (targets, worth) = both.refresh.listed(self.now_ms());
-        let disagree: BTreeMap<&String, &str> =
-            both.disagree.iter().map(|(n, d)| (n, d.told())).collect();
+        let (targets, worth) = both.refresh.targets(self.now_ms());
+        let disagree: BTreeMap<&String, &str> = both
+            .disagree
+            .iter()
+            .map(|(n, d)| (n, d.message()))
+            .collect();
         json!({
             "name": self.place.name,
             "targets": targets.len(),
             "worth": match worth {
-                Worth::Fresh => "fresh",
-                Worth::Stale => "stale: lookups fail, what stood stands",
-                Worth::Nothing => "it has never answered",
+                Freshness::Fresh => "fresh",
+                Freshness::Stale => "stale: lookups fail, what stood stands",
+                Freshness::NeverAnswered => "it has never answered",
             },
             "added": both.added,
             "disagreements": disagree,
-            "looked": both.refresh.looked,
-            "failed": both.refresh.failed,
-            "doubted": both.refresh.doubts,
-            "fault": both.refresh.last_fault,
+            "looked": both.refresh.lookups,
+            "failed": both.refresh.failed_lookups,
+            "doubted": both.refresh.unconfirmed_answers,
+            "fault": both.refresh.last_error,
         })
     }
 }
--- a/crates/dns/src/lib.rs
+++ b/crates/dns/src/lib.rs
@@ -1,30 +1,31 @@
-//! Servers from DNS SRV records (RFC 2782), beside a roster that has the last word.
+//! Servers from DNS SRV records (RFC 2782), in addition to a roster that takes precedence.
 //!
-//! - [`refresh`]: when to look, what an answer is worth, how long the last good one stands; free of I/O and clock;
-//! - [`agree`]: what holds when DNS and the roster disagree; free of I/O and clock;
-//! - [`lookup`]: one lookup over UDP, and TCP where an answer is cut off; the messages are a library's.
+//! - [`refresh`]: when to look up, and how long the last good answer is used; free of I/O and clock;
+//! - [`reconcile`]: what holds when DNS and the roster disagree; free of I/O and clock;
+//! - [`lookup`]: one lookup over UDP, or TCP where the answer is truncated; a library encodes the messages.
 
-pub mod agree;
 pub mod lookup;
+pub mod reconcile;
 pub mod refresh;
 
-/// What a lookup found of one target.
+/// One address of an SRV target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// The target's name without the last dot, and its port.
+    /// The target's name without the trailing dot.
     pub name: String,
+    /// Its address and the port of the record.
     pub address: std::net::SocketAddr,
     pub priority: u16,
     pub weight: u16,
 }
 
-/// What a lookup came to.
+/// The result of a lookup.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// All targets, and how long they may be used.
+    /// All targets, and their TTL in milliseconds.
     Targets(Vec<Target>, f64),
-    /// There is no such name, or no such record; how long that holds.
-    Nothing(f64),
-    /// No answer, or none that says anything.
+    /// The name or the record does not exist; how long that may be cached, in milliseconds.
+    NoRecords(f64),
+    /// No answer, or none that can be used; why.
     Failed(String),
 }
--- a/crates/dns/src/lookup.rs
+++ b/crates/dns/src/lookup.rs
@@ -1,5 +1,5 @@
-//! One lookup: a question by UDP, by TCP where the answer is cut off, and the addresses of targets that came without.
-//! Blocks its thread; for a thread of its own.
+//! One SRV lookup: a query over UDP, over TCP where the answer is truncated, and queries for addresses that the answer
+//! lacks. Blocks the calling thread.
 
 use crate::{Answer, Target};
 use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
@@ -10,90 +10,92 @@
 use std::str::FromStr;
 use std::time::{Duration, Instant};
 
-/// Questions by UDP before it is given up, targets of one answer, and names that are followed for their addresses.
-const TRIES: u32 = 2;
-const MOST: usize = 2_000;
-/// What a name that does not exist says of its lifetime if nothing does.
-const NOTHING_MS: f64 = 30_000.0;
+/// Queries over UDP before the lookup fails.
+const MAX_UDP_ATTEMPTS: u32 = 2;
+/// Targets of one answer that are used and resolved.
+const MAX_TARGETS: usize = 2_000;
+/// How long a negative answer without an SOA record is cached.
+const DEFAULT_NEGATIVE_TTL_MS: f64 = 30_000.0;
 
-/// Asks a server for the targets of a service, within a time for all of it.
-pub fn look(server: SocketAddr, name: &str, within: Duration) -> Answer {
-    let until = Instant::now() + within;
-    match targets(server, name, until) {
+/// Queries a DNS server for the targets of a service; `timeout` is for all queries together.
+pub fn lookup_srv(server: SocketAddr, name: &str, timeout: Duration) -> Answer {
+    let deadline = Instant::now() + timeout;
+    match targets(server, name, deadline) {
         Ok(answer) => answer,
         Err(e) => Answer::Failed(e.to_string()),
     }
 }
 
-fn odd(what: impl Into<String>) -> io::Error {
-    io::Error::other(what.into())
+fn error(message: impl Into<String>) -> io::Error {
+    io::Error::other(message.into())
 }
 
-/// A name as DNS has it.
+/// Parses a domain name; it counts as fully qualified.
 ///
 /// # Errors
 /// What is wrong with it.
-pub fn name(text: &str) -> Result<Name, String> {
+pub fn parse_name(text: &str) -> Result<Name, String> {
     let mut name = Name::from_str(text).map_err(|e| e.to_string())?;
     name.set_fqdn(true);
     Ok(name)
 }
 
-fn targets(server: SocketAddr, service: &str, until: Instant) -> io::Result<Answer> {
-    let question = name(service).map_err(odd)?;
-    let answer = ask(server, &question, RecordType::SRV, until)?;
-    if let Some(nothing) = nothing(&answer)? {
-        return Ok(nothing);
+fn targets(server: SocketAddr, service: &str, deadline: Instant) -> io::Result<Answer> {
+    let name = parse_name(service).map_err(error)?;
+    let answer = query(server, &name, RecordType::SRV, deadline)?;
+    if let Some(negative) = negative_answer(&answer)? {
+        return Ok(negative);
     }
-    let mut lives = f64::INFINITY;
+    let mut ttl_ms = f64::INFINITY;
     let mut found = Vec::new();
     for r in &answer.answers {
         if let RData::SRV(srv) = &r.data {
-            // A lone dot: the service is decidedly not available there.
+            // A target of "." means that the service is not available (RFC 2782).
             if !srv.target.is_root() && srv.port > 0 {
                 found.push(srv.clone());
             }
-            lives = lives.min(f64::from(r.ttl) * 1e3);
+            ttl_ms = ttl_ms.min(f64::from(r.ttl) * 1e3);
         }
     }
-    if lives == f64::INFINITY {
-        return Ok(Answer::Nothing(lifetime_of_nothing(&answer)));
+    if ttl_ms == f64::INFINITY {
+        return Ok(Answer::NoRecords(negative_ttl_ms(&answer)));
     }
-    let mut known: BTreeMap<Name, (Vec<IpAddr>, f64)> = BTreeMap::new();
-    note(&answer.additionals, &mut known);
+    let mut addresses: BTreeMap<Name, (Vec<IpAddr>, f64)> = BTreeMap::new();
+    collect_addresses(&answer.additionals, &mut addresses);
     let mut out = Vec::new();
-    for srv in found.into_iter().take(MOST) {
-        if !known.contains_key(&srv.target) {
-            let more = addresses(server, &srv.target, until)?;
-            known.insert(srv.target.clone(), more);
+    for srv in found.into_iter().take(MAX_TARGETS) {
+        if !addresses.contains_key(&srv.target) {
+            let resolved = resolve(server, &srv.target, deadline)?;
+            addresses.insert(srv.target.clone(), resolved);
         }
-        let Some((all, ttl)) = known.get(&srv.target) else {
+        let Some((ips, ttl)) = addresses.get(&srv.target) else {
             continue;
         };
-        lives = lives.min(*ttl);
-        let plain = srv
+        ttl_ms = ttl_ms.min(*ttl);
+        let name = srv
             .target
             .to_ascii()
             .trim_end_matches('.')
             .to_ascii_lowercase();
-        out.extend(all.iter().map(|ip| Target {
-            name: plain.clone(),
+        out.extend(ips.iter().map(|ip| Target {
+            name: name.clone(),
             address: SocketAddr::new(*ip, srv.port),
             priority: srv.priority,
             weight: srv.weight,
         }));
     }
-    Ok(Answer::Targets(out, lives))
+    Ok(Answer::Targets(out, ttl_ms))
 }
 
-fn note(records: &[Record], known: &mut BTreeMap<Name, (Vec<IpAddr>, f64)>) {
+/// Adds the addresses among the records, by name, each with the smallest TTL.
+fn collect_addresses(records: &[Record], addresses: &mut BTreeMap<Name, (Vec<IpAddr>, f64)>) {
     for r in records {
         let ip: IpAddr = match &r.data {
             RData::A(a) => a.0.into(),
             RData::AAAA(a) => a.0.into(),
             _ => continue,
         };
-        let entry = known
+        let entry = addresses
             .entry(r.name.clone())
             .or_insert((Vec::new(), f64::INFINITY));
         if !entry.0.contains(&ip) {
@@ -103,108 +105,117 @@
     }
 }
 
-/// Addresses of a target: version 4, or 6 where there is none. A target without any is none, which is an answer.
-fn addresses(server: SocketAddr, target: &Name, until: Instant) -> io::Result<(Vec<IpAddr>, f64)> {
-    let mut lives = f64::INFINITY;
+/// The IPv4 addresses of a target, or its IPv6 addresses if it has none, with the TTL. A target without addresses is not
+/// an error: it is left out.
+fn resolve(server: SocketAddr, target: &Name, deadline: Instant) -> io::Result<(Vec<IpAddr>, f64)> {
+    let mut ttl_ms = f64::INFINITY;
     for kind in [RecordType::A, RecordType::AAAA] {
-        let answer = ask(server, target, kind, until)?;
-        if let Some(Answer::Nothing(ms)) = nothing(&answer)? {
-            lives = lives.min(ms);
+        let answer = query(server, target, kind, deadline)?;
+        if let Some(Answer::NoRecords(ms)) = negative_answer(&answer)? {
+            ttl_ms = ttl_ms.min(ms);
             continue;
         }
         let mut known = BTreeMap::new();
-        // Names that stand for others come with what they stand for.
-        note(&answer.answers, &mut known);
+        // An answer with CNAME records has the addresses of the canonical name too.
+        collect_addresses(&answer.answers, &mut known);
         let all: Vec<IpAddr> = known
             .values()
             .flat_map(|(ips, _)| ips.iter().copied())
             .collect();
         if !all.is_empty() {
-            let ttl = known.values().map(|(_, ttl)| *ttl).fold(lives, f64::min);
+            let ttl = known.values().map(|(_, ttl)| *ttl).fold(ttl_ms, f64::min);
             return Ok((all, ttl));
         }
-        lives = lives.min(lifetime_of_nothing(&answer));
+        ttl_ms = ttl_ms.min(negative_ttl_ms(&answer));
     }
-    Ok((Vec::new(), lives.min(NOTHING_MS)))
+    Ok((Vec::new(), ttl_ms.min(DEFAULT_NEGATIVE_TTL_MS)))
 }
 
-/// Whether an answer says that there is nothing; an error if it says nothing at all.
-fn nothing(answer: &Message) -> io::Result<Option<Answer>> {
+/// A negative answer, or `None` if it has records; an error for any other response code.
+fn negative_answer(answer: &Message) -> io::Result<Option<Answer>> {
     match answer.metadata.response_code {
         ResponseCode::NoError if answer.answers.is_empty() => {
-            Ok(Some(Answer::Nothing(lifetime_of_nothing(answer))))
+            Ok(Some(Answer::NoRecords(negative_ttl_ms(answer))))
         }
         ResponseCode::NoError => Ok(None),
-        ResponseCode::NXDomain => Ok(Some(Answer::Nothing(lifetime_of_nothing(answer)))),
-        code => Err(odd(format!("the server answers {code}"))),
+        ResponseCode::NXDomain => Ok(Some(Answer::NoRecords(negative_ttl_ms(answer)))),
+        code => Err(error(format!("the server answers {code}"))),
     }
 }
 
-/// RFC 2308: the smaller of the SOA record's lifetime and its minimum.
-fn lifetime_of_nothing(answer: &Message) -> f64 {
+/// The negative TTL (RFC 2308): the smaller of the SOA record's TTL and its minimum field.
+fn negative_ttl_ms(answer: &Message) -> f64 {
     let soa = answer.authorities.iter().find_map(|r| match &r.data {
         RData::SOA(soa) => Some(f64::from(r.ttl.min(soa.minimum)) * 1e3),
         _ => None,
     });
-    soa.unwrap_or(NOTHING_MS)
+    soa.unwrap_or(DEFAULT_NEGATIVE_TTL_MS)
 }
 
-/// One question, until it is answered.
-fn ask(server: SocketAddr, name: &Name, kind: RecordType, until: Instant) -> io::Result<Message> {
-    let mut last = odd("no time is left");
-    for tried in 0..TRIES {
-        let left = until.saturating_duration_since(Instant::now());
+/// Sends one query and waits for its answer.
+fn query(
+    server: SocketAddr,
+    name: &Name,
+    kind: RecordType,
+    deadline: Instant,
+) -> io::Result<Message> {
+    let mut last_error = error("no time is left");
+    for attempt in 0..MAX_UDP_ATTEMPTS {
+        let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
             break;
         }
-        match by_udp(server, name, kind, left / (TRIES - tried)) {
-            Ok(answer) if answer.metadata.truncation => return by_tcp(server, name, kind, until),
+        match query_udp(server, name, kind, left / (MAX_UDP_ATTEMPTS - attempt)) {
+            Ok(answer) if answer.metadata.truncation => {
+                return query_tcp(server, name, kind, deadline);
+            }
             Ok(answer) => return Ok(answer),
-            Err(e) => last = e,
+            Err(e) => last_error = e,
         }
     }
-    Err(last)
+    Err(last_error)
 }
 
-fn question(name: &Name, kind: RecordType) -> io::Result<(u16, Vec<u8>)> {
+/// A query message, with its id.
+fn query_message(name: &Name, kind: RecordType) -> io::Result<(u16, Vec<u8>)> {
     let id: u16 = rand::random();
     let mut message = Message::new(id, MessageType::Query, OpCode::Query);
     message.metadata.recursion_desired = true;
     message.add_query(Query::query(name.clone(), kind));
-    let bytes = message.to_vec().map_err(|e| odd(e.to_string()))?;
+    let bytes = message.to_vec().map_err(|e| error(e.to_string()))?;
     Ok((id, bytes))
 }
 
-/// Whether an answer is to this question: anybody may send a packet.
-fn is_to(answer: &Message, id: u16, name: &Name, kind: RecordType) -> bool {
-    let to = |q: &Query| q.name() == name && q.query_type() == kind;
+/// Whether an answer belongs to the query, since anybody may send packets.
+fn answers_query(answer: &Message, id: u16, name: &Name, kind: RecordType) -> bool {
+    let matches = |q: &Query| q.name() == name && q.query_type() == kind;
     answer.metadata.id == id
         && answer.metadata.message_type == MessageType::Response
         && answer.queries.len() == 1
-        && answer.queries.iter().all(to)
+        && answer.queries.iter().all(matches)
 }
 
-fn by_udp(
+fn query_udp(
     server: SocketAddr,
     name: &Name,
     kind: RecordType,
-    within: Duration,
+    timeout: Duration,
 ) -> io::Result<Message> {
     let any: SocketAddr = match server {
         SocketAddr::V4(_) => ([0, 0, 0, 0], 0).into(),
         SocketAddr::V6(_) => (std::net::Ipv6Addr::UNSPECIFIED, 0).into(),
     };
     let socket = UdpSocket::bind(any)?;
-    // Connected: packets of others do not come.
+    // A connected socket receives packets from this server only.
     socket.connect(server)?;
-    let (id, bytes) = question(name, kind)?;
+    let (id, bytes) = query_message(name, kind)?;
     socket.send(&bytes)?;
-    let end = Instant::now() + within;
+    let deadline = Instant::now() + timeout;
     let mut buffer = vec![0; 4_096];
     loop {
-        let left = end.saturating_duration_since(Instant::now());
+        let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
-            return Err(odd("no answer in time"));
+            return Err(error("no answer in time"));
         }
         socket.set_read_timeout(Some(left))?;
         let n = match socket.recv(&mut buffer) {
@@ -215,55 +226,55 @@
                     io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
                 ) =>
             {
-                return Err(odd("no answer in time"));
+                return Err(error("no answer in time"));
             }
             Err(e) => return Err(e),
         };
         match Message::from_vec(&buffer[..n]) {
-            Ok(answer) if is_to(&answer, id, name, kind) => return Ok(answer),
-            // Not ours, or nothing: the true one may still come.
+            Ok(answer) if answers_query(&answer, id, name, kind) => return Ok(answer),
+            // Not an answer to this query; the right one may still arrive.
             _ => {}
         }
     }
 }
 
-fn by_tcp(
+fn query_tcp(
     server: SocketAddr,
     name: &Name,
     kind: RecordType,
-    until: Instant,
+    deadline: Instant,
 ) -> io::Result<Message> {
-    let left = || {
-        let left = until.saturating_duration_since(Instant::now());
+    let time_left = || {
+        let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
-            Err(odd("no answer in time"))
+            Err(error("no answer in time"))
         } else {
             Ok(left)
         }
     };
-    let mut stream = TcpStream::connect_timeout(&server, left()?)?;
-    let (id, bytes) = question(name, kind)?;
-    stream.set_write_timeout(Some(left()?))?;
+    let mut stream = TcpStream::connect_timeout(&server, time_left()?)?;
+    let (id, bytes) = query_message(name, kind)?;
+    stream.set_write_timeout(Some(time_left()?))?;
     stream.write_all(&(bytes.len() as u16).to_be_bytes())?;
     stream.write_all(&bytes)?;
-    let mut all = |mut buffer: &mut [u8]| -> io::Result<()> {
-        // Byte by byte a peer could stretch a time for one read without end.
+    let mut read_exact = |mut buffer: &mut [u8]| -> io::Result<()> {
+        // The remaining time is set for each read: otherwise a peer that sends byte by byte could extend it without end.
         while !buffer.is_empty() {
-            stream.set_read_timeout(Some(left()?))?;
+            stream.set_read_timeout(Some(time_left()?))?;
             match stream.read(buffer)? {
-                0 => return Err(odd("the answer ends early")),
+                0 => return Err(error("the answer ends early")),
                 n => buffer = &mut buffer[n..],
             }
         }
         Ok(())
     };
-    let mut head = [0; 2];
-    all(&mut head)?;
-    let mut body = vec![0; usize::from(u16::from_be_bytes(head))];
-    all(&mut body)?;
-    let answer = Message::from_vec(&body).map_err(|e| odd(e.to_string()))?;
-    match is_to(&answer, id, name, kind) && !answer.metadata.truncation {
+    let mut length = [0; 2];
+    read_exact(&mut length)?;
+    let mut body = vec![0; usize::from(u16::from_be_bytes(length))];
+    read_exact(&mut body)?;
+    let answer = Message::from_vec(&body).map_err(|e| error(e.to_string()))?;
+    match answers_query(&answer, id, name, kind) && !answer.metadata.truncation {
         true => Ok(answer),
-        false => Err(odd("an answer to another question, or cut off again")),
+        false => Err(error("an answer to another query, or cut off again")),
     }
 }
--- a/crates/dns/src/refresh.rs
+++ b/crates/dns/src/refresh.rs
@@ -1,173 +1,176 @@
-//! When to look again and what stands meanwhile: an ordered list of short rules on what was answered. Free of I/O and
-//! clock.
+//! When to look up next, and which targets hold meanwhile. An ordered list of rules decides what an answer changes. Free
+//! of I/O and clock.
 //!
-//! How it is called: [`Refresh::due`] says when to look, [`Refresh::answered`] takes what came, [`Refresh::listed`] says
-//! what DNS is taken to say now. Times are milliseconds.
+//! The caller looks up at [`Refresh::next_lookup_at`], passes each answer to [`Refresh::handle_answer`], and reads the
+//! current targets from [`Refresh::targets`]. Times are milliseconds.
 
 use crate::{Answer, Target};
 
-/// A lifetime is taken as no shorter, and no longer, than these: a record of no lifetime is not asked for without end.
-const LIVES: (f64, f64) = (1_000.0, 300_000.0);
-/// It is asked again when so much of the lifetime is over, so that the next answer is there when it ends.
-const EARLY: f64 = 0.8;
-/// Waits after failures, doubling.
-const AGAIN: (f64, f64) = (500.0, 30_000.0);
-/// An answer that drops more than this share of what stood, or all, has to come twice.
-const MOST_LOST: f64 = 0.5;
+/// TTLs are clamped to this range, so that records with a TTL of 0 are not looked up without pause.
+const TTL_RANGE_MS: (f64, f64) = (1_000.0, 300_000.0);
+/// The next lookup starts after this share of the TTL, so that its answer is there when the TTL ends.
+const REFRESH_SHARE: f64 = 0.8;
+/// The first and the longest delay after failures; it doubles in between.
+const RETRY_DELAYS_MS: (f64, f64) = (500.0, 30_000.0);
+/// An answer that lacks more than this share of the current targets must be confirmed by a second one.
+const MAX_LOST_SHARE: f64 = 0.5;
 
-/// What DNS is taken to say.
+/// How current the targets are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Worth {
-    /// Within its lifetime.
+pub enum Freshness {
+    /// Within their TTL.
     Fresh,
-    /// Past it; lookups fail. It stands: only an answer takes a host away (RFC 8767, serving stale data).
+    /// Past their TTL, because lookups fail. They still hold: only an answer removes a host (RFC 8767, serving stale
+    /// data).
     Stale,
-    /// It has never answered.
-    Nothing,
+    NeverAnswered,
 }
 
-/// See the module's head.
+/// The current targets and the schedule of lookups.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Refresh {
     targets: Vec<Target>,
-    good_until: Option<f64>,
+    /// When the targets become stale; `None` before the first answer.
+    fresh_until: Option<f64>,
+    /// Failures in a row.
     failures: u32,
-    next: f64,
-    /// A smaller answer that has come once.
-    doubted: Option<Vec<Target>>,
-    pub looked: u64,
-    pub failed: u64,
-    pub doubts: u64,
-    pub last_fault: Option<String>,
+    next_lookup_at: f64,
+    /// The targets of a smaller answer that is not confirmed yet.
+    unconfirmed: Option<Vec<Target>>,
+    pub lookups: u64,
+    pub failed_lookups: u64,
+    pub unconfirmed_answers: u64,
+    pub last_error: Option<String>,
 }
 
-/// What is done with an answer.
+/// What an answer changes.
 #[derive(Clone, Debug, PartialEq)]
-enum Deed {
-    /// It stands for so long.
-    Takes(Vec<Target>, f64),
-    /// Asked again soon; what stood does.
-    Doubts(Vec<Target>),
-    Waits(String),
+enum Update {
+    /// The targets are replaced; they hold for the TTL.
+    Replace(Vec<Target>, f64),
+    /// The current targets hold; the lookup is repeated soon, and these need a second answer.
+    Confirm(Vec<Target>),
+    /// The current targets hold; the lookup is retried with a growing delay.
+    Retry(String),
 }
 
-type Rule = fn(&Refresh, &Answer) -> Option<Deed>;
+type Rule = fn(&Refresh, &Answer) -> Option<Update>;
 
 const RULES: [Rule; 4] = [
-    a_failure_says_nothing,
-    a_much_smaller_answer_comes_twice,
-    nothing_is_an_answer,
-    what_is_answered_stands,
+    retry_after_failure,
+    confirm_much_smaller_answer,
+    accept_no_records,
+    accept_targets,
 ];
 
-/// Guards against taking silence for an empty list: what stood stands, and it is asked again with growing waits.
-fn a_failure_says_nothing(_: &Refresh, a: &Answer) -> Option<Deed> {
+/// Guards against taking a failed lookup for an empty list.
+fn retry_after_failure(_: &Refresh, a: &Answer) -> Option<Update> {
     match a {
-        Answer::Failed(why) => Some(Deed::Waits(why.clone())),
+        Answer::Failed(why) => Some(Update::Retry(why.clone())),
         _ => None,
     }
 }
 
-/// Guards against an answer that is cut off without saying so, a server that has just started with half a zone, a
-/// zone that was emptied by mistake. May harm a fleet that really shrinks to half at once: by one more lookup.
-fn a_much_smaller_answer_comes_twice(r: &Refresh, a: &Answer) -> Option<Deed> {
+/// Guards against an answer that is truncated without the flag, a DNS server that has just started with half of a zone,
+/// and a zone emptied by mistake. Where so many hosts really disappear at once, it costs one more lookup.
+fn confirm_much_smaller_answer(r: &Refresh, a: &Answer) -> Option<Update> {
     let found: &[Target] = match a {
         Answer::Targets(found, _) => found,
         _ => &[],
     };
-    let stays = r
+    let kept = r
         .targets
         .iter()
         .filter(|t| found.iter().any(|f| f.address == t.address));
-    let lost = r.targets.len() - stays.count();
-    let much = lost as f64 > MOST_LOST * r.targets.len() as f64;
-    let again = r
-        .doubted
+    let lost = r.targets.len() - kept.count();
+    let much_smaller = lost as f64 > MAX_LOST_SHARE * r.targets.len() as f64;
+    let confirmed = r
+        .unconfirmed
         .as_deref()
-        .is_some_and(|before| same(before, found));
-    (much && !again).then(|| Deed::Doubts(found.to_vec()))
+        .is_some_and(|before| same_addresses(before, found));
+    (much_smaller && !confirmed).then(|| Update::Confirm(found.to_vec()))
 }
 
-fn nothing_is_an_answer(_: &Refresh, a: &Answer) -> Option<Deed> {
+fn accept_no_records(_: &Refresh, a: &Answer) -> Option<Update> {
     match a {
-        Answer::Nothing(lives) => Some(Deed::Takes(Vec::new(), *lives)),
+        Answer::NoRecords(ttl_ms) => Some(Update::Replace(Vec::new(), *ttl_ms)),
         _ => None,
     }
 }
 
-fn what_is_answered_stands(_: &Refresh, a: &Answer) -> Option<Deed> {
+fn accept_targets(_: &Refresh, a: &Answer) -> Option<Update> {
     match a {
-        Answer::Targets(found, lives) => Some(Deed::Takes(found.clone(), *lives)),
+        Answer::Targets(found, ttl_ms) => Some(Update::Replace(found.clone(), *ttl_ms)),
         _ => None,
     }
 }
 
-/// The same hosts, in whatever order.
-fn same(a: &[Target], b: &[Target]) -> bool {
+/// Whether both have the same addresses, in any order.
+fn same_addresses(a: &[Target], b: &[Target]) -> bool {
     a.len() == b.len() && a.iter().all(|t| b.iter().any(|o| o.address == t.address))
 }
 
 impl Refresh {
-    /// When to look.
-    pub fn due(&self) -> f64 {
-        self.next
+    /// The state after a restart: targets of an earlier run, stale until the first answer.
+    pub fn restored(targets: Vec<Target>) -> Refresh {
+        Refresh {
+            fresh_until: Some(f64::NEG_INFINITY),
+            targets,
+            ..Refresh::default()
+        }
+    }
+
+    /// When to look up next.
+    pub fn next_lookup_at(&self) -> f64 {
+        self.next_lookup_at
     }
 
-    /// Takes what a lookup came to; tells whether what DNS is taken to say may have changed.
-    pub fn answered(&mut self, now: f64, answer: &Answer) -> bool {
-        self.looked += 1;
-        let deed = RULES.iter().find_map(|rule| rule(self, answer));
-        match deed {
-            Some(Deed::Takes(mut targets, lives)) => {
+    /// Takes the answer of a lookup; true if the targets may have changed.
+    pub fn handle_answer(&mut self, now: f64, answer: &Answer) -> bool {
+        self.lookups += 1;
+        let update = RULES.iter().find_map(|rule| rule(self, answer));
+        match update {
+            Some(Update::Replace(mut targets, ttl_ms)) => {
                 targets.sort_by_key(|t| t.address);
                 targets.dedup_by_key(|t| t.address);
-                let lives = if lives.is_finite() {
-                    lives.clamp(LIVES.0, LIVES.1)
+                let ttl_ms = if ttl_ms.is_finite() {
+                    ttl_ms.clamp(TTL_RANGE_MS.0, TTL_RANGE_MS.1)
                 } else {
-                    LIVES.0
+                    TTL_RANGE_MS.0
                 };
-                let changed = targets != self.targets || self.good_until.is_none();
-                (self.targets, self.doubted, self.failures) = (targets, None, 0);
-                self.good_until = Some(now + lives);
-                self.next = now + lives * EARLY;
-                self.last_fault = None;
+                let changed = targets != self.targets || self.fresh_until.is_none();
+                (self.targets, self.unconfirmed, self.failures) = (targets, None, 0);
+                self.fresh_until = Some(now + ttl_ms);
+                self.next_lookup_at = now + ttl_ms * REFRESH_SHARE;
+                self.last_error = None;
                 changed
             }
-            Some(Deed::Doubts(found)) => {
-                self.doubts += 1;
-                self.doubted = Some(found);
-                self.next = now + LIVES.0;
+            Some(Update::Confirm(found)) => {
+                self.unconfirmed_answers += 1;
+                self.unconfirmed = Some(found);
+                self.next_lookup_at = now + TTL_RANGE_MS.0;
                 false
             }
-            Some(Deed::Waits(why)) => {
-                self.failed += 1;
-                let doubled = f64::from(1_u32 << self.failures.min(16));
+            Some(Update::Retry(why)) => {
+                self.failed_lookups += 1;
+                let factor = f64::from(1_u32 << self.failures.min(16));
                 self.failures += 1;
-                self.next = now + (AGAIN.0 * doubled).min(AGAIN.1);
-                self.last_fault = Some(why);
+                self.next_lookup_at = now + (RETRY_DELAYS_MS.0 * factor).min(RETRY_DELAYS_MS.1);
+                self.last_error = Some(why);
                 false
             }
             None => false,
         }
     }
 
-    /// Begins with what was answered before this controller began.
-    pub fn since(targets: Vec<Target>) -> Refresh {
-        Refresh {
-            good_until: Some(f64::NEG_INFINITY),
-            targets,
-            ..Refresh::default()
-        }
-    }
-
-    /// What DNS is taken to say now, and what that is worth.
-    pub fn listed(&self, now: f64) -> (&[Target], Worth) {
-        let worth = match self.good_until {
-            Some(until) if now < until => Worth::Fresh,
-            Some(_) => Worth::Stale,
-            None => Worth::Nothing,
+    /// The current targets, and how current they are.
+    pub fn targets(&self, now: f64) -> (&[Target], Freshness) {
+        let freshness = match self.fresh_until {
+            Some(until) if now < until => Freshness::Fresh,
+            Some(_) => Freshness::Stale,
+            None => Freshness::NeverAnswered,
         };
-        (&self.targets, worth)
+        (&self.targets, freshness)
     }
 }
 
@@ -192,17 +195,17 @@
         Answer::Failed("no answer".into())
     }
 
-    /// What comes when; then, after each, how many hosts stand, what they are worth, and when it is asked again.
+    /// Each step: the time and the answer; then the expected number of targets, their freshness and the next lookup.
     #[test]
-    fn what_stands_while_answers_come_and_fail() {
-        use Worth::{Fresh, Nothing, Stale};
-        type Step = (f64, Option<Answer>, usize, Worth, f64);
+    fn targets_hold_while_lookups_fail() {
+        use Freshness::{Fresh, NeverAnswered, Stale};
+        type Step = (f64, Option<Answer>, usize, Freshness, f64);
         let cases: [(&str, Vec<Step>); 6] = [
             (
                 "never answered",
                 vec![
-                    (0.0, Some(failed()), 0, Nothing, 500.0),
-                    (500.0, Some(failed()), 0, Nothing, 1_500.0),
+                    (0.0, Some(failed()), 0, NeverAnswered, 500.0),
+                    (500.0, Some(failed()), 0, NeverAnswered, 1_500.0),
                 ],
             ),
             (
@@ -216,21 +219,21 @@
                 ],
             ),
             (
-                "failures without end",
+                "no answer any more",
                 vec![
                     (0.0, Some(all(4)), 4, Fresh, 8_000.0),
                     (9e9, None, 4, Stale, 8_000.0),
                 ],
             ),
             (
-                "a fleet that shrinks by one",
+                "one host fewer",
                 vec![
                     (0.0, Some(all(4)), 4, Fresh, 8_000.0),
                     (8e3, Some(all(3)), 3, Fresh, 16_000.0),
                 ],
             ),
             (
-                "half an answer",
+                "a much smaller answer that is not confirmed",
                 vec![
                     (0.0, Some(all(4)), 4, Fresh, 8_000.0),
                     (8e3, Some(all(1)), 4, Fresh, 9_000.0),
@@ -238,25 +241,25 @@
                 ],
             ),
             (
-                "twice the same is meant",
+                "a much smaller answer that is confirmed",
                 vec![
                     (0.0, Some(all(4)), 4, Fresh, 8_000.0),
-                    (8e3, Some(Answer::Nothing(5e3)), 4, Fresh, 9_000.0),
+                    (8e3, Some(Answer::NoRecords(5e3)), 4, Fresh, 9_000.0),
                     (9e3, Some(failed()), 4, Fresh, 9_500.0),
-                    (9.5e3, Some(Answer::Nothing(5e3)), 0, Fresh, 13_500.0),
+                    (9.5e3, Some(Answer::NoRecords(5e3)), 0, Fresh, 13_500.0),
                 ],
             ),
         ];
         for (name, steps) in cases {
             let mut r = Refresh::default();
-            for (now, answer, many, worth, next) in steps {
+            for (now, answer, count, freshness, next) in steps {
                 if let Some(answer) = answer {
-                    r.answered(now, &answer);
+                    r.handle_answer(now, &answer);
                 }
-                let (targets, found) = r.listed(now);
+                let (targets, found) = r.targets(now);
                 assert_eq!(
-                    (targets.len(), found, r.due()),
-                    (many, worth, next),
+                    (targets.len(), found, r.next_lookup_at()),
+                    (count, freshness, next),
                     "{name} at {now}"
                 );
             }
@@ -264,21 +267,21 @@
     }
 
     #[test]
-    fn lifetimes_and_waits_are_bounded() {
-        for (lives, next) in [
+    fn ttls_and_retry_delays_are_bounded() {
+        for (ttl_ms, next) in [
             (0.0, 800.0),
             (f64::NAN, 800.0),
             (1e12, 240_000.0),
             (5e3, 4_000.0),
         ] {
             let mut r = Refresh::default();
-            r.answered(0.0, &Answer::Targets(vec![target(1)], lives));
-            assert_eq!(r.due(), next, "{lives}");
+            r.handle_answer(0.0, &Answer::Targets(vec![target(1)], ttl_ms));
+            assert_eq!(r.next_lookup_at(), next, "{ttl_ms}");
         }
         let mut r = Refresh::default();
         (0..100).for_each(|_| {
-            r.answered(0.0, &failed());
+            r.handle_answer(0.0, &failed());
         });
-        assert_eq!(r.due(), 30_000.0);
+        assert_eq!(r.next_lookup_at(), 30_000.0);
     }
 }
--- a/crates/dns/tests/lookup.rs
+++ b/crates/dns/tests/lookup.rs
@@ -1,7 +1,7 @@
-//! Lookups against a scripted server on loopback: whole and cut off, late and forged, nothing and broken.
+//! Lookups against a scripted server on loopback: complete and truncated answers, forged packets, no records, errors.
 
 use dahliapoint_dns::Answer;
-use dahliapoint_dns::lookup::look;
+use dahliapoint_dns::lookup::lookup_srv;
 use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::rdata::{A, SOA, SRV};
 use hickory_proto::rr::{Name, RData, Record, RecordType};
@@ -20,15 +20,15 @@
     name
 }
 
-/// What the server does with a question that came so (by TCP or not).
+/// The messages that the server sends for a query; the flag is true over TCP.
 type Script = fn(&Query, bool, &mut Message) -> Vec<Vec<u8>>;
 
 struct Server {
     address: SocketAddr,
-    asked: Arc<AtomicUsize>,
+    queries: Arc<AtomicUsize>,
 }
 
-/// Answers until the process ends; at one port by UDP and TCP.
+/// Starts a server that answers until the process ends, at one port over UDP and TCP.
 fn serve(script: Script) -> Server {
     let (udp, tcp) = (0..100)
         .find_map(|_| {
@@ -38,7 +38,7 @@
         })
         .unwrap();
     let address = udp.local_addr().unwrap();
-    let asked = Arc::new(AtomicUsize::new(0));
+    let queries = Arc::new(AtomicUsize::new(0));
     let answer = move |bytes: &[u8], by_tcp: bool| -> Vec<Vec<u8>> {
         let question = Message::from_vec(bytes).unwrap();
         let mut message = Message::new(question.metadata.id, MessageType::Response, OpCode::Query);
@@ -46,11 +46,11 @@
         message.add_query(query.clone());
         script(&query, by_tcp, &mut message)
     };
-    let counts = asked.clone();
+    let counter = queries.clone();
     std::thread::spawn(move || {
         let mut buffer = [0; 4096];
         while let Ok((n, from)) = udp.recv_from(&mut buffer) {
-            counts.fetch_add(1, Ordering::SeqCst);
+            counter.fetch_add(1, Ordering::SeqCst);
             for bytes in answer(&buffer[..n], false) {
                 let _ = udp.send_to(&bytes, from);
             }
@@ -71,7 +71,7 @@
             }
         }
     });
-    Server { address, asked }
+    Server { address, queries }
 }
 
 fn srv(m: &mut Message, i: u8, ttl: u32) {
@@ -84,20 +84,20 @@
     Record::from_rdata(name(&format!("h{i}.example.org")), ttl, RData::A(A(ip)))
 }
 
-fn plain(m: &Message) -> Vec<Vec<u8>> {
+fn encoded(m: &Message) -> Vec<Vec<u8>> {
     vec![m.to_vec().unwrap()]
 }
 
-/// Targets' names and addresses, and the lifetime.
+/// Names and addresses of the targets, and the TTL; else the error.
 fn found(server: &Server) -> Result<(Vec<(String, String)>, f64), String> {
-    match look(server.address, SERVICE, Duration::from_millis(600)) {
-        Answer::Targets(all, lives) => Ok((
+    match lookup_srv(server.address, SERVICE, Duration::from_millis(600)) {
+        Answer::Targets(all, ttl_ms) => Ok((
             all.into_iter()
                 .map(|t| (t.name, t.address.to_string()))
                 .collect(),
-            lives,
+            ttl_ms,
         )),
-        Answer::Nothing(lives) => Err(format!("nothing for {lives}")),
+        Answer::NoRecords(ttl_ms) => Err(format!("nothing for {ttl_ms}")),
         Answer::Failed(why) => Err(why),
     }
 }
@@ -107,12 +107,12 @@
 }
 
 #[test]
-fn addresses_come_with_the_answer_or_are_asked_for() {
+fn addresses_are_in_the_answer_or_are_queried() {
     let with = serve(|_, _, m| {
         srv(m, 1, 60);
         srv(m, 2, 50);
         m.add_additional(a(1, 40)).add_additional(a(2, 90));
-        plain(m)
+        encoded(m)
     });
     assert_eq!(found(&with), Ok((vec![host(1), host(2)], 40_000.0)));
     let without = serve(|q, _, m| {
@@ -124,16 +124,16 @@
             RecordType::A if q.name() == &name("h1.example.org") => {
                 m.add_answer(a(1, 20));
             }
-            // The second has no address: it is none.
+            // The second target has no address and is left out.
             _ => {}
         }
-        plain(m)
+        encoded(m)
     });
     assert_eq!(found(&without), Ok((vec![host(1)], 20_000.0)));
 }
 
 #[test]
-fn an_answer_that_is_cut_off_is_asked_for_by_tcp() {
+fn a_truncated_answer_is_queried_over_tcp() {
     let server = serve(|_, by_tcp, m| {
         let many = if by_tcp { 200 } else { 3 };
         m.metadata.truncation = !by_tcp;
@@ -141,50 +141,50 @@
             srv(m, i, 60);
             m.add_additional(a(i, 60));
         }
-        plain(m)
+        encoded(m)
     });
     assert_eq!(found(&server).map(|f| f.0.len()), Ok(200));
     let again = serve(|_, _, m| {
         m.metadata.truncation = true;
         srv(m, 1, 60);
-        plain(m)
+        encoded(m)
     });
     assert!(found(&again).unwrap_err().contains("cut off again"));
 }
 
 #[test]
-fn nothing_is_an_answer_and_a_broken_server_is_none() {
+fn no_records_is_an_answer_and_an_error_is_none() {
     let gone = serve(|_, _, m| {
         m.metadata.response_code = ResponseCode::NXDomain;
         let soa = SOA::new(name("example.org"), name("example.org"), 1, 1, 1, 1, 7);
         m.add_authority(Record::from_rdata(name("example.org"), 90, RData::SOA(soa)));
-        plain(m)
+        encoded(m)
     });
     assert_eq!(found(&gone).unwrap_err(), "nothing for 7000");
     let broken = serve(|_, _, m| {
         m.metadata.response_code = ResponseCode::ServFail;
-        plain(m)
+        encoded(m)
     });
     assert!(found(&broken).unwrap_err().contains("the server answers"));
     let silent = serve(|_, _, _| Vec::new());
     assert_eq!(found(&silent).unwrap_err(), "no answer in time");
-    assert_eq!(silent.asked.load(Ordering::SeqCst), 2, "asked twice");
+    assert_eq!(silent.queries.load(Ordering::SeqCst), 2, "queried twice");
     let nobody = {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         socket.local_addr().unwrap()
     };
     assert!(matches!(
-        look(nobody, SERVICE, Duration::from_millis(300)),
+        lookup_srv(nobody, SERVICE, Duration::from_millis(300)),
         Answer::Failed(_)
     ));
     assert!(matches!(
-        look(nobody, "a..b", Duration::from_millis(300)),
+        lookup_srv(nobody, "a..b", Duration::from_millis(300)),
         Answer::Failed(_)
     ));
 }
 
 #[test]
-fn forged_and_mangled_packets_are_passed_over() {
+fn forged_and_broken_packets_are_ignored() {
     let server = serve(|_, _, m| {
         let mut forged = m.clone();
         forged.metadata.id ^= 1;
