--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -8,7 +8,7 @@
 use clap::{Parser, Subcommand};
 use dahliapoint_control::record::{End, encode_outputs, replay};
 use dahliapoint_files::formats::Format;
-use dahliapoint_import::Kind;
+use dahliapoint_import::ConfigFormat;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::ffi::OsString;
@@ -204,8 +204,8 @@
             in_place,
         } => {
             let kind = match form {
-                Theirs::Apache => Kind::Apache,
-                Theirs::Jk => Kind::Jk,
+                Theirs::Apache => ConfigFormat::Apache,
+                Theirs::Jk => ConfigFormat::Jk,
             };
             let foreign = Foreign {
                 kind,
--- a/crates/daemon/src/deployment.rs
+++ b/crates/daemon/src/deployment.rs
@@ -10,7 +10,7 @@
 use dahliapoint_files::formats::Format;
 use dahliapoint_hooks::host::Bounds;
 use dahliapoint_hooks::run::Allowance;
-use dahliapoint_import::Kind;
+use dahliapoint_import::ConfigFormat;
 use dahliapoint_xds::{RESPONSES_BY_JOINING, RESPONSES_BY_MESSAGE};
 use dahliapoint_yaml::{At, Faults, read};
 use std::collections::BTreeSet;
@@ -331,8 +331,8 @@
 fn roster_form(at: &At, folder: &Path, zones: &[String]) -> RosterForm {
     let kinds = [
         ("yaml", None),
-        ("apache", Some(Kind::Apache)),
-        ("mod_jk", Some(Kind::Jk)),
+        ("apache", Some(ConfigFormat::Apache)),
+        ("mod_jk", Some(ConfigFormat::Jk)),
     ];
     let Some(kind) = at.field("form").choice(&kinds, Some(None)) else {
         return RosterForm::Own;
--- a/crates/daemon/src/importing.rs
+++ b/crates/daemon/src/importing.rs
@@ -3,7 +3,7 @@
 
 use crate::roster;
 use dahliapoint_control::{AdminState, RosterEntry};
-use dahliapoint_import::{Files, Import, Kind, State, Wanted, read};
+use dahliapoint_import::{ConfigFormat, FileSource, HostState, Import, ImportOptions, read};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
@@ -20,7 +20,7 @@
 /// What is told of others' files beside where they are.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Foreign {
-    pub kind: Kind,
+    pub kind: ConfigFormat,
     pub balancer: Option<String>,
     pub assumed: Vec<String>,
     pub root: Option<String>,
@@ -44,7 +44,7 @@
     pub asked: BTreeSet<PathBuf>,
 }
 
-impl Files for Disk {
+impl FileSource for Disk {
     fn read(&mut self, path: &str) -> Result<String, String> {
         self.asked.insert(path.into());
         let bytes = std::fs::read(path).map_err(|e| e.to_string())?;
@@ -70,12 +70,12 @@
 /// # Errors
 /// All that is wrong, a line each.
 pub fn import(disk: &mut Disk, path: &Path, foreign: &Foreign) -> Result<Import, String> {
-    let wanted = Wanted {
+    let options = ImportOptions {
         balancer: foreign.balancer.clone(),
-        assumed: foreign.assumed.clone(),
-        root: foreign.root.clone(),
+        assumed_conditions: foreign.assumed.clone(),
+        base_dir: foreign.root.clone(),
     };
-    read(disk, &path.display().to_string(), foreign.kind, &wanted).map_err(|faults| {
+    read(disk, &path.display().to_string(), foreign.kind, &options).map_err(|faults| {
         let all: Vec<String> = faults.iter().map(ToString::to_string).collect();
         all.join("\n")
     })
@@ -101,7 +101,7 @@
         let Some(zone) = zone.filter(|z| is_zone(z)) else {
             faults.push(format!(
                 "{}: {:?}: its zone is not known: say one for all, or a domain that is one",
-                h.at, h.name
+                h.location, h.name
             ));
             continue;
         };
@@ -110,9 +110,9 @@
             address: h.address.clone(),
             zone: zone.clone(),
             state: match h.state {
-                State::Ready => AdminState::Ready,
-                State::Draining => AdminState::Draining,
-                State::Gone => AdminState::Gone,
+                HostState::Ready => AdminState::Ready,
+                HostState::Draining => AdminState::Draining,
+                HostState::Gone => AdminState::Gone,
             },
             weight: h.weight,
             started: None,
@@ -171,19 +171,19 @@
         .collect();
     let listed =
         roster::parse(&name, &text, &zones, roster::wall_ms()).map_err(|f| f.to_string())?;
-    let mut changes: BTreeMap<String, (f64, State)> = BTreeMap::new();
+    let mut changes: BTreeMap<String, (f64, HostState)> = BTreeMap::new();
     for e in &listed {
         let host = import.host(&e.name);
         if let Some(host) = host.filter(|h| h.address != e.address) {
             return Err(format!(
                 "{name}: {:?} is {} here and {} at {}",
-                e.name, e.address, host.address, host.at
+                e.name, e.address, host.address, host.location
             ));
         }
         let state = match e.state {
-            AdminState::Ready => State::Ready,
-            AdminState::Draining => State::Draining,
-            AdminState::Gone => State::Gone,
+            AdminState::Ready => HostState::Ready,
+            AdminState::Draining => HostState::Draining,
+            AdminState::Gone => HostState::Gone,
         };
         changes.insert(e.name.clone(), (e.weight, state));
     }
@@ -191,9 +191,9 @@
     for h in &import.hosts {
         changes
             .entry(h.name.clone())
-            .or_insert((h.weight, State::Gone));
+            .or_insert((h.weight, HostState::Gone));
     }
-    let written = import.written(&changes)?;
+    let written = import.with_changes(&changes)?;
     let mut out = String::new();
     for (before, after) in import.documents.iter().zip(&written) {
         let old: Vec<&str> = before.text.lines().collect();
--- a/crates/import/examples/reading.rs
+++ b/crates/import/examples/reading.rs
@@ -1,6 +1,6 @@
 //! How long it takes to read large files, and to write them back, against passing over their lines alone.
 
-use dahliapoint_import::{Files, Kind, State, Wanted, read};
+use dahliapoint_import::{ConfigFormat, FileSource, HostState, ImportOptions, read};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::hint::black_box;
@@ -8,7 +8,7 @@
 
 struct One(String);
 
-impl Files for One {
+impl FileSource for One {
     fn read(&mut self, _: &str) -> Result<String, String> {
         Ok(self.0.clone())
     }
@@ -38,21 +38,21 @@
             );
         }
         apache.push_str("</Proxy>\n");
-        for (kind, text) in [(Kind::Apache, apache), (Kind::Jk, jk)] {
+        for (kind, text) in [(ConfigFormat::Apache, apache), (ConfigFormat::Jk, jk)] {
             let begun = Instant::now();
             let lines = black_box(text.lines().filter(|l| !l.trim().is_empty()).count());
             let plain = begun.elapsed();
             let begun = Instant::now();
-            let import =
-                read(&mut One(text.clone()), "f", kind, &Wanted::default()).expect("a good file");
+            let import = read(&mut One(text.clone()), "f", kind, &ImportOptions::default())
+                .expect("a good file");
             let took = begun.elapsed();
-            let all: BTreeMap<String, (f64, State)> = import
+            let all: BTreeMap<String, (f64, HostState)> = import
                 .hosts
                 .iter()
-                .map(|h| (h.name.clone(), (3.0, State::Draining)))
+                .map(|h| (h.name.clone(), (3.0, HostState::Draining)))
                 .collect();
             let begun = Instant::now();
-            let written = import.written(&all).expect("good changes");
+            let written = import.with_changes(&all).expect("good changes");
             let back = begun.elapsed();
             println!(
                 "{kind:?}, {} hosts, {lines} lines, {} KiB: read in {took:.2?} (lines alone {plain:.2?}), all written back in {back:.2?}, {} KiB",
--- a/crates/import/src/apache.rs
+++ b/crates/import/src/apache.rs
@@ -1,10 +1,10 @@
 //! httpd's configuration, as far as it concerns balancers and their members. Whatever else is there is passed over
 //! and stays; whatever might concern them and cannot be known is refused.
 
-use crate::fleet::{Document, Fault, Form, Host, Import, Place, State, Word, merged};
+use crate::fleet::{Diagnostic, Document, Form, Host, HostState, Import, Location, Word, merged};
 use crate::lines::{self, Line};
 use crate::paths::{fits, folder, from, is_pattern};
-use crate::{Files, Wanted};
+use crate::{FileSource, ImportOptions};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -26,17 +26,17 @@
 struct Around {
     balancer: Option<String>,
     /// A condition that nobody knows, and where it begins.
-    doubtful: Option<(String, Place)>,
+    doubtful: Option<(String, Location)>,
     /// A worker's own section, whose settings would be a member's.
     worker: Option<String>,
 }
 
 struct Reader<'a> {
-    files: &'a mut dyn Files,
-    wanted: &'a Wanted,
+    files: &'a mut dyn FileSource,
+    wanted: &'a ImportOptions,
     root: String,
     documents: Vec<Document>,
-    faults: Vec<Fault>,
+    faults: Vec<Diagnostic>,
     within: Vec<String>,
     words: BTreeMap<String, String>,
     /// Names that are defined where nobody knows whether it holds.
@@ -47,12 +47,16 @@
 
 /// # Errors
 /// Everything that is wrong or cannot be known.
-pub fn read(files: &mut dyn Files, path: &str, wanted: &Wanted) -> Result<Import, Vec<Fault>> {
+pub fn read(
+    files: &mut dyn FileSource,
+    path: &str,
+    wanted: &ImportOptions,
+) -> Result<Import, Vec<Diagnostic>> {
     let mut reader = Reader {
         files,
         wanted,
         root: wanted
-            .root
+            .base_dir
             .clone()
             .unwrap_or_else(|| folder(path).to_string()),
         documents: Vec::new(),
@@ -63,7 +67,7 @@
         members: BTreeMap::new(),
         order: Vec::new(),
     };
-    let first = Place {
+    let first = Location {
         file: path.into(),
         line: 1,
     };
@@ -72,14 +76,14 @@
 }
 
 impl Reader<'_> {
-    fn fault(&mut self, at: &Place, what: impl Into<String>) {
-        self.faults.push(Fault {
-            at: at.clone(),
-            what: what.into(),
+    fn fault(&mut self, at: &Location, what: impl Into<String>) {
+        self.faults.push(Diagnostic {
+            location: at.clone(),
+            message: what.into(),
         });
     }
 
-    fn chosen(mut self, first: Place) -> Result<Import, Vec<Fault>> {
+    fn chosen(mut self, first: Location) -> Result<Import, Vec<Diagnostic>> {
         let balancer = match &self.wanted.balancer {
             Some(name) if self.members.contains_key(name) => Some(name.clone()),
             Some(name) => {
@@ -114,7 +118,7 @@
         }
     }
 
-    fn file(&mut self, path: &str, from_where: &Place, around: &Around) {
+    fn file(&mut self, path: &str, from_where: &Location, around: &Around) {
         if self.within.iter().any(|w| w == path) {
             return self.fault(from_where, format!("{path} includes itself"));
         }
@@ -149,7 +153,7 @@
             }
             Err(odd) => {
                 for o in odd {
-                    let at = Place {
+                    let at = Location {
                         file: file.clone(),
                         line: o.number,
                     };
@@ -160,9 +164,9 @@
     }
 
     fn lines(&mut self, file: &Arc<str>, index: usize, lines: &[Line], mut around: Around) {
-        let mut open: Vec<(String, Place, Around)> = Vec::new();
+        let mut open: Vec<(String, Location, Around)> = Vec::new();
         for line in lines {
-            let at = Place {
+            let at = Location {
                 file: file.clone(),
                 line: line.number,
             };
@@ -193,7 +197,7 @@
         }
     }
 
-    fn section(&mut self, name: &str, line: &Line, at: &Place, around: &mut Around) {
+    fn section(&mut self, name: &str, line: &Line, at: &Location, around: &mut Around) {
         let given = match line.words.get(1) {
             Some(word) => self.meant(&word.text, at),
             None => String::new(),
@@ -208,7 +212,7 @@
                     Some(rest) => (true, rest),
                     None => (false, given.as_str()),
                 };
-                let assumed = self.wanted.assumed.iter().any(|a| a == plain);
+                let assumed = self.wanted.assumed_conditions.iter().any(|a| a == plain);
                 if not || !assumed {
                     let word = format!("<{} {given}>", line.words[0].text);
                     around.doubtful.get_or_insert((word, at.clone()));
@@ -223,7 +227,7 @@
     }
 
     /// What is said where nobody knows whether it holds cannot be taken, and not left out either.
-    fn is_doubtful(&mut self, what: &str, at: &Place, around: &Around) -> bool {
+    fn is_doubtful(&mut self, what: &str, at: &Location, around: &Around) -> bool {
         let Some((condition, begins)) = &around.doubtful else {
             return false;
         };
@@ -235,7 +239,7 @@
         true
     }
 
-    fn directive(&mut self, name: &str, line: &Line, at: &Place, index: usize, around: &Around) {
+    fn directive(&mut self, name: &str, line: &Line, at: &Location, index: usize, around: &Around) {
         match name {
             "define" | "undefine" => {
                 let Some(key) = line.words.get(1).map(|w| w.text.clone()) else {
@@ -278,7 +282,7 @@
         }
     }
 
-    fn include(&mut self, path: &str, optional: bool, at: &Place, around: &Around) {
+    fn include(&mut self, path: &str, optional: bool, at: &Location, around: &Around) {
         let path = from(&self.root.clone(), path);
         let (dir, last) = (
             folder(&path).to_string(),
@@ -315,7 +319,7 @@
     }
 
     /// A word with `${NAME}` replaced; what is not defined is a fault, since httpd would take the environment's.
-    fn meant(&mut self, text: &str, at: &Place) -> String {
+    fn meant(&mut self, text: &str, at: &Location) -> String {
         let mut out = text.to_string();
         for _ in 0..MOST_WORDS {
             let Some(begin) = out.find("${") else {
@@ -347,7 +351,7 @@
         out.replace("${", "")
     }
 
-    fn member(&mut self, line: &Line, at: &Place, index: usize, around: &Around) {
+    fn member(&mut self, line: &Line, at: &Location, index: usize, around: &Around) {
         let mut words = line.words[1..].iter().peekable();
         let balancer = match &around.balancer {
             Some(name) => name.clone(),
@@ -374,7 +378,7 @@
             Ok(address) => address,
             Err(why) => return self.fault(at, format!("{meant}: {why}")),
         };
-        let (mut route, mut weight, mut state) = (None, 1.0, State::Ready);
+        let (mut route, mut weight, mut state) = (None, 1.0, HostState::Ready);
         let word = |bytes, form| Word {
             file: index,
             bytes,
@@ -442,14 +446,14 @@
             domain: None,
             weight,
             state,
-            at: at.clone(),
+            location: at.clone(),
             weight_at: vec![weight_at],
             state_at: vec![state_at],
         });
     }
 
     /// Settings of a worker outside its member's line would hold as well: refused, since then two places say it.
-    fn proxy_set(&mut self, line: &Line, at: &Place, around: &Around) {
+    fn proxy_set(&mut self, line: &Line, at: &Location, around: &Around) {
         let mut words = line.words[1..]
             .iter()
             .map(|w| w.text.clone())
@@ -530,8 +534,8 @@
 }
 
 /// What a controller has of a status, and the letters that stay.
-fn status(value: &str) -> Result<(State, String), String> {
-    let (mut state, mut letters, mut sign) = (State::Ready, String::new(), None);
+fn status(value: &str) -> Result<(HostState, String), String> {
+    let (mut state, mut letters, mut sign) = (HostState::Ready, String::new(), None);
     for c in value.chars() {
         let upper = c.to_ascii_uppercase();
         match upper {
@@ -550,12 +554,12 @@
             }
             c if GONE.contains(&c) => {
                 if sign != Some('-') {
-                    state = State::Gone;
+                    state = HostState::Gone;
                 }
             }
             DRAINING => {
-                if sign != Some('-') && state == State::Ready {
-                    state = State::Draining;
+                if sign != Some('-') && state == HostState::Ready {
+                    state = HostState::Draining;
                 }
             }
             c if KEPT.contains(&c) || matches!(c, 'H' | 'R' | 'E') => {
--- a/crates/import/src/fleet.rs
+++ b/crates/import/src/fleet.rs
@@ -8,12 +8,12 @@
 
 /// Where something stands: a file and a line, from 1.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct Location {
     pub file: Arc<str>,
     pub line: usize,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}", self.file, self.line)
     }
@@ -21,20 +21,20 @@
 
 /// What is wrong, and where.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Fault {
-    pub at: Place,
-    pub what: String,
+pub struct Diagnostic {
+    pub location: Location,
+    pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.at, self.what)
+        write!(f, "{}: {}", self.location, self.message)
     }
 }
 
 /// What a controller is told of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum HostState {
     Ready,
     Draining,
     Gone,
@@ -71,8 +71,8 @@
     /// mod_jk's domain; Apache has none.
     pub domain: Option<String>,
     pub weight: f64,
-    pub state: State,
-    pub at: Place,
+    pub state: HostState,
+    pub location: Location,
     /// Where weight and state are said: at more than one place if several say the same.
     pub weight_at: Vec<Word>,
     pub state_at: Vec<Word>,
@@ -80,7 +80,7 @@
 
 impl Host {
     /// What a controller would be told, without where it stands.
-    pub fn said(&self) -> (&str, &str, Option<&str>, f64, State) {
+    pub fn summary(&self) -> (&str, &str, Option<&str>, f64, HostState) {
         (
             &self.name,
             &self.address,
@@ -122,7 +122,7 @@
     (a.name == b.name && a.address != b.address).then(|| {
         format!(
             "{:?} is {} here and {} at {}",
-            b.name, b.address, a.address, a.at
+            b.name, b.address, a.address, a.location
         )
     })
 }
@@ -131,7 +131,7 @@
     (a.address == b.address && a.name != b.name).then(|| {
         format!(
             "{} is called {:?} here and {:?} at {}",
-            b.address, b.name, a.name, a.at
+            b.address, b.name, a.name, a.location
         )
     })
 }
@@ -140,7 +140,7 @@
     (a.name == b.name && a.weight != b.weight).then(|| {
         format!(
             "{:?} weighs {} here and {} at {}",
-            b.name, b.weight, a.weight, a.at
+            b.name, b.weight, a.weight, a.location
         )
     })
 }
@@ -148,26 +148,26 @@
 fn one_host_has_one_state(a: &Host, b: &Host) -> Option<String> {
     (a.name == b.name && a.state != b.state).then(|| {
         let (here, there) = (told(b.state), told(a.state));
-        format!("{:?} is {here} here and {there} at {}", b.name, a.at)
+        format!("{:?} is {here} here and {there} at {}", b.name, a.location)
     })
 }
 
 fn one_host_has_one_domain(a: &Host, b: &Host) -> Option<String> {
     (a.name == b.name && a.domain != b.domain)
-        .then(|| format!("{:?} has another domain at {}", b.name, a.at))
+        .then(|| format!("{:?} has another domain at {}", b.name, a.location))
 }
 
 /// A state in words.
-pub fn told(state: State) -> &'static str {
+pub fn told(state: HostState) -> &'static str {
     match state {
-        State::Ready => "ready",
-        State::Draining => "draining",
-        State::Gone => "gone",
+        HostState::Ready => "ready",
+        HostState::Draining => "draining",
+        HostState::Gone => "gone",
     }
 }
 
 /// Puts hosts that are the same into one; what contradicts is a fault at the later place, and names the earlier.
-pub fn merged(hosts: Vec<Host>, faults: &mut Vec<Fault>) -> Vec<Host> {
+pub fn merged(hosts: Vec<Host>, faults: &mut Vec<Diagnostic>) -> Vec<Host> {
     let mut out: Vec<Host> = Vec::new();
     let (mut by_name, mut by_address) = (BTreeMap::new(), BTreeMap::new());
     for host in hosts {
@@ -182,7 +182,10 @@
             continue;
         };
         match RULES.iter().find_map(|rule| rule(&out[at], &host)) {
-            Some(what) => faults.push(Fault { at: host.at, what }),
+            Some(what) => faults.push(Diagnostic {
+                location: host.location,
+                message: what,
+            }),
             None => {
                 out[at].weight_at.extend(host.weight_at);
                 out[at].state_at.extend(host.state_at);
@@ -201,9 +204,9 @@
     ///
     /// # Errors
     /// A name that no file has, or a weight that its file cannot say.
-    pub fn written(
+    pub fn with_changes(
         &self,
-        changes: &BTreeMap<String, (f64, State)>,
+        changes: &BTreeMap<String, (f64, HostState)>,
     ) -> Result<Vec<Document>, String> {
         let by_name: BTreeMap<&str, &Host> =
             self.hosts.iter().map(|h| (h.name.as_str(), h)).collect();
@@ -280,13 +283,13 @@
     }
 }
 
-fn state_word(form: &Form, state: State) -> String {
+fn state_word(form: &Form, state: HostState) -> String {
     match form {
         Form::ApacheStatus { there, letters } => {
             let ours = match state {
-                State::Ready => "",
-                State::Draining => "+N",
-                State::Gone => "+D",
+                HostState::Ready => "",
+                HostState::Draining => "+N",
+                HostState::Gone => "+D",
             };
             let space = if *there { "" } else { " " };
             match (letters.is_empty() && ours.is_empty(), there) {
@@ -298,9 +301,9 @@
         }
         Form::JkActivation { key } => {
             let word = match state {
-                State::Ready => "A",
-                State::Draining => "D",
-                State::Gone => "S",
+                HostState::Ready => "A",
+                HostState::Draining => "D",
+                HostState::Gone => "S",
             };
             match key {
                 None => word.into(),
--- a/crates/import/src/jk.rs
+++ b/crates/import/src/jk.rs
@@ -2,8 +2,8 @@
 //! another property, `reference` takes over what a worker does not say itself.
 
 use crate::apache::address;
-use crate::fleet::{Document, Fault, Form, Host, Import, Place, State, Word, merged};
-use crate::{Files, Wanted};
+use crate::fleet::{Diagnostic, Document, Form, Host, HostState, Import, Location, Word, merged};
+use crate::{FileSource, ImportOptions};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 use std::sync::Arc;
@@ -32,7 +32,7 @@
 
 struct Reader {
     file: Arc<str>,
-    faults: Vec<Fault>,
+    faults: Vec<Diagnostic>,
     /// All that is said of a key, in order.
     said: BTreeMap<String, Vec<Said>>,
     /// Workers in the order in which they are first named.
@@ -43,9 +43,13 @@
 
 /// # Errors
 /// Everything that is wrong or cannot be known.
-pub fn read(files: &mut dyn Files, path: &str, wanted: &Wanted) -> Result<Import, Vec<Fault>> {
+pub fn read(
+    files: &mut dyn FileSource,
+    path: &str,
+    wanted: &ImportOptions,
+) -> Result<Import, Vec<Diagnostic>> {
     let file: Arc<str> = path.into();
-    let first = Place {
+    let first = Location {
         file: file.clone(),
         line: 1,
     };
@@ -56,9 +60,9 @@
             false => Err(format!("over {} MiB", MOST_BYTES >> 20)),
         });
     let text = text.map_err(|what| {
-        vec![Fault {
-            at: first.clone(),
-            what,
+        vec![Diagnostic {
+            location: first.clone(),
+            message: what,
         }]
     })?;
     let mut r = Reader {
@@ -89,14 +93,14 @@
 impl Reader {
     fn fault(&mut self, line: usize, what: impl Into<String>) {
         let at = self.at(line);
-        self.faults.push(Fault {
-            at,
-            what: what.into(),
+        self.faults.push(Diagnostic {
+            location: at,
+            message: what.into(),
         });
     }
 
-    fn at(&self, line: usize) -> Place {
-        Place {
+    fn at(&self, line: usize) -> Location {
+        Location {
             file: self.file.clone(),
             line,
         }
@@ -243,7 +247,7 @@
             .unwrap_or(1)
     }
 
-    fn balancer(&mut self, wanted: &Wanted) -> Option<String> {
+    fn balancer(&mut self, wanted: &ImportOptions) -> Option<String> {
         let is_lb = |r: &Reader, w: &str| {
             r.value(w, "type")
                 .is_some_and(|t| t.eq_ignore_ascii_case("lb"))
@@ -386,12 +390,12 @@
                 }
             }
         }
-        let mut state = State::Ready;
+        let mut state = HostState::Ready;
         if let Some(value) = self.value(name, "activation").map(str::to_string) {
             match value.to_ascii_lowercase().as_str() {
                 "a" | "act" | "active" => {}
-                "d" | "dis" | "disabled" => state = State::Draining,
-                "s" | "stp" | "stopped" => state = State::Gone,
+                "d" | "dis" | "disabled" => state = HostState::Draining,
+                "s" | "stp" | "stopped" => state = HostState::Gone,
                 _ => {
                     let line = self.line_of(name, "activation");
                     self.fault(line, format!("activation={value}: A, D or S is wanted"));
@@ -409,7 +413,7 @@
                 .map(str::to_string),
             weight,
             state,
-            at: self.at(self.first_line(name)),
+            location: self.at(self.first_line(name)),
             weight_at,
             state_at,
         })
--- a/crates/import/src/lib.rs
+++ b/crates/import/src/lib.rs
@@ -1,5 +1,5 @@
 //! Host lists that others keep: Apache's balancer configuration (mod_proxy_balancer) and mod_jk's
-//! `workers.properties`, to hosts with weights and states, and back. Free of I/O: files come through [`Files`].
+//! `workers.properties`, to hosts with weights and states, and back. Free of I/O: files come through [`FileSource`].
 //!
 //! How it is called: [`read`] with a first file gives an [`Import`], or every fault with file and line; it never
 //! guesses. [`Import::written`] gives the files' texts with other weights and states in them: whatever is not
@@ -14,10 +14,10 @@
 pub mod lines;
 pub mod paths;
 
-pub use fleet::{Fault, Host, Import, Place, State};
+pub use fleet::{Diagnostic, Host, HostState, Import, Location};
 
 /// What files there are. Paths are as they are written, made whole by [`paths`].
-pub trait Files {
+pub trait FileSource {
     /// A file's text.
     ///
     /// # Errors
@@ -33,21 +33,21 @@
 
 /// What a file is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum ConfigFormat {
     Apache,
     Jk,
 }
 
 /// What a reader is told beside the files.
 #[derive(Clone, Debug, Default)]
-pub struct Wanted {
+pub struct ImportOptions {
     /// The balancer or load balancing worker; without it there must be one only.
     pub balancer: Option<String>,
     /// Names that hold in `<IfDefine>` and `<IfModule>`: what is in others is not taken, and what cannot be left
     /// out of account is refused.
-    pub assumed: Vec<String>,
+    pub assumed_conditions: Vec<String>,
     /// Where relative paths begin; without it the first file's folder.
-    pub root: Option<String>,
+    pub base_dir: Option<String>,
 }
 
 /// Reads a file and all that it includes.
@@ -55,13 +55,13 @@
 /// # Errors
 /// Everything that is wrong or cannot be known, each with its file and line.
 pub fn read(
-    files: &mut dyn Files,
+    files: &mut dyn FileSource,
     path: &str,
-    kind: Kind,
-    wanted: &Wanted,
-) -> Result<Import, Vec<Fault>> {
+    kind: ConfigFormat,
+    wanted: &ImportOptions,
+) -> Result<Import, Vec<Diagnostic>> {
     match kind {
-        Kind::Apache => apache::read(files, path, wanted),
-        Kind::Jk => jk::read(files, path, wanted),
+        ConfigFormat::Apache => apache::read(files, path, wanted),
+        ConfigFormat::Jk => jk::read(files, path, wanted),
     }
 }
--- a/crates/import/tests/import.rs
+++ b/crates/import/tests/import.rs
@@ -1,7 +1,7 @@
 //! Both forms: what is read, what is refused and where, and that what is written back is the same but for what
 //! was changed.
 
-use dahliapoint_import::{Files, Import, Kind, State, Wanted, read};
+use dahliapoint_import::{ConfigFormat, FileSource, HostState, Import, ImportOptions, read};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
     }
 }
 
-impl Files for Memory {
+impl FileSource for Memory {
     fn read(&mut self, path: &str) -> Result<String, String> {
         self.0
             .get(path)
@@ -47,9 +47,9 @@
     }
 }
 
-use State::{Draining, Gone, Ready};
+use HostState::{Draining, Gone, Ready};
 
-fn said(import: &Import) -> Vec<(&str, &str, f64, State)> {
+fn said(import: &Import) -> Vec<(&str, &str, f64, HostState)> {
     import
         .hosts
         .iter()
@@ -62,7 +62,7 @@
 
 #[test]
 fn apache_is_read() {
-    type Said<'a> = (&'a str, &'a str, f64, State);
+    type Said<'a> = (&'a str, &'a str, f64, HostState);
     type Case<'a> = (&'a str, &'a [(&'a str, &'a str)], &'a [Said<'a>]);
     let cases: [Case; 9] = [
         (
@@ -159,12 +159,17 @@
         ),
     ];
     for (name, files, wanted) in cases {
-        let wants = Wanted {
+        let wants = ImportOptions {
             balancer: Some("p".into()),
-            assumed: vec!["mod_proxy_balancer.c".into()],
-            root: None,
+            assumed_conditions: vec!["mod_proxy_balancer.c".into()],
+            base_dir: None,
         };
-        let found = read(&mut Memory::of(files), files[0].0, Kind::Apache, &wants);
+        let found = read(
+            &mut Memory::of(files),
+            files[0].0,
+            ConfigFormat::Apache,
+            &wants,
+        );
         assert_eq!(found.as_ref().map(said), Ok(wanted.to_vec()), "{name}");
     }
 }
@@ -291,13 +296,13 @@
         let faults = read(
             &mut Memory::of(&[("h.conf", &text)]),
             "h.conf",
-            Kind::Apache,
-            &Wanted::default(),
+            ConfigFormat::Apache,
+            &ImportOptions::default(),
         )
         .unwrap_err();
         let found = faults
             .iter()
-            .any(|f| f.at.line == line && f.what.contains(wanted));
+            .any(|f| f.location.line == line && f.message.contains(wanted));
         assert!(found, "{text}: {faults:?}");
     }
     let deep: Vec<(String, String)> = (0..30)
@@ -307,12 +312,14 @@
     let faults = read(
         &mut Memory::of(&deep),
         "0",
-        Kind::Apache,
-        &Wanted::default(),
+        ConfigFormat::Apache,
+        &ImportOptions::default(),
     )
     .unwrap_err();
     assert!(
-        faults.iter().any(|f| f.what.contains("within each other")),
+        faults
+            .iter()
+            .any(|f| f.message.contains("within each other")),
         "{faults:?}"
     );
 }
@@ -326,8 +333,8 @@
     let found = read(
         &mut Memory::of(&[("w", JK)]),
         "w",
-        Kind::Jk,
-        &Wanted::default(),
+        ConfigFormat::Jk,
+        &ImportOptions::default(),
     )
     .unwrap();
     assert_eq!(
@@ -412,18 +419,18 @@
         let faults = read(
             &mut Memory::of(&[("w", &text)]),
             "w",
-            Kind::Jk,
-            &Wanted::default(),
+            ConfigFormat::Jk,
+            &ImportOptions::default(),
         )
         .unwrap_err();
         let found = faults
             .iter()
-            .any(|f| f.at.line == line && f.what.contains(wanted));
+            .any(|f| f.location.line == line && f.message.contains(wanted));
         assert!(found, "{text}: {faults:?}");
     }
 }
 
-fn changes(all: &[(&str, f64, State)]) -> BTreeMap<String, (f64, State)> {
+fn changes(all: &[(&str, f64, HostState)]) -> BTreeMap<String, (f64, HostState)> {
     all.iter()
         .map(|(n, w, s)| (n.to_string(), (*w, *s)))
         .collect()
@@ -434,16 +441,16 @@
     let apache = read(
         &mut Memory::of(&[("h", APACHE)]),
         "h",
-        Kind::Apache,
-        &Wanted::default(),
+        ConfigFormat::Apache,
+        &ImportOptions::default(),
     )
     .unwrap();
     let same = apache
-        .written(&changes(&[("a", 2.0, Ready), ("b", 1.0, Draining)]))
+        .with_changes(&changes(&[("a", 2.0, Ready), ("b", 1.0, Draining)]))
         .unwrap();
     assert_eq!(same[0].text, APACHE);
     let other = apache
-        .written(&changes(&[("a", 3.25, Gone), ("b", 4.0, Ready)]))
+        .with_changes(&changes(&[("a", 3.25, Gone), ("b", 4.0, Ready)]))
         .unwrap();
     let wanted = APACHE
         .replace("loadfactor=2", "loadfactor=3.25 status=+D")
@@ -455,20 +462,22 @@
         ("a", 2.005, Ready),
     ] {
         assert!(
-            apache.written(&changes(&[(name, weight, state)])).is_err(),
+            apache
+                .with_changes(&changes(&[(name, weight, state)]))
+                .is_err(),
             "{name} {weight}"
         );
     }
     let jk = read(
         &mut Memory::of(&[("w", JK)]),
         "w",
-        Kind::Jk,
-        &Wanted::default(),
+        ConfigFormat::Jk,
+        &ImportOptions::default(),
     )
     .unwrap();
-    assert_eq!(jk.written(&BTreeMap::new()).unwrap()[0].text, JK);
+    assert_eq!(jk.with_changes(&BTreeMap::new()).unwrap()[0].text, JK);
     let other = jk
-        .written(&changes(&[("a", 5.0, Gone), ("b", 1.0, Ready)]))
+        .with_changes(&changes(&[("a", 5.0, Gone), ("b", 1.0, Ready)]))
         .unwrap();
     // The template that others refer to stays.
     let wanted = JK
@@ -481,7 +490,7 @@
 }
 
 /// Files drawn with comments, spaces, line ends and quotes of all kinds.
-fn drawn(kind: Kind) -> impl Strategy<Value = (String, Vec<(f64, u8)>)> {
+fn drawn(kind: ConfigFormat) -> impl Strategy<Value = (String, Vec<(f64, u8)>)> {
     let host = (
         1_u32..=100,
         0_u8..4,
@@ -499,7 +508,7 @@
             let end = if crlf { "\r\n" } else { "\n" };
             let mut out = format!("# begins{end}{end}");
             let names: Vec<String> = (0..hosts.len()).map(|i| format!("h{i}")).collect();
-            if kind == Kind::Jk {
+            if kind == ConfigFormat::Jk {
                 out += &format!(
                     "worker.list=p{end}worker.p.type=lb{end}worker.p.balance_workers={}{end}",
                     names.join(",")
@@ -508,7 +517,7 @@
                 out += &format!("<Proxy \"balancer://p\">{end}");
             }
             for (i, (weight, state, form, space, quoted, comment)) in hosts.iter().enumerate() {
-                if kind == Kind::Jk {
+                if kind == ConfigFormat::Jk {
                     out += &format!(
                         "worker.h{i}.host{space}={space}10.0.0.{}{space}{comment}{end}",
                         i + 1
@@ -541,7 +550,7 @@
                     out += &format!("{comment}{end}");
                 }
             }
-            if kind == Kind::Apache {
+            if kind == ConfigFormat::Apache {
                 out += &format!("</Proxy>{end}# ends");
             }
             (
@@ -551,18 +560,18 @@
         })
 }
 
-fn round_trip(kind: Kind, text: &str, next: &[(f64, u8)]) -> Result<(), TestCaseError> {
+fn round_trip(kind: ConfigFormat, text: &str, next: &[(f64, u8)]) -> Result<(), TestCaseError> {
     let read_text = |text: &str| {
         read(
             &mut Memory::of(&[("f", text)]),
             "f",
             kind,
-            &Wanted::default(),
+            &ImportOptions::default(),
         )
     };
     let first = read_text(text).map_err(|f| TestCaseError::fail(format!("{f:?}\n{text}")))?;
-    prop_assert_eq!(&first.written(&BTreeMap::new()).unwrap()[0].text, text);
-    let wanted: BTreeMap<String, (f64, State)> = first
+    prop_assert_eq!(&first.with_changes(&BTreeMap::new()).unwrap()[0].text, text);
+    let wanted: BTreeMap<String, (f64, HostState)> = first
         .hosts
         .iter()
         .zip(next)
@@ -573,7 +582,7 @@
             )
         })
         .collect();
-    let written = first.written(&wanted).unwrap()[0].text.clone();
+    let written = first.with_changes(&wanted).unwrap()[0].text.clone();
     let second = read_text(&written)
         .map_err(|f| TestCaseError::fail(format!("{f:?}\n{text}\n{written}")))?;
     prop_assert_eq!(second.hosts.len(), first.hosts.len());
@@ -596,11 +605,11 @@
         .iter()
         .map(|h| (h.name.clone(), (h.weight, h.state)))
         .collect();
-    let third = read_text(&second.written(&back).unwrap()[0].text).unwrap();
+    let third = read_text(&second.with_changes(&back).unwrap()[0].text).unwrap();
     let same = |i: &Import| {
         i.hosts
             .iter()
-            .map(|h| format!("{:?}", h.said()))
+            .map(|h| format!("{:?}", h.summary()))
             .collect::<Vec<_>>()
     };
     prop_assert_eq!(same(&third), same(&first));
@@ -610,22 +619,22 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 1500, failure_persistence: None, rng_seed: RngSeed::Fixed(11), ..ProptestConfig::default() })]
     #[test]
-    fn apache_files_go_round((text, next) in drawn(Kind::Apache)) {
-        round_trip(Kind::Apache, &text, &next)?;
+    fn apache_files_go_round((text, next) in drawn(ConfigFormat::Apache)) {
+        round_trip(ConfigFormat::Apache, &text, &next)?;
     }
 
     #[test]
-    fn jk_files_go_round((text, next) in drawn(Kind::Jk)) {
-        round_trip(Kind::Jk, &text, &next)?;
+    fn jk_files_go_round((text, next) in drawn(ConfigFormat::Jk)) {
+        round_trip(ConfigFormat::Jk, &text, &next)?;
     }
 
     /// Whatever the bytes: told or read, no panic; and what is read is written back the same.
     #[test]
     fn mangled_files_do_no_harm(
-        (text, _) in drawn(Kind::Apache), (jk, _) in drawn(Kind::Jk),
+        (text, _) in drawn(ConfigFormat::Apache), (jk, _) in drawn(ConfigFormat::Jk),
         cuts in proptest::collection::vec((any::<usize>(), "[<>/\"'#=\\\\ \n${}()a-z.:]{0,4}"), 1..6),
     ) {
-        for (kind, text) in [(Kind::Apache, text), (Kind::Jk, jk)] {
+        for (kind, text) in [(ConfigFormat::Apache, text), (ConfigFormat::Jk, jk)] {
             let mut text = text;
             for (at, put) in &cuts {
                 let mut at = at % (text.len() + 1);
@@ -637,8 +646,8 @@
                     text.replace_range(at..to, put);
                 }
             }
-            if let Ok(import) = read(&mut Memory::of(&[("f", &text)]), "f", kind, &Wanted::default()) {
-                prop_assert_eq!(&import.written(&BTreeMap::new()).unwrap()[0].text, &text);
+            if let Ok(import) = read(&mut Memory::of(&[("f", &text)]), "f", kind, &ImportOptions::default()) {
+                prop_assert_eq!(&import.with_changes(&BTreeMap::new()).unwrap()[0].text, &text);
             }
         }
     }
