--- a/crates/import/examples/reading.rs
+++ b/crates/import/examples/reading.rs
@@ -1,4 +1,4 @@
-//! How long it takes to read large files, and to write them back, against passing over their lines alone.
+//! Measures reading large files and writing them back, compared to iterating over their lines.
 
 use dahliapoint_import::{ConfigFormat, FileSource, HostState, ImportOptions, read};
 use std::collections::BTreeMap;
@@ -6,9 +6,9 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-struct One(String);
+struct SingleFile(String);
 
-impl FileSource for One {
+impl FileSource for SingleFile {
     fn read(&mut self, _: &str) -> Result<String, String> {
         Ok(self.0.clone())
     }
@@ -19,14 +19,14 @@
 }
 
 fn main() {
-    for many in [384, 10_000, 50_000] {
+    for count in [384, 10_000, 50_000] {
         let mut apache = String::from("<Proxy balancer://p>\n");
-        let names: Vec<String> = (0..many).map(|i| format!("h{i}")).collect();
+        let names: Vec<String> = (0..count).map(|i| format!("h{i}")).collect();
         let mut jk = format!(
             "worker.list=p\nworker.p.type=lb\nworker.p.balance_workers={}\n",
             names.join(",")
         );
-        for i in 0..many {
+        for i in 0..count {
             let address = format!("10.{}.{}.{}", i / 65_536, i / 256 % 256, i % 256);
             let _ = writeln!(
                 apache,
@@ -38,24 +38,29 @@
             );
         }
         apache.push_str("</Proxy>\n");
-        for (kind, text) in [(ConfigFormat::Apache, apache), (ConfigFormat::Jk, jk)] {
-            let begun = Instant::now();
+        for (format, text) in [(ConfigFormat::Apache, apache), (ConfigFormat::Jk, jk)] {
+            let started = Instant::now();
             let lines = black_box(text.lines().filter(|l| !l.trim().is_empty()).count());
-            let plain = begun.elapsed();
-            let begun = Instant::now();
-            let import = read(&mut One(text.clone()), "f", kind, &ImportOptions::default())
-                .expect("a good file");
-            let took = begun.elapsed();
+            let lines_took = started.elapsed();
+            let started = Instant::now();
+            let import = read(
+                &mut SingleFile(text.clone()),
+                "f",
+                format,
+                &ImportOptions::default(),
+            )
+            .expect("a good file");
+            let read_took = started.elapsed();
             let all: BTreeMap<String, (f64, HostState)> = import
                 .hosts
                 .iter()
                 .map(|h| (h.name.clone(), (3.0, HostState::Draining)))
                 .collect();
-            let begun = Instant::now();
+            let started = Instant::now();
             let written = import.with_changes(&all).expect("good changes");
-            let back = begun.elapsed();
+            let write_took = started.elapsed();
             println!(
-                "{kind:?}, {} hosts, {lines} lines, {} KiB: read in {took:.2?} (lines alone {plain:.2?}), all written back in {back:.2?}, {} KiB",
+                "{format:?}, {} hosts, {lines} lines, {} KiB: read in {read_took:.2?} (lines alone {lines_took:.2?}), all written back in {write_took:.2?}, {} KiB",
                 import.hosts.len(),
                 text.len() / 1024,
                 written[0].text.len() / 1024
--- a/crates/import/src/apache.rs
+++ b/crates/import/src/apache.rs
@@ -1,103 +1,120 @@
-//! httpd's configuration, as far as it concerns balancers and their members. Whatever else is there is passed over
-//! and stays; whatever might concern them and cannot be known is refused.
+//! Reads the balancers and their members from httpd's configuration. Directives that don't concern them are skipped;
+//! those that might, but whose effect is unknown, are refused.
 
-use crate::fleet::{Diagnostic, Document, Form, Host, HostState, Import, Location, Word, merged};
-use crate::lines::{self, Line};
-use crate::paths::{fits, folder, from, is_pattern};
+use crate::hosts::{
+    Diagnostic, Document, Host, HostState, Import, Location, SettingSpan, SettingSyntax,
+    merge_duplicates,
+};
+use crate::paths::{is_pattern, matches_glob, parent, resolve};
+use crate::tokenizer::{Line, tokenize};
 use crate::{FileSource, ImportOptions};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// Files within files, files in all, and bytes of one.
-const DEEPEST: usize = 16;
-const MOST_FILES: usize = 1_000;
-const MOST_BYTES: usize = 16 << 20;
-/// Words that stand for others may do so within each other this often.
-const MOST_WORDS: usize = 16;
+/// Nesting of included files.
+const MAX_INCLUDE_DEPTH: usize = 16;
+const MAX_FILES: usize = 1_000;
+const MAX_FILE_BYTES: usize = 16 << 20;
+/// Variables replaced in one value; guards against variables that refer to themselves.
+const MAX_SUBSTITUTIONS: usize = 16;
 
-/// Status letters: those that a controller has a word for, and those that are only kept.
+/// Status letters that mean gone (disabled, stopped).
 const GONE: [char; 2] = ['D', 'S'];
+/// The status letter that means draining.
 const DRAINING: char = 'N';
+/// Status letters without a counterpart in a roster, which are kept (ignore errors, hot spare).
 const KEPT: [char; 2] = ['I', 'C'];
 
-/// Where a line stands, beside its file: what its sections say of it.
+/// The sections around a line.
 #[derive(Clone, Default)]
-struct Around {
+struct Context {
     balancer: Option<String>,
-    /// A condition that nobody knows, and where it begins.
-    doubtful: Option<(String, Location)>,
-    /// A worker's own section, whose settings would be a member's.
+    /// A condition whose outcome is unknown, and where it starts.
+    unknown_condition: Option<(String, Location)>,
+    /// The URL of a `<Proxy>` section that is not a balancer's; its settings would apply to a member.
     worker: Option<String>,
 }
 
 struct Reader<'a> {
     files: &'a mut dyn FileSource,
-    wanted: &'a ImportOptions,
-    root: String,
+    options: &'a ImportOptions,
+    base_dir: String,
     documents: Vec<Document>,
-    faults: Vec<Diagnostic>,
-    within: Vec<String>,
-    words: BTreeMap<String, String>,
-    /// Names that are defined where nobody knows whether it holds.
-    doubtful: BTreeSet<String>,
+    diagnostics: Vec<Diagnostic>,
+    /// The files being read, the innermost last.
+    include_stack: Vec<String>,
+    variables: BTreeMap<String, String>,
+    /// Variables defined under a condition whose outcome is unknown.
+    unknown_variables: BTreeSet<String>,
+    /// Members by balancer.
     members: BTreeMap<String, Vec<Host>>,
-    order: Vec<String>,
+    /// Balancers in the order in which they are first used.
+    balancers: Vec<String>,
 }
 
+/// Reads a file and all its includes.
+///
 /// # Errors
-/// Everything that is wrong or cannot be known.
+/// Everything that is wrong or ambiguous.
 pub fn read(
     files: &mut dyn FileSource,
     path: &str,
-    wanted: &ImportOptions,
+    options: &ImportOptions,
 ) -> Result<Import, Vec<Diagnostic>> {
     let mut reader = Reader {
         files,
-        wanted,
-        root: wanted
+        options,
+        base_dir: options
             .base_dir
             .clone()
-            .unwrap_or_else(|| folder(path).to_string()),
+            .unwrap_or_else(|| parent(path).to_string()),
         documents: Vec::new(),
-        faults: Vec::new(),
-        within: Vec::new(),
-        words: BTreeMap::new(),
-        doubtful: BTreeSet::new(),
+        diagnostics: Vec::new(),
+        include_stack: Vec::new(),
+        variables: BTreeMap::new(),
+        unknown_variables: BTreeSet::new(),
         members: BTreeMap::new(),
-        order: Vec::new(),
+        balancers: Vec::new(),
     };
     let first = Location {
         file: path.into(),
         line: 1,
     };
-    reader.file(path, &first, &Around::default());
-    reader.chosen(first)
+    reader.read_file(path, &first, &Context::default());
+    reader.finish(first)
 }
 
 impl Reader<'_> {
-    fn fault(&mut self, at: &Location, what: impl Into<String>) {
-        self.faults.push(Diagnostic {
+    fn report(&mut self, at: &Location, message: impl Into<String>) {
+        self.diagnostics.push(Diagnostic {
             location: at.clone(),
-            message: what.into(),
+            message: message.into(),
         });
     }
 
-    fn chosen(mut self, first: Location) -> Result<Import, Vec<Diagnostic>> {
-        let balancer = match &self.wanted.balancer {
+    /// Selects the balancer and merges its members.
+    fn finish(mut self, first: Location) -> Result<Import, Vec<Diagnostic>> {
+        let balancer = match &self.options.balancer {
             Some(name) if self.members.contains_key(name) => Some(name.clone()),
             Some(name) => {
-                let what = format!("no balancer://{name}; there are {}", self.order.join(", "));
-                self.fault(&first, what);
+                let message = format!(
+                    "no balancer://{name}; there are {}",
+                    self.balancers.join(", ")
+                );
+                self.report(&first, message);
                 None
             }
-            None if self.order.len() == 1 => self.order.first().cloned(),
+            None if self.balancers.len() == 1 => self.balancers.first().cloned(),
             None => {
-                let what = match self.order.is_empty() {
+                let message = match self.balancers.is_empty() {
                     true => "no balancer has a member here".to_string(),
-                    false => format!("several balancers: say which of {}", self.order.join(", ")),
+                    false => format!(
+                        "several balancers: say which of {}",
+                        self.balancers.join(", ")
+                    ),
                 };
-                self.fault(&first, what);
+                self.report(&first, message);
                 None
             }
         };
@@ -105,38 +122,42 @@
             .as_ref()
             .and_then(|b| self.members.remove(b))
             .unwrap_or_default();
-        let hosts = merged(hosts, &mut self.faults);
-        self.faults.sort();
-        self.faults.dedup();
-        match balancer.filter(|_| self.faults.is_empty()) {
+        let hosts = merge_duplicates(hosts, &mut self.diagnostics);
+        self.diagnostics.sort();
+        self.diagnostics.dedup();
+        match balancer.filter(|_| self.diagnostics.is_empty()) {
             Some(balancer) => Ok(Import {
                 balancer,
                 hosts,
                 documents: self.documents,
             }),
-            None => Err(self.faults),
+            None => Err(self.diagnostics),
         }
     }
 
-    fn file(&mut self, path: &str, from_where: &Location, around: &Around) {
-        if self.within.iter().any(|w| w == path) {
-            return self.fault(from_where, format!("{path} includes itself"));
+    /// Reads one file; `included_at` is where errors about the file itself are reported.
+    fn read_file(&mut self, path: &str, included_at: &Location, context: &Context) {
+        if self.include_stack.iter().any(|p| p == path) {
+            return self.report(included_at, format!("{path} includes itself"));
         }
-        if self.within.len() >= DEEPEST || self.documents.len() >= MOST_FILES {
-            let what = format!(
-                "{path}: over {DEEPEST} files within each other, or over {MOST_FILES} in all"
+        if self.include_stack.len() >= MAX_INCLUDE_DEPTH || self.documents.len() >= MAX_FILES {
+            let message = format!(
+                "{path}: includes nested more than {MAX_INCLUDE_DEPTH} deep, or more than {MAX_FILES} files"
             );
-            return self.fault(from_where, what);
+            return self.report(included_at, message);
         }
         let text = match self.files.read(path) {
-            Ok(text) if text.len() <= MOST_BYTES => text,
+            Ok(text) if text.len() <= MAX_FILE_BYTES => text,
             Ok(_) => {
-                return self.fault(from_where, format!("{path}: over {} MiB", MOST_BYTES >> 20));
+                return self.report(
+                    included_at,
+                    format!("{path}: over {} MiB", MAX_FILE_BYTES >> 20),
+                );
             }
-            Err(why) => return self.fault(from_where, format!("{path}: {why}")),
+            Err(why) => return self.report(included_at, format!("{path}: {why}")),
         };
         let file: Arc<str> = path.into();
-        // A file may be included twice: then its words stand at one place, and say the same twice.
+        // A file may be included twice; it is one document then, whose settings are found twice.
         let known = self.documents.iter().position(|d| d.path == file);
         let index = known.unwrap_or(self.documents.len());
         if known.is_none() {
@@ -145,183 +166,206 @@
                 text: text.clone(),
             });
         }
-        match lines::lines(&text) {
+        match tokenize(&text) {
             Ok(lines) => {
-                self.within.push(path.to_string());
-                self.lines(&file, index, &lines, around.clone());
-                self.within.pop();
+                self.include_stack.push(path.to_string());
+                self.read_lines(&file, index, &lines, context.clone());
+                self.include_stack.pop();
             }
-            Err(odd) => {
-                for o in odd {
+            Err(errors) => {
+                for e in errors {
                     let at = Location {
                         file: file.clone(),
-                        line: o.number,
+                        line: e.line,
                     };
-                    self.fault(&at, o.what);
+                    self.report(&at, e.message);
                 }
             }
         }
     }
 
-    fn lines(&mut self, file: &Arc<str>, index: usize, lines: &[Line], mut around: Around) {
-        let mut open: Vec<(String, Location, Around)> = Vec::new();
+    fn read_lines(
+        &mut self,
+        file: &Arc<str>,
+        document: usize,
+        lines: &[Line],
+        mut context: Context,
+    ) {
+        let mut open_sections: Vec<(String, Location, Context)> = Vec::new();
         for line in lines {
             let at = Location {
                 file: file.clone(),
                 line: line.number,
             };
-            let name = line.words[0].text.to_ascii_lowercase();
+            let name = line.tokens[0].text.to_ascii_lowercase();
             if line.closes {
-                match open.pop() {
-                    Some((begun, _, before)) if begun == name => around = before,
-                    Some((begun, begun_at, _)) => {
-                        return self.fault(
+                match open_sections.pop() {
+                    Some((opened, _, outer)) if opened == name => context = outer,
+                    Some((opened, opened_at, _)) => {
+                        return self.report(
                             &at,
                             format!(
-                                "</{name}> where <{begun}> of line {} is open",
-                                begun_at.line
+                                "</{name}> where <{opened}> of line {} is open",
+                                opened_at.line
                             ),
                         );
                     }
-                    None => return self.fault(&at, format!("</{name}> closes nothing")),
+                    None => return self.report(&at, format!("</{name}> closes nothing")),
                 }
             } else if line.opens {
-                open.push((name.clone(), at.clone(), around.clone()));
-                self.section(&name, line, &at, &mut around);
+                open_sections.push((name.clone(), at.clone(), context.clone()));
+                self.section(&name, line, &at, &mut context);
             } else {
-                self.directive(&name, line, &at, index, &around);
+                self.directive(&name, line, &at, document, &context);
             }
         }
-        if let Some((name, at, _)) = open.pop() {
-            self.fault(&at, format!("<{name}> is not closed"));
+        if let Some((name, at, _)) = open_sections.pop() {
+            self.report(&at, format!("<{name}> is not closed"));
         }
     }
 
-    fn section(&mut self, name: &str, line: &Line, at: &Location, around: &mut Around) {
-        let given = match line.words.get(1) {
-            Some(word) => self.meant(&word.text, at),
+    fn section(&mut self, name: &str, line: &Line, at: &Location, context: &mut Context) {
+        let argument = match line.tokens.get(1) {
+            Some(token) => self.substitute(&token.text, at),
             None => String::new(),
         };
         match name {
             "proxy" => {
-                around.balancer = balancer_of(&given);
-                around.worker = around.balancer.is_none().then_some(given);
+                context.balancer = balancer_of(&argument);
+                context.worker = context.balancer.is_none().then_some(argument);
             }
             "ifdefine" | "ifmodule" => {
-                let (not, plain) = match given.strip_prefix('!') {
+                let (negated, name) = match argument.strip_prefix('!') {
                     Some(rest) => (true, rest),
-                    None => (false, given.as_str()),
+                    None => (false, argument.as_str()),
                 };
-                let assumed = self.wanted.assumed_conditions.iter().any(|a| a == plain);
-                if not || !assumed {
-                    let word = format!("<{} {given}>", line.words[0].text);
-                    around.doubtful.get_or_insert((word, at.clone()));
+                let assumed = self.options.assumed_conditions.iter().any(|a| a == name);
+                if negated || !assumed {
+                    let condition = format!("<{} {argument}>", line.tokens[0].text);
+                    context
+                        .unknown_condition
+                        .get_or_insert((condition, at.clone()));
                 }
             }
             "if" | "elseif" | "else" | "ifversion" | "iffile" | "ifdirective" | "ifsection" => {
-                let word = format!("<{}>", line.words[0].text);
-                around.doubtful.get_or_insert((word, at.clone()));
+                let condition = format!("<{}>", line.tokens[0].text);
+                context
+                    .unknown_condition
+                    .get_or_insert((condition, at.clone()));
             }
             _ => {}
         }
     }
 
-    /// What is said where nobody knows whether it holds cannot be taken, and not left out either.
-    fn is_doubtful(&mut self, what: &str, at: &Location, around: &Around) -> bool {
-        let Some((condition, begins)) = &around.doubtful else {
+    /// Reports a directive under a condition whose outcome is unknown: it can be neither used nor ignored.
+    fn refuse_if_conditional(&mut self, what: &str, at: &Location, context: &Context) -> bool {
+        let Some((condition, starts_at)) = &context.unknown_condition else {
             return false;
         };
-        let told = format!(
-            "{what} within {condition} of line {}: whether that holds is not known; assume its name, or take it out",
-            begins.line
+        let message = format!(
+            "{what} within {condition} of line {}: whether that holds is not known; assume its name, or remove it",
+            starts_at.line
         );
-        self.fault(at, told);
+        self.report(at, message);
         true
     }
 
-    fn directive(&mut self, name: &str, line: &Line, at: &Location, index: usize, around: &Around) {
+    fn directive(
+        &mut self,
+        name: &str,
+        line: &Line,
+        at: &Location,
+        document: usize,
+        context: &Context,
+    ) {
         match name {
             "define" | "undefine" => {
-                let Some(key) = line.words.get(1).map(|w| w.text.clone()) else {
-                    return self.fault(at, "a name is wanted");
+                let Some(key) = line.tokens.get(1).map(|w| w.text.clone()) else {
+                    return self.report(at, "a name is expected");
                 };
-                if around.doubtful.is_some() {
-                    self.doubtful.insert(key);
+                if context.unknown_condition.is_some() {
+                    self.unknown_variables.insert(key);
                     return;
                 }
-                self.doubtful.remove(&key);
-                match (name, line.words.get(2)) {
+                self.unknown_variables.remove(&key);
+                match (name, line.tokens.get(2)) {
                     ("define", Some(value)) => {
-                        let value = self.meant(&value.text, at);
-                        self.words.insert(key, value);
+                        let value = self.substitute(&value.text, at);
+                        self.variables.insert(key, value);
                     }
                     ("define", None) => {
-                        self.words.insert(key, String::new());
+                        self.variables.insert(key, String::new());
                     }
                     _ => {
-                        self.words.remove(&key);
+                        self.variables.remove(&key);
                     }
                 }
             }
             "include" | "includeoptional" => {
-                if self.is_doubtful("a file is included", at, around) {
+                if self.refuse_if_conditional("a file is included", at, context) {
                     return;
                 }
-                match line.words.get(1) {
-                    Some(word) => {
-                        let path = self.meant(&word.text, at);
-                        self.include(&path, name == "includeoptional", at, around);
+                match line.tokens.get(1) {
+                    Some(token) => {
+                        let path = self.substitute(&token.text, at);
+                        self.include(&path, name == "includeoptional", at, context);
                     }
-                    None => self.fault(at, "a file is wanted"),
+                    None => self.report(at, "a file is expected"),
                 }
             }
-            "balancermember" if self.is_doubtful("a member", at, around) => {}
-            "balancermember" => self.member(line, at, index, around),
-            "proxyset" => self.proxy_set(line, at, around),
+            "balancermember" if self.refuse_if_conditional("a member", at, context) => {}
+            "balancermember" => self.member(line, at, document, context),
+            "proxyset" => self.proxy_set(line, at, context),
             _ => {}
         }
     }
 
-    fn include(&mut self, path: &str, optional: bool, at: &Location, around: &Around) {
-        let path = from(&self.root.clone(), path);
+    fn include(&mut self, path: &str, optional: bool, at: &Location, context: &Context) {
+        let path = resolve(&self.base_dir.clone(), path);
         let (dir, last) = (
-            folder(&path).to_string(),
+            parent(&path).to_string(),
             path.rsplit('/').next().unwrap_or("").to_string(),
         );
         if is_pattern(&dir) {
-            return self.fault(at, format!("{path}: a pattern for a folder is not read"));
+            return self.report(
+                at,
+                format!("{path}: a pattern for a directory is not supported"),
+            );
         }
         if !is_pattern(&last) {
-            // One that is there and broken is a fault for optional ones too.
-            if optional && !self.is_there(&dir, &last) {
+            // An optional file that exists but cannot be read is an error too.
+            if optional && !self.file_exists(&dir, &last) {
                 return;
             }
-            return self.file(&path, at, around);
+            return self.read_file(&path, at, context);
         }
         match self.files.list(if dir.is_empty() { "." } else { &dir }) {
             Ok(names) => {
-                let found: Vec<String> = names.into_iter().filter(|n| fits(&last, n)).collect();
+                let found: Vec<String> = names
+                    .into_iter()
+                    .filter(|n| matches_glob(&last, n))
+                    .collect();
                 if found.is_empty() && !optional {
-                    self.fault(at, format!("{path}: no file fits"));
+                    self.report(at, format!("{path}: no file matches"));
                 }
                 found
                     .iter()
-                    .for_each(|name| self.file(&from(&dir, name), at, around));
+                    .for_each(|name| self.read_file(&resolve(&dir, name), at, context));
             }
             Err(_) if optional => {}
-            Err(why) => self.fault(at, format!("{dir}: {why}")),
+            Err(why) => self.report(at, format!("{dir}: {why}")),
         }
     }
 
-    fn is_there(&mut self, dir: &str, name: &str) -> bool {
+    fn file_exists(&mut self, dir: &str, name: &str) -> bool {
         let names = self.files.list(if dir.is_empty() { "." } else { dir });
         names.is_ok_and(|names| names.iter().any(|n| n == name))
     }
 
-    /// A word with `${NAME}` replaced; what is not defined is a fault, since httpd would take the environment's.
-    fn meant(&mut self, text: &str, at: &Location) -> String {
+    /// A text with `${NAME}` replaced. Undefined names are reported, since httpd would take them from the environment.
+    fn substitute(&mut self, text: &str, at: &Location) -> String {
         let mut out = text.to_string();
-        for _ in 0..MOST_WORDS {
+        for _ in 0..MAX_SUBSTITUTIONS {
             let Some(begin) = out.find("${") else {
                 return out;
             };
@@ -329,107 +373,110 @@
                 return out;
             };
             let key = out[begin + 2..end].to_string();
-            if self.doubtful.contains(&key) {
-                self.fault(
+            if self.unknown_variables.contains(&key) {
+                self.report(
                     at,
-                    format!("${{{key}}} is defined where it is not known whether that holds"),
+                    format!("${{{key}}} is defined under a condition: it is not known whether that holds"),
                 );
                 return out.replace("${", "");
             }
-            match self.words.get(&key) {
+            match self.variables.get(&key) {
                 Some(value) => out.replace_range(begin..=end, &value.clone()),
                 None => {
-                    self.fault(at, format!("${{{key}}} is not defined in these files"));
+                    self.report(at, format!("${{{key}}} is not defined in these files"));
                     return out.replace("${", "");
                 }
             }
         }
-        self.fault(
+        self.report(
             at,
-            format!("words within words more than {MOST_WORDS} times"),
+            format!("more than {MAX_SUBSTITUTIONS} substitutions in one value"),
         );
         out.replace("${", "")
     }
 
-    fn member(&mut self, line: &Line, at: &Location, index: usize, around: &Around) {
-        let mut words = line.words[1..].iter().peekable();
-        let balancer = match &around.balancer {
+    fn member(&mut self, line: &Line, at: &Location, document: usize, context: &Context) {
+        let mut tokens = line.tokens[1..].iter().peekable();
+        let balancer = match &context.balancer {
             Some(name) => name.clone(),
             None => {
-                let first = words
+                let first = tokens
                     .next()
-                    .map(|w| self.meant(&w.text, at))
+                    .map(|t| self.substitute(&t.text, at))
                     .unwrap_or_default();
                 match balancer_of(&first) {
                     Some(name) => name,
                     None => {
-                        let what = "a member outside of <Proxy \"balancer://...\"> names its balancer first";
-                        return self.fault(at, what);
+                        let message = "a member outside of <Proxy \"balancer://...\"> names its balancer first";
+                        return self.report(at, message);
                     }
                 }
             }
         };
-        let Some(url) = words.next() else {
-            return self.fault(at, "a member without a URL");
+        let Some(url) = tokens.next() else {
+            return self.report(at, "a member without a URL");
         };
-        let end = line.words.last().map_or(0, |w| w.bytes.end);
-        let meant = self.meant(&url.text, at);
-        let address = match address_of(&meant) {
+        let end = line.tokens.last().map_or(0, |w| w.bytes.end);
+        let url = self.substitute(&url.text, at);
+        let address = match address_of(&url) {
             Ok(address) => address,
-            Err(why) => return self.fault(at, format!("{meant}: {why}")),
+            Err(why) => return self.report(at, format!("{url}: {why}")),
         };
         let (mut route, mut weight, mut state) = (None, 1.0, HostState::Ready);
-        let word = |bytes, form| Word {
-            file: index,
+        let span = |bytes, syntax| SettingSpan {
+            document,
             bytes,
-            form,
+            syntax,
         };
-        let mut weight_at = word(end..end, Form::ApacheFactor { there: false });
-        let mut state_at = word(
+        let mut weight_span = span(end..end, SettingSyntax::ApacheFactor { exists: false });
+        let mut state_span = span(
             end..end,
-            Form::ApacheStatus {
-                there: false,
+            SettingSyntax::ApacheStatus {
+                exists: false,
                 letters: String::new(),
             },
         );
         let mut seen = BTreeSet::new();
-        for w in words {
-            let meant = self.meant(&w.text, at);
-            let Some((key, value)) = meant.split_once('=') else {
-                self.fault(
+        for token in tokens {
+            let setting = self.substitute(&token.text, at);
+            let Some((key, value)) = setting.split_once('=') else {
+                self.report(
                     at,
-                    format!("{meant:?}: a word such as loadfactor=2 is wanted"),
+                    format!("{setting:?}: a setting such as loadfactor=2 is expected"),
                 );
                 continue;
             };
             let key = key.to_ascii_lowercase();
             if !seen.insert(key.clone()) {
-                self.fault(at, format!("{key} is said twice"));
+                self.report(at, format!("{key} is set twice"));
             }
             match key.as_str() {
                 "route" => route = Some(value.to_string()),
                 "loadfactor" => {
                     match value.parse::<f64>() {
                         Ok(n) if (1.0..=100.0).contains(&n) => weight = n,
-                        _ => self.fault(
+                        _ => self.report(
                             at,
-                            format!("loadfactor={value}: a number from 1 to 100 is wanted"),
+                            format!("loadfactor={value}: a number from 1 to 100 is expected"),
                         ),
                     }
-                    weight_at = word(w.bytes.clone(), Form::ApacheFactor { there: true });
+                    weight_span = span(
+                        token.bytes.clone(),
+                        SettingSyntax::ApacheFactor { exists: true },
+                    );
                 }
                 "status" => match status(value) {
                     Ok((found, letters)) => {
                         state = found;
-                        state_at = word(
-                            w.bytes.clone(),
-                            Form::ApacheStatus {
-                                there: true,
+                        state_span = span(
+                            token.bytes.clone(),
+                            SettingSyntax::ApacheStatus {
+                                exists: true,
                                 letters,
                             },
                         );
                     }
-                    Err(why) => self.fault(at, format!("status={value}: {why}")),
+                    Err(why) => self.report(at, format!("status={value}: {why}")),
                 },
                 _ => {}
             }
@@ -438,7 +485,7 @@
             .filter(|r| !r.is_empty())
             .unwrap_or_else(|| address.clone());
         if !self.members.contains_key(&balancer) {
-            self.order.push(balancer.clone());
+            self.balancers.push(balancer.clone());
         }
         self.members.entry(balancer).or_default().push(Host {
             name,
@@ -447,35 +494,36 @@
             weight,
             state,
             location: at.clone(),
-            weight_at: vec![weight_at],
-            state_at: vec![state_at],
+            weight_spans: vec![weight_span],
+            state_spans: vec![state_span],
         });
     }
 
-    /// Settings of a worker outside its member's line would hold as well: refused, since then two places say it.
-    fn proxy_set(&mut self, line: &Line, at: &Location, around: &Around) {
-        let mut words = line.words[1..]
+    /// Refuses settings of a member outside its `BalancerMember` line, since they would apply as well.
+    fn proxy_set(&mut self, line: &Line, at: &Location, context: &Context) {
+        let mut settings = line.tokens[1..]
             .iter()
             .map(|w| w.text.clone())
             .collect::<Vec<_>>();
-        let mut worker = around.worker.clone();
-        if let Some(first) = words.first().filter(|w| w.contains("://")) {
+        let mut worker = context.worker.clone();
+        if let Some(first) = settings.first().filter(|w| w.contains("://")) {
             worker = balancer_of(first).is_none().then(|| first.clone());
-            words.remove(0);
+            settings.remove(0);
         }
-        let ours = |w: &&String| {
+        let concerns_us = |w: &&String| {
             let key = w.split('=').next().unwrap_or("").to_ascii_lowercase();
             matches!(key.as_str(), "loadfactor" | "status" | "route")
         };
-        if let (Some(worker), Some(word)) = (&worker, words.iter().find(ours)) {
-            self.fault(
+        if let (Some(worker), Some(setting)) = (&worker, settings.iter().find(concerns_us)) {
+            self.report(
                 at,
-                format!("{word} of {worker} is to stand at its BalancerMember"),
+                format!("{setting} of {worker} must be set at its BalancerMember"),
             );
         }
     }
 }
 
+/// The name in a `balancer://` URL.
 fn balancer_of(url: &str) -> Option<String> {
     let scheme = url.get(..11)?;
     let rest = scheme
@@ -485,29 +533,29 @@
     (!name.is_empty()).then(|| name.to_string())
 }
 
-/// Host and port of a worker's URL.
+/// IP address and port of a worker's URL.
 fn address_of(url: &str) -> Result<String, String> {
     let Some((scheme, rest)) = url.split_once("://") else {
-        return Err("a URL such as http://10.0.0.1:8080 is wanted".into());
+        return Err("a URL such as http://10.0.0.1:8080 is expected".into());
     };
     if scheme.contains(['|', ':']) {
-        return Err("sockets of files are not met".into());
+        return Err("Unix sockets are not supported".into());
     }
-    let usual = match scheme.to_ascii_lowercase().as_str() {
+    let default_port = match scheme.to_ascii_lowercase().as_str() {
         "http" | "h2c" | "ws" => 80,
         "https" | "h2" | "wss" => 443,
         "ajp" => 8009,
         "fcgi" => 8000,
-        other => return Err(format!("the usual port of {other} is not known")),
+        other => return Err(format!("the default port of {other} is not known")),
     };
-    address(rest.split('/').next().unwrap_or(""), usual)
+    address(rest.split('/').next().unwrap_or(""), default_port)
 }
 
-/// An address with its port; names are not looked up here.
+/// Parses an IP address or `localhost`, with a port if given; names are not looked up.
 ///
 /// # Errors
-/// What is wanted instead.
-pub fn address(text: &str, usual: u16) -> Result<String, String> {
+/// What is expected instead.
+pub fn address(text: &str, default_port: u16) -> Result<String, String> {
     let (host, port) = match text.strip_prefix('[').and_then(|r| r.split_once(']')) {
         Some((host, rest)) => (host, rest.strip_prefix(':')),
         None => match text.rsplit_once(':') {
@@ -520,20 +568,20 @@
         false => host.parse::<IpAddr>(),
     };
     let ip = ip.map_err(|_| {
-        format!("{host:?}: an address such as 10.0.0.1 is wanted, names are not looked up")
+        format!("{host:?}: an address such as 10.0.0.1 is expected, names are not looked up")
     })?;
     let port = match port {
-        None => usual,
+        None => default_port,
         Some(port) => port
             .parse()
             .ok()
             .filter(|p| *p > 0)
-            .ok_or(format!("{port:?} is no port"))?,
+            .ok_or(format!("{port:?} is not a port"))?,
     };
     Ok(std::net::SocketAddr::new(ip, port).to_string())
 }
 
-/// What a controller has of a status, and the letters that stay.
+/// The state that a status means, and the letters to keep.
 fn status(value: &str) -> Result<(HostState, String), String> {
     let (mut state, mut letters, mut sign) = (HostState::Ready, String::new(), None);
     for c in value.chars() {
@@ -545,12 +593,11 @@
             }
             'H' | 'R' if sign != Some('-') => {
                 return Err(
-                    "a spare is nothing that a controller has; give it a weight or take it out"
-                        .into(),
+                    "spares (H, R) are not supported; give the member a weight or remove it".into(),
                 );
             }
             'E' if sign != Some('-') => {
-                return Err("an error is of a running httpd, no setting".into());
+                return Err("E is set by a running httpd and is no setting".into());
             }
             c if GONE.contains(&c) => {
                 if sign != Some('-') {
@@ -566,12 +613,12 @@
                 letters.push(sign.unwrap_or('+'));
                 letters.push(c);
             }
-            c => return Err(format!("{c:?} is no status")),
+            c => return Err(format!("{c:?} is not a status letter")),
         }
         sign = None;
     }
     match sign {
-        Some(sign) => Err(format!("a letter is wanted behind {sign}")),
+        Some(sign) => Err(format!("a letter is expected after {sign}")),
         None => Ok((state, letters)),
     }
 }
--- a/crates/import/src/fleet.rs
+++ b/crates/import/src/hosts.rs
@@ -1,12 +1,12 @@
-//! What is read: hosts, where each word of them stands, and what two words of one host may be. Decides what
-//! contradicts what; the rules are gone through for every host.
+//! The imported hosts, with the places of their settings in the files: merges duplicates, reports contradictions, and
+//! writes changed weights and states back.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::ops::Range;
 use std::sync::Arc;
 
-/// Where something stands: a file and a line, from 1.
+/// A file and a line, from 1.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Location {
     pub file: Arc<str>,
@@ -19,7 +19,7 @@
     }
 }
 
-/// What is wrong, and where.
+/// What is wrong with a file, and where.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Diagnostic {
     pub location: Location,
@@ -32,7 +32,7 @@
     }
 }
 
-/// What a controller is told of a host.
+/// The state of a host in the roster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostState {
     Ready,
@@ -40,46 +40,48 @@
     Gone,
 }
 
-/// A stretch of a file's text that says something, or the place where it would be said.
+/// The bytes of a setting in a file, or the place where it would be inserted.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Word {
-    pub file: usize,
+pub struct SettingSpan {
+    /// Index in [`Import::documents`].
+    pub document: usize,
     pub bytes: Range<usize>,
-    /// What is written there: Apache's `status=+D`, mod_jk's value of a key alone.
-    pub form: Form,
+    pub syntax: SettingSyntax,
 }
 
-/// How a word is written.
+/// How a setting is written.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Form {
-    /// ` loadfactor=2`, put behind the last word where it is not there yet.
-    ApacheFactor { there: bool },
-    /// `status=...`: the letters that are not ours stay.
-    ApacheStatus { there: bool, letters: String },
-    /// The value of `worker.x.lbfactor`, or a line of it.
+pub enum SettingSyntax {
+    /// `loadfactor=2`; appended to the line if it does not exist yet.
+    ApacheFactor { exists: bool },
+    /// `status=...`; letters that are not ours are kept.
+    ApacheStatus { exists: bool, letters: String },
+    /// The value of `worker.x.lbfactor`; with a key, a new line.
     JkFactor { key: Option<String> },
-    /// The value of `worker.x.activation`, or a line of it.
+    /// The value of `worker.x.activation`; with a key, a new line.
     JkActivation { key: Option<String> },
 }
 
-/// A host.
+/// An imported host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Host {
     pub name: String,
-    /// Host and port.
+    /// IP address and port.
     pub address: String,
-    /// mod_jk's domain; Apache has none.
+    /// mod_jk's domain; always `None` for Apache.
     pub domain: Option<String>,
     pub weight: f64,
     pub state: HostState,
+    /// Where it is listed first.
     pub location: Location,
-    /// Where weight and state are said: at more than one place if several say the same.
-    pub weight_at: Vec<Word>,
-    pub state_at: Vec<Word>,
+    /// Where its weight is set: several places if it is listed several times.
+    pub weight_spans: Vec<SettingSpan>,
+    /// Where its state is set.
+    pub state_spans: Vec<SettingSpan>,
 }
 
 impl Host {
-    /// What a controller would be told, without where it stands.
+    /// What a roster contains of the host: everything but its places in the files.
     pub fn summary(&self) -> (&str, &str, Option<&str>, f64, HostState) {
         (
             &self.name,
@@ -91,25 +93,26 @@
     }
 }
 
-/// A file that was read.
+/// A file and its text.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Document {
     pub path: Arc<str>,
     pub text: String,
 }
 
-/// What was read of a first file and all that it includes.
+/// The balancer of a file and all its includes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Import {
     pub balancer: String,
-    /// In the order of the files.
+    /// In the order in which the files list them.
     pub hosts: Vec<Host>,
+    /// All files that were read.
     pub documents: Vec<Document>,
 }
 
 type Rule = fn(&Host, &Host) -> Option<String>;
 
-/// What two words of one name, or of one address, contradict each other in.
+/// Contradictions between two entries with the same name or the same address. Gone through for each such pair.
 const RULES: [Rule; 5] = [
     one_name_has_one_address,
     one_address_has_one_name,
@@ -147,7 +150,7 @@
 
 fn one_host_has_one_state(a: &Host, b: &Host) -> Option<String> {
     (a.name == b.name && a.state != b.state).then(|| {
-        let (here, there) = (told(b.state), told(a.state));
+        let (here, there) = (state_name(b.state), state_name(a.state));
         format!("{:?} is {here} here and {there} at {}", b.name, a.location)
     })
 }
@@ -157,8 +160,8 @@
         .then(|| format!("{:?} has another domain at {}", b.name, a.location))
 }
 
-/// A state in words.
-pub fn told(state: HostState) -> &'static str {
+/// The name of a state.
+pub fn state_name(state: HostState) -> &'static str {
     match state {
         HostState::Ready => "ready",
         HostState::Draining => "draining",
@@ -166,29 +169,29 @@
     }
 }
 
-/// Puts hosts that are the same into one; what contradicts is a fault at the later place, and names the earlier.
-pub fn merged(hosts: Vec<Host>, faults: &mut Vec<Diagnostic>) -> Vec<Host> {
+/// Merges entries of the same host. A contradiction is reported at the later entry and names the earlier one.
+pub fn merge_duplicates(hosts: Vec<Host>, diagnostics: &mut Vec<Diagnostic>) -> Vec<Host> {
     let mut out: Vec<Host> = Vec::new();
     let (mut by_name, mut by_address) = (BTreeMap::new(), BTreeMap::new());
     for host in hosts {
-        let known: Option<usize> = by_name
+        let first: Option<usize> = by_name
             .get(&host.name)
             .or_else(|| by_address.get(&host.address))
             .copied();
-        let Some(at) = known else {
+        let Some(index) = first else {
             by_name.insert(host.name.clone(), out.len());
             by_address.insert(host.address.clone(), out.len());
             out.push(host);
             continue;
         };
-        match RULES.iter().find_map(|rule| rule(&out[at], &host)) {
-            Some(what) => faults.push(Diagnostic {
+        match RULES.iter().find_map(|rule| rule(&out[index], &host)) {
+            Some(message) => diagnostics.push(Diagnostic {
                 location: host.location,
-                message: what,
+                message,
             }),
             None => {
-                out[at].weight_at.extend(host.weight_at);
-                out[at].state_at.extend(host.state_at);
+                out[index].weight_spans.extend(host.weight_spans);
+                out[index].state_spans.extend(host.state_spans);
             }
         }
     }
@@ -196,14 +199,15 @@
 }
 
 impl Import {
+    /// The host of a name.
     pub fn host(&self, name: &str) -> Option<&Host> {
         self.hosts.iter().find(|h| h.name == name)
     }
 
-    /// The files' texts with these weights and states, by name, in them. Only what changes is touched.
+    /// The files with new weights and states of hosts, by name. All other text stays byte for byte.
     ///
     /// # Errors
-    /// A name that no file has, or a weight that its file cannot say.
+    /// A name that is in no file, or a weight that the format of the file cannot express.
     pub fn with_changes(
         &self,
         changes: &BTreeMap<String, (f64, HostState)>,
@@ -215,33 +219,35 @@
             let host = by_name.get(name.as_str());
             let host = host.ok_or_else(|| format!("no file names {name:?}"))?;
             if host.weight != *weight {
-                for w in &host.weight_at {
-                    let text = weight_word(&w.form, *weight);
+                for span in &host.weight_spans {
+                    let text = weight_text(&span.syntax, *weight);
                     let text = text.map_err(|why| format!("{name:?}: {why}"))?;
-                    edits.push((w.file, w.bytes.clone(), text));
+                    edits.push((span.document, span.bytes.clone(), text));
                 }
             }
             if host.state != *state {
-                for w in &host.state_at {
-                    edits.push((w.file, w.bytes.clone(), state_word(&w.form, *state)));
+                for span in &host.state_spans {
+                    let text = state_text(&span.syntax, *state);
+                    edits.push((span.document, span.bytes.clone(), text));
                 }
             }
         }
-        // At one place a weight goes before a state, as they were found.
-        edits.sort_by_key(|(file, bytes, _)| (*file, bytes.start));
-        // A file that is included twice says a word twice: it is written once.
+        // The sort is stable: where both are inserted at one place, the weight stays before the state.
+        edits.sort_by_key(|(document, bytes, _)| (*document, bytes.start));
+        // A file that is included twice has each setting twice; it is written once.
         let mut seen = BTreeSet::new();
-        edits.retain(|(file, bytes, text)| seen.insert((*file, bytes.start, text.clone())));
+        edits.retain(|(document, bytes, text)| seen.insert((*document, bytes.start, text.clone())));
         let mut documents = Vec::new();
         let mut edits = edits.into_iter().peekable();
         for (index, document) in self.documents.iter().enumerate() {
-            let (mut text, mut at) = (String::with_capacity(document.text.len()), 0);
-            while let Some((_, bytes, word)) = edits.next_if(|(file, ..)| *file == index) {
-                text.push_str(&document.text[at..bytes.start]);
-                text.push_str(&word);
-                at = bytes.end;
+            let (mut text, mut copied) = (String::with_capacity(document.text.len()), 0);
+            while let Some((_, bytes, setting)) = edits.next_if(|(document, ..)| *document == index)
+            {
+                text.push_str(&document.text[copied..bytes.start]);
+                text.push_str(&setting);
+                copied = bytes.end;
             }
-            text.push_str(&document.text[at..]);
+            text.push_str(&document.text[copied..]);
             documents.push(Document {
                 path: document.path.clone(),
                 text,
@@ -251,27 +257,28 @@
     }
 }
 
-fn weight_word(form: &Form, weight: f64) -> Result<String, String> {
+/// The text of a weight setting.
+fn weight_text(syntax: &SettingSyntax, weight: f64) -> Result<String, String> {
     let number = format!("{weight}");
-    match form {
-        Form::ApacheFactor { there } => {
-            // httpd takes 1 to 100, with two decimals.
+    match syntax {
+        SettingSyntax::ApacheFactor { exists } => {
+            // httpd accepts 1 to 100 with two decimals.
             let cents = weight * 100.0;
             if !(1.0..=100.0).contains(&weight) || (cents - cents.round()).abs() > 1e-9 {
                 return Err(format!(
-                    "a loadfactor is from 1 to 100 with two decimals at the most, not {weight}"
+                    "a loadfactor is from 1 to 100 with at most two decimals, not {weight}"
                 ));
             }
-            Ok(if *there {
+            Ok(if *exists {
                 format!("loadfactor={number}")
             } else {
                 format!(" loadfactor={number}")
             })
         }
-        Form::JkFactor { key } => {
+        SettingSyntax::JkFactor { key } => {
             if weight < 1.0 || weight.fract() != 0.0 || weight > 1e6 {
                 return Err(format!(
-                    "an lbfactor is a whole number from 1, not {weight}"
+                    "an lbfactor is an integer from 1 to 1000000, not {weight}"
                 ));
             }
             Ok(match key {
@@ -279,35 +286,36 @@
                 Some(key) => format!("\n{key}={number}"),
             })
         }
-        _ => Err("this is no weight".into()),
+        _ => Err("this setting is not a weight".into()),
     }
 }
 
-fn state_word(form: &Form, state: HostState) -> String {
-    match form {
-        Form::ApacheStatus { there, letters } => {
+/// The text of a state setting.
+fn state_text(syntax: &SettingSyntax, state: HostState) -> String {
+    match syntax {
+        SettingSyntax::ApacheStatus { exists, letters } => {
             let ours = match state {
                 HostState::Ready => "",
                 HostState::Draining => "+N",
                 HostState::Gone => "+D",
             };
-            let space = if *there { "" } else { " " };
-            match (letters.is_empty() && ours.is_empty(), there) {
-                // It said a state; what is usual has to be said as such.
+            let space = if *exists { "" } else { " " };
+            match (letters.is_empty() && ours.is_empty(), exists) {
+                // The line already sets a state, so the default is written explicitly.
                 (true, true) => "status=-D".into(),
                 (true, false) => String::new(),
                 _ => format!("{space}status={letters}{ours}"),
             }
         }
-        Form::JkActivation { key } => {
-            let word = match state {
+        SettingSyntax::JkActivation { key } => {
+            let value = match state {
                 HostState::Ready => "A",
                 HostState::Draining => "D",
                 HostState::Gone => "S",
             };
             match key {
-                None => word.into(),
-                Some(key) => format!("\n{key}={word}"),
+                None => value.into(),
+                Some(key) => format!("\n{key}={value}"),
             }
         }
         _ => String::new(),
--- a/crates/import/src/jk.rs
+++ b/crates/import/src/jk.rs
@@ -1,52 +1,60 @@
-//! mod_jk's `workers.properties`: a property a line, `#` begins a comment wherever it stands, `$(name)` stands for
-//! another property, `reference` takes over what a worker does not say itself.
+//! Reads mod_jk's `workers.properties`: one property per line, `#` starts a comment anywhere, `$(name)` is replaced by
+//! another property, and a worker takes the properties that it lacks from its `reference`.
 
 use crate::apache::address;
-use crate::fleet::{Diagnostic, Document, Form, Host, HostState, Import, Location, Word, merged};
+use crate::hosts::{
+    Diagnostic, Document, Host, HostState, Import, Location, SettingSpan, SettingSyntax,
+    merge_duplicates,
+};
 use crate::{FileSource, ImportOptions};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 use std::sync::Arc;
 
-const MOST_BYTES: usize = 16 << 20;
-const MOST_WORDS: usize = 16;
-/// Properties that add up when they are said again.
-const LISTS: [&str; 5] = [
+const MAX_FILE_BYTES: usize = 16 << 20;
+/// Replacements in one value; guards against properties that refer to themselves.
+const MAX_SUBSTITUTIONS: usize = 16;
+/// Properties whose values accumulate when they are repeated.
+const LIST_PROPERTIES: [&str; 5] = [
     "balance_workers",
     "balanced_workers",
     "mount",
     "css",
     "method",
 ];
-const AJP_PORT: u16 = 8009;
+const DEFAULT_AJP_PORT: u16 = 8009;
 
-/// A property where it stands.
+/// One assignment of a property.
 #[derive(Clone, Debug)]
-struct Said {
+struct Property {
     value: String,
-    /// The value's bytes, and the end of its line.
+    /// The bytes of the value.
     bytes: Range<usize>,
-    end: usize,
+    /// The end of its line.
+    line_end: usize,
     line: usize,
 }
 
 struct Reader {
     file: Arc<str>,
-    faults: Vec<Diagnostic>,
-    /// All that is said of a key, in order.
-    said: BTreeMap<String, Vec<Said>>,
+    diagnostics: Vec<Diagnostic>,
+    /// All assignments of each key, in order.
+    properties: BTreeMap<String, Vec<Property>>,
     /// Workers in the order in which they are first named.
     workers: Vec<String>,
-    known: BTreeSet<String>,
-    lists: Vec<String>,
+    known_workers: BTreeSet<String>,
+    /// The workers in `worker.list`.
+    listed: Vec<String>,
 }
 
+/// Reads a file.
+///
 /// # Errors
-/// Everything that is wrong or cannot be known.
+/// Everything that is wrong or ambiguous.
 pub fn read(
     files: &mut dyn FileSource,
     path: &str,
-    wanted: &ImportOptions,
+    options: &ImportOptions,
 ) -> Result<Import, Vec<Diagnostic>> {
     let file: Arc<str> = path.into();
     let first = Location {
@@ -55,107 +63,109 @@
     };
     let text = files
         .read(path)
-        .and_then(|text| match text.len() <= MOST_BYTES {
+        .and_then(|text| match text.len() <= MAX_FILE_BYTES {
             true => Ok(text),
-            false => Err(format!("over {} MiB", MOST_BYTES >> 20)),
+            false => Err(format!("over {} MiB", MAX_FILE_BYTES >> 20)),
         });
-    let text = text.map_err(|what| {
+    let text = text.map_err(|message| {
         vec![Diagnostic {
             location: first.clone(),
-            message: what,
+            message,
         }]
     })?;
     let mut r = Reader {
         file: file.clone(),
-        faults: Vec::new(),
-        said: BTreeMap::new(),
+        diagnostics: Vec::new(),
+        properties: BTreeMap::new(),
         workers: Vec::new(),
-        known: BTreeSet::new(),
-        lists: Vec::new(),
+        known_workers: BTreeSet::new(),
+        listed: Vec::new(),
     };
-    r.lines(&text);
-    r.contradictions();
-    let balancer = r.balancer(wanted);
+    r.read_lines(&text);
+    r.report_contradictions();
+    let balancer = r.select_balancer(options);
     let hosts = balancer.as_ref().map_or(Vec::new(), |b| r.members(b));
-    let hosts = merged(hosts, &mut r.faults);
-    r.faults.sort();
-    r.faults.dedup();
-    match balancer.filter(|_| r.faults.is_empty()) {
+    let hosts = merge_duplicates(hosts, &mut r.diagnostics);
+    r.diagnostics.sort();
+    r.diagnostics.dedup();
+    match balancer.filter(|_| r.diagnostics.is_empty()) {
         Some(balancer) => Ok(Import {
             balancer,
             hosts,
             documents: vec![Document { path: file, text }],
         }),
-        None => Err(r.faults),
+        None => Err(r.diagnostics),
     }
 }
 
 impl Reader {
-    fn fault(&mut self, line: usize, what: impl Into<String>) {
-        let at = self.at(line);
-        self.faults.push(Diagnostic {
-            location: at,
-            message: what.into(),
+    fn report(&mut self, line: usize, message: impl Into<String>) {
+        let location = self.location(line);
+        self.diagnostics.push(Diagnostic {
+            location,
+            message: message.into(),
         });
     }
 
-    fn at(&self, line: usize) -> Location {
+    fn location(&self, line: usize) -> Location {
         Location {
             file: self.file.clone(),
             line,
         }
     }
 
-    fn lines(&mut self, text: &str) {
-        let mut begin = 0;
+    fn read_lines(&mut self, text: &str) {
+        let mut start = 0;
         for (i, raw) in text.split_inclusive('\n').enumerate() {
             let line = i + 1;
             let bare = raw.trim_end_matches(['\n', '\r']);
-            let said = bare.split('#').next().unwrap_or("");
-            if !said.trim().is_empty() {
-                self.property(said, begin, begin + bare.len(), line);
+            let content = bare.split('#').next().unwrap_or("");
+            if !content.trim().is_empty() {
+                self.read_property(content, start, start + bare.len(), line);
             }
-            begin += raw.len();
+            start += raw.len();
         }
     }
 
-    fn property(&mut self, said: &str, begin: usize, end: usize, line: usize) {
-        let Some((key, value)) = said.split_once('=') else {
-            return self.fault(
+    /// Reads `key = value`; `start` and `line_end` are the bounds of the line.
+    fn read_property(&mut self, text: &str, start: usize, line_end: usize, line: usize) {
+        let Some((key, value)) = text.split_once('=') else {
+            return self.report(
                 line,
                 format!(
-                    "{:?}: a line such as worker.a.port=8009 is wanted",
-                    said.trim()
+                    "{:?}: a line such as worker.a.port=8009 is expected",
+                    text.trim()
                 ),
             );
         };
-        let from = begin + key.len() + 1 + (value.len() - value.trim_start().len());
+        let from = start + key.len() + 1 + (value.len() - value.trim_start().len());
         let (key, value) = (key.trim().to_string(), value.trim().to_string());
         if key.is_empty() {
-            return self.fault(line, "a name is wanted before =");
+            return self.report(line, "a name is expected before =");
         }
         let bytes = from..from + value.len();
-        let value = self.meant(&value, line);
+        let value = self.substitute(&value, line);
         if let Some((worker, _)) = worker_of(&key)
-            && self.known.insert(worker.clone())
+            && self.known_workers.insert(worker.clone())
         {
             self.workers.push(worker);
         }
         if key == "worker.list" {
-            self.lists.extend(names(&value));
+            self.listed.extend(names(&value));
         }
-        self.said.entry(key).or_default().push(Said {
+        self.properties.entry(key).or_default().push(Property {
             value,
             bytes,
-            end,
+            line_end,
             line,
         });
     }
 
-    /// A value with `$(name)` replaced by what was said before; else mod_jk would take the environment's.
-    fn meant(&mut self, text: &str, line: usize) -> String {
+    /// A value with `$(name)` replaced by an earlier property. Others are reported, since mod_jk would take them from the
+    /// environment.
+    fn substitute(&mut self, text: &str, line: usize) -> String {
         let mut out = text.to_string();
-        for _ in 0..MOST_WORDS {
+        for _ in 0..MAX_SUBSTITUTIONS {
             let Some(begin) = out.find("$(") else {
                 return out;
             };
@@ -164,90 +174,97 @@
             };
             let key = out[begin + 2..end].to_string();
             let value = self
-                .said
+                .properties
                 .get(&key)
                 .and_then(|s| s.last())
                 .map(|s| s.value.clone());
             match value {
                 Some(value) => out.replace_range(begin..=end, &value),
                 None => {
-                    self.fault(line, format!("$({key}) is not said before"));
+                    self.report(line, format!("$({key}) is not set before"));
                     return out.replace("$(", "");
                 }
             }
         }
-        self.fault(
+        self.report(
             line,
-            format!("words within words more than {MOST_WORDS} times"),
+            format!("more than {MAX_SUBSTITUTIONS} substitutions in one value"),
         );
         out.replace("$(", "")
     }
 
-    /// One property, two values: mod_jk would take the last and say nothing.
-    fn contradictions(&mut self) {
+    /// Reports properties that are set to different values: mod_jk would silently use the last one.
+    fn report_contradictions(&mut self) {
         let mut found = Vec::new();
-        for (key, all) in &self.said {
+        for (key, all) in &self.properties {
             let Some((worker, property)) = worker_of(key) else {
                 continue;
             };
-            if LISTS.contains(&property.as_str()) {
+            if LIST_PROPERTIES.contains(&property.as_str()) {
                 continue;
             }
             let first = &all[0];
             for other in all.iter().skip(1).filter(|o| o.value != first.value) {
-                let what = format!(
+                let message = format!(
                     "{property} of {worker:?} is {:?} here and {:?} in line {}",
                     other.value, first.value, first.line
                 );
-                found.push((other.line, what));
+                found.push((other.line, message));
             }
         }
         found
             .into_iter()
-            .for_each(|(line, what)| self.fault(line, what));
+            .for_each(|(line, message)| self.report(line, message));
     }
 
-    /// All that is said of a worker's property, its own or by reference; and whether it is its own.
-    fn of(&self, worker: &str, property: &str) -> Option<(&[Said], bool)> {
-        let (mut at, mut seen) = (worker.to_string(), BTreeSet::new());
+    /// All assignments of a worker's property, its own or those of its references; and whether they are its own.
+    fn assignments(&self, worker: &str, property: &str) -> Option<(&[Property], bool)> {
+        let (mut current, mut seen) = (worker.to_string(), BTreeSet::new());
         loop {
-            if let Some(said) = self.said.get(&format!("worker.{at}.{property}")) {
-                return Some((said, at == worker));
+            if let Some(found) = self.properties.get(&format!("worker.{current}.{property}")) {
+                return Some((found, current == worker));
             }
-            let next = self.said.get(&format!("worker.{at}.reference"))?;
+            let next = self
+                .properties
+                .get(&format!("worker.{current}.reference"))?;
             let next = next.last()?.value.strip_prefix("worker.")?.to_string();
-            if !seen.insert(std::mem::replace(&mut at, next)) {
+            if !seen.insert(std::mem::replace(&mut current, next)) {
                 return None;
             }
         }
     }
 
+    /// The value of a property in effect.
     fn value(&self, worker: &str, property: &str) -> Option<&str> {
-        self.of(worker, property)
+        self.assignments(worker, property)
             .and_then(|(s, _)| s.last())
             .map(|s| s.value.as_str())
     }
 
+    /// The line of a property in effect, else the first line of the worker.
     fn line_of(&self, worker: &str, property: &str) -> usize {
-        let said = self.of(worker, property).and_then(|(s, _)| s.last());
-        said.map_or_else(|| self.first_line(worker), |s| s.line)
+        let last = self
+            .assignments(worker, property)
+            .and_then(|(s, _)| s.last());
+        last.map_or_else(|| self.first_line(worker), |s| s.line)
     }
 
-    /// What is said of a worker by its own name.
-    fn own(&self, worker: &str) -> impl Iterator<Item = (&String, &Vec<Said>)> {
+    /// The properties set for a worker itself.
+    fn own_properties(&self, worker: &str) -> impl Iterator<Item = (&String, &Vec<Property>)> {
         let prefix = format!("worker.{worker}.");
-        let from = self.said.range(prefix.clone()..);
+        let from = self.properties.range(prefix.clone()..);
         from.take_while(move |(k, _)| k.starts_with(&prefix))
     }
 
     fn first_line(&self, worker: &str) -> usize {
-        let own = self.own(worker);
+        let own = self.own_properties(worker);
         own.flat_map(|(_, s)| s.iter().map(|s| s.line))
             .min()
             .unwrap_or(1)
     }
 
-    fn balancer(&mut self, wanted: &ImportOptions) -> Option<String> {
+    /// The balancer to import: the one in the options, or the only one.
+    fn select_balancer(&mut self, options: &ImportOptions) -> Option<String> {
         let is_lb = |r: &Reader, w: &str| {
             r.value(w, "type")
                 .is_some_and(|t| t.eq_ignore_ascii_case("lb"))
@@ -258,17 +275,17 @@
             .filter(|w| is_lb(self, w))
             .cloned()
             .collect();
-        // Those that are not listed are parts of others, or of nothing.
+        // Balancers that are not in worker.list are used by other workers, or not at all.
         let listed: Vec<String> = all
             .iter()
-            .filter(|w| self.lists.contains(w))
+            .filter(|w| self.listed.contains(w))
             .cloned()
             .collect();
-        let among = if listed.is_empty() { &all } else { &listed };
-        match (&wanted.balancer, among.as_slice()) {
+        let candidates = if listed.is_empty() { &all } else { &listed };
+        match (&options.balancer, candidates.as_slice()) {
             (Some(name), _) if all.contains(name) => Some(name.clone()),
             (Some(name), _) => {
-                self.fault(
+                self.report(
                     1,
                     format!(
                         "no load balancing worker {name:?}; there are {}",
@@ -279,15 +296,15 @@
             }
             (None, [one]) => Some(one.clone()),
             (None, []) => {
-                self.fault(1, "no worker of type lb here");
+                self.report(1, "no worker of type lb here");
                 None
             }
             (None, several) => {
-                let what = format!(
+                let message = format!(
                     "several load balancing workers: say which of {}",
                     several.join(", ")
                 );
-                self.fault(1, what);
+                self.report(1, message);
                 None
             }
         }
@@ -296,29 +313,29 @@
     fn members(&mut self, balancer: &str) -> Vec<Host> {
         let mut listed: Vec<(String, usize)> = Vec::new();
         for property in ["balance_workers", "balanced_workers"] {
-            let said = self
-                .of(balancer, property)
+            let assignments = self
+                .assignments(balancer, property)
                 .map_or(Vec::new(), |(s, _)| s.to_vec());
-            for s in said {
+            for s in assignments {
                 listed.extend(names(&s.value).map(|n| (n, s.line)));
             }
         }
         if listed.is_empty() {
             let line = self.first_line(balancer);
-            self.fault(line, format!("{balancer:?} balances nobody"));
+            self.report(line, format!("{balancer:?} balances nobody"));
         }
         let mut seen: BTreeMap<String, usize> = BTreeMap::new();
         let mut out = Vec::new();
         for (name, line) in listed {
             if let Some(before) = seen.insert(name.clone(), line) {
-                self.fault(
+                self.report(
                     line,
                     format!("{name:?} is balanced twice; first in line {before}"),
                 );
                 continue;
             }
-            if !self.known.contains(&name) {
-                self.fault(line, format!("nothing is said of worker {name:?}"));
+            if !self.known_workers.contains(&name) {
+                self.report(line, format!("worker {name:?} has no properties"));
                 continue;
             }
             out.extend(self.member(&name));
@@ -328,15 +345,17 @@
 
     fn member(&mut self, name: &str) -> Option<Host> {
         if let Some(s) = self
-            .said
+            .properties
             .get(&format!("worker.{name}.reference"))
             .and_then(|s| s.last())
             .cloned()
         {
             let to = s.value.strip_prefix("worker.").map(str::to_string);
-            let known = to.as_ref().is_some_and(|to| self.known.contains(to));
+            let known = to
+                .as_ref()
+                .is_some_and(|to| self.known_workers.contains(to));
             if !known {
-                self.fault(s.line, format!("reference={}: no such worker", s.value));
+                self.report(s.line, format!("reference={}: no such worker", s.value));
                 return None;
             }
         }
@@ -346,7 +365,7 @@
             .to_ascii_lowercase();
         if kind != "ajp13" && kind != "ajp14" {
             let line = self.line_of(name, "type");
-            self.fault(
+            self.report(
                 line,
                 format!("{name:?} is of type {kind}: a member is ajp13 or ajp14"),
             );
@@ -355,25 +374,25 @@
         for old in ["disabled", "stopped"] {
             if self.value(name, old).is_some() {
                 let line = self.line_of(name, old);
-                self.fault(
+                self.report(
                     line,
-                    format!("{old} is of old versions: write activation=D or activation=S"),
+                    format!("{old} is deprecated: write activation=D or activation=S"),
                 );
             }
         }
         let host = self.value(name, "host").unwrap_or("localhost").to_string();
         let port = self.value(name, "port").map(str::to_string);
-        let whole = match &port {
+        let host_port = match &port {
             Some(port) if host.contains(':') => format!("[{host}]:{port}"),
             Some(port) => format!("{host}:{port}"),
             None if host.contains(':') => format!("[{host}]"),
             None => host.clone(),
         };
-        let address = match address(&whole, AJP_PORT) {
+        let address = match address(&host_port, DEFAULT_AJP_PORT) {
             Ok(address) => address,
             Err(why) => {
                 let line = self.line_of(name, if port.is_some() { "port" } else { "host" });
-                self.fault(line, format!("{name:?}: {why}"));
+                self.report(line, format!("{name:?}: {why}"));
                 return None;
             }
         };
@@ -383,9 +402,9 @@
                 Ok(n) if (1..=1_000_000).contains(&n) => weight = f64::from(n),
                 _ => {
                     let line = self.line_of(name, "lbfactor");
-                    self.fault(
+                    self.report(
                         line,
-                        format!("lbfactor={value}: a whole number from 1 is wanted"),
+                        format!("lbfactor={value}: a whole number from 1 is expected"),
                     );
                 }
             }
@@ -398,12 +417,14 @@
                 "s" | "stp" | "stopped" => state = HostState::Gone,
                 _ => {
                     let line = self.line_of(name, "activation");
-                    self.fault(line, format!("activation={value}: A, D or S is wanted"));
+                    self.report(line, format!("activation={value}: A, D or S is expected"));
                 }
             }
         }
-        let weight_at = self.words(name, "lbfactor", |key| Form::JkFactor { key });
-        let state_at = self.words(name, "activation", |key| Form::JkActivation { key });
+        let weight_spans = self.spans(name, "lbfactor", |key| SettingSyntax::JkFactor { key });
+        let state_spans = self.spans(name, "activation", |key| SettingSyntax::JkActivation {
+            key,
+        });
         Some(Host {
             name: name.to_string(),
             address,
@@ -413,48 +434,49 @@
                 .map(str::to_string),
             weight,
             state,
-            location: self.at(self.first_line(name)),
-            weight_at,
-            state_at,
+            location: self.location(self.first_line(name)),
+            weight_spans,
+            state_spans,
         })
     }
 
-    /// Where a worker's own property stands, at each place; or a new line behind its last own one, so that what
-    /// others have by reference stays.
-    fn words(
+    /// The places of a worker's own property; else a new line after its last own property, so that workers which refer to
+    /// the same template keep their values.
+    fn spans(
         &self,
         name: &str,
         property: &str,
-        form: impl Fn(Option<String>) -> Form,
-    ) -> Vec<Word> {
-        if let Some((said, true)) = self.of(name, property) {
-            let word = |s: &Said| Word {
-                file: 0,
+        syntax: impl Fn(Option<String>) -> SettingSyntax,
+    ) -> Vec<SettingSpan> {
+        if let Some((assignments, true)) = self.assignments(name, property) {
+            let span = |s: &Property| SettingSpan {
+                document: 0,
                 bytes: s.bytes.clone(),
-                form: form(None),
+                syntax: syntax(None),
             };
-            return said.iter().map(word).collect();
+            return assignments.iter().map(span).collect();
         }
         let prefix = format!("worker.{name}.");
-        let own = self.own(name);
+        let own = self.own_properties(name);
         let end = own
-            .flat_map(|(_, s)| s.iter().map(|s| s.end))
+            .flat_map(|(_, s)| s.iter().map(|s| s.line_end))
             .max()
             .unwrap_or(0);
-        vec![Word {
-            file: 0,
+        vec![SettingSpan {
+            document: 0,
             bytes: end..end,
-            form: form(Some(format!("{prefix}{property}"))),
+            syntax: syntax(Some(format!("{prefix}{property}"))),
         }]
     }
 }
 
-/// A worker and its property; a worker's name has no dot that its property could be in.
+/// The worker and the property of a key. The property is what follows the last dot, so names of workers may contain dots.
 fn worker_of(key: &str) -> Option<(String, String)> {
     let (worker, property) = key.strip_prefix("worker.")?.rsplit_once('.')?;
     (!worker.is_empty()).then(|| (worker.to_string(), property.to_string()))
 }
 
+/// The names in a list separated by commas or white space.
 fn names(list: &str) -> impl Iterator<Item = String> + '_ {
     let parts = list.split([',', ' ', '\t']).map(str::trim);
     parts.filter(|p| !p.is_empty()).map(str::to_string)
--- a/crates/import/src/lib.rs
+++ b/crates/import/src/lib.rs
@@ -1,67 +1,69 @@
-//! Host lists that others keep: Apache's balancer configuration (mod_proxy_balancer) and mod_jk's
-//! `workers.properties`, to hosts with weights and states, and back. Free of I/O: files come through [`FileSource`].
+//! Imports host lists from Apache's balancer configuration (mod_proxy_balancer) and mod_jk's `workers.properties`, and
+//! writes weights and states back. Free of I/O: files come through [`FileSource`].
 //!
-//! How it is called: [`read`] with a first file gives an [`Import`], or every fault with file and line; it never
-//! guesses. [`Import::written`] gives the files' texts with other weights and states in them: whatever is not
-//! concerned stays as it is, byte for byte, comments and spaces included.
+//! [`read`] takes a first file and returns an [`Import`], or every error with its file and line; it never guesses.
+//! [`Import::with_changes`] returns the files with other weights and states; everything else stays byte for byte,
+//! including comments and white space.
 //!
 //! Sources: httpd 2.4 "Configuration Files" and mod_proxy (`BalancerMember`, `ProxySet`, worker status letters);
 //! "The Apache Tomcat Connectors - Reference Guide", workers.properties.
 
 pub mod apache;
-pub mod fleet;
+pub mod hosts;
 pub mod jk;
-pub mod lines;
 pub mod paths;
+pub mod tokenizer;
 
-pub use fleet::{Diagnostic, Host, HostState, Import, Location};
+pub use hosts::{Diagnostic, Host, HostState, Import, Location};
 
-/// What files there are. Paths are as they are written, made whole by [`paths`].
+/// Access to files. Paths are as written in the configuration, resolved by [`paths`].
 pub trait FileSource {
     /// A file's text.
     ///
     /// # Errors
-    /// Why it cannot be had, in words.
+    /// Why it cannot be read.
     fn read(&mut self, path: &str) -> Result<String, String>;
 
-    /// Files in a folder, sorted by name.
+    /// The names of the files in a directory, sorted.
     ///
     /// # Errors
-    /// Why they cannot be had.
-    fn list(&mut self, folder: &str) -> Result<Vec<String>, String>;
+    /// Why it cannot be listed.
+    fn list(&mut self, dir: &str) -> Result<Vec<String>, String>;
 }
 
-/// What a file is.
+/// The format of a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigFormat {
+    /// httpd with mod_proxy_balancer.
     Apache,
+    /// `workers.properties` of mod_jk.
     Jk,
 }
 
-/// What a reader is told beside the files.
+/// Options of an import.
 #[derive(Clone, Debug, Default)]
 pub struct ImportOptions {
-    /// The balancer or load balancing worker; without it there must be one only.
+    /// The balancer or load balancing worker to import; without it there must be exactly one.
     pub balancer: Option<String>,
-    /// Names that hold in `<IfDefine>` and `<IfModule>`: what is in others is not taken, and what cannot be left
-    /// out of account is refused.
+    /// Names taken as true in `<IfDefine>` and `<IfModule>`. Members and includes under any other condition are
+    /// refused; everything else there is ignored.
     pub assumed_conditions: Vec<String>,
-    /// Where relative paths begin; without it the first file's folder.
+    /// The directory of relative paths; by default that of the first file.
     pub base_dir: Option<String>,
 }
 
-/// Reads a file and all that it includes.
+/// Reads a file and all its includes.
 ///
 /// # Errors
-/// Everything that is wrong or cannot be known, each with its file and line.
+/// Everything that is wrong or ambiguous, each with its file and line.
 pub fn read(
     files: &mut dyn FileSource,
     path: &str,
-    kind: ConfigFormat,
-    wanted: &ImportOptions,
+    format: ConfigFormat,
+    options: &ImportOptions,
 ) -> Result<Import, Vec<Diagnostic>> {
-    match kind {
-        ConfigFormat::Apache => apache::read(files, path, wanted),
-        ConfigFormat::Jk => jk::read(files, path, wanted),
+    match format {
+        ConfigFormat::Apache => apache::read(files, path, options),
+        ConfigFormat::Jk => jk::read(files, path, options),
     }
 }
--- a/crates/import/src/paths.rs
+++ b/crates/import/src/paths.rs
@@ -1,27 +1,28 @@
-//! Paths and patterns as httpd has them.
+//! Paths and glob patterns of httpd.
 
-/// The folder of a path.
-pub fn folder(path: &str) -> &str {
+/// The directory part of a path.
+pub fn parent(path: &str) -> &str {
     path.rfind('/').map_or("", |at| &path[..at.max(1)])
 }
 
-/// A path from a folder, unless it is whole already.
-pub fn from(folder: &str, path: &str) -> String {
-    match path.starts_with('/') || folder.is_empty() {
+/// Resolves a path relative to a directory; absolute paths stay.
+pub fn resolve(dir: &str, path: &str) -> String {
+    match path.starts_with('/') || dir.is_empty() {
         true => path.to_string(),
-        false => format!("{}/{path}", folder.trim_end_matches('/')),
+        false => format!("{}/{path}", dir.trim_end_matches('/')),
     }
 }
 
+/// Whether a path contains wildcards.
 pub fn is_pattern(path: &str) -> bool {
     path.contains(['*', '?', '['])
 }
 
-/// Whether a name fits a pattern of `*`, `?` and `[a-z]`, as fnmatch has it. Steps back at the last star only, so
-/// it takes no more than the product of both lengths.
-pub fn fits(pattern: &str, name: &str) -> bool {
+/// Whether a name matches a glob pattern with `*`, `?` and `[a-z]`, as fnmatch does. Backtracks to the last star only, so
+/// the time is bounded by the product of both lengths.
+pub fn matches_glob(pattern: &str, name: &str) -> bool {
     let (p, n): (Vec<char>, Vec<char>) = (pattern.chars().collect(), name.chars().collect());
-    // A leading dot is only fit by a dot.
+    // Only a dot matches a leading dot.
     if n.first() == Some(&'.') && p.first() != Some(&'.') {
         return false;
     }
@@ -32,21 +33,21 @@
             i += 1;
             continue;
         }
-        if let Some(next) = p.get(i).and_then(|_| one(&p, i, n[j])) {
+        if let Some(next) = p.get(i).and_then(|_| match_one(&p, i, n[j])) {
             (i, j) = (next, j + 1);
             continue;
         }
-        let Some((at, taken)) = star else {
+        let Some((star_at, matched)) = star else {
             return false;
         };
-        star = Some((at, taken + 1));
-        (i, j) = (at + 1, taken + 1);
+        star = Some((star_at, matched + 1));
+        (i, j) = (star_at + 1, matched + 1);
     }
     p[i..].iter().all(|c| *c == '*')
 }
 
-/// Where the pattern goes on behind one character that fits.
-fn one(p: &[char], i: usize, c: char) -> Option<usize> {
+/// The position in the pattern after the element at `i`, if that matches the character.
+fn match_one(p: &[char], i: usize, c: char) -> Option<usize> {
     match p[i] {
         '?' => Some(i + 1),
         '[' => {
@@ -56,19 +57,19 @@
                 .filter(|n| *n > 0)?
                 + i
                 + 1;
-            let (mut inner, mut found) = (&p[i + 1..end], false);
-            let not = matches!(inner.first(), Some('!' | '^'));
-            if not {
-                inner = &inner[1..];
+            let (mut class, mut found) = (&p[i + 1..end], false);
+            let negated = matches!(class.first(), Some('!' | '^'));
+            if negated {
+                class = &class[1..];
             }
             let mut k = 0;
-            while k < inner.len() {
-                let ranges = inner.get(k + 1) == Some(&'-') && k + 2 < inner.len();
-                let (from, to) = (inner[k], if ranges { inner[k + 2] } else { inner[k] });
+            while k < class.len() {
+                let is_range = class.get(k + 1) == Some(&'-') && k + 2 < class.len();
+                let (from, to) = (class[k], if is_range { class[k + 2] } else { class[k] });
                 found |= (from..=to).contains(&c);
-                k += if ranges { 3 } else { 1 };
+                k += if is_range { 3 } else { 1 };
             }
-            (found != not).then_some(end + 1)
+            (found != negated).then_some(end + 1)
         }
         x => (x == c).then_some(i + 1),
     }
@@ -79,7 +80,7 @@
     use super::*;
 
     #[test]
-    fn patterns() {
+    fn glob_patterns() {
         let cases = [
             ("*.conf", "a.conf", true),
             ("*.conf", "a.conf.bak", false),
@@ -93,23 +94,23 @@
             ("[", "[", false),
             ("a[]", "a", false),
         ];
-        for (pattern, name, wanted) in cases {
-            assert_eq!(fits(pattern, name), wanted, "{pattern} {name}");
+        for (pattern, name, expected) in cases {
+            assert_eq!(matches_glob(pattern, name), expected, "{pattern} {name}");
         }
         assert!(
-            !fits(&("*a".repeat(500) + "b"), &"a".repeat(5_000)),
-            "no blow-up"
+            !matches_glob(&("*a".repeat(500) + "b"), &"a".repeat(5_000)),
+            "no exponential time"
         );
     }
 
     #[test]
-    fn folders() {
+    fn parents_and_relative_paths() {
         assert_eq!(
-            (folder("a/b.conf"), folder("b.conf"), folder("/b")),
+            (parent("a/b.conf"), parent("b.conf"), parent("/b")),
             ("a", "", "/")
         );
         assert_eq!(
-            (from("a", "b"), from("", "b"), from("a/", "/b")),
+            (resolve("a", "b"), resolve("", "b"), resolve("a/", "/b")),
             ("a/b".into(), "b".into(), "/b".into())
         );
     }
--- a/crates/import/src/lines.rs
+++ b/crates/import/src/tokenizer.rs
@@ -1,36 +1,38 @@
-//! httpd's lines and words, with where each stands: a backslash at the end of a line continues it, `#` as the first
-//! character makes a comment of it, words are parted by space and may be quoted.
+//! Splits httpd's configuration into lines and tokens with their positions: a backslash at the end of a line continues
+//! it, `#` as the first character starts a comment, tokens are separated by white space and may be quoted.
 
 use std::ops::Range;
 
-/// A word: its text without quotes, and the bytes that it takes.
+/// A token: its text without quotes, and its bytes in the file, quotes included.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Word {
+pub struct Token {
     pub text: String,
     pub bytes: Range<usize>,
     pub quote: Option<char>,
 }
 
-/// A line that says something, with its first physical line's number, from 1.
+/// A logical line that is neither empty nor a comment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
+    /// The number of its first physical line, from 1.
     pub number: usize,
-    pub words: Vec<Word>,
-    /// `<Name ...>`: the words are without the brackets.
+    pub tokens: Vec<Token>,
+    /// `<Name ...>`: the tokens are without the brackets.
     pub opens: bool,
-    /// `</Name>`
+    /// `</Name>`.
     pub closes: bool,
 }
 
 /// What is wrong with a line.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Odd {
-    pub number: usize,
-    pub what: String,
+pub struct SyntaxError {
+    pub line: usize,
+    pub message: String,
 }
 
-/// A logical line's characters, with their places; joined where a backslash continues it.
-fn logical(text: &str, from: usize) -> (Vec<(usize, char)>, usize, usize) {
+/// The characters of the logical line that starts at `from`, with their positions; the start of the next one; and the
+/// number of its physical lines.
+fn logical_line(text: &str, from: usize) -> (Vec<(usize, char)>, usize, usize) {
     let mut out = Vec::new();
     let mut lines = 1;
     let mut chars = text[from..]
@@ -64,29 +66,36 @@
     (out, text.len(), lines)
 }
 
-/// All lines that say something.
+/// All lines but empty ones and comments.
 ///
 /// # Errors
-/// The lines that cannot be read as words.
-pub fn lines(text: &str) -> Result<Vec<Line>, Vec<Odd>> {
-    let (mut out, mut odd) = (Vec::new(), Vec::new());
+/// The lines that cannot be split into tokens.
+pub fn tokenize(text: &str) -> Result<Vec<Line>, Vec<SyntaxError>> {
+    let (mut lines, mut errors) = (Vec::new(), Vec::new());
     let (mut at, mut number) = (0, 1);
     while at < text.len() {
-        let (chars, next, many) = logical(text, at);
-        let said = chars.iter().position(|(_, c)| !c.is_whitespace());
-        if let Some(first) = said.filter(|i| chars[*i].1 != '#') {
-            match line(&chars[first..], number) {
-                Ok(line) => out.push(line),
-                Err(what) => odd.push(Odd { number, what }),
+        let (chars, next, line_count) = logical_line(text, at);
+        let first = chars.iter().position(|(_, c)| !c.is_whitespace());
+        if let Some(first) = first.filter(|i| chars[*i].1 != '#') {
+            match parse_line(&chars[first..], number) {
+                Ok(line) => lines.push(line),
+                Err(message) => errors.push(SyntaxError {
+                    line: number,
+                    message,
+                }),
             }
         }
         at = next;
-        number += many;
+        number += line_count;
+    }
+    if errors.is_empty() {
+        Ok(lines)
+    } else {
+        Err(errors)
     }
-    if odd.is_empty() { Ok(out) } else { Err(odd) }
 }
 
-fn line(chars: &[(usize, char)], number: usize) -> Result<Line, String> {
+fn parse_line(chars: &[(usize, char)], number: usize) -> Result<Line, String> {
     let mut chars = chars;
     while chars.last().is_some_and(|(_, c)| c.is_whitespace()) {
         chars = &chars[..chars.len() - 1];
@@ -99,19 +108,19 @@
         }
         chars = &chars[1 + usize::from(closes)..chars.len() - 1];
     }
-    let words = words(chars)?;
-    if words.is_empty() {
+    let tokens = tokens(chars)?;
+    if tokens.is_empty() {
         return Err("a section without a name".into());
     }
     Ok(Line {
         number,
-        words,
+        tokens,
         opens,
         closes,
     })
 }
 
-fn words(chars: &[(usize, char)]) -> Result<Vec<Word>, String> {
+fn tokens(chars: &[(usize, char)]) -> Result<Vec<Token>, String> {
     let mut out = Vec::new();
     let mut i = 0;
     while i < chars.len() {
@@ -147,7 +156,7 @@
                 i += 1;
             }
         }
-        out.push(Word {
+        out.push(Token {
             text,
             bytes: at..end,
             quote,
@@ -161,15 +170,15 @@
     use super::*;
 
     #[test]
-    fn words_and_where_they_stand() {
+    fn tokens_have_their_positions() {
         let text = "# c \\\n more\n  Balancer\\\nMember \"a \\\"b\" 'c d' e=f\\\r\n  g\r\n<Proxy x>\n</Proxy>\n#\n";
-        let found = lines(text).unwrap();
-        let told: Vec<(usize, Vec<&str>, bool, bool)> = found
+        let found = tokenize(text).unwrap();
+        let summary: Vec<(usize, Vec<&str>, bool, bool)> = found
             .iter()
             .map(|l| {
                 (
                     l.number,
-                    l.words.iter().map(|w| w.text.as_str()).collect(),
+                    l.tokens.iter().map(|w| w.text.as_str()).collect(),
                     l.opens,
                     l.closes,
                 )
@@ -177,27 +186,27 @@
             .collect();
         let member = vec!["BalancerMember", "a \"b", "c d", "e=f", "g"];
         assert_eq!(
-            told,
+            summary,
             [
                 (3, member, false, false),
                 (6, vec!["Proxy", "x"], true, false),
                 (7, vec!["Proxy"], false, true),
             ]
         );
-        let quoted = &found[0].words[1];
+        let quoted = &found[0].tokens[1];
         assert_eq!(&text[quoted.bytes.clone()], "\"a \\\"b\"");
     }
 
     #[test]
-    fn what_is_no_line_is_told() {
+    fn invalid_lines_are_reported() {
         let cases = [
             ("a \"b\n", "a \" is missing"),
             ("x\n<Proxy\n", "ends with >"),
             ("< >\n", "without a name"),
         ];
-        for (text, wanted) in cases {
-            let odd = lines(text).unwrap_err();
-            assert!(odd[0].what.contains(wanted), "{text}: {odd:?}");
+        for (text, expected) in cases {
+            let errors = tokenize(text).unwrap_err();
+            assert!(errors[0].message.contains(expected), "{text}: {errors:?}");
         }
     }
 }
--- a/crates/import/tests/import.rs
+++ b/crates/import/tests/import.rs
@@ -1,18 +1,18 @@
-//! Both forms: what is read, what is refused and where, and that what is written back is the same but for what
-//! was changed.
+//! Both formats: which files are read and which refused, with the line; and that writing back changes nothing but the
+//! given weights and states.
 
 use dahliapoint_import::{ConfigFormat, FileSource, HostState, Import, ImportOptions, read};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
 
-/// Files in memory.
+/// A file source in memory.
 #[derive(Clone, Default)]
-struct Memory(BTreeMap<String, String>);
+struct MemoryFiles(BTreeMap<String, String>);
 
-impl Memory {
-    fn of(files: &[(&str, &str)]) -> Memory {
-        Memory(
+impl MemoryFiles {
+    fn of(files: &[(&str, &str)]) -> MemoryFiles {
+        MemoryFiles(
             files
                 .iter()
                 .map(|(p, t)| (p.to_string(), t.to_string()))
@@ -21,7 +21,7 @@
     }
 }
 
-impl FileSource for Memory {
+impl FileSource for MemoryFiles {
     fn read(&mut self, path: &str) -> Result<String, String> {
         self.0
             .get(path)
@@ -29,11 +29,11 @@
             .ok_or("there is no such file".into())
     }
 
-    fn list(&mut self, folder: &str) -> Result<Vec<String>, String> {
-        let prefix = if folder == "." {
+    fn list(&mut self, dir: &str) -> Result<Vec<String>, String> {
+        let prefix = if dir == "." {
             String::new()
         } else {
-            format!("{folder}/")
+            format!("{dir}/")
         };
         let names = self.0.keys().filter_map(|p| p.strip_prefix(&prefix));
         let names: Vec<String> = names
@@ -49,7 +49,7 @@
 
 use HostState::{Draining, Gone, Ready};
 
-fn said(import: &Import) -> Vec<(&str, &str, f64, HostState)> {
+fn summary(import: &Import) -> Vec<(&str, &str, f64, HostState)> {
     import
         .hosts
         .iter()
@@ -62,8 +62,8 @@
 
 #[test]
 fn apache_is_read() {
-    type Said<'a> = (&'a str, &'a str, f64, HostState);
-    type Case<'a> = (&'a str, &'a [(&'a str, &'a str)], &'a [Said<'a>]);
+    type Summary<'a> = (&'a str, &'a str, f64, HostState);
+    type Case<'a> = (&'a str, &'a [(&'a str, &'a str)], &'a [Summary<'a>]);
     let cases: [Case; 9] = [
         (
             "members in a section",
@@ -85,7 +85,7 @@
             &[("10.0.0.1:443", "10.0.0.1:443", 1.0, Draining)],
         ),
         (
-            "words that stand for others",
+            "variables",
             &[(
                 "h.conf",
                 "Define NET 10.0.0\nDefine ONE ${NET}.1\nDefine LF 3\n<Proxy balancer://p>\nBalancerMember http://${ONE}:81 loadfactor=${LF}\n</Proxy>\n",
@@ -93,7 +93,7 @@
             &[("10.0.0.1:81", "10.0.0.1:81", 3.0, Ready)],
         ),
         (
-            "files within files, by pattern, one that may be missing",
+            "includes, by pattern, optional ones missing",
             &[
                 (
                     "c/h.conf",
@@ -115,7 +115,7 @@
             ],
         ),
         (
-            "the same said twice",
+            "the same member twice",
             &[(
                 "h.conf",
                 "BalancerMember balancer://p http://10.0.0.1 route=a\nBalancerMember balancer://p http://10.0.0.1 route=a loadfactor=1\n",
@@ -123,7 +123,7 @@
             &[("a", "10.0.0.1:80", 1.0, Ready)],
         ),
         (
-            "letters that are kept, and those that are taken back",
+            "status letters that are kept, and letters taken back",
             &[(
                 "h.conf",
                 "BalancerMember balancer://p http://10.0.0.1 status=+I-D-H\nBalancerMember balancer://p http://10.0.0.2 status=SN\n",
@@ -134,7 +134,7 @@
             ],
         ),
         (
-            "a condition that is assumed, one that concerns nobody",
+            "an assumed condition, and one without members",
             &[(
                 "h.conf",
                 "<IfModule mod_proxy_balancer.c>\nBalancerMember balancer://p http://10.0.0.1\n</IfModule>\n<IfModule other.c>\nListen 81\n</IfModule>\n",
@@ -142,7 +142,7 @@
             &[("10.0.0.1:80", "10.0.0.1:80", 1.0, Ready)],
         ),
         (
-            "another balancer beside the one that is wanted",
+            "another balancer besides the selected one",
             &[(
                 "h.conf",
                 "BalancerMember balancer://p http://10.0.0.1\nBalancerMember balancer://q http://10.0.0.1 loadfactor=9\n",
@@ -158,19 +158,19 @@
             &[("127.0.0.1:81", "127.0.0.1:81", 1.0, Ready)],
         ),
     ];
-    for (name, files, wanted) in cases {
-        let wants = ImportOptions {
+    for (name, files, expected) in cases {
+        let options = ImportOptions {
             balancer: Some("p".into()),
             assumed_conditions: vec!["mod_proxy_balancer.c".into()],
             base_dir: None,
         };
         let found = read(
-            &mut Memory::of(files),
+            &mut MemoryFiles::of(files),
             files[0].0,
             ConfigFormat::Apache,
-            &wants,
+            &options,
         );
-        assert_eq!(found.as_ref().map(said), Ok(wanted.to_vec()), "{name}");
+        assert_eq!(found.as_ref().map(summary), Ok(expected.to_vec()), "{name}");
     }
 }
 
@@ -236,16 +236,20 @@
         (
             format!("{member} loadfactor=1 loadfactor=2\n"),
             1,
-            "loadfactor is said twice",
+            "loadfactor is set twice",
+        ),
+        (
+            format!("{member} status=+H\n"),
+            1,
+            "spares (H, R) are not supported",
         ),
-        (format!("{member} status=+H\n"), 1, "a spare"),
         (format!("{member} status=+E\n"), 1, "no setting"),
-        (format!("{member} status=X\n"), 1, "is no status"),
-        (format!("{member} status=+\n"), 1, "a letter is wanted"),
+        (format!("{member} status=X\n"), 1, "is not a status letter"),
+        (format!("{member} status=+\n"), 1, "a letter is expected"),
         (
             format!("{member} twice\n"),
             1,
-            "a word such as loadfactor=2",
+            "a setting such as loadfactor=2",
         ),
         (
             "BalancerMember http://10.0.0.1\n".into(),
@@ -260,22 +264,22 @@
         (
             "BalancerMember balancer://p unix:/s|http://x/\n".into(),
             1,
-            "sockets of files",
+            "Unix sockets are not supported",
         ),
         (
             "BalancerMember balancer://p http://10.0.0.1:0\n".into(),
             1,
-            "is no port",
+            "is not a port",
         ),
         (
             format!("{member}\nProxySet http://10.0.0.1 loadfactor=3\n"),
             2,
-            "is to stand at its BalancerMember",
+            "must be set at its BalancerMember",
         ),
         (
             format!("{member}\n<Proxy http://10.0.0.1>\nProxySet status=+D\n</Proxy>\n"),
             3,
-            "is to stand at",
+            "must be set at",
         ),
         (
             "<Proxy balancer://p>\n</Location>\n".into(),
@@ -292,9 +296,9 @@
             "say which of p, q",
         ),
     ];
-    for (text, line, wanted) in cases {
+    for (text, line, expected) in cases {
         let faults = read(
-            &mut Memory::of(&[("h.conf", &text)]),
+            &mut MemoryFiles::of(&[("h.conf", &text)]),
             "h.conf",
             ConfigFormat::Apache,
             &ImportOptions::default(),
@@ -302,7 +306,7 @@
         .unwrap_err();
         let found = faults
             .iter()
-            .any(|f| f.location.line == line && f.message.contains(wanted));
+            .any(|f| f.location.line == line && f.message.contains(expected));
         assert!(found, "{text}: {faults:?}");
     }
     let deep: Vec<(String, String)> = (0..30)
@@ -310,7 +314,7 @@
         .collect();
     let deep: Vec<(&str, &str)> = deep.iter().map(|(a, b)| (a.as_str(), b.as_str())).collect();
     let faults = read(
-        &mut Memory::of(&deep),
+        &mut MemoryFiles::of(&deep),
         "0",
         ConfigFormat::Apache,
         &ImportOptions::default(),
@@ -319,7 +323,7 @@
     assert!(
         faults
             .iter()
-            .any(|f| f.message.contains("within each other")),
+            .any(|f| f.message.contains("nested more than 16 deep")),
         "{faults:?}"
     );
 }
@@ -331,14 +335,14 @@
 #[test]
 fn jk_is_read() {
     let found = read(
-        &mut Memory::of(&[("w", JK)]),
+        &mut MemoryFiles::of(&[("w", JK)]),
         "w",
         ConfigFormat::Jk,
         &ImportOptions::default(),
     )
     .unwrap();
     assert_eq!(
-        said(&found),
+        summary(&found),
         [
             ("a", "10.0.0.1:8009", 3.0, Ready),
             ("b", "10.0.0.2:8010", 1.0, Draining)
@@ -374,7 +378,7 @@
         (
             format!("{base}worker.a.port=$(port)\n"),
             5,
-            "$(port) is not said before",
+            "$(port) is not set before",
         ),
         (
             format!("{base}worker.a.reference=worker.none\n"),
@@ -384,7 +388,7 @@
         (
             format!("{base}worker.p.balance_workers=b\n"),
             5,
-            "nothing is said of worker \"b\"",
+            "worker \"b\" has no properties",
         ),
         (
             format!("{base}worker.p.balance_workers=a\n"),
@@ -392,7 +396,7 @@
             "balanced twice; first in line 3",
         ),
         (format!("{base}nonsense\n"), 5, "a line such as"),
-        (format!("{base}=x\n"), 5, "a name is wanted"),
+        (format!("{base}=x\n"), 5, "a name is expected"),
         (
             base.replace("10.0.0.1", "portal.example"),
             4,
@@ -415,9 +419,9 @@
             "is called \"b\" here and \"a\"",
         ),
     ];
-    for (text, line, wanted) in cases {
+    for (text, line, expected) in cases {
         let faults = read(
-            &mut Memory::of(&[("w", &text)]),
+            &mut MemoryFiles::of(&[("w", &text)]),
             "w",
             ConfigFormat::Jk,
             &ImportOptions::default(),
@@ -425,7 +429,7 @@
         .unwrap_err();
         let found = faults
             .iter()
-            .any(|f| f.location.line == line && f.message.contains(wanted));
+            .any(|f| f.location.line == line && f.message.contains(expected));
         assert!(found, "{text}: {faults:?}");
     }
 }
@@ -437,9 +441,9 @@
 }
 
 #[test]
-fn what_is_written_back_changes_nothing_else() {
+fn writing_back_changes_nothing_else() {
     let apache = read(
-        &mut Memory::of(&[("h", APACHE)]),
+        &mut MemoryFiles::of(&[("h", APACHE)]),
         "h",
         ConfigFormat::Apache,
         &ImportOptions::default(),
@@ -452,10 +456,10 @@
     let other = apache
         .with_changes(&changes(&[("a", 3.25, Gone), ("b", 4.0, Ready)]))
         .unwrap();
-    let wanted = APACHE
+    let expected = APACHE
         .replace("loadfactor=2", "loadfactor=3.25 status=+D")
         .replace("status=+N ping=5", "status=-D ping=5 loadfactor=4");
-    assert_eq!(other[0].text, wanted);
+    assert_eq!(other[0].text, expected);
     for (name, weight, state) in [
         ("nobody", 1.0, Ready),
         ("a", 0.5, Ready),
@@ -469,7 +473,7 @@
         );
     }
     let jk = read(
-        &mut Memory::of(&[("w", JK)]),
+        &mut MemoryFiles::of(&[("w", JK)]),
         "w",
         ConfigFormat::Jk,
         &ImportOptions::default(),
@@ -479,18 +483,18 @@
     let other = jk
         .with_changes(&changes(&[("a", 5.0, Gone), ("b", 1.0, Ready)]))
         .unwrap();
-    // The template that others refer to stays.
-    let wanted = JK
+    // The template that other workers refer to stays.
+    let expected = JK
         .replace(
             "$(net).1 # first",
             "$(net).1 # first\nworker.a.lbfactor=5\nworker.a.activation=S",
         )
         .replace("activation=D", "activation=A");
-    assert_eq!(other[0].text, wanted);
+    assert_eq!(other[0].text, expected);
 }
 
-/// Files drawn with comments, spaces, line ends and quotes of all kinds.
-fn drawn(kind: ConfigFormat) -> impl Strategy<Value = (String, Vec<(f64, u8)>)> {
+/// Generated files with comments, white space, line ends and quotes of all kinds.
+fn generated_file(format: ConfigFormat) -> impl Strategy<Value = (String, Vec<(f64, u8)>)> {
     let host = (
         1_u32..=100,
         0_u8..4,
@@ -508,7 +512,7 @@
             let end = if crlf { "\r\n" } else { "\n" };
             let mut out = format!("# begins{end}{end}");
             let names: Vec<String> = (0..hosts.len()).map(|i| format!("h{i}")).collect();
-            if kind == ConfigFormat::Jk {
+            if format == ConfigFormat::Jk {
                 out += &format!(
                     "worker.list=p{end}worker.p.type=lb{end}worker.p.balance_workers={}{end}",
                     names.join(",")
@@ -517,7 +521,7 @@
                 out += &format!("<Proxy \"balancer://p\">{end}");
             }
             for (i, (weight, state, form, space, quoted, comment)) in hosts.iter().enumerate() {
-                if kind == ConfigFormat::Jk {
+                if format == ConfigFormat::Jk {
                     out += &format!(
                         "worker.h{i}.host{space}={space}10.0.0.{}{space}{comment}{end}",
                         i + 1
@@ -550,7 +554,7 @@
                     out += &format!("{comment}{end}");
                 }
             }
-            if kind == ConfigFormat::Apache {
+            if format == ConfigFormat::Apache {
                 out += &format!("</Proxy>{end}# ends");
             }
             (
@@ -560,18 +564,18 @@
         })
 }
 
-fn round_trip(kind: ConfigFormat, text: &str, next: &[(f64, u8)]) -> Result<(), TestCaseError> {
+fn round_trip(format: ConfigFormat, text: &str, next: &[(f64, u8)]) -> Result<(), TestCaseError> {
     let read_text = |text: &str| {
         read(
-            &mut Memory::of(&[("f", text)]),
+            &mut MemoryFiles::of(&[("f", text)]),
             "f",
-            kind,
+            format,
             &ImportOptions::default(),
         )
     };
     let first = read_text(text).map_err(|f| TestCaseError::fail(format!("{f:?}\n{text}")))?;
     prop_assert_eq!(&first.with_changes(&BTreeMap::new()).unwrap()[0].text, text);
-    let wanted: BTreeMap<String, (f64, HostState)> = first
+    let changes: BTreeMap<String, (f64, HostState)> = first
         .hosts
         .iter()
         .zip(next)
@@ -582,14 +586,14 @@
             )
         })
         .collect();
-    let written = first.with_changes(&wanted).unwrap()[0].text.clone();
+    let written = first.with_changes(&changes).unwrap()[0].text.clone();
     let second = read_text(&written)
         .map_err(|f| TestCaseError::fail(format!("{f:?}\n{text}\n{written}")))?;
     prop_assert_eq!(second.hosts.len(), first.hosts.len());
     for (before, after) in first.hosts.iter().zip(&second.hosts) {
         prop_assert_eq!(
             (after.weight, after.state),
-            wanted[&after.name],
+            changes[&after.name],
             "{}\n{}",
             text,
             written
@@ -599,7 +603,7 @@
             (&after.name, &after.address, &after.domain)
         );
     }
-    // And back: what was read first is read again.
+    // Writing the first values back gives the first import again.
     let back = first
         .hosts
         .iter()
@@ -619,22 +623,22 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 1500, failure_persistence: None, rng_seed: RngSeed::Fixed(11), ..ProptestConfig::default() })]
     #[test]
-    fn apache_files_go_round((text, next) in drawn(ConfigFormat::Apache)) {
+    fn apache_files_round_trip((text, next) in generated_file(ConfigFormat::Apache)) {
         round_trip(ConfigFormat::Apache, &text, &next)?;
     }
 
     #[test]
-    fn jk_files_go_round((text, next) in drawn(ConfigFormat::Jk)) {
+    fn jk_files_round_trip((text, next) in generated_file(ConfigFormat::Jk)) {
         round_trip(ConfigFormat::Jk, &text, &next)?;
     }
 
-    /// Whatever the bytes: told or read, no panic; and what is read is written back the same.
+    /// Corrupted files: errors but no panic; and files that are read are written back unchanged.
     #[test]
-    fn mangled_files_do_no_harm(
-        (text, _) in drawn(ConfigFormat::Apache), (jk, _) in drawn(ConfigFormat::Jk),
+    fn corrupted_files_do_not_panic(
+        (text, _) in generated_file(ConfigFormat::Apache), (jk, _) in generated_file(ConfigFormat::Jk),
         cuts in proptest::collection::vec((any::<usize>(), "[<>/\"'#=\\\\ \n${}()a-z.:]{0,4}"), 1..6),
     ) {
-        for (kind, text) in [(ConfigFormat::Apache, text), (ConfigFormat::Jk, jk)] {
+        for (format, text) in [(ConfigFormat::Apache, text), (ConfigFormat::Jk, jk)] {
             let mut text = text;
             for (at, put) in &cuts {
                 let mut at = at % (text.len() + 1);
@@ -646,7 +650,7 @@
                     text.replace_range(at..to, put);
                 }
             }
-            if let Ok(import) = read(&mut Memory::of(&[("f", &text)]), "f", kind, &ImportOptions::default()) {
+            if let Ok(import) = read(&mut MemoryFiles::of(&[("f", &text)]), "f", format, &ImportOptions::default()) {
                 prop_assert_eq!(&import.with_changes(&BTreeMap::new()).unwrap()[0].text, &text);
             }
         }
