--- a/crates/import/src/apache.rs
+++ b/crates/import/src/apache.rs
@@ -23,7 +23,7 @@
 const GONE: [char; 2] = ['D', 'S'];
 /// The status letter that means draining.
 const DRAINING: char = 'N';
-/// Status letters without a counterpart in a roster, which are kept (ignore errors, hot spare).
+/// Status letters without a counterpart in a roster, which are kept (I ignores errors, C is a failed health check).
 const KEPT: [char; 2] = ['I', 'C'];
 
 /// The sections around a line.
