--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -417,7 +417,7 @@
             let older_session = self.proxies[&older].session;
             self.by_session.remove(&older_session);
             self.remove_proxy(older);
-            let reason = "replaced by a newer session of the same proxy".to_string();
+            let reason = "another stream of the same node holds now".to_string();
             self.close(older_session, reason, out);
         }
         let new_index = self.proxies.len() + self.free.len();
@@ -473,7 +473,7 @@
             presence::Action::Leave(session, reason) => {
                 // A stream may have taken over the name already.
                 if let Some(index) = self.by_session.get(&session).copied() {
-                    let line = format!("proxy {}: left, {reason}", self.proxies[&index].name);
+                    let line = format!("proxy {}: leaves, {reason}", self.proxies[&index].name);
                     out.push(Output::Log(line));
                     self.by_session.remove(&session);
                     self.remove_proxy(index);
@@ -481,8 +481,7 @@
                 }
             }
             presence::Action::DuplicateName(name) => {
-                let problem =
-                    "sends heartbeats while it has a stream: two processes share one name";
+                let problem = "has a stream and beats beside it: two processes have one name";
                 out.push(Output::Log(format!("proxy {name}: {problem}")));
             }
             presence::Action::Forget(_) => {}
@@ -556,7 +555,7 @@
         if let Some((index, sent)) = self.match_answer(now, session, serial)
             && let Some(proxy) = self.proxies.get_mut(&index)
         {
-            let line = format!("proxy {}: refused a message: {reason}", proxy.name);
+            let line = format!("proxy {}: refused its table: {reason}", proxy.name);
             proxy
                 .delivery
                 .refused(now, sent.iter().any(|m| m.withdraws));
@@ -617,8 +616,8 @@
         }
         for change in round.reporter_changes {
             let (p, text) = match change {
-                ReporterChange::Silent(p) => (p, "stopped reporting"),
-                ReporterChange::Resumed(p) => (p, "reporting again"),
+                ReporterChange::Silent(p) => (p, "reports no more"),
+                ReporterChange::Resumed(p) => (p, "reports again"),
             };
             if let Some(proxy) = self.proxies.get(&p) {
                 out.push(Output::Log(format!("proxy {}: {text}", proxy.name)));
@@ -633,7 +632,7 @@
                     } else {
                         "explains again"
                     };
-                    format!("server {name}: the load it reports {verb} what proxies measure")
+                    format!("server {name}: its own word of its load {verb} what proxies meet")
                 }
                 TrustChange::ContraryProxy(p, contrary) => {
                     let name = self.proxies.get(&p).map(|p| p.name.to_string());
@@ -1030,8 +1029,8 @@
                         self.by_session.remove(&session);
                         self.remove_proxy(i);
                         self.presence.session_closed(now, session);
-                        out.push(Output::Log(format!("proxy {name}: does not answer")));
-                        self.close(session, "messages were not answered".into(), out);
+                        out.push(Output::Log(format!("proxy {name}: answers nothing")));
+                        self.close(session, "no answer to what was sent".into(), out);
                     }
                     (delivery::Action::ResendWithdrawals, Some(part)) => {
                         let mut message = self.snapshot(serial, part);
--- a/crates/control/src/presence.rs
+++ b/crates/control/src/presence.rs
@@ -98,7 +98,7 @@
     } else {
         (state.consecutive, state.joined)
     };
-    leaves.then_some(Action::Leave(state.session, "it deregistered"))
+    leaves.then_some(Action::Leave(state.session, "it says goodbye"))
 }
 
 /// Guards against one proxy being sent messages on two paths: a stream is more reliable than
@@ -153,7 +153,7 @@
     state.silent_at = now;
     state.consecutive = 0;
     let was_joined = std::mem::take(&mut state.joined);
-    was_joined.then_some(Action::Leave(state.session, "its heartbeats stopped"))
+    was_joined.then_some(Action::Leave(state.session, "it has fallen silent"))
 }
 
 /// A proxy joins after enough consecutive heartbeats. Guards against flapping: each silence soon
@@ -232,7 +232,8 @@
         let mut superseded = None;
         if state.session != session {
             let was_joined = std::mem::take(&mut state.joined);
-            superseded = was_joined.then_some(Action::Leave(state.session, "it was restarted"));
+            superseded =
+                was_joined.then_some(Action::Leave(state.session, "another life of it beats"));
             (state.session, state.leaving) = (session, false);
         }
         (state.zone, state.visits_per_s, state.last_heartbeat) = (zone.into(), visits_per_s, now);
--- a/crates/control/src/reports.rs
+++ b/crates/control/src/reports.rs
@@ -21,12 +21,12 @@
     let count = |n: f64| n.is_finite() && (0.0..=MAX_COUNT).contains(&n);
     if !(report.window_ms > 0.0 && report.window_ms <= MAX_WINDOW_MS) {
         return Some(format!(
-            "window of {} ms; it must be above 0 and at most an hour",
+            "a report over {} ms; wanted above 0, up to an hour",
             report.window_ms
         ));
     }
     if !(report.ended_ago_ms >= 0.0 && report.ended_ago_ms.is_finite()) {
-        return Some("the window ends in the future".into());
+        return Some("a report that ends in the future".into());
     }
     for line in &report.lines {
         if ![
@@ -40,27 +40,24 @@
         .all(|x| x.is_finite() && *x >= 0.0)
         {
             return Some(format!(
-                "{}: load samples, variance and visits in flight must be finite and not negative",
+                "{}: words and variances from 0 up are wanted",
                 line.server
             ));
         }
         if !count(line.tries) || !count(line.failed) {
-            return Some(format!("{}: counts must be from 0 to 1e9", line.server));
+            return Some(format!("{}: counts from 0 to 1e9 are wanted", line.server));
         }
         if line.failed > line.tries {
-            return Some(format!("{}: more failures than tries", line.server));
+            return Some(format!("{}: more failed than were tried", line.server));
         }
         if !(line.success_ms >= 0.0
             && line.success_ms <= (line.tries - line.failed) * MAX_WINDOW_MS)
         {
-            return Some(format!(
-                "{}: the time of successful tries is negative or too long",
-                line.server
-            ));
+            return Some(format!("{}: time without tries, or below 0", line.server));
         }
     }
     let invalid = report.arrivals.iter().find(|(_, n)| !count(*n));
-    invalid.map(|(class, _)| format!("{class}: visits must be from 0 to 1e9"))
+    invalid.map(|(class, _)| format!("{class}: visits from 0 to 1e9 are wanted"))
 }
 
 /// Estimates of a server for the status page.
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -545,14 +545,10 @@
             return;
         }
         if self.logged.get(&part) != Some(&texts) {
-            let action = if self.enforces() {
-                "held back"
-            } else {
-                "reported only"
-            };
+            let action = if self.enforces() { "held" } else { "told only" };
             for (text, v) in &all {
                 let note = format!(
-                    "guard: part {part}: {text}: {:.3}, limit {:.3}; {action}",
+                    "guard: part {part}: {text}: {:.3}, borne {:.3}; {action}",
                     v.found, v.limit
                 );
                 self.view.last = Some(note.clone());
--- a/crates/control/tests/controller.rs
+++ b/crates/control/tests/controller.rs
@@ -354,7 +354,7 @@
         }
     }
     assert_eq!(day.closed, [unresponsive]);
-    assert!(day.notes.iter().any(|n| n.contains("p2: does not answer")));
+    assert!(day.notes.iter().any(|n| n.contains("p2: answers nothing")));
     day.run(15_000.0, 100.0);
     day.assert_tables_agree();
 }
--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/engine.rs
@@ -629,7 +629,7 @@
         let now = self.clock.now_ms();
         lock(&self.mouth)
             .push(now, &reporter, report.window_ms, lines, came)
-            .map_err(|why| format!("a report that is not taken: {why:?}"))
+            .map_err(|why| format!("a report that is not taken: {why}"))
     }
 
     fn report_interval_ms(&self) -> f64 {
--- a/crates/intake/src/report_queue.rs
+++ b/crates/intake/src/report_queue.rs
@@ -9,6 +9,7 @@
 use crate::sampling::{Rng, keep_probability, quota, sample, threshold};
 use crate::timeline::Timeline;
 use std::collections::BTreeMap;
+use std::fmt;
 
 /// Pending lines are read, in whole or sampled, before their window's begin is older than this many
 /// buckets. Until then the window's end is still recent.
@@ -91,6 +92,17 @@
     InvalidWindow,
 }
 
+/// The reason as reporters receive it in the status of their stream.
+impl fmt::Display for Refusal {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            Refusal::UnknownStream => "Unknown",
+            Refusal::TooManyServers => "TooMany",
+            Refusal::InvalidWindow => "NoStretch",
+        })
+    }
+}
+
 /// Merged reports of one reporter, pending in one bucket.
 #[derive(Clone, Debug)]
 struct PendingWindow<K> {
--- a/crates/intake/tests/intake.rs
+++ b/crates/intake/tests/intake.rs
@@ -443,3 +443,15 @@
         prop_assert!(t.read + t.sampled_out + t.merged <= t.lines);
     }
 }
+
+#[test]
+fn reporters_receive_these_reasons_for_a_rejected_report() {
+    let reasons = [
+        (Refusal::UnknownStream, "Unknown"),
+        (Refusal::TooManyServers, "TooMany"),
+        (Refusal::InvalidWindow, "NoStretch"),
+    ];
+    for (refusal, text) in reasons {
+        assert_eq!(refusal.to_string(), text);
+    }
+}
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -118,7 +118,7 @@
             connection.socket.interrupt();
             drop(open);
             self.shared.log.fault("connections", || {
-                "connection limit reached, closing the oldest that has not joined".into()
+                "the budget is full: the oldest stranger goes".into()
             });
         }
     }
@@ -243,14 +243,14 @@
                     }
                     Err(LineError::InvalidField(field)) if zone.is_some() => {
                         let text = line.map_or(String::new(), preview);
-                        let detail = || format!("invalid field {field:?}, line ignored: {text:?}");
+                        let detail = || format!("field {field:?} is no good, left out: {text:?}");
                         self.shared.log.fault("report", detail);
                     }
                     Ok(Message::Report(_)) | Err(_) => {
                         self.shared.send_inputs(inputs);
                         let text = line.map_or("line too long".into(), preview);
                         let detail =
-                            || format!("unreadable line, or a report before joining: {text:?}");
+                            || format!("what cannot be read, or no joining before: {text:?}");
                         self.shared.log.fault("closed", detail);
                         if zone.is_none() {
                             let written =
--- a/crates/node/src/failover.rs
+++ b/crates/node/src/failover.rs
@@ -82,7 +82,7 @@
     /// Decides what to do with the stream now; `ready` is its own ready flag.
     pub fn next_action(&mut self, shared: &SharedState, ready: bool) -> Action {
         let reason = match (self.address_changed(shared), self.is_silent()) {
-            (true, _) => "address changed",
+            (true, _) => "other address",
             (false, true) => "silent",
             (false, false) => return Action::Continue,
         };
--- a/crates/node/src/failover/tests.rs
+++ b/crates/node/src/failover/tests.rs
@@ -18,9 +18,9 @@
     let (hour, shared) = (Duration::from_secs(3600), shared());
     let cases = [
         (hour, false, None),
-        (hour, true, Some("address changed")),
+        (hour, true, Some("other address")),
         (Duration::ZERO, false, Some("silent")),
-        (Duration::ZERO, true, Some("address changed")),
+        (Duration::ZERO, true, Some("other address")),
     ];
     for (case, (silent_after, address_changes, expected)) in cases.into_iter().enumerate() {
         let mut failover = Failover::new(shared.addresses(), silent_after, Duration::ZERO);
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -79,7 +79,7 @@
     for fault in &known.rejected {
         shared
             .log
-            .info(&format!("known list: entry left out: {fault}"));
+            .info(&format!("the known list: left out: {fault}"));
     }
     tracing::info!(
         target: LOG_TARGET, name, %listen, %discovery, relay = %relay_at,
@@ -154,7 +154,7 @@
             Err(error) => {
                 tracing::warn!(
                     target: LOG_TARGET,
-                    "new configuration rejected, keeping the old one: {error}"
+                    "new configuration refused, the old one stands: {error}"
                 )
             }
         }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -114,10 +114,10 @@
         let read = socket.read(&mut buffer, Some(Instant::now() + CHECK_INTERVAL));
         match failover.next_action(shared, ready.load(Ordering::Acquire)) {
             Action::Continue => {}
-            Action::Retry(reason) => return failed(&format!("{reason} before any data arrived")),
+            Action::Retry(reason) => return failed(&format!("{reason}, and nothing came yet")),
             Action::StartSuccessor(reason, successor_ready) => {
                 let text = format!(
-                    "news: {}: {reason}: starting a second follower",
+                    "news: {}: {reason}: another follower beside it",
                     addresses.relay
                 );
                 shared.log.info(&text);
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -137,11 +137,11 @@
         match failover.next_action(shared, ready.load(Ordering::Acquire)) {
             Action::Continue => {}
             Action::Retry(reason) => {
-                return Outcome::Failed(format!("{reason} before any data arrived"));
+                return Outcome::Failed(format!("{reason}, and nothing came yet"));
             }
             Action::StartSuccessor(reason, successor_ready) => {
                 let text = format!(
-                    "discovery: {}: {reason}: starting a second watch",
+                    "discovery: {}: {reason}: a second watch beside it",
                     addresses.discovery
                 );
                 shared.log.info(&text);
@@ -150,7 +150,7 @@
             }
         }
         if older_since.is_some_and(|since| since.elapsed() > MAX_LAG) {
-            return Outcome::Failed("list version below the newest known one for too long".into());
+            return Outcome::Failed("its versions lie below ours: asked again".into());
         }
         let n = match read {
             Ok(n) if n > 0 => n,
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -66,7 +66,7 @@
             Some(Said::End(end)) => answer.complete = end.servers == answer.facts.len() as u64,
             Some(Said::Head(head)) => {
                 answer.facts.clear();
-                let why = format!("the peer controls service {:?}", head.service);
+                let why = format!("it controls {:?}", head.service);
                 return Err(Status::new(Code::FailedPrecondition, why));
             }
             // Sent by a newer peer: unknown, and ignored.
@@ -97,9 +97,9 @@
             None if answer.complete => {
                 info!(%peer, servers = answer.facts.len(), took_ms = answer.took_ms, "learned from a peer")
             }
-            None => warn!(%peer, servers = answer.facts.len(), "a peer's answer is incomplete"),
+            None => warn!(%peer, servers = answer.facts.len(), "a peer's word does not add up"),
             Some(status) => {
-                warn!(%peer, servers = answer.facts.len(), %status, "a peer's answer ended with an error")
+                warn!(%peer, servers = answer.facts.len(), %status, "a peer did not tell all")
             }
         }
         let complete = answer.complete;
--- a/crates/peer/src/service.rs
+++ b/crates/peer/src/service.rs
@@ -74,15 +74,12 @@
         let request: Ask = match call.inbound.message()? {
             Some(request) => request,
             None => {
-                return Err(Status::new(
-                    Code::InvalidArgument,
-                    "the request message is missing",
-                ));
+                return Err(Status::new(Code::InvalidArgument, "a question is wanted"));
             }
         };
         if request.service != self.service {
             let why = format!(
-                "this controls service {:?}, not {:?}",
+                "this controls {:?}, not {:?}",
                 self.service, request.service
             );
             return Err(Status::new(Code::FailedPrecondition, why));
@@ -117,7 +114,7 @@
         }
         if self.active_calls.fetch_add(1, Ordering::SeqCst) >= MAX_CONCURRENT_CALLS {
             self.active_calls.fetch_sub(1, Ordering::SeqCst);
-            let status = Status::new(Code::ResourceExhausted, "too many concurrent calls");
+            let status = Status::new(Code::ResourceExhausted, "others are asking");
             return call.outbound.finish(&status);
         }
         let peer = call.peer;
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -235,8 +235,7 @@
                     return false;
                 }
                 let rejected = list.rejected.iter();
-                let notes =
-                    rejected.map(|entry| format!("list {}: entry rejected: {entry}", list.index));
+                let notes = rejected.map(|entry| format!("list {}: left out: {entry}", list.index));
                 feedback.notes.extend(notes);
                 self.index = list.index;
                 self.apply_list(now, &list, update);
@@ -318,7 +317,7 @@
             (self.first_watch, self.lower_lists) = (watch, None);
             let (old, new) = (self.index, list.index);
             feedback.notes.push(format!(
-                "discovery restarted its versions: {new} after {old}"
+                "discovery's versions begin anew: {new} after {old}"
             ));
         }
         restarted
--- a/crates/platform/src/delivery.rs
+++ b/crates/platform/src/delivery.rs
@@ -339,7 +339,7 @@
                 .commands
                 .retain(|command| !matches!(command, Command::Bind { .. }));
             feedback.notes.push(format!(
-                "an unconfirmed call was not carried out: {} commands are sent again",
+                "a call of unknown outcome was not carried out: {} orders go again",
                 batch.commands.len()
             ));
             // Ahead of later decisions, which supersede it.
@@ -391,7 +391,7 @@
             CallOutcome::Replied(Reply::Accepted(n)) if n < sent => {
                 let halted = first.commands.get(n).cloned();
                 feedback.notes.push(format!(
-                    "the relay halted at command {n} of {sent}: {halted:?}"
+                    "the relay halted at order {n} of {sent}: {halted:?}"
                 ));
                 // Halted at the mark, all commands before it were accepted.
                 first.drop_first((n + 1).min(call.command_count));
@@ -413,7 +413,7 @@
             }
             CallOutcome::Replied(Reply::BadRequest) => {
                 feedback.notes.push(format!(
-                    "the relay refused a call of {sent} commands twice: dropped"
+                    "the relay refused a call of {sent} orders twice: dropped"
                 ));
                 self.queue.pop_front();
             }
