--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -277,7 +277,7 @@
                     return (CallOutcome::Replied(answer), reusable.then_some(socket));
                 }
                 let text = String::from_utf8_lossy(line).into_owned();
-                log_fault(format!("unreadable answer {text:?}"));
+                log_fault(format!("answer {text:?}"));
                 socket.shutdown();
                 return (CallOutcome::Unknown, None);
             }
