--- a/crates/fibers/src/timer.rs
+++ b/crates/fibers/src/timer.rs
@@ -41,7 +41,7 @@
     processed_tick: u64,
     /// Entries in all slots.
     entry_count: usize,
-    /// The tick at which the thread wakes; `u64::MAX` without entries.
+    /// The tick at which the thread wakes by itself; `u64::MAX` without entries.
     wake_tick: u64,
 }
 
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -10,8 +10,8 @@
 //! 4. An invalid line of a collector is skipped and counted; the lines around it are used.
 //! 5. When the connection limit is reached, the oldest connection that has not joined is closed. Bytes
 //!    it sent before are read first; if they make it join, it stays.
-//! 6. A zone has at most [`COLLECTORS_PER_ZONE`] collectors; a further one replaces the one silent for
-//!    longest. So a silent collector blocks no new one, and a stranger does not at once replace one
+//! 6. A zone has at most [`MAX_COLLECTORS_PER_ZONE`] collectors; a further one replaces the one silent
+//!    for longest. So a silent collector blocks no new one, and a stranger does not at once replace one
 //!    that reports.
 //! 7. A client that got an answer can read it and then the end of the stream: the sending side is shut
 //!    down first, and further input is discarded for a while ([`ANSWER_TIMEOUT`],
@@ -36,8 +36,8 @@
 const PROBE_KEEP_ALIVE: Duration = Duration::from_secs(10);
 /// A collector silent for this long counts as gone; collectors report each second.
 const COLLECTOR_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Collectors per zone.
-const COLLECTORS_PER_ZONE: usize = 4;
+/// The limit on collectors per zone.
+const MAX_COLLECTORS_PER_ZONE: usize = 4;
 /// The longest line accepted before joining, in bytes.
 const MAX_LINE_BYTES_BEFORE_JOINING: usize = 4096;
 /// The timeout for writing an answer, and for reading what follows before the connection is closed.
@@ -176,7 +176,7 @@
         let others = open
             .iter()
             .filter(|(n, c)| c.zone == Some(zone) && **n != number);
-        if others.clone().count() >= COLLECTORS_PER_ZONE {
+        if others.clone().count() >= MAX_COLLECTORS_PER_ZONE {
             let most_silent = others.min_by_key(|(_, c)| c.last_received).map(|(n, _)| *n);
             if let Some(evicted) = most_silent.and_then(|n| open.remove(&n)) {
                 evicted.socket.interrupt();
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -1,4 +1,5 @@
-//! The event loop: the single thread that owns the core. Inputs of one tick are processed as a batch.
+//! The event loop: the single thread that owns the core. Inputs that arrive within one batch window
+//! are processed together.
 
 use crate::probes::Probe;
 use crate::shared::Shared;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,7 @@
 //! The controller process of the platform (`dahliapoint node`): sockets from `dahliapoint_fibers`,
 //! decisions from `dahliapoint_platform`.
 //!
-//! Every input goes into one bounded queue. The main thread takes all inputs of a tick as one batch
+//! Every input goes into one bounded queue. The main thread takes all inputs of a batch window together
 //! and lets the core decide once per batch. Nothing is written to disk.
 
 mod configuration;
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -23,8 +23,8 @@
 const LOG_VARIABLE: &str = "DAHLIAPOINT_LOG";
 /// Log lines buffered for the writer thread; at `debug` one batch writes up to a line per server.
 const LOG_BUFFER_LINES: usize = 2048;
-/// How long an invalid file is read again after SIGHUP, since it may still be being written. The old
-/// addresses close their connections this long after the signal (DAYS, "New configurations and
+/// How long after SIGHUP an invalid file is read again, since it may not be complete yet. Servers at the
+/// old addresses close their connections this long after the signal (DAYS, "New configurations and
 /// restarts").
 const RELOAD_RETRY_TIME: Duration = Duration::from_millis(1500);
 /// The delay before an invalid file is read again.
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -1,9 +1,9 @@
 //! Connections to the relay: two followers that read its news, and one caller that sends calls.
 //!
 //! No news is missed while one follower stays connected (see `platform::membership`), so there are two
-//! slots for followers. When a follower falls silent or its address is replaced, a successor is started next to it;
-//! the old one ends once the successor has received the current state and news still in transit has
-//! had time to arrive.
+//! slots for followers. When a follower falls silent or its address is replaced, a successor is
+//! started next to it; the old one ends once the successor has received the current state and news
+//! still in transit has had time to arrive.
 
 use crate::failover::{Action, Failover, ReadyFlag};
 use crate::shared::{Addresses, Shared};
@@ -20,8 +20,8 @@
 const FOLLOWERS: usize = 2;
 /// The timeout of a connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// The relay sends a heartbeat each second (PROTOCOL, "The relay"); after two missed ones it counts as
-/// unreachable.
+/// How long without data a follower counts as silent: two missed heartbeats, which the relay sends each
+/// second (PROTOCOL, "The relay").
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2300);
 /// How long a follower goes on once its successor is ready, for news still in transit.
 const FOLLOWER_OVERLAP: Duration = Duration::from_millis(MAX_FOLLOWER_LAG_MS as u64);
@@ -29,7 +29,8 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// The longest line accepted from the relay, in bytes.
 const MAX_LINE_BYTES: usize = 4096;
-/// The relay answers within 50 ms or never (PROTOCOL, "The relay"); the rest allows for a busy machine.
+/// The timeout of an answer. The relay answers within 50 ms or never (PROTOCOL, "The relay"); the rest
+/// allows for a busy machine.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
 /// The timeout of a write.
 pub const WRITE_TIMEOUT: Duration = Duration::from_millis(300);
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -23,7 +23,7 @@
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2600);
 /// How often a waiting watch checks for a new address and for silence.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// How long versions may stay below the newest known one before the watch asks again.
+/// How long received versions may stay below the newest known one before the watch reconnects.
 const MAX_LAG: Duration = Duration::from_millis(MAX_DISCOVERY_LAG_MS as u64);
 /// The largest response head, in bytes.
 const MAX_HEAD_BYTES: usize = 8192;
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -23,9 +23,9 @@
 /// A fault that the relay injects into one call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RelayFault {
-    /// Closes the connection after the last byte of the call, without an answer.
+    /// Closes the connection after the last byte of the call, executed or not, without an answer.
     Disconnect { executed: bool },
-    /// Never answers.
+    /// Never answers the call, executed or not.
     NoAnswer { executed: bool },
     /// Executes only this many orders, and answers with their number.
     ExecuteFirst(usize),
@@ -60,6 +60,7 @@
 /// inject.
 #[derive(Default)]
 pub struct RelayState {
+    /// The proxies that are joined now.
     pub joined: BTreeSet<usize>,
     /// How often each proxy was bound since it joined.
     pub bind_counts: BTreeMap<usize, usize>,
@@ -79,6 +80,7 @@
     pub release_delayed: bool,
     /// Followers receive the joined proxies when they connect, and nothing after.
     pub silent: bool,
+    /// Counts of connections that sent `follow`.
     pub follower_connections: ConnectionCounts,
     /// Connections accepted so far.
     connection_count: usize,
@@ -343,6 +345,7 @@
     pub silent: bool,
     /// Each byte is sent as a chunk and a write of its own.
     pub bytewise: bool,
+    /// Counts of connections that sent a watch request.
     pub watch_connections: ConnectionCounts,
 }
 
