--- a/crates/node/src/failover.rs
+++ b/crates/node/src/failover.rs
@@ -56,7 +56,7 @@
 
     /// Whether the configuration changed the addresses since the stream started.
     pub fn address_changed(&self, shared: &SharedState) -> bool {
-        shared.addresses().generation != self.addresses.generation
+        shared.addresses().version != self.addresses.version
     }
 
     /// Whether a successor was started.
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -177,8 +177,8 @@
 /// A connection kept for the next call.
 struct IdleConnection {
     socket: Socket,
-    /// The generation of the address that it is connected to.
-    generation: u64,
+    /// The version of the addresses when it was opened.
+    address_version: u64,
     last_used: Instant,
 }
 
@@ -192,7 +192,7 @@
             for call in batch {
                 let addresses = shared.addresses();
                 let reusable = idle.take().filter(|connection| {
-                    connection.generation == addresses.generation
+                    connection.address_version == addresses.version
                         && connection.last_used.elapsed() < REUSE_TIMEOUT
                         && is_usable(&connection.socket)
                 });
@@ -200,7 +200,7 @@
                     send_call(&shared, addresses, reusable.map(|c| c.socket), &call);
                 idle = socket.map(|socket| IdleConnection {
                     socket,
-                    generation: addresses.generation,
+                    address_version: addresses.version,
                     last_used: Instant::now(),
                 });
                 let number = call.number;
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -11,13 +11,13 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The addresses of relay and discovery. `generation` increases with each change, so that a stream
+/// The addresses of relay and discovery. `version` increases with each change, so that a stream
 /// notices a change even if an earlier address returns.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Addresses {
     pub relay: SocketAddr,
     pub discovery: SocketAddr,
-    pub generation: u64,
+    pub version: u64,
 }
 
 /// State shared by all parts of a running controller.
@@ -55,7 +55,7 @@
             addresses: Mutex::new(Addresses {
                 relay,
                 discovery,
-                generation: 0,
+                version: 0,
             }),
             inputs: Queue::bounded(256),
             deployment,
@@ -88,7 +88,7 @@
             *addresses = Addresses {
                 relay,
                 discovery,
-                generation: addresses.generation + 1,
+                version: addresses.version + 1,
             };
         }
         changed
