--- a/crates/proxy/benches/picking.rs
+++ b/crates/proxy/benches/picking.rs
@@ -4,7 +4,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use dahliapoint_proxy::Chance;
-use dahliapoint_proxy::picking::{Line, Picker, Way};
+use dahliapoint_proxy::load_balancing::{Line, Picker, Way};
 use std::hint::black_box;
 use std::time::Duration;
 
--- a/crates/proxy/examples/spread.rs
+++ b/crates/proxy/examples/spread.rs
@@ -1,8 +1,8 @@
 //! 100,000 visits through a proxy on loopback: how near the spread is to the weights, and what the way
 //! through the proxy costs. `cargo run --release -p dahliapoint-proxy --example spread [VISITS]`
 
-use dahliapoint_proxy::described::{self, Listed};
-use dahliapoint_proxy::plane::Plane;
+use dahliapoint_proxy::data_plane::Plane;
+use dahliapoint_proxy::settings::{self, Listed};
 use dahliapoint_xds::{Held, HeldLine};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -101,9 +101,9 @@
             "name: p\nservice: s\nzone: z\ncontrollers: ['127.0.0.1:1']\nlisten: 127.0.0.1:0\nroster: none\n\
              picks: {way}\nclasses: [{{name: view, hard_limit: 5s, repeat: safe}}]\n"
         );
-        let described = described::parse("p", &text).expect("settings");
+        let settings = settings::parse("p", &text).expect("settings");
         let listed: Vec<Listed> = Vec::new();
-        let plane = Plane::new(described, &listed);
+        let plane = Plane::new(settings, &listed);
         let line = |(i, weight): (usize, &f64)| HeldLine {
             server: format!("s{i}"),
             address: servers[i].0.to_string(),
--- a/crates/proxy/src/plane.rs
+++ b/crates/proxy/src/data_plane.rs
@@ -1,12 +1,12 @@
 //! The data plane: takes visits from clients and carries each to a server by the table in use.
 
 use crate::Chance;
-use crate::around::{Around, Plain};
-use crate::described::{Described, Listed};
+use crate::environment::{Around, Plain};
 use crate::http::{Body, Found, Head, Source, Wrong, write_head, write_piece};
-use crate::picking::{Line, Picker};
-use crate::shunning::Shunning;
-use crate::trying::{self, Budget, Failed, Failure, Level, Ordered};
+use crate::load_balancing::{Line, Picker};
+use crate::outlier_ejection::Shunning;
+use crate::retry::{self, Budget, Failed, Failure, Level, Ordered};
+use crate::settings::{Described, Listed};
 use dahliapoint_fibers::{Notify, TcpStream, Timer, dial, listen, shutdown_at, sleep, spawn};
 use dahliapoint_xds::{ClusterTally, EndpointTally, Held, names};
 use std::collections::{BTreeMap, HashMap};
@@ -71,7 +71,7 @@
 
 /// The data plane of one proxy.
 pub struct Plane {
-    pub described: Described,
+    pub settings: Described,
     begun: Instant,
     servers: Mutex<Servers>,
     standing: Vec<Listed>,
@@ -86,7 +86,7 @@
     waits: Notify,
     visits: AtomicU64,
     over: AtomicBool,
-    around: Arc<dyn Around>,
+    environment: Arc<dyn Around>,
 }
 
 /// How a try ended.
@@ -120,36 +120,40 @@
 
 impl Plane {
     /// A plane with its standing table: so many servers of the roster, of its own zone if three are there.
-    pub fn new(described: Described, roster: &[Listed]) -> Arc<Plane> {
-        Plane::within(described, roster, Arc::new(Plain))
+    pub fn new(settings: Described, roster: &[Listed]) -> Arc<Plane> {
+        Plane::within(settings, roster, Arc::new(Plain))
     }
 
     /// The same, with something else than plain sockets around it.
-    pub fn within(described: Described, roster: &[Listed], around: Arc<dyn Around>) -> Arc<Plane> {
-        let mut chance = Chance::from(described.seed);
+    pub fn within(
+        settings: Described,
+        roster: &[Listed],
+        environment: Arc<dyn Around>,
+    ) -> Arc<Plane> {
+        let mut chance = Chance::from(settings.seed);
         let ready = || roster.iter().filter(|l| l.ready);
-        let near: Vec<&Listed> = ready().filter(|l| l.zone == described.zone).collect();
+        let near: Vec<&Listed> = ready().filter(|l| l.zone == settings.zone).collect();
         let mut left: Vec<&Listed> = if near.len() >= 3 {
             near
         } else {
             ready().collect()
         };
         let mut standing = Vec::new();
-        while standing.len() < described.standing && !left.is_empty() {
+        while standing.len() < settings.standing && !left.is_empty() {
             let at = (chance.draw() * left.len() as f64) as usize;
             standing.push(left.swap_remove(at.min(left.len() - 1)).clone());
         }
-        let classes = described.classes.len();
+        let classes = settings.classes.len();
         let plane = Plane {
             begun: Instant::now(),
             servers: Mutex::default(),
             standing,
             table: Mutex::new(Table {
-                picker: Picker::new(described.way, described.seed),
-                shunning: Shunning::new(described.strikes, described.shun_ms),
+                picker: Picker::new(settings.way, settings.seed),
+                shunning: Shunning::new(settings.strikes, settings.shun_ms),
                 levels: vec![Level::new(); classes],
                 ordered: vec![Ordered::OnProof; classes],
-                budget: Budget::new(described.further_share),
+                budget: Budget::new(settings.further_share),
                 stalled_until: Instant::now(),
             }),
             pools: Mutex::default(),
@@ -160,8 +164,8 @@
             waits: Notify::default(),
             visits: AtomicU64::new(0),
             over: AtomicBool::new(false),
-            around,
-            described,
+            environment,
+            settings,
         };
         plane.swap(None, &|_| false, 0);
         Arc::new(plane)
@@ -198,7 +202,7 @@
         let mut table = lock(&self.table);
         table.picker.swap(&picks);
         table.shunning.keep(|s| there.contains(&s));
-        for (i, class) in self.described.classes.iter().enumerate() {
+        for (i, class) in self.settings.classes.iter().enumerate() {
             let given = held.map(|h| {
                 let share = h.shares.get(&class.name).copied().unwrap_or(1.0);
                 let on = h.retry_on.get(&class.name).map_or("", String::as_str);
@@ -213,7 +217,7 @@
             table.levels[i].set(share);
             table.ordered[i] = ordered;
         }
-        let stall = Duration::from_secs_f64(self.described.stall_us * lines as f64 / 1e6);
+        let stall = Duration::from_secs_f64(self.settings.stall_us * lines as f64 / 1e6);
         table.stalled_until = Instant::now() + stall;
         drop(table);
         // Connections to servers that are not in the table are closed.
@@ -242,8 +246,8 @@
         picked.into_iter().filter_map(|s| self.address(s)).collect()
     }
 
-    pub(crate) fn around(&self) -> &Arc<dyn Around> {
-        &self.around
+    pub(crate) fn environment(&self) -> &Arc<dyn Around> {
+        &self.environment
     }
 
     pub fn is_over(&self) -> bool {
@@ -274,7 +278,7 @@
     /// # Errors
     /// When the address cannot be bound.
     pub fn serve(self: &Arc<Self>) -> io::Result<SocketAddr> {
-        let listener = listen(self.described.listen)?;
+        let listener = listen(self.settings.listen)?;
         let address = listener.local_addr()?;
         let watching = self.clone();
         spawn(move || {
@@ -295,10 +299,10 @@
                     sleep(Duration::from_millis(20));
                     continue;
                 };
-                if plane.clients.fetch_add(1, Ordering::SeqCst) >= plane.described.most_clients {
+                if plane.clients.fetch_add(1, Ordering::SeqCst) >= plane.settings.most_clients {
                     plane.clients.fetch_sub(1, Ordering::SeqCst);
                     warn!(
-                        most = plane.described.most_clients,
+                        most = plane.settings.most_clients,
                         "a client too many is refused"
                     );
                     continue;
@@ -342,7 +346,7 @@
         let mut client = Source::of(socket);
         loop {
             // A client that says nothing for long is let go.
-            let Ok(idle) = shutdown_at(&client.socket, Instant::now() + ms(self.described.idle_ms))
+            let Ok(idle) = shutdown_at(&client.socket, Instant::now() + ms(self.settings.idle_ms))
             else {
                 return;
             };
@@ -367,7 +371,7 @@
         let path = target.split('?').next().unwrap_or_default();
         let first = path.trim_start_matches('/').split('/').next()?;
         let name = names::unescape(first)?;
-        self.described.classes.iter().position(|c| c.name == name)
+        self.settings.classes.iter().position(|c| c.name == name)
     }
 
     /// One visit, to its end. Tells whether the connection can go on.
@@ -399,7 +403,7 @@
         if !wait.is_zero() {
             sleep(wait);
         }
-        let until = Instant::now() + ms(self.described.classes[class].hard_limit_ms);
+        let until = Instant::now() + ms(self.settings.classes[class].hard_limit_ms);
         if head
             .get("expect")
             .is_some_and(|e| e.eq_ignore_ascii_case("100-continue"))
@@ -479,14 +483,14 @@
                     self.ended(class, server, begun, false);
                     let left = until.saturating_duration_since(Instant::now());
                     let failed = Failed {
-                        effect: self.described.classes[class].effect,
+                        effect: self.settings.classes[class].effect,
                         ordered: lock(&self.table).ordered[class],
                         failure,
                         tries: tried.len() as u32,
                         left_ms: left.as_secs_f64() * 1e3,
                     };
                     let streamed = matches!(brought, Brought::Streams(_));
-                    let again = trying::again(&failed, &mut lock(&self.table).budget);
+                    let again = retry::again(&failed, &mut lock(&self.table).budget);
                     if streamed || again.is_err() {
                         return Err(if left.is_zero() { 504 } else { 502 });
                     }
@@ -526,7 +530,7 @@
     }
 
     fn connection(&self, server: usize, until: Instant) -> Result<(Source, bool), Failure> {
-        let idle = ms(self.described.idle_ms);
+        let idle = ms(self.settings.idle_ms);
         loop {
             let kept = lock(&self.pools).get_mut(&server).and_then(Vec::pop);
             match kept {
@@ -539,8 +543,8 @@
         }
         let to = self.address(server).ok_or(Failure::NeverRan)?;
         let left = until.saturating_duration_since(Instant::now());
-        let patience = left.min(ms(self.described.connect_ms));
-        let socket = self.around.dial(to, patience);
+        let patience = left.min(ms(self.settings.connect_ms));
+        let socket = self.environment.dial(to, patience);
         let socket = socket.map_err(|_| Failure::NeverRan)?;
         let _ = socket.set_nodelay(true);
         Ok((Source::of(socket), true))
@@ -627,7 +631,7 @@
                 Found::There(answer) if answer.status < 200 => {}
                 Found::There(answer) => {
                     let unseen =
-                        answer.status == 503 && answer.get(&self.described.proof_header).is_some();
+                        answer.status == 503 && answer.get(&self.settings.proof_header).is_some();
                     if answer.status >= 500 {
                         // Its connection is not used again: what is left of the answer is not read.
                         return Tried::Failed(match unseen {
@@ -747,7 +751,7 @@
         let mut counts = lock(&self.counts);
         let endpoints = std::mem::take(&mut counts.endpoints);
         let dropped = std::mem::take(&mut counts.dropped);
-        let classes = self.described.classes.iter().enumerate();
+        let classes = self.settings.classes.iter().enumerate();
         classes
             .map(|(i, class)| {
                 let met = endpoints.iter().filter(|((c, _), _)| *c == i);
@@ -757,7 +761,7 @@
                 });
                 let dropped = dropped.get(&i).map(|n| (class.name.clone(), *n));
                 ClusterTally {
-                    cluster: names::cluster(&self.described.service, &class.name),
+                    cluster: names::cluster(&self.settings.service, &class.name),
                     endpoints: met.collect(),
                     dropped: dropped.into_iter().collect(),
                 }
--- a/crates/proxy/src/filed.rs
+++ b/crates/proxy/src/file_client.rs
@@ -1,9 +1,9 @@
 //! The proxy steered by files: a thread of its own that looks for new tables, answers for them, gives signs
 //! of life and reports. What it holds stays when the controller is lost, as with a stream.
 
-use crate::around::Crossed;
-use crate::described::Spooled;
-use crate::plane::Plane;
+use crate::data_plane::Plane;
+use crate::environment::Crossed;
+use crate::settings::Spooled;
 use dahliapoint_control::RetryPolicy;
 use dahliapoint_files::forms::Table;
 use dahliapoint_files::front::{ALIVE, keys};
@@ -71,7 +71,7 @@
     ) -> Result<(Arc<Filed>, JoinHandle<()>), String> {
         let keys = spooled.keys.as_deref().map(keys).transpose()?;
         let keys = keys.unwrap_or_default();
-        let name = &plane.described.name;
+        let name = &plane.settings.name;
         let mouth = Mouth::open(&spooled.dir, name, keys.clone());
         let mouth = mouth.map_err(|e| format!("{}: {e}", spooled.dir.display()))?;
         let tables = spooled.dir.join("tables").join(name);
@@ -168,7 +168,7 @@
 
     fn joined(&self, is_up: bool) {
         if self.own.joined.swap(is_up, Ordering::SeqCst) != is_up {
-            self.own.plane.around().joined(is_up);
+            self.own.plane.environment().joined(is_up);
             match is_up {
                 true => {
                     info!(dir = %self.spooled.dir.display(), "the controller gives signs of life")
@@ -203,7 +203,7 @@
     }
 
     fn beat(&mut self, leaves: bool) -> Option<SystemTime> {
-        let d = &self.own.plane.described;
+        let d = &self.own.plane.settings;
         self.beats += 1;
         let beat = Beat {
             proxy: d.name.clone(),
@@ -220,7 +220,7 @@
     }
 
     fn look_for_a_table(&mut self) {
-        self.own.plane.around().reads();
+        self.own.plane.environment().reads();
         // Only the first table can be out of date: one in use stays.
         let fresh = match self.reader.held() {
             Some(_) => None,
@@ -253,7 +253,7 @@
     /// Takes a table whole, or refuses it whole.
     fn take(&mut self, table: Table) -> Result<(), String> {
         let own = self.own.clone();
-        let around = own.plane.around();
+        let environment = own.plane.environment();
         let before = self.table.take().unwrap_or_default();
         let changed = table.lines.values();
         let changed = changed.filter(|l| before.lines.get(&l.server) != Some(l));
@@ -271,14 +271,14 @@
             bytes: 0,
         };
         let came = Instant::now();
-        let wait = around.came(&crossed).saturating_duration_since(came);
+        let wait = environment.came(&crossed).saturating_duration_since(came);
         if !wait.is_zero() {
             std::thread::sleep(wait);
         }
-        let unknown = table.lines.keys().find(|s| !around.knows(s)).cloned();
+        let unknown = table.lines.keys().find(|s| !environment.knows(s)).cloned();
         if let Some(server) = unknown {
             self.table = Some(before);
-            around.took(&crossed, came, true);
+            environment.took(&crossed, came, true);
             return Err(format!("no server {server:?} is known"));
         }
         let held = (table.bound || !table.lines.is_empty()).then(|| held(&table));
@@ -286,7 +286,7 @@
             .swap(held.as_ref(), &|s| table.shut.contains(s), lines);
         own.applied.fetch_add(1, Ordering::SeqCst);
         self.table = Some(table);
-        around.took(&crossed, came, false);
+        environment.took(&crossed, came, false);
         Ok(())
     }
 
@@ -306,7 +306,7 @@
     }
 
     fn class_met(&self, tally: &ClusterTally) -> ClassMet {
-        let service = &self.own.plane.described.service;
+        let service = &self.own.plane.settings.service;
         let issued: u64 = tally.endpoints.iter().map(|e| e.issued).sum();
         let dropped: u64 = tally.dropped.values().sum();
         let met = tally.endpoints.iter().map(|e| {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,24 +1,24 @@
 //! The obedient proxy: HTTP/1.1 in and out, by the tables that it is given.
 //!
 //! Free of I/O, clock and chance from outside:
-//! - [`picking`]: which line of its table a visit goes to, in each of the ways that deployments name;
-//! - [`shunning`]: which servers it keeps away from for a while, after its own failures alone;
-//! - [`trying`]: whether a visit that failed is tried again, and whether it is let in at all.
+//! - [`load_balancing`]: which line of its table a visit goes to, in each of the ways that deployments name;
+//! - [`outlier_ejection`]: which servers it keeps away from for a while, after its own failures alone;
+//! - [`retry`]: whether a visit that failed is tried again, and whether it is let in at all.
 //!
-//! Around them: [`around`] is the way to servers and the place to look on from, [`http`] reads and writes messages, [`plane`] carries visits, [`steering`] holds tables by
-//! xDS and reports, [`filed`] does so by files, [`described`] reads the settings.
+//! Around them: [`environment`] is the way to servers and the place to look on from, [`http`] reads and writes messages, [`data_plane`] carries visits, [`xds_client`] holds tables by
+//! xDS and reports, [`file_client`] does so by files, [`settings`] reads the settings.
 //!
 //! Servers are small indices; times in decisions are milliseconds on one clock that never goes back.
 
-pub mod around;
-pub mod described;
-pub mod filed;
+pub mod data_plane;
+pub mod environment;
+pub mod file_client;
 pub mod http;
-pub mod picking;
-pub mod plane;
-pub mod shunning;
-pub mod steering;
-pub mod trying;
+pub mod load_balancing;
+pub mod outlier_ejection;
+pub mod retry;
+pub mod settings;
+pub mod xds_client;
 
 /// Multiply with carry: numbers from 0 to 1, from a seed.
 #[derive(Clone, Debug)]
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,10 +1,10 @@
 //! `dahliapoint-proxy`: a small data plane that obeys published tables exactly.
 
 use clap::{Parser, Subcommand};
-use dahliapoint_proxy::described;
-use dahliapoint_proxy::filed::{Filed, Over};
-use dahliapoint_proxy::plane::Plane;
-use dahliapoint_proxy::steering::Steering;
+use dahliapoint_proxy::data_plane::Plane;
+use dahliapoint_proxy::file_client::{Filed, Over};
+use dahliapoint_proxy::settings;
+use dahliapoint_proxy::xds_client::Steering;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::net::SocketAddr;
@@ -68,15 +68,15 @@
     }
 }
 
-fn load(file: &Path) -> Result<(described::Described, Vec<described::Listed>), String> {
+fn load(file: &Path) -> Result<(settings::Described, Vec<settings::Listed>), String> {
     let read = |path: &Path| {
         let text = std::fs::read_to_string(path);
         text.map_err(|e| format!("{}: {e}", path.display()))
     };
     let name = file.display().to_string();
-    let d = described::parse(&name, &read(file)?).map_err(|f| f.to_string())?;
+    let d = settings::parse(&name, &read(file)?).map_err(|f| f.to_string())?;
     let name = d.roster.display().to_string();
-    let roster = described::roster(&name, &read(&d.roster)?).map_err(|f| f.to_string())?;
+    let roster = settings::roster(&name, &read(&d.roster)?).map_err(|f| f.to_string())?;
     Ok((d, roster))
 }
 
@@ -94,8 +94,8 @@
     let plane = Plane::new(d, &roster);
     let address = plane
         .serve()
-        .map_err(|e| format!("{}: {e}", plane.described.listen))?;
-    let steered = match plane.described.files.clone() {
+        .map_err(|e| format!("{}: {e}", plane.settings.listen))?;
+    let steered = match plane.settings.files.clone() {
         Some(files) => Steered::Files(Filed::start(plane.clone(), files)?),
         None => Steered::Stream(Steering::start(plane.clone())),
     };
@@ -109,13 +109,13 @@
     if signals.forever().next().is_some() {
         tracing::info!("ending in order");
         match steered {
-            Steered::Stream(steering) => steering.end(),
-            Steered::Files((filed, thread)) => {
-                filed.end(Over::Goodbye);
+            Steered::Stream(xds_client) => xds_client.end(),
+            Steered::Files((file_client, thread)) => {
+                file_client.end(Over::Goodbye);
                 let _ = thread.join();
             }
         }
-        let hard = plane.described.classes.iter().map(|c| c.hard_limit_ms);
+        let hard = plane.settings.classes.iter().map(|c| c.hard_limit_ms);
         let longest = Duration::from_secs_f64(hard.fold(0.0, f64::max) / 1e3);
         plane.end(address, Instant::now() + longest);
     }
--- a/crates/proxy/src/described.rs
+++ b/crates/proxy/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of a proxy, and the roster that it reads once, at its start.
 
-use crate::picking::Way;
-use crate::trying::Effect;
+use crate::load_balancing::Way;
+use crate::retry::Effect;
 use dahliapoint_yaml::{At, Faults, read};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -65,7 +65,7 @@
         .parent()
         .unwrap_or(Path::new(""))
         .to_path_buf();
-    read(file, text, |at| described(at, &folder))
+    read(file, text, |at| settings(at, &folder))
 }
 
 fn address(at: &At) -> SocketAddr {
@@ -74,7 +74,7 @@
     read.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)))
 }
 
-fn described(at: &At, folder: &Path) -> Described {
+fn settings(at: &At, folder: &Path) -> Described {
     let controllers = at.field("controllers");
     let addresses: Vec<SocketAddr> = controllers.list().iter().map(address).collect();
     let files = at.field("files");
--- a/crates/proxy/src/steering.rs
+++ b/crates/proxy/src/xds_client.rs
@@ -2,8 +2,8 @@
 //! happens when the controller is lost (it keeps what it holds and dials another).
 
 use crate::Chance;
-use crate::around::Crossed;
-use crate::plane::{Plane, lock};
+use crate::data_plane::{Plane, lock};
+use crate::environment::Crossed;
 use dahliapoint_fibers::{Notify, Queue, Received, sleep, spawn};
 use dahliapoint_grpc::{Code, Inbound, Limits, Link, Outbound, Status};
 use dahliapoint_xds::Message as _;
@@ -52,9 +52,9 @@
 
 impl Steering {
     pub fn start(plane: Arc<Plane>) -> Arc<Steering> {
-        let d = &plane.described;
+        let d = &plane.settings;
         let holder = Holder::new(&d.service, &d.name, &d.zone, d.pace);
-        let steering = Arc::new(Steering {
+        let xds_client = Arc::new(Steering {
             holder: Mutex::new(holder),
             joined: AtomicBool::new(false),
             applied: AtomicU64::new(0),
@@ -62,9 +62,9 @@
             over: AtomicBool::new(false),
             plane,
         });
-        let own = steering.clone();
+        let own = xds_client.clone();
         spawn(move || own.live());
-        steering
+        xds_client
     }
 
     pub fn is_joined(&self) -> bool {
@@ -83,7 +83,7 @@
     /// One controller after the other: a jittered wait between two dials, so that many proxies that lose
     /// one controller do not come to the next in one moment.
     fn live(self: &Arc<Self>) {
-        let d = &self.plane.described;
+        let d = &self.plane.settings;
         let mut chance = Chance::from(d.seed ^ 0x5eed);
         let mut at = 0;
         while !self.is_over() {
@@ -92,7 +92,7 @@
             let home = away.then(|| Duration::from_secs_f64(d.home_after_ms / 1e3));
             let ended = self.one_stream(to, home);
             if self.joined.swap(false, Ordering::SeqCst) {
-                self.plane.around().joined(false);
+                self.plane.environment().joined(false);
             }
             at = match ended {
                 Ok(true) => 0,
@@ -124,7 +124,7 @@
         let (mut outbound, inbound) = dialed.answered()?;
         info!(controller = %to, "joined");
         self.joined.store(true, Ordering::SeqCst);
-        self.plane.around().joined(true);
+        self.plane.environment().joined(true);
         let over = Arc::new(Notify::default());
         let reporting = {
             let (own, link, over) = (self.clone(), link.clone(), over.clone());
@@ -141,7 +141,7 @@
         queue.close();
         if let Received::Items(left) = queue.take_all(Some(Instant::now())) {
             left.iter()
-                .for_each(|(m, ..)| self.plane.around().dropped(&crossed(m)));
+                .for_each(|(m, ..)| self.plane.environment().dropped(&crossed(m)));
         }
         over.notify();
         drop((outbound, link));
@@ -155,18 +155,18 @@
 
     /// Reads the stream to its end, or until its messages are not wanted any more.
     fn read(&self, mut inbound: Inbound, queue: &Queue<Came>) -> Result<(), Status> {
-        let around = self.plane.around();
+        let environment = self.plane.environment();
         let ended = loop {
-            around.reads();
+            environment.reads();
             match inbound.message_until::<DeltaDiscoveryResponse>(Some(Instant::now() + SOON)) {
                 Err(e) if e.code == Code::DeadlineExceeded && !queue.is_closed() => {}
                 Err(e) if e.code == Code::DeadlineExceeded => break Ok(()),
                 Ok(Some(response)) => {
                     let came = Instant::now();
-                    let may = around.came(&crossed(&response));
+                    let may = environment.came(&crossed(&response));
                     let kept = response.clone();
                     if queue.put((response, came, may)).is_err() {
-                        around.dropped(&crossed(&kept));
+                        environment.dropped(&crossed(&kept));
                         break Ok(());
                     }
                 }
@@ -199,7 +199,7 @@
             let mut broken = None;
             for (response, came, may) in came {
                 if broken.is_some() || self.is_over() {
-                    self.plane.around().dropped(&crossed(&response));
+                    self.plane.environment().dropped(&crossed(&response));
                     continue;
                 }
                 let wait = may.saturating_duration_since(Instant::now());
@@ -224,7 +224,7 @@
         let mut holder = lock(&self.holder);
         let before = holder.refused;
         // A line can be carried out if it has an address; names alone are the controller's to know.
-        let requests = holder.apply(response, |server| self.plane.around().knows(server));
+        let requests = holder.apply(response, |server| self.plane.environment().knows(server));
         let is_refused = holder.refused > before;
         match is_refused {
             true => {
@@ -247,7 +247,7 @@
         }
         drop(holder);
         self.plane
-            .around()
+            .environment()
             .took(&crossed(response), came, is_refused);
         requests
     }
--- a/crates/proxy/tests/decisions.rs
+++ b/crates/proxy/tests/decisions.rs
@@ -1,8 +1,8 @@
 //! The obedient proxy's decisions: tables of cases, and tables and weights drawn by chance.
 
-use dahliapoint_proxy::picking::{Line, Picker, Sums, Way};
-use dahliapoint_proxy::shunning::Shunning;
-use dahliapoint_proxy::trying::{Budget, Effect, Failed, Failure, Level, Not, Ordered, again};
+use dahliapoint_proxy::load_balancing::{Line, Picker, Sums, Way};
+use dahliapoint_proxy::outlier_ejection::Shunning;
+use dahliapoint_proxy::retry::{Budget, Effect, Failed, Failure, Level, Not, Ordered, again};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
--- a/crates/proxy/tests/files.rs
+++ b/crates/proxy/tests/files.rs
@@ -3,10 +3,10 @@
 use dahliapoint_control::{AdminState, RosterEntry};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
-use dahliapoint_proxy::described;
-use dahliapoint_proxy::filed::{Filed, Over};
-use dahliapoint_proxy::plane::Plane;
-use dahliapoint_proxy::steering::Steering;
+use dahliapoint_proxy::data_plane::Plane;
+use dahliapoint_proxy::file_client::{Filed, Over};
+use dahliapoint_proxy::settings;
+use dahliapoint_proxy::xds_client::Steering;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -72,18 +72,18 @@
          redial: {{from: 10ms, to: 30ms}}\nclasses: [{{name: view, hard_limit: 1s, repeat: safe}}]\n{steered}\n"
     );
     let file = folder.join("p.yaml").display().to_string();
-    Plane::new(described::parse(&file, &text).unwrap(), &[])
+    Plane::new(settings::parse(&file, &text).unwrap(), &[])
 }
 
-fn filed(folder: &Path, name: &str) -> (Arc<Plane>, Arc<Filed>) {
+fn file_client(folder: &Path, name: &str) -> (Arc<Plane>, Arc<Filed>) {
     let plane = plane(
         folder,
         name,
         "files: {dir: files, every: 20ms, beat: 100ms, keys: keys}",
     );
-    let files = plane.described.files.clone().unwrap();
-    let (filed, _) = Filed::start(plane.clone(), files).unwrap();
-    (plane, filed)
+    let files = plane.settings.files.clone().unwrap();
+    let (file_client, _) = Filed::start(plane.clone(), files).unwrap();
+    (plane, file_client)
 }
 
 fn overview(daemon: &Daemon) -> Value {
@@ -110,8 +110,10 @@
     let folder = Folder::new("by-files");
     roster(&folder.0, &["ready"; 4]);
     let daemon = controller(&folder.0, "127.0.0.1:0");
-    let (plane, filed) = filed(&folder.0, "p1");
-    until("a table comes", || plane.lines() == 4 && filed.is_joined());
+    let (plane, file_client) = file_client(&folder.0, "p1");
+    until("a table comes", || {
+        plane.lines() == 4 && file_client.is_joined()
+    });
     until("it is bound", || {
         proxies(&daemon) == [("p1".to_string(), true)]
     });
@@ -137,12 +139,12 @@
     });
 
     // A goodbye is heard at once, a silence after some beats.
-    let (other, silent) = self::filed(&folder.0, "p2");
+    let (other, silent) = self::file_client(&folder.0, "p2");
     until("another one comes", || {
         proxies(&daemon).len() == 2 && other.lines() == 2
     });
     silent.end(Over::Silent);
-    filed.end(Over::Goodbye);
+    file_client.end(Over::Goodbye);
     until("both are gone", || proxies(&daemon).is_empty());
     assert_eq!(plane.lines(), 2, "what it holds stays");
     daemon.end(Duration::from_secs(2));
@@ -153,14 +155,14 @@
     let folder = Folder::new("moves");
     roster(&folder.0, &["ready"; 3]);
     let daemon = controller(&folder.0, "127.0.0.1:0");
-    let (first, filed) = filed(&folder.0, "p1");
+    let (first, file_client) = file_client(&folder.0, "p1");
     until("a table comes", || first.lines() == 3);
     roster(&folder.0, &["draining", "ready", "ready"]);
     let stream = format!("controllers: ['{}']", daemon.address());
     let second = plane(&folder.0, "p1", &stream);
-    let steering = Steering::start(second.clone());
+    let xds_client = Steering::start(second.clone());
     until("the stream has the table", || {
-        second.lines() == 2 && steering.is_joined()
+        second.lines() == 2 && xds_client.is_joined()
     });
     until("one of that name is there", || {
         proxies(&daemon) == [("p1".to_string(), true)]
@@ -176,13 +178,13 @@
     let before = beats();
     until("beats come", || beats() > before + 10);
     assert_eq!(session(&daemon), Some(on_stream));
-    steering.end();
+    xds_client.end();
     until("the files have it back", || {
         session(&daemon).is_some_and(|s| s > on_stream)
     });
     roster(&folder.0, &["draining", "draining", "ready"]);
     until("a drain comes by files again", || first.lines() == 1);
-    filed.end(Over::Goodbye);
+    file_client.end(Over::Goodbye);
     daemon.end(Duration::from_secs(2));
 }
 
@@ -192,19 +194,21 @@
     roster(&folder.0, &["ready"; 3]);
     let daemon = controller(&folder.0, "127.0.0.1:0");
     let address = daemon.address().to_string();
-    let (plane, filed) = filed(&folder.0, "p1");
+    let (plane, file_client) = file_client(&folder.0, "p1");
     until("a table comes", || plane.lines() == 3);
     daemon.end(Duration::from_secs(2));
-    until("its loss is seen", || !filed.is_joined());
+    until("its loss is seen", || !file_client.is_joined());
     assert_eq!(plane.lines(), 3);
     roster(&folder.0, &["gone", "ready", "ready"]);
-    let applied = filed.applied.load(Ordering::SeqCst);
+    let applied = file_client.applied.load(Ordering::SeqCst);
     let daemon = controller(&folder.0, &address);
     until("the next life's table comes", || {
-        filed.is_joined() && plane.lines() == 2 && filed.applied.load(Ordering::SeqCst) > applied
+        file_client.is_joined()
+            && plane.lines() == 2
+            && file_client.applied.load(Ordering::SeqCst) > applied
     });
-    assert_eq!(filed.refused.load(Ordering::SeqCst), 0);
-    filed.end(Over::Silent);
+    assert_eq!(file_client.refused.load(Ordering::SeqCst), 0);
+    file_client.end(Over::Silent);
     daemon.end(Duration::from_secs(2));
 }
 
@@ -226,10 +230,10 @@
     let folder = Folder::new("both");
     roster(&folder.0, &["ready"; 2]);
     let daemon = controller(&folder.0, "127.0.0.1:0");
-    let (by_files, filed) = filed(&folder.0, "p1");
+    let (by_files, file_client) = file_client(&folder.0, "p1");
     let stream = format!("controllers: ['{}']", daemon.address());
     let by_stream = plane(&folder.0, "p2", &stream);
-    let steering = Steering::start(by_stream.clone());
+    let xds_client = Steering::start(by_stream.clone());
     until("both have it", || {
         by_files.lines() == 2 && by_stream.lines() == 2
     });
@@ -246,7 +250,7 @@
     until("both drain", || {
         by_files.lines() == 1 && by_stream.lines() == 1
     });
-    steering.end();
-    filed.end(Over::Silent);
+    xds_client.end();
+    file_client.end(Over::Silent);
     daemon.end(Duration::from_secs(2));
 }
--- a/crates/proxy/tests/matrix.rs
+++ b/crates/proxy/tests/matrix.rs
@@ -1,8 +1,8 @@
 //! A fault at each point of a visit, for each class and each order; and bytes that nobody would send.
 
 use dahliapoint_proxy::Chance;
-use dahliapoint_proxy::described;
-use dahliapoint_proxy::plane::Plane;
+use dahliapoint_proxy::data_plane::Plane;
+use dahliapoint_proxy::settings;
 use dahliapoint_xds::pb::discovery::{DeltaDiscoveryResponse, Resource};
 use dahliapoint_xds::pb::protobuf::Any;
 use dahliapoint_xds::{Held, HeldLine, Holder, names};
@@ -104,7 +104,7 @@
          - {{name: keyed, hard_limit: {hard_ms}ms, repeat: keyed}}\n\
          - {{name: never, hard_limit: {hard_ms}ms, repeat: never}}\n"
     );
-    let plane = Plane::new(described::parse("p", &text).unwrap(), &[]);
+    let plane = Plane::new(settings::parse("p", &text).unwrap(), &[]);
     let line = |(i, address): (usize, &SocketAddr)| HeldLine {
         server: format!("s{i}"),
         address: address.to_string(),
@@ -190,7 +190,7 @@
     let good = server(None);
     let text = "name: p\nservice: s\nzone: z\ncontrollers: ['127.0.0.1:1']\nlisten: 127.0.0.1:0\n\
                 roster: none\nmost_clients: 3\nclasses: [{name: safe, hard_limit: 5s}]\n";
-    let plane = Plane::new(described::parse("p", text).unwrap(), &[]);
+    let plane = Plane::new(settings::parse("p", text).unwrap(), &[]);
     let held = Held {
         lines: vec![HeldLine {
             server: "s".into(),
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -3,9 +3,9 @@
 use dahliapoint_control::{AdminState, Input, RosterEntry};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
-use dahliapoint_proxy::described::{self, Listed};
-use dahliapoint_proxy::plane::Plane;
-use dahliapoint_proxy::steering::Steering;
+use dahliapoint_proxy::data_plane::Plane;
+use dahliapoint_proxy::settings::{self, Listed};
+use dahliapoint_proxy::xds_client::Steering;
 use dahliapoint_xds::ControllerHandle;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -125,12 +125,12 @@
 struct Proxy {
     address: SocketAddr,
     plane: Arc<Plane>,
-    steering: Arc<Steering>,
+    xds_client: Arc<Steering>,
 }
 
 fn proxy(controller: SocketAddr, servers: &[SocketAddr], more: &str) -> Proxy {
     let text = SETTINGS.replace("CONTROLLER", &controller.to_string()) + more;
-    let described = described::parse("p.yaml", &text).unwrap();
+    let settings = settings::parse("p.yaml", &text).unwrap();
     let listed = |(i, address): (usize, &SocketAddr)| Listed {
         name: format!("s{i}"),
         address: *address,
@@ -138,10 +138,10 @@
         ready: true,
     };
     let roster: Vec<Listed> = servers.iter().enumerate().map(listed).collect();
-    let plane = Plane::new(described, &roster);
+    let plane = Plane::new(settings, &roster);
     Proxy {
         address: plane.serve().unwrap(),
-        steering: Steering::start(plane.clone()),
+        xds_client: Steering::start(plane.clone()),
         plane,
     }
 }
@@ -256,7 +256,7 @@
     let then = servers[3].visits.load(Ordering::SeqCst);
     (0..200).for_each(|_| assert_eq!(client.visit("view"), 200));
     assert_eq!(servers[3].visits.load(Ordering::SeqCst), then);
-    assert_eq!(p.steering.refused.load(Ordering::SeqCst), 0);
+    assert_eq!(p.xds_client.refused.load(Ordering::SeqCst), 0);
 }
 
 #[test]
@@ -269,11 +269,11 @@
     until("given", || p.plane.lines() == 3);
     let mut client = Client::of(&p);
     daemon.end(Duration::from_secs(5));
-    until("lost", || !p.steering.is_joined());
+    until("lost", || !p.xds_client.is_joined());
     (0..50).for_each(|_| assert_eq!(client.visit("view"), 200));
     assert_eq!(p.plane.lines(), 3);
     let again = controller(&listed, &at.to_string());
-    until("joined again", || p.steering.is_joined());
+    until("joined again", || p.xds_client.is_joined());
     until("bound again", || {
         let view = again.engine().overview();
         view["proxies"]
@@ -294,9 +294,9 @@
         &format!("'{first}', '{}'", second.address()),
     );
     let text = text + "home_after: 200ms\n";
-    let described = described::parse("p.yaml", &text).unwrap();
-    let plane = Plane::new(described, &[]);
-    let steering = Steering::start(plane.clone());
+    let settings = settings::parse("p.yaml", &text).unwrap();
+    let plane = Plane::new(settings, &[]);
+    let xds_client = Steering::start(plane.clone());
     let joined = |d: &Daemon| {
         let view = d.engine().overview();
         view["proxies"].as_array().is_some_and(|p| !p.is_empty())
@@ -306,7 +306,7 @@
     });
     let home = controller(&listed, &first.to_string());
     until("back at the first", || joined(&home) && !joined(&second));
-    until("and stays there", || steering.is_joined());
+    until("and stays there", || xds_client.is_joined());
     assert_eq!(plane.lines(), 1, "its table was kept all the while");
 }
 
--- a/crates/standins/src/day.rs
+++ b/crates/standins/src/day.rs
@@ -1,7 +1,7 @@
 //! The script of a day, as YAML.
 
 use dahliapoint_daemon::deployment::{self, Deployment, Repeat};
-use dahliapoint_proxy::picking::Way;
+use dahliapoint_proxy::load_balancing::Way;
 use dahliapoint_yaml::{At, read};
 use std::path::{Path, PathBuf};
 
--- a/crates/standins/src/obedient.rs
+++ b/crates/standins/src/obedient.rs
@@ -5,12 +5,12 @@
 use crate::world::lock;
 use dahliapoint_daemon::deployment::Repeat;
 use dahliapoint_fibers::{TcpStream, dial, shutdown_at, sleep, spawn};
-use dahliapoint_proxy::around::{Around, Crossed};
-use dahliapoint_proxy::described::{Class, Described, Listed, Spooled};
-use dahliapoint_proxy::filed::{Filed, Over};
-use dahliapoint_proxy::plane::Plane;
-use dahliapoint_proxy::steering::Steering;
-use dahliapoint_proxy::trying::Effect;
+use dahliapoint_proxy::data_plane::Plane;
+use dahliapoint_proxy::environment::{Around, Crossed};
+use dahliapoint_proxy::file_client::{Filed, Over};
+use dahliapoint_proxy::retry::Effect;
+use dahliapoint_proxy::settings::{Class, Described, Listed, Spooled};
+use dahliapoint_proxy::xds_client::Steering;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::io::{self, Read, Write};
@@ -39,8 +39,8 @@
     /// As when the process is killed.
     fn end(&self) {
         match &self.steered {
-            Steered::Stream(steering) => steering.end(),
-            Steered::Files(filed) => filed.end(Over::Silent),
+            Steered::Stream(xds_client) => xds_client.end(),
+            Steered::Files(file_client) => file_client.end(Over::Silent),
         }
         self.plane.end(self.address, Instant::now());
     }
@@ -51,7 +51,7 @@
     index: usize,
     zone: usize,
     layer: Arc<Layer>,
-    described: Described,
+    settings: Described,
     life: Mutex<Option<Arc<Life>>>,
     /// The table before the last message, to see what left it.
     before: Mutex<Vec<SocketAddr>>,
@@ -82,7 +82,7 @@
             },
         });
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let described = Described {
+        let settings = Described {
             name: name.clone(),
             service: layer.service.clone(),
             zone: layer.world.zones[zone].clone(),
@@ -112,7 +112,7 @@
             index,
             zone,
             layer: layer.clone(),
-            described,
+            settings,
             life: Mutex::default(),
             before: Mutex::default(),
             look: Mutex::default(),
@@ -133,7 +133,7 @@
             ready: told[b.index].state == "ready",
         });
         let roster: Vec<Listed> = roster.collect();
-        let plane = Plane::within(self.described.clone(), &roster, self.clone());
+        let plane = Plane::within(self.settings.clone(), &roster, self.clone());
         let address = match plane.serve() {
             Ok(address) => address,
             Err(e) => {
@@ -142,10 +142,10 @@
             }
         };
         *lock(&self.before) = plane.servers();
-        let steered = match self.described.files.clone() {
+        let steered = match self.settings.files.clone() {
             None => Steered::Stream(Steering::start(plane.clone())),
             Some(files) => match Filed::start(plane.clone(), files) {
-                Ok((filed, _)) => Steered::Files(filed),
+                Ok((file_client, _)) => Steered::Files(file_client),
                 Err(e) => {
                     eprintln!("{}: {e}; it stays down", self.name);
                     return;
@@ -165,8 +165,8 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let world = self.layer.world.clone();
         let mut next = world.now_ms();
-        while !world.is_over() && self.described.pace > 0.0 {
-            next += -f64::ln(1.0 - rng.random::<f64>()) / self.described.pace * 1e3;
+        while !world.is_over() && self.settings.pace > 0.0 {
+            next += -f64::ln(1.0 - rng.random::<f64>()) / self.settings.pace * 1e3;
             world.wait_until(next);
             let Some(life) = lock(&self.life).clone() else {
                 next = world.now_ms() + 50.0;
--- a/crates/standins/src/play.rs
+++ b/crates/standins/src/play.rs
@@ -7,7 +7,7 @@
 use crate::relay::{Mode, Relay};
 use crate::rules::{Figures, Ledger};
 use crate::world::{Heard, Told, World, lock};
-use dahliapoint_proxy::described::Spooled;
+use dahliapoint_proxy::settings::Spooled;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::{Value, json};
