--- a/crates/proxy/examples/cost.rs
+++ b/crates/proxy/examples/cost.rs
@@ -2,7 +2,7 @@
 //! and faster, CPU a visit, and memory a kept connection.
 //! `cargo run --release -p dahliapoint-proxy --example cost [VISITS]`
 
-use dahliapoint_proxy::data_plane::Plane;
+use dahliapoint_proxy::data_plane::DataPlane;
 use dahliapoint_proxy::settings;
 use dahliapoint_xds::{Held, HeldLine};
 use std::io::{Read, Write};
@@ -118,7 +118,7 @@
     run("directly", servers[0], many);
     let text = "name: p\nservice: s\nzone: z\ncontrollers: ['127.0.0.1:1']\nlisten: 127.0.0.1:0\nroster: none\n\
                 idle: 60s\nclasses: [{name: view, hard_limit: 5s, repeat: safe}]\n";
-    let plane = Plane::new(settings::parse("p", text).expect("settings"), &[]);
+    let plane = DataPlane::new(settings::parse("p", text).expect("settings"), &[]);
     let at = plane.serve().expect("a port");
     for lines in [12, 100, 400] {
         plane.swap(Some(&table(&servers, lines, 0)), &|_| false, 0);
--- a/crates/proxy/examples/spread.rs
+++ b/crates/proxy/examples/spread.rs
@@ -1,7 +1,7 @@
 //! 100,000 visits through a proxy on loopback: how near the spread is to the weights, and what the way
 //! through the proxy costs. `cargo run --release -p dahliapoint-proxy --example spread [VISITS]`
 
-use dahliapoint_proxy::data_plane::Plane;
+use dahliapoint_proxy::data_plane::DataPlane;
 use dahliapoint_proxy::settings::{self, Listed};
 use dahliapoint_xds::{Held, HeldLine};
 use std::io::{Read, Write};
@@ -103,7 +103,7 @@
         );
         let settings = settings::parse("p", &text).expect("settings");
         let listed: Vec<Listed> = Vec::new();
-        let plane = Plane::new(settings, &listed);
+        let plane = DataPlane::new(settings, &listed);
         let line = |(i, weight): (usize, &f64)| HeldLine {
             server: format!("s{i}"),
             address: servers[i].0.to_string(),
--- a/crates/proxy/src/data_plane.rs
+++ b/crates/proxy/src/data_plane.rs
@@ -70,7 +70,7 @@
 }
 
 /// The data plane of one proxy.
-pub struct Plane {
+pub struct DataPlane {
     pub settings: Described,
     begun: Instant,
     servers: Mutex<Servers>,
@@ -118,18 +118,18 @@
     Streams(Body),
 }
 
-impl Plane {
+impl DataPlane {
     /// A plane with its standing table: so many servers of the roster, of its own zone if three are there.
-    pub fn new(settings: Described, roster: &[Listed]) -> Arc<Plane> {
-        Plane::within(settings, roster, Arc::new(Plain))
+    pub fn new(settings: Described, roster: &[Listed]) -> Arc<DataPlane> {
+        DataPlane::with_environment(settings, roster, Arc::new(Plain))
     }
 
     /// The same, with something else than plain sockets around it.
-    pub fn within(
+    pub fn with_environment(
         settings: Described,
         roster: &[Listed],
         environment: Arc<dyn Around>,
-    ) -> Arc<Plane> {
+    ) -> Arc<DataPlane> {
         let mut chance = Chance::from(settings.seed);
         let ready = || roster.iter().filter(|l| l.ready);
         let near: Vec<&Listed> = ready().filter(|l| l.zone == settings.zone).collect();
@@ -144,7 +144,7 @@
             standing.push(left.swap_remove(at.min(left.len() - 1)).clone());
         }
         let classes = settings.classes.len();
-        let plane = Plane {
+        let plane = DataPlane {
             begun: Instant::now(),
             servers: Mutex::default(),
             standing,
@@ -746,7 +746,7 @@
         });
     }
 
-    /// What was counted since the last call. Given back by [`Plane::untold`] if it could not be sent.
+    /// What was counted since the last call. Given back by [`DataPlane::untold`] if it could not be sent.
     pub fn tallies(&self) -> Vec<ClusterTally> {
         let mut counts = lock(&self.counts);
         let endpoints = std::mem::take(&mut counts.endpoints);
--- a/crates/proxy/src/file_client.rs
+++ b/crates/proxy/src/file_client.rs
@@ -1,7 +1,7 @@
 //! The proxy steered by files: a thread of its own that looks for new tables, answers for them, gives signs
 //! of life and reports. What it holds stays when the controller is lost, as with a stream.
 
-use crate::data_plane::Plane;
+use crate::data_plane::DataPlane;
 use crate::environment::Crossed;
 use crate::settings::Spooled;
 use dahliapoint_control::RetryPolicy;
@@ -38,7 +38,7 @@
 
 /// Steers a plane by files until it is ended.
 pub struct Filed {
-    plane: Arc<Plane>,
+    plane: Arc<DataPlane>,
     over: Mutex<Option<Over>>,
     bell: Condvar,
     joined: AtomicBool,
@@ -66,7 +66,7 @@
     /// # Errors
     /// When the keys cannot be read or the spool cannot be made.
     pub fn start(
-        plane: Arc<Plane>,
+        plane: Arc<DataPlane>,
         spooled: Spooled,
     ) -> Result<(Arc<Filed>, JoinHandle<()>), String> {
         let keys = spooled.keys.as_deref().map(keys).transpose()?;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,7 +1,7 @@
 //! `dahliapoint-proxy`: a small data plane that obeys published tables exactly.
 
 use clap::{Parser, Subcommand};
-use dahliapoint_proxy::data_plane::Plane;
+use dahliapoint_proxy::data_plane::DataPlane;
 use dahliapoint_proxy::file_client::{Filed, Over};
 use dahliapoint_proxy::settings;
 use dahliapoint_proxy::xds_client::Steering;
@@ -91,7 +91,7 @@
         .init();
     // Before any part starts, so that no signal is missed.
     let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(|e| format!("signals: {e}"))?;
-    let plane = Plane::new(d, &roster);
+    let plane = DataPlane::new(d, &roster);
     let address = plane
         .serve()
         .map_err(|e| format!("{}: {e}", plane.settings.listen))?;
--- a/crates/proxy/src/xds_client.rs
+++ b/crates/proxy/src/xds_client.rs
@@ -2,7 +2,7 @@
 //! happens when the controller is lost (it keeps what it holds and dials another).
 
 use crate::Chance;
-use crate::data_plane::{Plane, lock};
+use crate::data_plane::{DataPlane, lock};
 use crate::environment::Crossed;
 use dahliapoint_fibers::{Notify, Queue, Received, sleep, spawn};
 use dahliapoint_grpc::{Code, Inbound, Limits, Link, Outbound, Status};
@@ -41,7 +41,7 @@
 
 /// Steers a plane until it is ended.
 pub struct Steering {
-    plane: Arc<Plane>,
+    plane: Arc<DataPlane>,
     holder: Mutex<Holder>,
     /// The stream to a controller is up; messages applied and refused so far.
     joined: AtomicBool,
@@ -51,7 +51,7 @@
 }
 
 impl Steering {
-    pub fn start(plane: Arc<Plane>) -> Arc<Steering> {
+    pub fn start(plane: Arc<DataPlane>) -> Arc<Steering> {
         let d = &plane.settings;
         let holder = Holder::new(&d.service, &d.name, &d.zone, d.pace);
         let xds_client = Arc::new(Steering {
--- a/crates/proxy/tests/files.rs
+++ b/crates/proxy/tests/files.rs
@@ -3,7 +3,7 @@
 use dahliapoint_control::{AdminState, RosterEntry};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
-use dahliapoint_proxy::data_plane::Plane;
+use dahliapoint_proxy::data_plane::DataPlane;
 use dahliapoint_proxy::file_client::{Filed, Over};
 use dahliapoint_proxy::settings;
 use dahliapoint_proxy::xds_client::Steering;
@@ -66,16 +66,16 @@
     Daemon::start(&deployment, Source::File, None).unwrap()
 }
 
-fn plane(folder: &Path, name: &str, steered: &str) -> Arc<Plane> {
+fn plane(folder: &Path, name: &str, steered: &str) -> Arc<DataPlane> {
     let text = format!(
         "name: {name}\nservice: portal\nzone: east\npace: 20\nlisten: 127.0.0.1:0\nroster: none\n\
          redial: {{from: 10ms, to: 30ms}}\nclasses: [{{name: view, hard_limit: 1s, repeat: safe}}]\n{steered}\n"
     );
     let file = folder.join("p.yaml").display().to_string();
-    Plane::new(settings::parse(&file, &text).unwrap(), &[])
+    DataPlane::new(settings::parse(&file, &text).unwrap(), &[])
 }
 
-fn file_client(folder: &Path, name: &str) -> (Arc<Plane>, Arc<Filed>) {
+fn file_client(folder: &Path, name: &str) -> (Arc<DataPlane>, Arc<Filed>) {
     let plane = plane(
         folder,
         name,
@@ -99,7 +99,7 @@
     list.iter().map(one).collect()
 }
 
-fn has(plane: &Plane, server: u16) -> bool {
+fn has(plane: &DataPlane, server: u16) -> bool {
     plane
         .servers()
         .contains(&SocketAddr::from(([127, 0, 0, 1], server)))
--- a/crates/proxy/tests/matrix.rs
+++ b/crates/proxy/tests/matrix.rs
@@ -1,7 +1,7 @@
 //! A fault at each point of a visit, for each class and each order; and bytes that nobody would send.
 
 use dahliapoint_proxy::Chance;
-use dahliapoint_proxy::data_plane::Plane;
+use dahliapoint_proxy::data_plane::DataPlane;
 use dahliapoint_proxy::settings;
 use dahliapoint_xds::pb::discovery::{DeltaDiscoveryResponse, Resource};
 use dahliapoint_xds::pb::protobuf::Any;
@@ -97,14 +97,14 @@
 }
 
 /// A proxy with servers in this order of turns.
-fn proxy(servers: &[SocketAddr], on: &str, hard_ms: u32) -> (Arc<Plane>, SocketAddr) {
+fn proxy(servers: &[SocketAddr], on: &str, hard_ms: u32) -> (Arc<DataPlane>, SocketAddr) {
     let text = format!(
         "name: p\nservice: s\nzone: z\ncontrollers: ['127.0.0.1:1']\nlisten: 127.0.0.1:0\nroster: none\n\
          further_tries: 1\nclasses:\n- {{name: safe, hard_limit: {hard_ms}ms, repeat: safe}}\n\
          - {{name: keyed, hard_limit: {hard_ms}ms, repeat: keyed}}\n\
          - {{name: never, hard_limit: {hard_ms}ms, repeat: never}}\n"
     );
-    let plane = Plane::new(settings::parse("p", &text).unwrap(), &[]);
+    let plane = DataPlane::new(settings::parse("p", &text).unwrap(), &[]);
     let line = |(i, address): (usize, &SocketAddr)| HeldLine {
         server: format!("s{i}"),
         address: address.to_string(),
@@ -190,7 +190,7 @@
     let good = server(None);
     let text = "name: p\nservice: s\nzone: z\ncontrollers: ['127.0.0.1:1']\nlisten: 127.0.0.1:0\n\
                 roster: none\nmost_clients: 3\nclasses: [{name: safe, hard_limit: 5s}]\n";
-    let plane = Plane::new(settings::parse("p", text).unwrap(), &[]);
+    let plane = DataPlane::new(settings::parse("p", text).unwrap(), &[]);
     let held = Held {
         lines: vec![HeldLine {
             server: "s".into(),
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -3,7 +3,7 @@
 use dahliapoint_control::{AdminState, Input, RosterEntry};
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
-use dahliapoint_proxy::data_plane::Plane;
+use dahliapoint_proxy::data_plane::DataPlane;
 use dahliapoint_proxy::settings::{self, Listed};
 use dahliapoint_proxy::xds_client::Steering;
 use dahliapoint_xds::ControllerHandle;
@@ -124,7 +124,7 @@
 
 struct Proxy {
     address: SocketAddr,
-    plane: Arc<Plane>,
+    plane: Arc<DataPlane>,
     xds_client: Arc<Steering>,
 }
 
@@ -138,7 +138,7 @@
         ready: true,
     };
     let roster: Vec<Listed> = servers.iter().enumerate().map(listed).collect();
-    let plane = Plane::new(settings, &roster);
+    let plane = DataPlane::new(settings, &roster);
     Proxy {
         address: plane.serve().unwrap(),
         xds_client: Steering::start(plane.clone()),
@@ -295,7 +295,7 @@
     );
     let text = text + "home_after: 200ms\n";
     let settings = settings::parse("p.yaml", &text).unwrap();
-    let plane = Plane::new(settings, &[]);
+    let plane = DataPlane::new(settings, &[]);
     let xds_client = Steering::start(plane.clone());
     let joined = |d: &Daemon| {
         let view = d.engine().overview();
--- a/crates/standins/src/obedient.rs
+++ b/crates/standins/src/obedient.rs
@@ -5,7 +5,7 @@
 use crate::world::lock;
 use dahliapoint_daemon::deployment::Repeat;
 use dahliapoint_fibers::{TcpStream, dial, shutdown_at, sleep, spawn};
-use dahliapoint_proxy::data_plane::Plane;
+use dahliapoint_proxy::data_plane::DataPlane;
 use dahliapoint_proxy::environment::{Around, Crossed};
 use dahliapoint_proxy::file_client::{Filed, Over};
 use dahliapoint_proxy::retry::Effect;
@@ -25,7 +25,7 @@
 
 /// One life of a proxy's process.
 struct Life {
-    plane: Arc<Plane>,
+    plane: Arc<DataPlane>,
     steered: Steered,
     address: SocketAddr,
 }
@@ -133,7 +133,7 @@
             ready: told[b.index].state == "ready",
         });
         let roster: Vec<Listed> = roster.collect();
-        let plane = Plane::within(self.settings.clone(), &roster, self.clone());
+        let plane = DataPlane::with_environment(self.settings.clone(), &roster, self.clone());
         let address = match plane.serve() {
             Ok(address) => address,
             Err(e) => {
