--- a/crates/proxy/src/data_plane.rs
+++ b/crates/proxy/src/data_plane.rs
@@ -1,7 +1,7 @@
 //! The data plane: takes visits from clients and carries each to a server by the table in use.
 
 use crate::Chance;
-use crate::environment::{Around, Plain};
+use crate::environment::{Environment, PlainSockets};
 use crate::http::{Body, Found, Head, Source, Wrong, write_head, write_piece};
 use crate::load_balancing::{Line, Picker};
 use crate::outlier_ejection::Shunning;
@@ -86,7 +86,7 @@
     waits: Notify,
     visits: AtomicU64,
     over: AtomicBool,
-    environment: Arc<dyn Around>,
+    environment: Arc<dyn Environment>,
 }
 
 /// How a try ended.
@@ -121,14 +121,14 @@
 impl DataPlane {
     /// A plane with its standing table: so many servers of the roster, of its own zone if three are there.
     pub fn new(settings: Described, roster: &[Listed]) -> Arc<DataPlane> {
-        DataPlane::with_environment(settings, roster, Arc::new(Plain))
+        DataPlane::with_environment(settings, roster, Arc::new(PlainSockets))
     }
 
     /// The same, with something else than plain sockets around it.
     pub fn with_environment(
         settings: Described,
         roster: &[Listed],
-        environment: Arc<dyn Around>,
+        environment: Arc<dyn Environment>,
     ) -> Arc<DataPlane> {
         let mut chance = Chance::from(settings.seed);
         let ready = || roster.iter().filter(|l| l.ready);
@@ -246,7 +246,7 @@
         picked.into_iter().filter_map(|s| self.address(s)).collect()
     }
 
-    pub(crate) fn environment(&self) -> &Arc<dyn Around> {
+    pub(crate) fn environment(&self) -> &Arc<dyn Environment> {
         &self.environment
     }
 
--- a/crates/proxy/src/environment.rs
+++ b/crates/proxy/src/environment.rs
@@ -8,7 +8,7 @@
 
 /// A message that came, by a stream or as a file.
 #[derive(Clone, Copy, Debug)]
-pub struct Crossed<'a> {
+pub struct TableMessage<'a> {
     /// The controller's own mark of it.
     pub serial: &'a str,
     /// Lines that it changes, and whether it is about lines at all.
@@ -19,7 +19,7 @@
 }
 
 /// Called by the proxy at the moments that are named here; all that is called may park its coroutine.
-pub trait Around: Send + Sync {
+pub trait Environment: Send + Sync {
     /// Connects to a server.
     ///
     /// # Errors
@@ -29,29 +29,29 @@
     }
 
     /// Whether a line that names this server can be carried out.
-    fn knows(&self, server: &str) -> bool {
+    fn knows_server(&self, server: &str) -> bool {
         !server.is_empty()
     }
 
     /// The stream to a controller is up, or over.
-    fn joined(&self, _is_up: bool) {}
+    fn connection_changed(&self, _is_up: bool) {}
 
     /// Before anything is read from the stream.
-    fn reads(&self) {}
+    fn before_read(&self) {}
 
     /// A message came out of its socket; when it may be taken.
-    fn came(&self, _message: &Crossed<'_>) -> Instant {
+    fn message_received(&self, _message: &TableMessage<'_>) -> Instant {
         Instant::now()
     }
 
     /// A message was taken, or refused; what it says is in force (or the old table is).
-    fn took(&self, _message: &Crossed<'_>, _came: Instant, _is_refused: bool) {}
+    fn message_processed(&self, _message: &TableMessage<'_>, _came: Instant, _is_refused: bool) {}
 
     /// A message that came will not be taken: its stream ended first.
-    fn dropped(&self, _message: &Crossed<'_>) {}
+    fn message_dropped(&self, _message: &TableMessage<'_>) {}
 }
 
 /// Plain sockets, nobody looking on.
-pub struct Plain;
+pub struct PlainSockets;
 
-impl Around for Plain {}
+impl Environment for PlainSockets {}
--- a/crates/proxy/src/file_client.rs
+++ b/crates/proxy/src/file_client.rs
@@ -2,7 +2,7 @@
 //! of life and reports. What it holds stays when the controller is lost, as with a stream.
 
 use crate::data_plane::DataPlane;
-use crate::environment::Crossed;
+use crate::environment::TableMessage;
 use crate::settings::Spooled;
 use dahliapoint_control::RetryPolicy;
 use dahliapoint_files::forms::Table;
@@ -168,7 +168,7 @@
 
     fn joined(&self, is_up: bool) {
         if self.own.joined.swap(is_up, Ordering::SeqCst) != is_up {
-            self.own.plane.environment().joined(is_up);
+            self.own.plane.environment().connection_changed(is_up);
             match is_up {
                 true => {
                     info!(dir = %self.spooled.dir.display(), "the controller gives signs of life")
@@ -220,7 +220,7 @@
     }
 
     fn look_for_a_table(&mut self) {
-        self.own.plane.environment().reads();
+        self.own.plane.environment().before_read();
         // Only the first table can be out of date: one in use stays.
         let fresh = match self.reader.held() {
             Some(_) => None,
@@ -264,21 +264,27 @@
         let shut = before.shut.symmetric_difference(&table.shut);
         let lines = changed.count() + gone.count() + shut.count();
         let serial = table.serial.to_string();
-        let crossed = Crossed {
+        let table_message = TableMessage {
             serial: &serial,
             lines,
             carries_lines: true,
             bytes: 0,
         };
         let came = Instant::now();
-        let wait = environment.came(&crossed).saturating_duration_since(came);
+        let wait = environment
+            .message_received(&table_message)
+            .saturating_duration_since(came);
         if !wait.is_zero() {
             std::thread::sleep(wait);
         }
-        let unknown = table.lines.keys().find(|s| !environment.knows(s)).cloned();
+        let unknown = table
+            .lines
+            .keys()
+            .find(|s| !environment.knows_server(s))
+            .cloned();
         if let Some(server) = unknown {
             self.table = Some(before);
-            environment.took(&crossed, came, true);
+            environment.message_processed(&table_message, came, true);
             return Err(format!("no server {server:?} is known"));
         }
         let held = (table.bound || !table.lines.is_empty()).then(|| held(&table));
@@ -286,7 +292,7 @@
             .swap(held.as_ref(), &|s| table.shut.contains(s), lines);
         own.applied.fetch_add(1, Ordering::SeqCst);
         self.table = Some(table);
-        environment.took(&crossed, came, false);
+        environment.message_processed(&table_message, came, false);
         Ok(())
     }
 
--- a/crates/proxy/src/xds_client.rs
+++ b/crates/proxy/src/xds_client.rs
@@ -3,7 +3,7 @@
 
 use crate::Chance;
 use crate::data_plane::{DataPlane, lock};
-use crate::environment::Crossed;
+use crate::environment::TableMessage;
 use dahliapoint_fibers::{Notify, Queue, Received, sleep, spawn};
 use dahliapoint_grpc::{Code, Inbound, Limits, Link, Outbound, Status};
 use dahliapoint_xds::Message as _;
@@ -30,8 +30,8 @@
 /// A message, when it came and when it may be taken.
 type Came = (DeltaDiscoveryResponse, Instant, Instant);
 
-fn crossed(response: &DeltaDiscoveryResponse) -> Crossed<'_> {
-    Crossed {
+fn table_message(response: &DeltaDiscoveryResponse) -> TableMessage<'_> {
+    TableMessage {
         serial: &response.system_version_info,
         lines: response.resources.len() + response.removed_resources.len(),
         carries_lines: response.type_url == LEDS,
@@ -92,7 +92,7 @@
             let home = away.then(|| Duration::from_secs_f64(d.home_after_ms / 1e3));
             let ended = self.one_stream(to, home);
             if self.joined.swap(false, Ordering::SeqCst) {
-                self.plane.environment().joined(false);
+                self.plane.environment().connection_changed(false);
             }
             at = match ended {
                 Ok(true) => 0,
@@ -124,7 +124,7 @@
         let (mut outbound, inbound) = dialed.answered()?;
         info!(controller = %to, "joined");
         self.joined.store(true, Ordering::SeqCst);
-        self.plane.environment().joined(true);
+        self.plane.environment().connection_changed(true);
         let over = Arc::new(Notify::default());
         let reporting = {
             let (own, link, over) = (self.clone(), link.clone(), over.clone());
@@ -141,7 +141,7 @@
         queue.close();
         if let Received::Items(left) = queue.take_all(Some(Instant::now())) {
             left.iter()
-                .for_each(|(m, ..)| self.plane.environment().dropped(&crossed(m)));
+                .for_each(|(m, ..)| self.plane.environment().message_dropped(&table_message(m)));
         }
         over.notify();
         drop((outbound, link));
@@ -157,16 +157,16 @@
     fn read(&self, mut inbound: Inbound, queue: &Queue<Came>) -> Result<(), Status> {
         let environment = self.plane.environment();
         let ended = loop {
-            environment.reads();
+            environment.before_read();
             match inbound.message_until::<DeltaDiscoveryResponse>(Some(Instant::now() + SOON)) {
                 Err(e) if e.code == Code::DeadlineExceeded && !queue.is_closed() => {}
                 Err(e) if e.code == Code::DeadlineExceeded => break Ok(()),
                 Ok(Some(response)) => {
                     let came = Instant::now();
-                    let may = environment.came(&crossed(&response));
+                    let may = environment.message_received(&table_message(&response));
                     let kept = response.clone();
                     if queue.put((response, came, may)).is_err() {
-                        environment.dropped(&crossed(&kept));
+                        environment.message_dropped(&table_message(&kept));
                         break Ok(());
                     }
                 }
@@ -199,7 +199,9 @@
             let mut broken = None;
             for (response, came, may) in came {
                 if broken.is_some() || self.is_over() {
-                    self.plane.environment().dropped(&crossed(&response));
+                    self.plane
+                        .environment()
+                        .message_dropped(&table_message(&response));
                     continue;
                 }
                 let wait = may.saturating_duration_since(Instant::now());
@@ -224,7 +226,9 @@
         let mut holder = lock(&self.holder);
         let before = holder.refused;
         // A line can be carried out if it has an address; names alone are the controller's to know.
-        let requests = holder.apply(response, |server| self.plane.environment().knows(server));
+        let requests = holder.apply(response, |server| {
+            self.plane.environment().knows_server(server)
+        });
         let is_refused = holder.refused > before;
         match is_refused {
             true => {
@@ -248,7 +252,7 @@
         drop(holder);
         self.plane
             .environment()
-            .took(&crossed(response), came, is_refused);
+            .message_processed(&table_message(response), came, is_refused);
         requests
     }
 
--- a/crates/standins/src/obedient.rs
+++ b/crates/standins/src/obedient.rs
@@ -6,7 +6,7 @@
 use dahliapoint_daemon::deployment::Repeat;
 use dahliapoint_fibers::{TcpStream, dial, shutdown_at, sleep, spawn};
 use dahliapoint_proxy::data_plane::DataPlane;
-use dahliapoint_proxy::environment::{Around, Crossed};
+use dahliapoint_proxy::environment::{Environment, TableMessage};
 use dahliapoint_proxy::file_client::{Filed, Over};
 use dahliapoint_proxy::retry::Effect;
 use dahliapoint_proxy::settings::{Class, Described, Listed, Spooled};
@@ -269,7 +269,7 @@
             if let Some(life) = life {
                 life.end();
                 lock(&self.kept).clear();
-                self.joined(false);
+                self.connection_changed(false);
             }
             sleep(Duration::from_secs_f64(down_ms / 1e3));
             if !self.layer.world.is_over() {
@@ -307,7 +307,7 @@
     }
 }
 
-impl Around for Obedient {
+impl Environment for Obedient {
     fn dial(&self, to: SocketAddr, patience: Duration) -> io::Result<TcpStream> {
         let server = self.layer.by_address.get(&to.to_string());
         let cut = |s: &usize| {
@@ -321,12 +321,12 @@
         dial(to, patience)
     }
 
-    fn knows(&self, server: &str) -> bool {
+    fn knows_server(&self, server: &str) -> bool {
         let refuses = self.refuses.load(Ordering::SeqCst);
         !refuses && self.layer.backends.iter().any(|b| b.name == server)
     }
 
-    fn joined(&self, is_up: bool) {
+    fn connection_changed(&self, is_up: bool) {
         let world = &self.layer.world;
         if is_up {
             world.ledger.rejoined(&self.name);
@@ -334,7 +334,7 @@
         lock(&world.heard)[self.index].joined = is_up.then(|| world.now_ms());
     }
 
-    fn reads(&self) {
+    fn before_read(&self) {
         let world = &self.layer.world;
         let dead = || lock(&self.life).is_none();
         while self.deaf.load(Ordering::SeqCst) && !world.is_over() && !dead() {
@@ -343,7 +343,7 @@
         }
     }
 
-    fn came(&self, message: &Crossed<'_>) -> Instant {
+    fn message_received(&self, message: &TableMessage<'_>) -> Instant {
         let (world, channel) = (&self.layer.world, &self.layer.channel);
         let now = world.now_ms();
         let lines = self.lines(message);
@@ -351,7 +351,7 @@
         world.at(channel.leaves(now, lines) + channel.way_ms)
     }
 
-    fn took(&self, message: &Crossed<'_>, came: Instant, is_refused: bool) {
+    fn message_processed(&self, message: &TableMessage<'_>, came: Instant, is_refused: bool) {
         let (world, ledger) = (&self.layer.world, &self.layer.world.ledger);
         let now = world.now_ms();
         let came = now - came.elapsed().as_secs_f64() * 1e3;
@@ -387,14 +387,14 @@
         }
     }
 
-    fn dropped(&self, message: &Crossed<'_>) {
+    fn message_dropped(&self, message: &TableMessage<'_>) {
         let ledger = &self.layer.world.ledger;
         ledger.message_done(self.lines(message), 0.0);
     }
 }
 
 impl Obedient {
-    fn lines(&self, message: &Crossed<'_>) -> f64 {
+    fn lines(&self, message: &TableMessage<'_>) -> f64 {
         message.lines as f64 + self.layer.message_lines
     }
 }
