--- a/crates/proxy/src/data_plane.rs
+++ b/crates/proxy/src/data_plane.rs
@@ -85,7 +85,7 @@
     /// Rung when a visit waits where none did: nobody is looked for while there is nobody.
     waits: Notify,
     visits: AtomicU64,
-    over: AtomicBool,
+    stopping: AtomicBool,
     environment: Arc<dyn Environment>,
 }
 
@@ -163,7 +163,7 @@
             waiting: Mutex::default(),
             waits: Notify::default(),
             visits: AtomicU64::new(0),
-            over: AtomicBool::new(false),
+            stopping: AtomicBool::new(false),
             environment,
             settings,
         };
@@ -250,14 +250,14 @@
         &self.environment
     }
 
-    pub fn is_over(&self) -> bool {
-        self.over.load(Ordering::SeqCst)
+    pub fn is_stopping(&self) -> bool {
+        self.stopping.load(Ordering::SeqCst)
     }
 
     /// Takes no more clients. Those that are there have until then for their visits; what is left is cut.
     /// `at` is where it serves.
-    pub fn end(&self, at: SocketAddr, until: Instant) {
-        self.over.store(true, Ordering::SeqCst);
+    pub fn shut_down(&self, at: SocketAddr, until: Instant) {
+        self.stopping.store(true, Ordering::SeqCst);
         // Wakes the accepting coroutine, which then sees the end.
         let _ = dial(at, Duration::from_secs(1));
         while !lock(&self.waiting).is_empty() && Instant::now() < until {
@@ -282,7 +282,7 @@
         let address = listener.local_addr()?;
         let watching = self.clone();
         spawn(move || {
-            while !watching.is_over() {
+            while !watching.is_stopping() {
                 watching.waits.wait(None);
                 while watching.look_for_the_gone() > 0 {
                     sleep(LOOK);
@@ -292,7 +292,7 @@
         let plane = self.clone();
         spawn(move || {
             for socket in listener.incoming() {
-                if plane.is_over() {
+                if plane.is_stopping() {
                     return;
                 }
                 let Ok(socket) = socket else {
@@ -361,7 +361,7 @@
             };
             drop(idle);
             let goes_on = self.visit(&mut client, &head).unwrap_or(false);
-            if !goes_on || head.closes() || self.is_over() {
+            if !goes_on || head.closes() || self.is_stopping() {
                 return;
             }
         }
--- a/crates/proxy/src/file_client.rs
+++ b/crates/proxy/src/file_client.rs
@@ -29,7 +29,7 @@
 
 /// How it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Over {
+pub enum ShutdownMode {
     /// With a last word, so that nothing is written for it any more.
     Goodbye,
     /// As when it is killed.
@@ -37,17 +37,17 @@
 }
 
 /// Steers a plane by files until it is ended.
-pub struct Filed {
+pub struct FileClient {
     plane: Arc<DataPlane>,
-    over: Mutex<Option<Over>>,
+    stop_mode: Mutex<Option<ShutdownMode>>,
     bell: Condvar,
-    joined: AtomicBool,
+    connected: AtomicBool,
     pub applied: AtomicU64,
     pub refused: AtomicU64,
 }
 
 struct Hand {
-    own: Arc<Filed>,
+    own: Arc<FileClient>,
     spooled: Spooled,
     alive: PathBuf,
     keys: Keys,
@@ -62,23 +62,23 @@
     seen: Option<(String, Instant)>,
 }
 
-impl Filed {
+impl FileClient {
     /// # Errors
     /// When the keys cannot be read or the spool cannot be made.
     pub fn start(
         plane: Arc<DataPlane>,
         spooled: Spooled,
-    ) -> Result<(Arc<Filed>, JoinHandle<()>), String> {
+    ) -> Result<(Arc<FileClient>, JoinHandle<()>), String> {
         let keys = spooled.keys.as_deref().map(keys).transpose()?;
         let keys = keys.unwrap_or_default();
         let name = &plane.settings.name;
         let mouth = Mouth::open(&spooled.dir, name, keys.clone());
         let mouth = mouth.map_err(|e| format!("{}: {e}", spooled.dir.display()))?;
         let tables = spooled.dir.join("tables").join(name);
-        let own = Arc::new(Filed {
-            over: Mutex::default(),
+        let own = Arc::new(FileClient {
+            stop_mode: Mutex::default(),
             bell: Condvar::new(),
-            joined: AtomicBool::new(false),
+            connected: AtomicBool::new(false),
             applied: AtomicU64::new(0),
             refused: AtomicU64::new(0),
             plane: plane.clone(),
@@ -106,18 +106,18 @@
     }
 
     /// Reads no more; the plane goes on with what it holds.
-    pub fn end(&self, how: Over) {
-        *self.over.lock().unwrap_or_else(|e| e.into_inner()) = Some(how);
+    pub fn stop(&self, how: ShutdownMode) {
+        *self.stop_mode.lock().unwrap_or_else(|e| e.into_inner()) = Some(how);
         self.bell.notify_all();
     }
 
-    pub fn is_joined(&self) -> bool {
-        self.joined.load(Ordering::SeqCst)
+    pub fn is_connected(&self) -> bool {
+        self.connected.load(Ordering::SeqCst)
     }
 
     /// Waits until then; tells whether it is over.
-    fn wait(&self, until: Instant) -> Option<Over> {
-        let mut over = self.over.lock().unwrap_or_else(|e| e.into_inner());
+    fn wait(&self, until: Instant) -> Option<ShutdownMode> {
+        let mut over = self.stop_mode.lock().unwrap_or_else(|e| e.into_inner());
         loop {
             let left = until.saturating_duration_since(Instant::now());
             if over.is_some() || left.is_zero() {
@@ -150,24 +150,24 @@
             self.look_for_a_table();
             let every = self.table.as_ref().map(|t| t.report_every_ms);
             let every = every.filter(|e| (10.0..=3.6e6).contains(e));
-            if reported.elapsed() >= every.map_or(FIRST_EVERY, ms) && self.own.is_joined() {
+            if reported.elapsed() >= every.map_or(FIRST_EVERY, ms) && self.own.is_connected() {
                 self.report(reported.elapsed());
                 reported = Instant::now();
                 // A report is a sign of life as well.
                 beat_at = beat_at.max(reported + ms(self.spooled.beat_ms));
             }
             if let Some(how) = self.own.wait(begun + ms(self.spooled.every_ms)) {
-                if how == Over::Goodbye {
+                if how == ShutdownMode::Goodbye {
                     self.beat(true);
                 }
-                self.joined(false);
+                self.set_connected(false);
                 return;
             }
         }
     }
 
-    fn joined(&self, is_up: bool) {
-        if self.own.joined.swap(is_up, Ordering::SeqCst) != is_up {
+    fn set_connected(&self, is_up: bool) {
+        if self.own.connected.swap(is_up, Ordering::SeqCst) != is_up {
             self.own.plane.environment().connection_changed(is_up);
             match is_up {
                 true => {
@@ -190,7 +190,7 @@
                 .is_some_and(|(last, _)| life(last) != life(text))
             {
                 // Another controller, or another life of it.
-                self.joined(false);
+                self.set_connected(false);
             }
             self.seen = Some((text.to_string(), Instant::now()));
         }
@@ -199,7 +199,7 @@
             .seen
             .as_ref()
             .is_some_and(|(_, at)| at.elapsed() < patience);
-        self.joined(is_up);
+        self.set_connected(is_up);
     }
 
     fn beat(&mut self, leaves: bool) -> Option<SystemTime> {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -2,9 +2,9 @@
 
 use clap::{Parser, Subcommand};
 use dahliapoint_proxy::data_plane::DataPlane;
-use dahliapoint_proxy::file_client::{Filed, Over};
+use dahliapoint_proxy::file_client::{FileClient, ShutdownMode};
 use dahliapoint_proxy::settings;
-use dahliapoint_proxy::xds_client::Steering;
+use dahliapoint_proxy::xds_client::XdsClient;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::net::SocketAddr;
@@ -22,9 +22,9 @@
 }
 
 /// How tables come.
-enum Steered {
-    Stream(Arc<Steering>),
-    Files((Arc<Filed>, JoinHandle<()>)),
+enum ControlClient {
+    Stream(Arc<XdsClient>),
+    Files((Arc<FileClient>, JoinHandle<()>)),
 }
 
 #[derive(Subcommand)]
@@ -96,8 +96,8 @@
         .serve()
         .map_err(|e| format!("{}: {e}", plane.settings.listen))?;
     let steered = match plane.settings.files.clone() {
-        Some(files) => Steered::Files(Filed::start(plane.clone(), files)?),
-        None => Steered::Stream(Steering::start(plane.clone())),
+        Some(files) => ControlClient::Files(FileClient::start(plane.clone(), files)?),
+        None => ControlClient::Stream(XdsClient::start(plane.clone())),
     };
     tracing::info!(%address, standing = plane.lines(), "serving");
     if let Some(path) = address_file {
@@ -109,15 +109,15 @@
     if signals.forever().next().is_some() {
         tracing::info!("ending in order");
         match steered {
-            Steered::Stream(xds_client) => xds_client.end(),
-            Steered::Files((file_client, thread)) => {
-                file_client.end(Over::Goodbye);
+            ControlClient::Stream(xds_client) => xds_client.stop(),
+            ControlClient::Files((file_client, thread)) => {
+                file_client.stop(ShutdownMode::Goodbye);
                 let _ = thread.join();
             }
         }
         let hard = plane.settings.classes.iter().map(|c| c.hard_limit_ms);
         let longest = Duration::from_secs_f64(hard.fold(0.0, f64::max) / 1e3);
-        plane.end(address, Instant::now() + longest);
+        plane.shut_down(address, Instant::now() + longest);
     }
     Ok(())
 }
--- a/crates/proxy/src/xds_client.rs
+++ b/crates/proxy/src/xds_client.rs
@@ -40,26 +40,26 @@
 }
 
 /// Steers a plane until it is ended.
-pub struct Steering {
+pub struct XdsClient {
     plane: Arc<DataPlane>,
     holder: Mutex<Holder>,
     /// The stream to a controller is up; messages applied and refused so far.
-    joined: AtomicBool,
+    connected: AtomicBool,
     pub applied: AtomicU64,
     pub refused: AtomicU64,
-    over: AtomicBool,
+    stopping: AtomicBool,
 }
 
-impl Steering {
-    pub fn start(plane: Arc<DataPlane>) -> Arc<Steering> {
+impl XdsClient {
+    pub fn start(plane: Arc<DataPlane>) -> Arc<XdsClient> {
         let d = &plane.settings;
         let holder = Holder::new(&d.service, &d.name, &d.zone, d.pace);
-        let xds_client = Arc::new(Steering {
+        let xds_client = Arc::new(XdsClient {
             holder: Mutex::new(holder),
-            joined: AtomicBool::new(false),
+            connected: AtomicBool::new(false),
             applied: AtomicU64::new(0),
             refused: AtomicU64::new(0),
-            over: AtomicBool::new(false),
+            stopping: AtomicBool::new(false),
             plane,
         });
         let own = xds_client.clone();
@@ -67,17 +67,17 @@
         xds_client
     }
 
-    pub fn is_joined(&self) -> bool {
-        self.joined.load(Ordering::SeqCst)
+    pub fn is_connected(&self) -> bool {
+        self.connected.load(Ordering::SeqCst)
     }
 
     /// Leaves its controller and dials no other. The plane goes on with what it holds.
-    pub fn end(&self) {
-        self.over.store(true, Ordering::SeqCst);
+    pub fn stop(&self) {
+        self.stopping.store(true, Ordering::SeqCst);
     }
 
-    fn is_over(&self) -> bool {
-        self.over.load(Ordering::SeqCst)
+    fn is_stopping(&self) -> bool {
+        self.stopping.load(Ordering::SeqCst)
     }
 
     /// One controller after the other: a jittered wait between two dials, so that many proxies that lose
@@ -86,12 +86,12 @@
         let d = &self.plane.settings;
         let mut chance = Chance::from(d.seed ^ 0x5eed);
         let mut at = 0;
-        while !self.is_over() {
+        while !self.is_stopping() {
             let to = d.controllers[at];
             let away = at > 0 && d.home_after_ms > 0.0;
             let home = away.then(|| Duration::from_secs_f64(d.home_after_ms / 1e3));
             let ended = self.one_stream(to, home);
-            if self.joined.swap(false, Ordering::SeqCst) {
+            if self.connected.swap(false, Ordering::SeqCst) {
                 self.plane.environment().connection_changed(false);
             }
             at = match ended {
@@ -123,7 +123,7 @@
         }
         let (mut outbound, inbound) = dialed.answered()?;
         info!(controller = %to, "joined");
-        self.joined.store(true, Ordering::SeqCst);
+        self.connected.store(true, Ordering::SeqCst);
         self.plane.environment().connection_changed(true);
         let over = Arc::new(Notify::default());
         let reporting = {
@@ -192,13 +192,13 @@
             let soon = Instant::now() + SOON;
             let came = match queue.take_all(Some(home.map_or(soon, |at| at.min(soon)))) {
                 Received::Items(came) => came,
-                Received::TimedOut if self.is_over() => return Ok(false),
+                Received::TimedOut if self.is_stopping() => return Ok(false),
                 Received::TimedOut => continue,
                 Received::Closed => return Ok(false),
             };
             let mut broken = None;
             for (response, came, may) in came {
-                if broken.is_some() || self.is_over() {
+                if broken.is_some() || self.is_stopping() {
                     self.plane
                         .environment()
                         .message_dropped(&table_message(&response));
--- a/crates/proxy/tests/files.rs
+++ b/crates/proxy/tests/files.rs
@@ -4,9 +4,9 @@
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_proxy::data_plane::DataPlane;
-use dahliapoint_proxy::file_client::{Filed, Over};
+use dahliapoint_proxy::file_client::{FileClient, ShutdownMode};
 use dahliapoint_proxy::settings;
-use dahliapoint_proxy::xds_client::Steering;
+use dahliapoint_proxy::xds_client::XdsClient;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -75,14 +75,14 @@
     DataPlane::new(settings::parse(&file, &text).unwrap(), &[])
 }
 
-fn file_client(folder: &Path, name: &str) -> (Arc<DataPlane>, Arc<Filed>) {
+fn file_client(folder: &Path, name: &str) -> (Arc<DataPlane>, Arc<FileClient>) {
     let plane = plane(
         folder,
         name,
         "files: {dir: files, every: 20ms, beat: 100ms, keys: keys}",
     );
     let files = plane.settings.files.clone().unwrap();
-    let (file_client, _) = Filed::start(plane.clone(), files).unwrap();
+    let (file_client, _) = FileClient::start(plane.clone(), files).unwrap();
     (plane, file_client)
 }
 
@@ -112,7 +112,7 @@
     let daemon = controller(&folder.0, "127.0.0.1:0");
     let (plane, file_client) = file_client(&folder.0, "p1");
     until("a table comes", || {
-        plane.lines() == 4 && file_client.is_joined()
+        plane.lines() == 4 && file_client.is_connected()
     });
     until("it is bound", || {
         proxies(&daemon) == [("p1".to_string(), true)]
@@ -143,8 +143,8 @@
     until("another one comes", || {
         proxies(&daemon).len() == 2 && other.lines() == 2
     });
-    silent.end(Over::Silent);
-    file_client.end(Over::Goodbye);
+    silent.stop(ShutdownMode::Silent);
+    file_client.stop(ShutdownMode::Goodbye);
     until("both are gone", || proxies(&daemon).is_empty());
     assert_eq!(plane.lines(), 2, "what it holds stays");
     daemon.end(Duration::from_secs(2));
@@ -160,9 +160,9 @@
     roster(&folder.0, &["draining", "ready", "ready"]);
     let stream = format!("controllers: ['{}']", daemon.address());
     let second = plane(&folder.0, "p1", &stream);
-    let xds_client = Steering::start(second.clone());
+    let xds_client = XdsClient::start(second.clone());
     until("the stream has the table", || {
-        second.lines() == 2 && xds_client.is_joined()
+        second.lines() == 2 && xds_client.is_connected()
     });
     until("one of that name is there", || {
         proxies(&daemon) == [("p1".to_string(), true)]
@@ -178,13 +178,13 @@
     let before = beats();
     until("beats come", || beats() > before + 10);
     assert_eq!(session(&daemon), Some(on_stream));
-    xds_client.end();
+    xds_client.stop();
     until("the files have it back", || {
         session(&daemon).is_some_and(|s| s > on_stream)
     });
     roster(&folder.0, &["draining", "draining", "ready"]);
     until("a drain comes by files again", || first.lines() == 1);
-    file_client.end(Over::Goodbye);
+    file_client.stop(ShutdownMode::Goodbye);
     daemon.end(Duration::from_secs(2));
 }
 
@@ -197,18 +197,18 @@
     let (plane, file_client) = file_client(&folder.0, "p1");
     until("a table comes", || plane.lines() == 3);
     daemon.end(Duration::from_secs(2));
-    until("its loss is seen", || !file_client.is_joined());
+    until("its loss is seen", || !file_client.is_connected());
     assert_eq!(plane.lines(), 3);
     roster(&folder.0, &["gone", "ready", "ready"]);
     let applied = file_client.applied.load(Ordering::SeqCst);
     let daemon = controller(&folder.0, &address);
     until("the next life's table comes", || {
-        file_client.is_joined()
+        file_client.is_connected()
             && plane.lines() == 2
             && file_client.applied.load(Ordering::SeqCst) > applied
     });
     assert_eq!(file_client.refused.load(Ordering::SeqCst), 0);
-    file_client.end(Over::Silent);
+    file_client.stop(ShutdownMode::Silent);
     daemon.end(Duration::from_secs(2));
 }
 
@@ -233,7 +233,7 @@
     let (by_files, file_client) = file_client(&folder.0, "p1");
     let stream = format!("controllers: ['{}']", daemon.address());
     let by_stream = plane(&folder.0, "p2", &stream);
-    let xds_client = Steering::start(by_stream.clone());
+    let xds_client = XdsClient::start(by_stream.clone());
     until("both have it", || {
         by_files.lines() == 2 && by_stream.lines() == 2
     });
@@ -250,7 +250,7 @@
     until("both drain", || {
         by_files.lines() == 1 && by_stream.lines() == 1
     });
-    xds_client.end();
-    file_client.end(Over::Silent);
+    xds_client.stop();
+    file_client.stop(ShutdownMode::Silent);
     daemon.end(Duration::from_secs(2));
 }
--- a/crates/proxy/tests/matrix.rs
+++ b/crates/proxy/tests/matrix.rs
@@ -179,7 +179,7 @@
                     _ => Some(502),
                 };
                 assert_eq!(said, wanted, "{what}");
-                plane.end(at, std::time::Instant::now());
+                plane.shut_down(at, std::time::Instant::now());
             }
         }
     }
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -5,7 +5,7 @@
 use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_proxy::data_plane::DataPlane;
 use dahliapoint_proxy::settings::{self, Listed};
-use dahliapoint_proxy::xds_client::Steering;
+use dahliapoint_proxy::xds_client::XdsClient;
 use dahliapoint_xds::ControllerHandle;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -125,7 +125,7 @@
 struct Proxy {
     address: SocketAddr,
     plane: Arc<DataPlane>,
-    xds_client: Arc<Steering>,
+    xds_client: Arc<XdsClient>,
 }
 
 fn proxy(controller: SocketAddr, servers: &[SocketAddr], more: &str) -> Proxy {
@@ -141,7 +141,7 @@
     let plane = DataPlane::new(settings, &roster);
     Proxy {
         address: plane.serve().unwrap(),
-        xds_client: Steering::start(plane.clone()),
+        xds_client: XdsClient::start(plane.clone()),
         plane,
     }
 }
@@ -269,11 +269,11 @@
     until("given", || p.plane.lines() == 3);
     let mut client = Client::of(&p);
     daemon.end(Duration::from_secs(5));
-    until("lost", || !p.xds_client.is_joined());
+    until("lost", || !p.xds_client.is_connected());
     (0..50).for_each(|_| assert_eq!(client.visit("view"), 200));
     assert_eq!(p.plane.lines(), 3);
     let again = controller(&listed, &at.to_string());
-    until("joined again", || p.xds_client.is_joined());
+    until("joined again", || p.xds_client.is_connected());
     until("bound again", || {
         let view = again.engine().overview();
         view["proxies"]
@@ -296,7 +296,7 @@
     let text = text + "home_after: 200ms\n";
     let settings = settings::parse("p.yaml", &text).unwrap();
     let plane = DataPlane::new(settings, &[]);
-    let xds_client = Steering::start(plane.clone());
+    let xds_client = XdsClient::start(plane.clone());
     let joined = |d: &Daemon| {
         let view = d.engine().overview();
         view["proxies"].as_array().is_some_and(|p| !p.is_empty())
@@ -306,7 +306,7 @@
     });
     let home = controller(&listed, &first.to_string());
     until("back at the first", || joined(&home) && !joined(&second));
-    until("and stays there", || xds_client.is_joined());
+    until("and stays there", || xds_client.is_connected());
     assert_eq!(plane.lines(), 1, "its table was kept all the while");
 }
 
--- a/crates/standins/src/obedient.rs
+++ b/crates/standins/src/obedient.rs
@@ -7,10 +7,10 @@
 use dahliapoint_fibers::{TcpStream, dial, shutdown_at, sleep, spawn};
 use dahliapoint_proxy::data_plane::DataPlane;
 use dahliapoint_proxy::environment::{Environment, TableMessage};
-use dahliapoint_proxy::file_client::{Filed, Over};
+use dahliapoint_proxy::file_client::{FileClient, ShutdownMode};
 use dahliapoint_proxy::retry::Effect;
 use dahliapoint_proxy::settings::{Class, Described, Listed, Spooled};
-use dahliapoint_proxy::xds_client::Steering;
+use dahliapoint_proxy::xds_client::XdsClient;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::io::{self, Read, Write};
@@ -31,18 +31,18 @@
 }
 
 enum Steered {
-    Stream(Arc<Steering>),
-    Files(Arc<Filed>),
+    Stream(Arc<XdsClient>),
+    Files(Arc<FileClient>),
 }
 
 impl Life {
     /// As when the process is killed.
     fn end(&self) {
         match &self.steered {
-            Steered::Stream(xds_client) => xds_client.end(),
-            Steered::Files(file_client) => file_client.end(Over::Silent),
+            Steered::Stream(xds_client) => xds_client.stop(),
+            Steered::Files(file_client) => file_client.stop(ShutdownMode::Silent),
         }
-        self.plane.end(self.address, Instant::now());
+        self.plane.shut_down(self.address, Instant::now());
     }
 }
 
@@ -143,8 +143,8 @@
         };
         *lock(&self.before) = plane.servers();
         let steered = match self.settings.files.clone() {
-            None => Steered::Stream(Steering::start(plane.clone())),
-            Some(files) => match Filed::start(plane.clone(), files) {
+            None => Steered::Stream(XdsClient::start(plane.clone())),
+            Some(files) => match FileClient::start(plane.clone(), files) {
                 Ok((file_client, _)) => Steered::Files(file_client),
                 Err(e) => {
                     eprintln!("{}: {e}; it stays down", self.name);
