--- a/crates/proxy/benches/picking.rs
+++ b/crates/proxy/benches/picking.rs
@@ -3,7 +3,7 @@
 //! `cargo bench -p dahliapoint-proxy`; figures are in docs/measurements.md.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use dahliapoint_proxy::Chance;
+use dahliapoint_proxy::Rng;
 use dahliapoint_proxy::load_balancing::{Line, Picker, Way};
 use std::hint::black_box;
 use std::time::Duration;
@@ -33,9 +33,9 @@
     lines[best].server
 }
 
-fn scanned_draw(lines: &[Line], chance: &mut Chance) -> usize {
+fn scanned_draw(lines: &[Line], rng: &mut Rng) -> usize {
     let all: f64 = lines.iter().map(|l| l.weight).sum();
-    let mut left = chance.draw() * all;
+    let mut left = rng.next_f64() * all;
     for line in lines {
         left -= line.weight;
         if left < 0.0 {
@@ -77,12 +77,12 @@
             });
         });
         group.bench_function(BenchmarkId::new("draws, a scan", n), |b| {
-            let mut chance = Chance::from(1);
+            let mut rng = Rng::from_seed(1);
             let mut tick = 0;
             b.iter(|| {
                 tick += 1;
                 for _ in 0..VISITS {
-                    black_box(scanned_draw(&tables[tick % 10], &mut chance));
+                    black_box(scanned_draw(&tables[tick % 10], &mut rng));
                 }
             });
         });
--- a/crates/proxy/src/data_plane.rs
+++ b/crates/proxy/src/data_plane.rs
@@ -1,6 +1,6 @@
 //! The data plane: takes visits from clients and carries each to a server by the table in use.
 
-use crate::Chance;
+use crate::Rng;
 use crate::environment::{Environment, PlainSockets};
 use crate::http::{Body, Found, Head, Source, Wrong, write_head, write_piece};
 use crate::load_balancing::{Line, Picker};
@@ -130,7 +130,7 @@
         roster: &[Listed],
         environment: Arc<dyn Environment>,
     ) -> Arc<DataPlane> {
-        let mut chance = Chance::from(settings.seed);
+        let mut rng = Rng::from_seed(settings.seed);
         let ready = || roster.iter().filter(|l| l.ready);
         let near: Vec<&Listed> = ready().filter(|l| l.zone == settings.zone).collect();
         let mut left: Vec<&Listed> = if near.len() >= 3 {
@@ -140,7 +140,7 @@
         };
         let mut standing = Vec::new();
         while standing.len() < settings.standing && !left.is_empty() {
-            let at = (chance.draw() * left.len() as f64) as usize;
+            let at = (rng.next_f64() * left.len() as f64) as usize;
             standing.push(left.swap_remove(at.min(left.len() - 1)).clone());
         }
         let classes = settings.classes.len();
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,6 +1,6 @@
 //! The obedient proxy: HTTP/1.1 in and out, by the tables that it is given.
 //!
-//! Free of I/O, clock and chance from outside:
+//! Free of I/O, clock and rng from outside:
 //! - [`load_balancing`]: which line of its table a visit goes to, in each of the ways that deployments name;
 //! - [`outlier_ejection`]: which servers it keeps away from for a while, after its own failures alone;
 //! - [`retry`]: whether a visit that failed is tried again, and whether it is let in at all.
@@ -22,14 +22,14 @@
 
 /// Multiply with carry: numbers from 0 to 1, from a seed.
 #[derive(Clone, Debug)]
-pub struct Chance(u32, u32);
+pub struct Rng(u32, u32);
 
-impl Chance {
-    pub fn from(seed: u64) -> Chance {
-        Chance(seed as u32 | 1, (seed >> 32) as u32 | 1)
+impl Rng {
+    pub fn from_seed(seed: u64) -> Rng {
+        Rng(seed as u32 | 1, (seed >> 32) as u32 | 1)
     }
 
-    pub fn draw(&mut self) -> f64 {
+    pub fn next_f64(&mut self) -> f64 {
         let next = u64::from(self.0) * 4_294_957_665 + u64::from(self.1);
         (self.0, self.1) = (next as u32, (next >> 32) as u32);
         f64::from(self.0) / (f64::from(u32::MAX) + 1.0)
--- a/crates/proxy/src/load_balancing.rs
+++ b/crates/proxy/src/load_balancing.rs
@@ -5,7 +5,7 @@
 //! proxy's own work out. A server that stays in the table keeps its place in the order over a swap, so that
 //! changes of weights at each tick do not start the order anew.
 
-use crate::Chance;
+use crate::Rng;
 use std::collections::BTreeMap;
 
 /// The ways in which proxies pick.
@@ -151,7 +151,7 @@
     /// Where the order of turns has come to.
     now: f64,
     out: BTreeMap<usize, u32>,
-    chance: Chance,
+    rng: Rng,
 }
 
 impl Picker {
@@ -163,7 +163,7 @@
             turns: Turns::default(),
             now: 0.0,
             out: BTreeMap::new(),
-            chance: Chance::from(seed),
+            rng: Rng::from_seed(seed),
         }
     }
 
@@ -197,7 +197,7 @@
     }
 
     /// The order of turns for a new table. A server that stays has waited a part of its turn, and waits the
-    /// same part of the new one; one that comes waits a part by chance, so that proxies that are given a
+    /// same part of the new one; one that comes waits a part by rng, so that proxies that are given a
     /// server at one moment do not all send to it first.
     fn turn_over(&mut self, next: &[Line], places: &BTreeMap<usize, usize>) {
         let mut waits: BTreeMap<usize, f64> = BTreeMap::new();
@@ -208,7 +208,7 @@
         let mut turns = Turns::default();
         for (server, place) in places {
             let wait = waits.get(server).copied();
-            let wait = wait.unwrap_or_else(|| self.chance.draw());
+            let wait = wait.unwrap_or_else(|| self.rng.next_f64());
             turns.push((wait / next[*place].weight, *place));
         }
         // From nothing again at each table, so that the order never runs out of digits.
@@ -259,7 +259,7 @@
     fn draw(&mut self, may: &impl Fn(usize) -> bool, other: Option<usize>) -> Option<usize> {
         let fits = |server: usize| Some(server) != other && may(server);
         for _ in 0..DRAWS {
-            let place = self.sums.at(self.chance.draw())?;
+            let place = self.sums.at(self.rng.next_f64())?;
             let server = self.lines[place].server;
             if fits(server) {
                 return Some(server);
@@ -273,7 +273,7 @@
             .filter(|l| fits(l.server))
             .collect();
         let all: f64 = rest.iter().map(|l| l.weight).sum();
-        let mut left = self.chance.draw() * all;
+        let mut left = self.rng.next_f64() * all;
         for line in &rest {
             left -= line.weight;
             if left < 0.0 {
--- a/crates/proxy/src/xds_client.rs
+++ b/crates/proxy/src/xds_client.rs
@@ -1,7 +1,7 @@
 //! How the proxy is steered: a stream to one controller at a time, tables taken whole, reports, and what
 //! happens when the controller is lost (it keeps what it holds and dials another).
 
-use crate::Chance;
+use crate::Rng;
 use crate::data_plane::{DataPlane, lock};
 use crate::environment::TableMessage;
 use dahliapoint_fibers::{Notify, Queue, Received, sleep, spawn};
@@ -84,7 +84,7 @@
     /// one controller do not come to the next in one moment.
     fn live(self: &Arc<Self>) {
         let d = &self.plane.settings;
-        let mut chance = Chance::from(d.seed ^ 0x5eed);
+        let mut rng = Rng::from_seed(d.seed ^ 0x5eed);
         let mut at = 0;
         while !self.is_stopping() {
             let to = d.controllers[at];
@@ -104,7 +104,7 @@
             };
             let (from, until) = d.redial_ms;
             sleep(Duration::from_secs_f64(
-                (from + (until - from) * chance.draw()) / 1e3,
+                (from + (until - from) * rng.next_f64()) / 1e3,
             ));
         }
     }
--- a/crates/proxy/tests/decisions.rs
+++ b/crates/proxy/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! The obedient proxy's decisions: tables of cases, and tables and weights drawn by chance.
+//! The obedient proxy's decisions: tables of cases, and tables and weights drawn by rng.
 
 use dahliapoint_proxy::load_balancing::{Line, Picker, Sums, Way};
 use dahliapoint_proxy::outlier_ejection::Shunning;
--- a/crates/proxy/tests/matrix.rs
+++ b/crates/proxy/tests/matrix.rs
@@ -1,6 +1,6 @@
 //! A fault at each point of a visit, for each class and each order; and bytes that nobody would send.
 
-use dahliapoint_proxy::Chance;
+use dahliapoint_proxy::Rng;
 use dahliapoint_proxy::data_plane::DataPlane;
 use dahliapoint_proxy::settings;
 use dahliapoint_xds::pb::discovery::{DeltaDiscoveryResponse, Resource};
@@ -229,15 +229,15 @@
 ];
 
 /// Flips, cuts, doubles and inserts, from a seed.
-fn mangled(bytes: &[u8], chance: &mut Chance) -> Vec<u8> {
+fn mangled(bytes: &[u8], rng: &mut Rng) -> Vec<u8> {
     let mut out = bytes.to_vec();
-    for _ in 0..=(chance.draw() * 4.0) as usize {
-        let at = (chance.draw() * out.len() as f64) as usize;
-        match (chance.draw() * 4.0) as usize {
-            0 if at < out.len() => out[at] ^= 1 << (chance.draw() * 8.0) as u8,
+    for _ in 0..=(rng.next_f64() * 4.0) as usize {
+        let at = (rng.next_f64() * out.len() as f64) as usize;
+        match (rng.next_f64() * 4.0) as usize {
+            0 if at < out.len() => out[at] ^= 1 << (rng.next_f64() * 8.0) as u8,
             1 => out.truncate(at.max(1)),
             2 => out.extend_from_within(at.min(out.len())..),
-            _ => out.insert(at.min(out.len()), (chance.draw() * 256.0) as u8),
+            _ => out.insert(at.min(out.len()), (rng.next_f64() * 256.0) as u8),
         }
     }
     out
@@ -248,9 +248,9 @@
 fn mangled_requests_are_answered_or_refused_and_the_proxy_goes_on() {
     let good = server(None);
     let (_plane, at) = proxy(&[good.0], "", 2_000);
-    let mut chance = Chance::from(7);
+    let mut rng = Rng::from_seed(7);
     for i in 0..1_500 {
-        let bytes = mangled(REQUESTS[i % REQUESTS.len()], &mut chance);
+        let bytes = mangled(REQUESTS[i % REQUESTS.len()], &mut rng);
         let mut socket = TcpStream::connect(at).unwrap();
         let _ = socket.write_all(&bytes);
         let _ = socket.shutdown(std::net::Shutdown::Write);
@@ -270,20 +270,22 @@
 /// The same for assignments: whatever comes is taken whole or refused whole.
 #[test]
 fn mangled_assignments_are_taken_whole_or_refused_whole() {
-    let mut chance = Chance::from(11);
+    let mut rng = Rng::from_seed(11);
     let mut holder = Holder::new("s", "p", "z", 1.0);
     let types = [names::CDS, names::EDS, names::RDS, names::LEDS];
     let (mut applied, mut refused) = (0, 0);
     for i in 0..20_000 {
         let before = holder.table();
-        let length = (chance.draw() * 40.0) as usize;
-        let value: Vec<u8> = (0..length).map(|_| (chance.draw() * 256.0) as u8).collect();
-        let kind = types[(chance.draw() * 4.0) as usize % 4];
+        let length = (rng.next_f64() * 40.0) as usize;
+        let value: Vec<u8> = (0..length)
+            .map(|_| (rng.next_f64() * 256.0) as u8)
+            .collect();
+        let kind = types[(rng.next_f64() * 4.0) as usize % 4];
         let resource = Resource {
             name: names::part("s", i % 3).replace('*', "x"),
             resource: Some(Any {
                 type_url: kind.into(),
-                value: mangled(&[&value[..], b"\x0a\x03abc"].concat(), &mut chance),
+                value: mangled(&[&value[..], b"\x0a\x03abc"].concat(), &mut rng),
             }),
             ..Resource::default()
         };
