--- a/crates/proxy/benches/picking.rs
+++ b/crates/proxy/benches/picking.rs
@@ -4,15 +4,15 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use dahliapoint_proxy::Rng;
-use dahliapoint_proxy::load_balancing::{Line, Picker, Way};
+use dahliapoint_proxy::load_balancing::{BalancingPolicy, Picker, WeightedServer};
 use std::hint::black_box;
 use std::time::Duration;
 
 const SIZES: [usize; 4] = [5, 12, 30, 400];
 const VISITS: usize = 100;
 
-fn lines(n: usize, tick: usize) -> Vec<Line> {
-    let line = |server| Line {
+fn lines(n: usize, tick: usize) -> Vec<WeightedServer> {
+    let line = |server| WeightedServer {
         server,
         weight: 0.1 + ((server * 7 + tick) % 10) as f64 / 10.0,
     };
@@ -20,7 +20,7 @@
 }
 
 /// The smooth weighted order as a scan: all counters up by their weights, the highest goes.
-fn scanned_order(counters: &mut [f64], lines: &[Line]) -> usize {
+fn scanned_order(counters: &mut [f64], lines: &[WeightedServer]) -> usize {
     let (mut best, mut sum) = (0, 0.0);
     for (i, line) in lines.iter().enumerate() {
         counters[i] += line.weight;
@@ -33,7 +33,7 @@
     lines[best].server
 }
 
-fn scanned_draw(lines: &[Line], rng: &mut Rng) -> usize {
+fn scanned_draw(lines: &[WeightedServer], rng: &mut Rng) -> usize {
     let all: f64 = lines.iter().map(|l| l.weight).sum();
     let mut left = rng.next_f64() * all;
     for line in lines {
@@ -48,18 +48,18 @@
 fn picking(c: &mut Criterion) {
     let mut group = c.benchmark_group("a table and a hundred visits");
     for n in SIZES {
-        let tables: Vec<Vec<Line>> = (0..10).map(|tick| lines(n, tick)).collect();
+        let tables: Vec<Vec<WeightedServer>> = (0..10).map(|tick| lines(n, tick)).collect();
         for (name, way) in [
-            ("turns, a heap", Way::Rotate),
-            ("draws, a tree of sums", Way::Random),
-            ("two draws", Way::Two),
+            ("turns, a heap", BalancingPolicy::WeightedRoundRobin),
+            ("draws, a tree of sums", BalancingPolicy::WeightedRandom),
+            ("two draws", BalancingPolicy::TwoChoices),
         ] {
             group.bench_function(BenchmarkId::new(name, n), |b| {
                 let mut picker = Picker::new(way, 1);
                 let mut tick = 0;
                 b.iter(|| {
                     tick += 1;
-                    picker.swap(&tables[tick % 10]);
+                    picker.swap_table(&tables[tick % 10]);
                     for _ in 0..VISITS {
                         black_box(picker.pick(|_| true));
                     }
--- a/crates/proxy/examples/cost.rs
+++ b/crates/proxy/examples/cost.rs
@@ -121,7 +121,7 @@
     let plane = DataPlane::new(settings::parse("p", text).expect("settings"), &[]);
     let at = plane.serve().expect("a port");
     for lines in [12, 100, 400] {
-        plane.swap(Some(&table(&servers, lines, 0)), &|_| false, 0);
+        plane.swap_table(Some(&table(&servers, lines, 0)), &|_| false, 0);
         run(&format!("{lines} lines, no swap"), at, many);
         for every in [2_000, 50] {
             let over = Arc::new(AtomicBool::new(false));
@@ -133,7 +133,7 @@
                         round += 1;
                         let held = table(&servers, lines, round);
                         let begun = Instant::now();
-                        plane.swap(Some(&held), &|_| false, lines);
+                        plane.swap_table(Some(&held), &|_| false, lines);
                         worst = worst.max(begun.elapsed());
                         std::thread::sleep(Duration::from_millis(every));
                     }
--- a/crates/proxy/examples/spread.rs
+++ b/crates/proxy/examples/spread.rs
@@ -114,7 +114,7 @@
             lines: WEIGHTS.iter().enumerate().map(line).collect(),
             ..Held::default()
         };
-        plane.swap(Some(&held), &|_| false, 0);
+        plane.swap_table(Some(&held), &|_| false, 0);
         servers.iter().for_each(|s| s.1.store(0, Ordering::Relaxed));
         let to = plane.serve().expect("a port");
         let all = run(&format!("through the proxy, {way}"), to, many);
--- a/crates/proxy/src/data_plane.rs
+++ b/crates/proxy/src/data_plane.rs
@@ -3,7 +3,7 @@
 use crate::Rng;
 use crate::environment::{Environment, PlainSockets};
 use crate::http::{Body, Found, Head, Source, Wrong, write_head, write_piece};
-use crate::load_balancing::{Line, Picker};
+use crate::load_balancing::{Picker, WeightedServer};
 use crate::outlier_ejection::Shunning;
 use crate::retry::{self, Budget, Failed, Failure, Level, Ordered};
 use crate::settings::{Described, Listed};
@@ -167,7 +167,7 @@
             environment,
             settings,
         };
-        plane.swap(None, &|_| false, 0);
+        plane.swap_table(None, &|_| false, 0);
         Arc::new(plane)
     }
 
@@ -177,12 +177,12 @@
 
     /// Puts a table into use, whole, between two visits: the one given, or the standing one without what
     /// is withdrawn. `lines` were sent for it, each of which holds the proxy up.
-    pub fn swap(&self, held: Option<&Held>, is_shut: &dyn Fn(&str) -> bool, lines: usize) {
+    pub fn swap_table(&self, held: Option<&Held>, is_shut: &dyn Fn(&str) -> bool, lines: usize) {
         let mut servers = lock(&self.servers);
-        let picks: Vec<Line> = match held {
+        let picks: Vec<WeightedServer> = match held {
             Some(held) => {
                 let open = held.lines.iter().filter(|l| l.open);
-                open.map(|l| Line {
+                open.map(|l| WeightedServer {
                     server: servers.place(&l.address),
                     weight: f64::from(l.weight),
                 })
@@ -190,7 +190,7 @@
             }
             None => {
                 let open = self.standing.iter().filter(|l| !is_shut(&l.name));
-                open.map(|l| Line {
+                open.map(|l| WeightedServer {
                     server: servers.place(&l.address.to_string()),
                     weight: 1.0,
                 })
@@ -200,7 +200,7 @@
         drop(servers);
         let there: Vec<usize> = picks.iter().map(|l| l.server).collect();
         let mut table = lock(&self.table);
-        table.picker.swap(&picks);
+        table.picker.swap_table(&picks);
         table.shunning.keep(|s| there.contains(&s));
         for (i, class) in self.settings.classes.iter().enumerate() {
             let given = held.map(|h| {
@@ -234,14 +234,14 @@
     }
 
     /// Servers that can be picked now.
-    pub fn lines(&self) -> usize {
-        lock(&self.table).picker.lines().len()
+    pub fn server_count(&self) -> usize {
+        lock(&self.table).picker.servers().len()
     }
 
     /// The servers of the table in use.
     pub fn servers(&self) -> Vec<SocketAddr> {
         let table = lock(&self.table);
-        let picked: Vec<usize> = table.picker.lines().iter().map(|l| l.server).collect();
+        let picked: Vec<usize> = table.picker.servers().iter().map(|l| l.server).collect();
         drop(table);
         picked.into_iter().filter_map(|s| self.address(s)).collect()
     }
@@ -458,7 +458,7 @@
                 let picked =
                     shunning.pick(now, |may| picker.pick(|s| !tried.contains(&s) && may(s)));
                 if let Some(server) = picked {
-                    picker.began(server);
+                    picker.try_started(server);
                 }
                 picked
             };
@@ -522,7 +522,7 @@
         if let Some(many) = lock(&self.counts).under_way.get_mut(&(class, server)) {
             *many -= 1;
         }
-        lock(&self.table).picker.ended(server);
+        lock(&self.table).picker.try_ended(server);
     }
 
     fn address(&self, server: usize) -> Option<SocketAddr> {
--- a/crates/proxy/src/file_client.rs
+++ b/crates/proxy/src/file_client.rs
@@ -289,7 +289,7 @@
         }
         let held = (table.bound || !table.lines.is_empty()).then(|| held(&table));
         own.plane
-            .swap(held.as_ref(), &|s| table.shut.contains(s), lines);
+            .swap_table(held.as_ref(), &|s| table.shut.contains(s), lines);
         own.applied.fetch_add(1, Ordering::SeqCst);
         self.table = Some(table);
         environment.message_processed(&table_message, came, false);
--- a/crates/proxy/src/load_balancing.rs
+++ b/crates/proxy/src/load_balancing.rs
@@ -1,7 +1,7 @@
 //! Which line a visit goes to.
 //!
-//! How it is called: [`Picker::swap`] with each new table, whole; [`Picker::pick`] for each try, with what
-//! may not be picked (withdrawn, shunned, tried before); [`Picker::began`] and [`Picker::ended`] keep the
+//! How it is called: [`Picker::swap_table`] with each new table, whole; [`Picker::pick`] for each try, with what
+//! may not be picked (withdrawn, shunned, tried before); [`Picker::try_started`] and [`Picker::try_ended`] keep the
 //! proxy's own work out. A server that stays in the table keeps its place in the order over a swap, so that
 //! changes of weights at each tick do not start the order anew.
 
@@ -10,18 +10,18 @@
 
 /// The ways in which proxies pick.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum BalancingPolicy {
     /// Evenly by weight: over any stretch each line gets its part, to within one visit.
-    Rotate,
+    WeightedRoundRobin,
     /// At random by weight.
-    Random,
+    WeightedRandom,
     /// Two drawn by weight, the one with less of the proxy's own work out.
-    Two,
+    TwoChoices,
 }
 
 /// A line of a table.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Line {
+pub struct WeightedServer {
     pub server: usize,
     pub weight: f64,
 }
@@ -31,13 +31,13 @@
 
 /// Weights as a tree of sums: a draw and a change cost the height of it.
 #[derive(Clone, Debug, Default)]
-pub struct Sums {
+pub struct FenwickTree {
     tree: Vec<f64>,
     weights: Vec<f64>,
 }
 
-impl Sums {
-    pub fn of(weights: &[f64]) -> Sums {
+impl FenwickTree {
+    pub fn of(weights: &[f64]) -> FenwickTree {
         let mut tree = vec![0.0; weights.len() + 1];
         for (i, weight) in weights.iter().enumerate() {
             tree[i + 1] += weight;
@@ -46,7 +46,7 @@
                 tree[parent] += tree[i + 1];
             }
         }
-        Sums {
+        FenwickTree {
             tree,
             weights: weights.to_vec(),
         }
@@ -99,7 +99,7 @@
 /// The order of turns: each line's next turn is its last one and the inverse of its weight later; the
 /// earliest goes. A heap, so that a pick costs the height of it.
 #[derive(Clone, Debug, Default)]
-pub struct Turns {
+pub struct EdfQueue {
     /// Next turn and place in the table, the earliest first.
     heap: Vec<(f64, usize)>,
 }
@@ -108,7 +108,7 @@
     a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)).is_lt()
 }
 
-impl Turns {
+impl EdfQueue {
     fn push(&mut self, turn: (f64, usize)) {
         self.heap.push(turn);
         let mut at = self.heap.len() - 1;
@@ -144,10 +144,10 @@
 /// See the module's head.
 #[derive(Clone, Debug)]
 pub struct Picker {
-    way: Way,
-    lines: Vec<Line>,
-    sums: Sums,
-    turns: Turns,
+    way: BalancingPolicy,
+    lines: Vec<WeightedServer>,
+    sums: FenwickTree,
+    turns: EdfQueue,
     /// Where the order of turns has come to.
     now: f64,
     out: BTreeMap<usize, u32>,
@@ -155,26 +155,26 @@
 }
 
 impl Picker {
-    pub fn new(way: Way, seed: u64) -> Picker {
+    pub fn new(way: BalancingPolicy, seed: u64) -> Picker {
         Picker {
             way,
             lines: Vec::new(),
-            sums: Sums::default(),
-            turns: Turns::default(),
+            sums: FenwickTree::default(),
+            turns: EdfQueue::default(),
             now: 0.0,
             out: BTreeMap::new(),
             rng: Rng::from_seed(seed),
         }
     }
 
-    pub fn lines(&self) -> &[Line] {
+    pub fn servers(&self) -> &[WeightedServer] {
         &self.lines
     }
 
     /// Takes a new table whole; lines without weight are not in it, and of two for one server the last
     /// counts.
-    pub fn swap(&mut self, table: &[Line]) {
-        let mut next: Vec<Line> = Vec::with_capacity(table.len());
+    pub fn swap_table(&mut self, table: &[WeightedServer]) {
+        let mut next: Vec<WeightedServer> = Vec::with_capacity(table.len());
         let mut places: BTreeMap<usize, usize> = BTreeMap::new();
         for line in table
             .iter()
@@ -188,24 +188,24 @@
                 }
             }
         }
-        if self.way == Way::Rotate {
+        if self.way == BalancingPolicy::WeightedRoundRobin {
             self.turn_over(&next, &places);
         }
         let weights: Vec<f64> = next.iter().map(|l| l.weight).collect();
-        self.sums = Sums::of(&weights);
+        self.sums = FenwickTree::of(&weights);
         self.lines = next;
     }
 
     /// The order of turns for a new table. A server that stays has waited a part of its turn, and waits the
     /// same part of the new one; one that comes waits a part by rng, so that proxies that are given a
     /// server at one moment do not all send to it first.
-    fn turn_over(&mut self, next: &[Line], places: &BTreeMap<usize, usize>) {
+    fn turn_over(&mut self, next: &[WeightedServer], places: &BTreeMap<usize, usize>) {
         let mut waits: BTreeMap<usize, f64> = BTreeMap::new();
         for (turn, place) in &self.turns.heap {
             let line = self.lines[*place];
             waits.insert(line.server, ((turn - self.now) * line.weight).max(0.0));
         }
-        let mut turns = Turns::default();
+        let mut turns = EdfQueue::default();
         for (server, place) in places {
             let wait = waits.get(server).copied();
             let wait = wait.unwrap_or_else(|| self.rng.next_f64());
@@ -218,14 +218,14 @@
     /// Picks a server that may be picked; none if there is none.
     pub fn pick(&mut self, may: impl Fn(usize) -> bool) -> Option<usize> {
         match self.way {
-            Way::Rotate => self.take_turn(&may),
-            Way::Random => self.draw(&may, None),
-            Way::Two => {
+            BalancingPolicy::WeightedRoundRobin => self.take_turn(&may),
+            BalancingPolicy::WeightedRandom => self.draw(&may, None),
+            BalancingPolicy::TwoChoices => {
                 let one = self.draw(&may, None)?;
                 let Some(two) = self.draw(&may, Some(one)) else {
                     return Some(one);
                 };
-                Some(if self.own_work(two) < self.own_work(one) {
+                Some(if self.in_flight(two) < self.in_flight(one) {
                     two
                 } else {
                     one
@@ -266,7 +266,7 @@
             }
         }
         // Most of the weight may not be picked: among the rest, by weight.
-        let rest: Vec<Line> = self
+        let rest: Vec<WeightedServer> = self
             .lines
             .iter()
             .copied()
@@ -283,11 +283,11 @@
         rest.last().map(|l| l.server)
     }
 
-    pub fn began(&mut self, server: usize) {
+    pub fn try_started(&mut self, server: usize) {
         *self.out.entry(server).or_default() += 1;
     }
 
-    pub fn ended(&mut self, server: usize) {
+    pub fn try_ended(&mut self, server: usize) {
         if let Some(many) = self.out.get_mut(&server) {
             *many -= 1;
             if *many == 0 {
@@ -297,7 +297,7 @@
     }
 
     /// The proxy's own visits that are out at a server.
-    pub fn own_work(&self, server: usize) -> u32 {
+    pub fn in_flight(&self, server: usize) -> u32 {
         self.out.get(&server).copied().unwrap_or(0)
     }
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -16,7 +16,7 @@
 
 #[derive(Parser)]
 #[command(name = "dahliapoint-proxy", version)]
-struct Line {
+struct Cli {
     #[command(subcommand)]
     command: Command,
 }
@@ -43,7 +43,7 @@
 }
 
 fn main() -> ExitCode {
-    let done = match Line::parse().command {
+    let done = match Cli::parse().command {
         Command::Run {
             file,
             listen,
@@ -99,7 +99,7 @@
         Some(files) => ControlClient::Files(FileClient::start(plane.clone(), files)?),
         None => ControlClient::Stream(XdsClient::start(plane.clone())),
     };
-    tracing::info!(%address, standing = plane.lines(), "serving");
+    tracing::info!(%address, standing = plane.server_count(), "serving");
     if let Some(path) = address_file {
         let aside = path.with_extension("aside");
         std::fs::write(&aside, address.to_string())
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a proxy, and the roster that it reads once, at its start.
 
-use crate::load_balancing::Way;
+use crate::load_balancing::BalancingPolicy;
 use crate::retry::Effect;
 use dahliapoint_yaml::{At, Faults, read};
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
     pub listen: SocketAddr,
     pub roster: PathBuf,
     pub classes: Vec<Class>,
-    pub way: Way,
+    pub way: BalancingPolicy,
     pub standing: usize,
     pub strikes: u32,
     pub shun_ms: f64,
@@ -117,9 +117,9 @@
         list.wrong("at least one class is wanted");
     }
     let ways = [
-        ("rotate", Way::Rotate),
-        ("random", Way::Random),
-        ("two", Way::Two),
+        ("rotate", BalancingPolicy::WeightedRoundRobin),
+        ("random", BalancingPolicy::WeightedRandom),
+        ("two", BalancingPolicy::TwoChoices),
     ];
     let shun = at.field("shun");
     let strikes = shun.field("after").number(0.0..=1e6, Some(0.0)) as u32;
@@ -145,7 +145,9 @@
         listen: address(&at.field("listen")),
         roster: folder.join(at.field("roster").text(None)),
         classes,
-        way: at.field("picks").choice(&ways, Some(Way::Rotate)),
+        way: at
+            .field("picks")
+            .choice(&ways, Some(BalancingPolicy::WeightedRoundRobin)),
         standing: at.field("standing").number(1.0..=10_000.0, Some(10.0)) as usize,
         strikes,
         shun_ms,
@@ -210,7 +212,10 @@
     #[test]
     fn settings_have_defaults_and_faults_have_lines() {
         let d = parse("conf/p.yaml", SMALL).unwrap();
-        assert_eq!((d.way, d.classes[0].effect), (Way::Rotate, Effect::Effect));
+        assert_eq!(
+            (d.way, d.classes[0].effect),
+            (BalancingPolicy::WeightedRoundRobin, Effect::Effect)
+        );
         assert_eq!(d.roster, PathBuf::from("conf/r.yaml"));
         let cases = [
             ("controllers: ['127.0.0.1:1']", "controllers: []", 4),
--- a/crates/proxy/src/xds_client.rs
+++ b/crates/proxy/src/xds_client.rs
@@ -246,7 +246,7 @@
                 };
                 let held = holder.table();
                 self.plane
-                    .swap(held.as_ref(), &|s| holder.is_shut(s), lines);
+                    .swap_table(held.as_ref(), &|s| holder.is_shut(s), lines);
             }
         }
         drop(holder);
--- a/crates/proxy/tests/decisions.rs
+++ b/crates/proxy/tests/decisions.rs
@@ -1,14 +1,14 @@
 //! The obedient proxy's decisions: tables of cases, and tables and weights drawn by rng.
 
-use dahliapoint_proxy::load_balancing::{Line, Picker, Sums, Way};
+use dahliapoint_proxy::load_balancing::{BalancingPolicy, FenwickTree, Picker, WeightedServer};
 use dahliapoint_proxy::outlier_ejection::Shunning;
 use dahliapoint_proxy::retry::{Budget, Effect, Failed, Failure, Level, Not, Ordered, again};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
 
-fn table(weights: &[f64]) -> Vec<Line> {
-    let line = |(server, weight): (usize, &f64)| Line {
+fn table(weights: &[f64]) -> Vec<WeightedServer> {
+    let line = |(server, weight): (usize, &f64)| WeightedServer {
         server,
         weight: *weight,
     };
@@ -36,9 +36,12 @@
         1.0, 0.1, 2.5, 0.36, 1.0, 10.0, 0.6, 1.0, 1.0, 3.0, 0.9, 0.2, 0.8, 1.1,
     ];
     let all: f64 = weights.iter().sum();
-    for way in [Way::Rotate, Way::Random] {
+    for way in [
+        BalancingPolicy::WeightedRoundRobin,
+        BalancingPolicy::WeightedRandom,
+    ] {
         let mut picker = Picker::new(way, 5);
-        picker.swap(&table(&weights));
+        picker.swap_table(&table(&weights));
         let counts = spread(&mut picker, 100_000, |_| true);
         for (server, weight) in weights.iter().enumerate() {
             let part = counts[&server] as f64 / 100_000.0;
@@ -55,8 +58,8 @@
 fn a_rotation_is_even_over_short_stretches_too() {
     let weights = [1.0, 2.0, 3.0, 0.5];
     let all: f64 = weights.iter().sum();
-    let mut picker = Picker::new(Way::Rotate, 5);
-    picker.swap(&table(&weights));
+    let mut picker = Picker::new(BalancingPolicy::WeightedRoundRobin, 5);
+    picker.swap_table(&table(&weights));
     let picks: Vec<usize> = (0..2_000).filter_map(|_| picker.pick(|_| true)).collect();
     for stretch in [7, 13, 65, 400] {
         for window in picks.windows(stretch) {
@@ -75,12 +78,15 @@
 #[test]
 fn changes_at_each_tick_do_not_bend_the_spread() {
     // A ramp: the last server's weight grows by a tenth at each of ten ticks, fifty visits a tick.
-    for way in [Way::Rotate, Way::Random] {
+    for way in [
+        BalancingPolicy::WeightedRoundRobin,
+        BalancingPolicy::WeightedRandom,
+    ] {
         let mut picker = Picker::new(way, 9);
         let (mut wanted, mut had) = (0.0, 0);
         for round in 0..200 {
             let ramp = 0.1 + 0.9 * f64::from(round % 10) / 10.0;
-            picker.swap(&table(&[1.0, 1.0, 1.0, ramp]));
+            picker.swap_table(&table(&[1.0, 1.0, 1.0, ramp]));
             had += spread(&mut picker, 50, |_| true)
                 .get(&3)
                 .copied()
@@ -96,43 +102,47 @@
 
 #[test]
 fn two_draws_prefer_the_idle_and_keep_to_the_weights_when_all_are() {
-    let mut picker = Picker::new(Way::Two, 3);
-    picker.swap(&table(&[1.0, 1.0, 1.0, 1.0]));
-    (0..20).for_each(|_| picker.began(0));
+    let mut picker = Picker::new(BalancingPolicy::TwoChoices, 3);
+    picker.swap_table(&table(&[1.0, 1.0, 1.0, 1.0]));
+    (0..20).for_each(|_| picker.try_started(0));
     let counts = spread(&mut picker, 40_000, |_| true);
     assert_eq!(counts.get(&0), None, "busy: beaten by every other");
-    (0..20).for_each(|_| picker.ended(0));
+    (0..20).for_each(|_| picker.try_ended(0));
     let counts = spread(&mut picker, 40_000, |_| true);
     assert!(
         counts.values().all(|n| (n * 4).abs_diff(40_000) < 2_000),
         "{counts:?}"
     );
-    assert_eq!(picker.own_work(0), 0);
+    assert_eq!(picker.in_flight(0), 0);
     // One line alone is picked, however busy.
-    picker.swap(&table(&[1.0]));
-    picker.began(0);
+    picker.swap_table(&table(&[1.0]));
+    picker.try_started(0);
     assert_eq!(picker.pick(|_| true), Some(0));
 }
 
 #[test]
 fn what_may_not_be_picked_is_not_and_the_rest_keeps_its_proportions() {
-    for way in [Way::Rotate, Way::Random, Way::Two] {
+    for way in [
+        BalancingPolicy::WeightedRoundRobin,
+        BalancingPolicy::WeightedRandom,
+        BalancingPolicy::TwoChoices,
+    ] {
         let mut picker = Picker::new(way, 1);
-        picker.swap(&table(&[1.0, 100.0, 2.0, 0.0, -1.0, f64::NAN]));
+        picker.swap_table(&table(&[1.0, 100.0, 2.0, 0.0, -1.0, f64::NAN]));
         let counts = spread(&mut picker, 3_000, |s| s != 1);
         assert_eq!(
             counts.keys().copied().collect::<Vec<_>>(),
             [0, 2],
             "{way:?}"
         );
-        if way != Way::Two {
+        if way != BalancingPolicy::TwoChoices {
             assert!(counts[&2].abs_diff(2_000) < 120, "{way:?}: {counts:?}");
         }
         assert_eq!(picker.pick(|_| false), None);
         // Back in: no flood to make up for what it missed.
         let counts = spread(&mut picker, 1_030, |_| true);
         assert!(counts[&1] <= 1_020, "{way:?}: {counts:?}");
-        picker.swap(&[]);
+        picker.swap_table(&[]);
         assert_eq!(picker.pick(|_| true), None);
     }
 }
@@ -156,8 +166,8 @@
     // Late answers do not end it, further failures do not prolong it.
     assert!(!s.met(10.0, 7, true) && !s.met(11.0, 7, false));
     assert!(s.is_shunned(1_004.0, 7) && !s.is_shunned(1_005.0, 7));
-    let mut picker = Picker::new(Way::Rotate, 1);
-    picker.swap(&[Line {
+    let mut picker = Picker::new(BalancingPolicy::WeightedRoundRobin, 1);
+    picker.swap_table(&[WeightedServer {
         server: 7,
         weight: 1.0,
     }]);
@@ -166,12 +176,12 @@
         Some(7),
         "nothing else is left"
     );
-    picker.swap(&[
-        Line {
+    picker.swap_table(&[
+        WeightedServer {
             server: 7,
             weight: 1.0,
         },
-        Line {
+        WeightedServer {
             server: 8,
             weight: 1.0,
         },
@@ -267,7 +277,7 @@
         shares in prop::collection::vec(0.0..1.0_f64, 20),
     ) {
         let mut plain = weights.clone();
-        let mut sums = Sums::of(&weights);
+        let mut sums = FenwickTree::of(&weights);
         for (index, weight) in changes {
             let index = index % plain.len();
             plain[index] = weight;
@@ -291,13 +301,13 @@
     #[test]
     fn only_what_is_there_and_may_be_is_picked(
         tables in prop::collection::vec(prop::collection::vec((0_usize..12, -1.0..5.0_f64), 0..14), 1..12),
-        way in prop::sample::select(vec![Way::Rotate, Way::Random, Way::Two]),
+        way in prop::sample::select(vec![BalancingPolicy::WeightedRoundRobin, BalancingPolicy::WeightedRandom, BalancingPolicy::TwoChoices]),
         seed in 0_u64..99,
     ) {
         let mut picker = Picker::new(way, seed);
         for (i, table) in tables.iter().enumerate() {
-            let lines: Vec<Line> = table.iter().map(|(server, weight)| Line { server: *server, weight: *weight }).collect();
-            picker.swap(&lines);
+            let lines: Vec<WeightedServer> = table.iter().map(|(server, weight)| WeightedServer { server: *server, weight: *weight }).collect();
+            picker.swap_table(&lines);
             let mut there: BTreeMap<usize, f64> = BTreeMap::new();
             for l in lines.iter().filter(|l| l.weight > 0.0) {
                 there.insert(l.server, l.weight);
@@ -309,7 +319,7 @@
                 prop_assert_eq!(picked.is_some(), any);
                 if let Some(server) = picked {
                     prop_assert!(there.contains_key(&server) && may(server));
-                    picker.began(server);
+                    picker.try_started(server);
                 }
             }
         }
--- a/crates/proxy/tests/files.rs
+++ b/crates/proxy/tests/files.rs
@@ -112,14 +112,14 @@
     let daemon = controller(&folder.0, "127.0.0.1:0");
     let (plane, file_client) = file_client(&folder.0, "p1");
     until("a table comes", || {
-        plane.lines() == 4 && file_client.is_connected()
+        plane.server_count() == 4 && file_client.is_connected()
     });
     until("it is bound", || {
         proxies(&daemon) == [("p1".to_string(), true)]
     });
     roster(&folder.0, &["ready", "draining", "ready", "ready"]);
     until("the drain is obeyed", || {
-        plane.lines() == 3 && !has(&plane, 2)
+        plane.server_count() == 3 && !has(&plane, 2)
     });
     let current = folder.0.join("files/tables/p1/current");
     let text = |name: &str| std::fs::read_to_string(current.join(name)).unwrap_or_default();
@@ -135,18 +135,18 @@
     std::fs::remove_dir_all(folder.0.join("files/tables/p1")).unwrap();
     roster(&folder.0, &["ready", "gone", "ready", "draining"]);
     until("the next drain is obeyed", || {
-        plane.lines() == 2 && !has(&plane, 4)
+        plane.server_count() == 2 && !has(&plane, 4)
     });
 
     // A goodbye is heard at once, a silence after some beats.
     let (other, silent) = self::file_client(&folder.0, "p2");
     until("another one comes", || {
-        proxies(&daemon).len() == 2 && other.lines() == 2
+        proxies(&daemon).len() == 2 && other.server_count() == 2
     });
     silent.stop(ShutdownMode::Silent);
     file_client.stop(ShutdownMode::Goodbye);
     until("both are gone", || proxies(&daemon).is_empty());
-    assert_eq!(plane.lines(), 2, "what it holds stays");
+    assert_eq!(plane.server_count(), 2, "what it holds stays");
     daemon.end(Duration::from_secs(2));
 }
 
@@ -156,13 +156,13 @@
     roster(&folder.0, &["ready"; 3]);
     let daemon = controller(&folder.0, "127.0.0.1:0");
     let (first, file_client) = file_client(&folder.0, "p1");
-    until("a table comes", || first.lines() == 3);
+    until("a table comes", || first.server_count() == 3);
     roster(&folder.0, &["draining", "ready", "ready"]);
     let stream = format!("controllers: ['{}']", daemon.address());
     let second = plane(&folder.0, "p1", &stream);
     let xds_client = XdsClient::start(second.clone());
     until("the stream has the table", || {
-        second.lines() == 2 && xds_client.is_connected()
+        second.server_count() == 2 && xds_client.is_connected()
     });
     until("one of that name is there", || {
         proxies(&daemon) == [("p1".to_string(), true)]
@@ -183,7 +183,7 @@
         session(&daemon).is_some_and(|s| s > on_stream)
     });
     roster(&folder.0, &["draining", "draining", "ready"]);
-    until("a drain comes by files again", || first.lines() == 1);
+    until("a drain comes by files again", || first.server_count() == 1);
     file_client.stop(ShutdownMode::Goodbye);
     daemon.end(Duration::from_secs(2));
 }
@@ -195,16 +195,16 @@
     let daemon = controller(&folder.0, "127.0.0.1:0");
     let address = daemon.address().to_string();
     let (plane, file_client) = file_client(&folder.0, "p1");
-    until("a table comes", || plane.lines() == 3);
+    until("a table comes", || plane.server_count() == 3);
     daemon.end(Duration::from_secs(2));
     until("its loss is seen", || !file_client.is_connected());
-    assert_eq!(plane.lines(), 3);
+    assert_eq!(plane.server_count(), 3);
     roster(&folder.0, &["gone", "ready", "ready"]);
     let applied = file_client.applied.load(Ordering::SeqCst);
     let daemon = controller(&folder.0, &address);
     until("the next life's table comes", || {
         file_client.is_connected()
-            && plane.lines() == 2
+            && plane.server_count() == 2
             && file_client.applied.load(Ordering::SeqCst) > applied
     });
     assert_eq!(file_client.refused.load(Ordering::SeqCst), 0);
@@ -235,7 +235,7 @@
     let by_stream = plane(&folder.0, "p2", &stream);
     let xds_client = XdsClient::start(by_stream.clone());
     until("both have it", || {
-        by_files.lines() == 2 && by_stream.lines() == 2
+        by_files.server_count() == 2 && by_stream.server_count() == 2
     });
     let entry = RosterEntry {
         name: "s0".into(),
@@ -248,7 +248,7 @@
     use dahliapoint_control::{ControllerHandle, Input};
     daemon.engine().send(Input::RosterChanges(vec![entry]));
     until("both drain", || {
-        by_files.lines() == 1 && by_stream.lines() == 1
+        by_files.server_count() == 1 && by_stream.server_count() == 1
     });
     xds_client.stop();
     file_client.stop(ShutdownMode::Silent);
--- a/crates/proxy/tests/matrix.rs
+++ b/crates/proxy/tests/matrix.rs
@@ -118,7 +118,7 @@
         shares: BTreeMap::new(),
         retry_on: ["safe", "keyed", "never"].map(on).into(),
     };
-    plane.swap(Some(&held), &|_| false, 0);
+    plane.swap_table(Some(&held), &|_| false, 0);
     let address = plane.serve().unwrap();
     (plane, address)
 }
@@ -200,7 +200,7 @@
         }],
         ..Held::default()
     };
-    plane.swap(Some(&held), &|_| false, 0);
+    plane.swap_table(Some(&held), &|_| false, 0);
     let at = plane.serve().unwrap();
     const VISIT: &[u8] = b"GET /safe HTTP/1.1\r\nHost: h\r\n\r\n";
     let mut inside: Vec<TcpStream> = (0..3).map(|_| TcpStream::connect(at).unwrap()).collect();
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -221,8 +221,8 @@
     let daemon = controller(&listed, "127.0.0.1:0");
     let addresses: Vec<SocketAddr> = servers.iter().map(|s| s.address).collect();
     let p = proxy(daemon.address(), &addresses[..2], "");
-    assert_eq!(p.plane.lines(), 2, "its standing table");
-    until("the table given", || p.plane.lines() == 4);
+    assert_eq!(p.plane.server_count(), 2, "its standing table");
+    until("the table given", || p.plane.server_count() == 4);
     let mut client = Client::of(&p);
     let before: Vec<usize> = servers
         .iter()
@@ -252,7 +252,7 @@
     });
     listed[3].2 = Draining;
     daemon.engine().send(Input::Roster(entries(&listed)));
-    until("withdrawn", || p.plane.lines() == 3);
+    until("withdrawn", || p.plane.server_count() == 3);
     let then = servers[3].visits.load(Ordering::SeqCst);
     (0..200).for_each(|_| assert_eq!(client.visit("view"), 200));
     assert_eq!(servers[3].visits.load(Ordering::SeqCst), then);
@@ -266,12 +266,12 @@
     let daemon = controller(&listed, "127.0.0.1:0");
     let at = daemon.address();
     let p = proxy(at, &[servers[0].address], "");
-    until("given", || p.plane.lines() == 3);
+    until("given", || p.plane.server_count() == 3);
     let mut client = Client::of(&p);
     daemon.end(Duration::from_secs(5));
     until("lost", || !p.xds_client.is_connected());
     (0..50).for_each(|_| assert_eq!(client.visit("view"), 200));
-    assert_eq!(p.plane.lines(), 3);
+    assert_eq!(p.plane.server_count(), 3);
     let again = controller(&listed, &at.to_string());
     until("joined again", || p.xds_client.is_connected());
     until("bound again", || {
@@ -280,7 +280,7 @@
             .as_array()
             .is_some_and(|p| p.iter().any(|p| !p["part"].is_null()))
     });
-    assert_eq!(p.plane.lines(), 3);
+    assert_eq!(p.plane.server_count(), 3);
     (0..50).for_each(|_| assert_eq!(client.visit("view"), 200));
 }
 
@@ -302,12 +302,12 @@
         view["proxies"].as_array().is_some_and(|p| !p.is_empty())
     };
     until("joined the second", || {
-        joined(&second) && plane.lines() == 1
+        joined(&second) && plane.server_count() == 1
     });
     let home = controller(&listed, &first.to_string());
     until("back at the first", || joined(&home) && !joined(&second));
     until("and stays there", || xds_client.is_connected());
-    assert_eq!(plane.lines(), 1, "its table was kept all the while");
+    assert_eq!(plane.server_count(), 1, "its table was kept all the while");
 }
 
 #[test]
@@ -484,7 +484,7 @@
         shares: [("view".to_string(), 0.25)].into(),
         retry_on: BTreeMap::new(),
     };
-    p.plane.swap(Some(&held), &|_| false, 0);
+    p.plane.swap_table(Some(&held), &|_| false, 0);
     let codes: Vec<u16> = (0..40).map(|_| Client::of(&p).visit("view")).collect();
     assert_eq!(codes.iter().filter(|c| **c == 200).count(), 10);
     assert_eq!(codes.iter().filter(|c| **c == 503).count(), 30);
@@ -499,7 +499,7 @@
     );
     // Empty tables: said at once.
     p.plane
-        .swap(Some(&dahliapoint_xds::Held::default()), &|_| false, 0);
+        .swap_table(Some(&dahliapoint_xds::Held::default()), &|_| false, 0);
     assert_eq!(Client::of(&p).visit("pay"), 503);
 }
 
@@ -524,8 +524,8 @@
         std::thread::spawn(move || {
             let mut swaps = 0;
             while !over.load(Ordering::SeqCst) {
-                plane.swap(Some(&tables[swaps % 2]), &|_| false, 0);
-                assert_eq!(plane.lines(), 1);
+                plane.swap_table(Some(&tables[swaps % 2]), &|_| false, 0);
+                assert_eq!(plane.server_count(), 1);
                 swaps += 1;
                 std::thread::yield_now();
             }
--- a/crates/standins/src/day.rs
+++ b/crates/standins/src/day.rs
@@ -1,7 +1,7 @@
 //! The script of a day, as YAML.
 
 use dahliapoint_daemon::deployment::{self, Deployment, Repeat};
-use dahliapoint_proxy::load_balancing::Way;
+use dahliapoint_proxy::load_balancing::BalancingPolicy;
 use dahliapoint_yaml::{At, read};
 use std::path::{Path, PathBuf};
 
@@ -94,7 +94,7 @@
     pub pace: f64,
     /// By the obedient proxy, or by the scripted one.
     pub obedient: bool,
-    pub way: Way,
+    pub way: BalancingPolicy,
     pub front: Fronts,
     pub strikes: u32,
     pub shun_ms: f64,
@@ -141,11 +141,13 @@
     let kinds = [("obedient", true), ("scripted", false)];
     let obedient = proxies.field("kind").choice(&kinds, Some(false));
     let ways = [
-        ("rotate", Way::Rotate),
-        ("random", Way::Random),
-        ("two", Way::Two),
+        ("rotate", BalancingPolicy::WeightedRoundRobin),
+        ("random", BalancingPolicy::WeightedRandom),
+        ("two", BalancingPolicy::TwoChoices),
     ];
-    let way = proxies.field("picks").choice(&ways, Some(Way::Random));
+    let way = proxies
+        .field("picks")
+        .choice(&ways, Some(BalancingPolicy::WeightedRandom));
     let fronts = [
         ("streams", Fronts::Streams),
         ("files", Fronts::Files),
--- a/crates/standins/src/obedient.rs
+++ b/crates/standins/src/obedient.rs
@@ -279,7 +279,9 @@
     }
 
     fn look(&self, now: f64, warm_ready: bool) {
-        let lines = lock(&self.life).as_ref().map(|life| life.plane.lines());
+        let lines = lock(&self.life)
+            .as_ref()
+            .map(|life| life.plane.server_count());
         let joined = lock(&self.layer.world.heard)[self.index].joined.is_some();
         let bare = joined && lines == Some(0) && warm_ready;
         lock(&self.look).see(&self.layer.world.ledger, now, &self.name, joined, bare);
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -8,7 +8,7 @@
 use dahliapoint_daemon::deployment::Repeat;
 use dahliapoint_fibers::{Queue, Received, TcpStream, dial, shutdown_at, sleep, spawn};
 use dahliapoint_grpc::{Inbound, Limits, Link, Outbound, Status};
-use dahliapoint_proxy::load_balancing::Way;
+use dahliapoint_proxy::load_balancing::BalancingPolicy;
 use dahliapoint_xds::Message as _;
 use dahliapoint_xds::names::LEDS;
 use dahliapoint_xds::pb::discovery::DeltaDiscoveryResponse;
@@ -88,7 +88,7 @@
     pub service: String,
     pub classes: Vec<ClassPlay>,
     pub repeats: Vec<Repeat>,
-    pub way: Way,
+    pub way: BalancingPolicy,
     pub backends: Vec<Arc<Backend>>,
     pub by_address: HashMap<String, usize>,
     /// The relays to the controller, by zone.
