--- a/crates/proxy/src/data_plane.rs
+++ b/crates/proxy/src/data_plane.rs
@@ -4,8 +4,8 @@
 use crate::environment::{Environment, PlainSockets};
 use crate::http::{Body, Found, Head, Source, Wrong, write_head, write_piece};
 use crate::load_balancing::{Picker, WeightedServer};
-use crate::outlier_ejection::Shunning;
-use crate::retry::{self, Budget, Failed, Failure, Level, Ordered};
+use crate::outlier_ejection::OutlierEjector;
+use crate::retry::{self, Admission, FailedTry, Failure, RetryBudget, RetryPolicy};
 use crate::settings::{Described, Listed};
 use dahliapoint_fibers::{Notify, TcpStream, Timer, dial, listen, shutdown_at, sleep, spawn};
 use dahliapoint_xds::{ClusterTally, EndpointTally, Held, names};
@@ -55,10 +55,10 @@
 /// What is decided by together: swapped and asked under one lock, held for moments.
 struct Table {
     picker: Picker,
-    shunning: Shunning,
-    levels: Vec<Level>,
-    ordered: Vec<Ordered>,
-    budget: Budget,
+    ejector: OutlierEjector,
+    admissions: Vec<Admission>,
+    retry_policies: Vec<RetryPolicy>,
+    budget: RetryBudget,
     stalled_until: Instant,
 }
 
@@ -150,10 +150,10 @@
             standing,
             table: Mutex::new(Table {
                 picker: Picker::new(settings.way, settings.seed),
-                shunning: Shunning::new(settings.strikes, settings.shun_ms),
-                levels: vec![Level::new(); classes],
-                ordered: vec![Ordered::OnProof; classes],
-                budget: Budget::new(settings.further_share),
+                ejector: OutlierEjector::new(settings.strikes, settings.shun_ms),
+                admissions: vec![Admission::new(); classes],
+                retry_policies: vec![RetryPolicy::OnProof; classes],
+                budget: RetryBudget::new(settings.further_share),
                 stalled_until: Instant::now(),
             }),
             pools: Mutex::default(),
@@ -201,21 +201,21 @@
         let there: Vec<usize> = picks.iter().map(|l| l.server).collect();
         let mut table = lock(&self.table);
         table.picker.swap_table(&picks);
-        table.shunning.keep(|s| there.contains(&s));
+        table.ejector.retain(|s| there.contains(&s));
         for (i, class) in self.settings.classes.iter().enumerate() {
             let given = held.map(|h| {
                 let share = h.shares.get(&class.name).copied().unwrap_or(1.0);
                 let on = h.retry_on.get(&class.name).map_or("", String::as_str);
-                let ordered = match on {
-                    "" => Ordered::Never,
-                    on if on.contains("5xx") => Ordered::OnFailure,
-                    _ => Ordered::OnProof,
+                let policy = match on {
+                    "" => RetryPolicy::Never,
+                    on if on.contains("5xx") => RetryPolicy::OnFailure,
+                    _ => RetryPolicy::OnProof,
                 };
-                (share, ordered)
+                (share, policy)
             });
-            let (share, ordered) = given.unwrap_or((1.0, Ordered::OnProof));
-            table.levels[i].set(share);
-            table.ordered[i] = ordered;
+            let (share, policy) = given.unwrap_or((1.0, RetryPolicy::OnProof));
+            table.admissions[i].set_share(share);
+            table.retry_policies[i] = policy;
         }
         let stall = Duration::from_secs_f64(self.settings.stall_us * lines as f64 / 1e6);
         table.stalled_until = Instant::now() + stall;
@@ -391,7 +391,7 @@
         let stalled = {
             let mut table = lock(&self.table);
             table.budget.visit();
-            if !table.levels[class].lets_in() {
+            if !table.admissions[class].admits() {
                 drop(table);
                 *lock(&self.counts).dropped.entry(class).or_default() += 1;
                 answer(&mut client.socket, 503, "not let in now", true)?;
@@ -452,11 +452,11 @@
             let picked = {
                 let mut table = lock(&self.table);
                 let Table {
-                    picker, shunning, ..
+                    picker, ejector, ..
                 } = &mut *table;
                 let now = self.now_ms();
                 let picked =
-                    shunning.pick(now, |may| picker.pick(|s| !tried.contains(&s) && may(s)));
+                    ejector.pick(now, |may| picker.pick(|s| !tried.contains(&s) && may(s)));
                 if let Some(server) = picked {
                     picker.try_started(server);
                 }
@@ -482,15 +482,15 @@
                 Tried::Failed(failure) => {
                     self.ended(class, server, begun, false);
                     let left = until.saturating_duration_since(Instant::now());
-                    let failed = Failed {
-                        effect: self.settings.classes[class].effect,
-                        ordered: lock(&self.table).ordered[class],
+                    let failed = FailedTry {
+                        idempotency: self.settings.classes[class].idempotency,
+                        policy: lock(&self.table).retry_policies[class],
                         failure,
                         tries: tried.len() as u32,
                         left_ms: left.as_secs_f64() * 1e3,
                     };
                     let streamed = matches!(brought, Brought::Streams(_));
-                    let again = retry::again(&failed, &mut lock(&self.table).budget);
+                    let again = retry::check_retry(&failed, &mut lock(&self.table).budget);
                     if streamed || again.is_err() {
                         return Err(if left.is_zero() { 504 } else { 502 });
                     }
@@ -511,7 +511,7 @@
         self.left(class, server);
         let now = self.now_ms();
         let mut table = lock(&self.table);
-        if table.shunning.met(now, server, good) {
+        if table.ejector.record_try(now, server, good) {
             drop(table);
             warn!(server = ?self.address(server), "kept away from after a run of failures");
         }
--- a/crates/proxy/src/outlier_ejection.rs
+++ b/crates/proxy/src/outlier_ejection.rs
@@ -10,15 +10,15 @@
 
 /// Keeps away from a server at which so many of the proxy's own tries in a row failed; 0: never.
 #[derive(Clone, Debug)]
-pub struct Shunning {
+pub struct OutlierEjector {
     strikes: u32,
     for_ms: f64,
     servers: BTreeMap<usize, Seen>,
 }
 
-impl Shunning {
-    pub fn new(strikes: u32, for_ms: f64) -> Shunning {
-        Shunning {
+impl OutlierEjector {
+    pub fn new(strikes: u32, for_ms: f64) -> OutlierEjector {
+        OutlierEjector {
             strikes,
             for_ms,
             servers: BTreeMap::new(),
@@ -26,7 +26,7 @@
     }
 
     /// A try ended. Tells whether the server is shunned from now on.
-    pub fn met(&mut self, now: f64, server: usize, good: bool) -> bool {
+    pub fn record_try(&mut self, now: f64, server: usize, good: bool) -> bool {
         if good {
             // A good answer ends the run; one that is under way when the shunning begins does not end that.
             if let Some(seen) = self.servers.get_mut(&server) {
@@ -50,12 +50,12 @@
         shuns
     }
 
-    pub fn is_shunned(&self, now: f64, server: usize) -> bool {
+    pub fn is_ejected(&self, now: f64, server: usize) -> bool {
         self.servers.get(&server).is_some_and(|s| s.until > now)
     }
 
     /// Forgets servers that are in no table any more.
-    pub fn keep(&mut self, is_there: impl Fn(usize) -> bool) {
+    pub fn retain(&mut self, is_there: impl Fn(usize) -> bool) {
         self.servers.retain(|server, _| is_there(*server));
     }
 
@@ -65,6 +65,6 @@
         now: f64,
         mut pick: impl FnMut(&dyn Fn(usize) -> bool) -> Option<T>,
     ) -> Option<T> {
-        pick(&|server| !self.is_shunned(now, server)).or_else(|| pick(&|_| true))
+        pick(&|server| !self.is_ejected(now, server)).or_else(|| pick(&|_| true))
     }
 }
--- a/crates/proxy/src/retry.rs
+++ b/crates/proxy/src/retry.rs
@@ -6,18 +6,18 @@
 
 /// What a repeated visit of a class may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Nothing: it only reads.
-    Pure,
+    Safe,
     /// Nothing, while servers know its key.
     Keyed,
     /// It must never run twice.
-    Effect,
+    Never,
 }
 
 /// What was ordered for a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ordered {
+pub enum RetryPolicy {
     Never,
     /// Once, after proof that the first try never ran.
     OnProof,
@@ -36,25 +36,25 @@
 
 /// Why there is no further try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Not {
-    Ordered,
-    TriedBefore,
+pub enum RetryRefusal {
+    NotInPolicy,
+    AlreadyRetried,
     MayRunTwice,
-    NoTime,
-    NoBudget,
+    NoTimeLeft,
+    BudgetExhausted,
 }
 
 /// Further tries are paid from a budget that visits fill: so many in a hundred visits, so that they cannot
 /// amplify an outage.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     share: f64,
     saved: f64,
 }
 
-impl Budget {
-    pub fn new(share: f64) -> Budget {
-        Budget {
+impl RetryBudget {
+    pub fn new(share: f64) -> RetryBudget {
+        RetryBudget {
             share,
             saved: SAVED,
         }
@@ -68,16 +68,16 @@
 
 /// A visit whose try has failed.
 #[derive(Clone, Copy, Debug)]
-pub struct Failed {
-    pub effect: Effect,
-    pub ordered: Ordered,
+pub struct FailedTry {
+    pub idempotency: Idempotency,
+    pub policy: RetryPolicy,
     pub failure: Failure,
     /// Tries so far, and time left of its hard limit.
     pub tries: u32,
     pub left_ms: f64,
 }
 
-type Rule = fn(&Failed) -> Option<Not>;
+type Rule = fn(&FailedTry) -> Option<RetryRefusal>;
 
 const RULES: [Rule; 4] = [
     not_unless_ordered,
@@ -86,40 +86,40 @@
     not_without_time,
 ];
 
-fn not_unless_ordered(f: &Failed) -> Option<Not> {
-    let ordered = match f.ordered {
-        Ordered::Never => false,
-        Ordered::OnProof => f.failure == Failure::NeverRan,
-        Ordered::OnFailure => true,
+fn not_unless_ordered(f: &FailedTry) -> Option<RetryRefusal> {
+    let is_allowed = match f.policy {
+        RetryPolicy::Never => false,
+        RetryPolicy::OnProof => f.failure == Failure::NeverRan,
+        RetryPolicy::OnFailure => true,
     };
-    (!ordered).then_some(Not::Ordered)
+    (!is_allowed).then_some(RetryRefusal::NotInPolicy)
 }
 
-fn once_only(f: &Failed) -> Option<Not> {
-    (f.tries > 1).then_some(Not::TriedBefore)
+fn once_only(f: &FailedTry) -> Option<RetryRefusal> {
+    (f.tries > 1).then_some(RetryRefusal::AlreadyRetried)
 }
 
 /// Whatever was ordered: guards against an order that is wrong for a class. A keyed visit is told apart
 /// only by servers that share keys, which a proxy does not know: it counts as an effect here.
-fn never_an_effect_without_proof(f: &Failed) -> Option<Not> {
-    let twice = f.effect != Effect::Pure && f.failure == Failure::MayHaveRun;
-    twice.then_some(Not::MayRunTwice)
+fn never_an_effect_without_proof(f: &FailedTry) -> Option<RetryRefusal> {
+    let twice = f.idempotency != Idempotency::Safe && f.failure == Failure::MayHaveRun;
+    twice.then_some(RetryRefusal::MayRunTwice)
 }
 
-fn not_without_time(f: &Failed) -> Option<Not> {
-    (f.left_ms <= 0.0).then_some(Not::NoTime)
+fn not_without_time(f: &FailedTry) -> Option<RetryRefusal> {
+    (f.left_ms <= 0.0).then_some(RetryRefusal::NoTimeLeft)
 }
 
 /// Whether a failed visit is tried again; if so the budget has paid for it.
 ///
 /// # Errors
 /// Why it is not.
-pub fn again(failed: &Failed, budget: &mut Budget) -> Result<(), Not> {
+pub fn check_retry(failed: &FailedTry, budget: &mut RetryBudget) -> Result<(), RetryRefusal> {
     if let Some(not) = RULES.iter().find_map(|rule| rule(failed)) {
         return Err(not);
     }
     if budget.saved < 1.0 {
-        return Err(Not::NoBudget);
+        return Err(RetryRefusal::BudgetExhausted);
     }
     budget.saved -= 1.0;
     Ok(())
@@ -128,25 +128,25 @@
 /// Lets a share of the visits of a class in, evenly: of ten visits at 0.7 seven, whatever their order. A
 /// client that comes again counts as a new visit.
 #[derive(Clone, Debug)]
-pub struct Level {
+pub struct Admission {
     share: f64,
     owed: f64,
 }
 
-impl Level {
-    pub fn new() -> Level {
-        Level {
+impl Admission {
+    pub fn new() -> Admission {
+        Admission {
             share: 1.0,
             owed: 0.0,
         }
     }
 
-    pub fn set(&mut self, share: f64) {
+    pub fn set_share(&mut self, share: f64) {
         self.share = share.clamp(0.0, 1.0);
     }
 
     /// Whether the next visit is let in.
-    pub fn lets_in(&mut self) -> bool {
+    pub fn admits(&mut self) -> bool {
         if self.share >= 1.0 {
             return true;
         }
@@ -159,8 +159,8 @@
     }
 }
 
-impl Default for Level {
-    fn default() -> Level {
-        Level::new()
+impl Default for Admission {
+    fn default() -> Admission {
+        Admission::new()
     }
 }
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of a proxy, and the roster that it reads once, at its start.
 
 use crate::load_balancing::BalancingPolicy;
-use crate::retry::Effect;
+use crate::retry::Idempotency;
 use dahliapoint_yaml::{At, Faults, read};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
 pub struct Class {
     pub name: String,
     pub hard_limit_ms: f64,
-    pub effect: Effect,
+    pub idempotency: Idempotency,
 }
 
 /// All that a proxy is told at its start.
@@ -100,14 +100,14 @@
         .iter()
         .map(|c| {
             let effects = [
-                ("safe", Effect::Pure),
-                ("keyed", Effect::Keyed),
-                ("never", Effect::Effect),
+                ("safe", Idempotency::Safe),
+                ("keyed", Idempotency::Keyed),
+                ("never", Idempotency::Never),
             ];
             let class = Class {
                 name: c.field("name").text(None),
                 hard_limit_ms: c.field("hard_limit").time(1.0..=3.6e6, None),
-                effect: c.field("repeat").choice(&effects, Some(Effect::Effect)),
+                idempotency: c.field("repeat").choice(&effects, Some(Idempotency::Never)),
             };
             c.close();
             class
@@ -213,8 +213,8 @@
     fn settings_have_defaults_and_faults_have_lines() {
         let d = parse("conf/p.yaml", SMALL).unwrap();
         assert_eq!(
-            (d.way, d.classes[0].effect),
-            (BalancingPolicy::WeightedRoundRobin, Effect::Effect)
+            (d.way, d.classes[0].idempotency),
+            (BalancingPolicy::WeightedRoundRobin, Idempotency::Never)
         );
         assert_eq!(d.roster, PathBuf::from("conf/r.yaml"));
         let cases = [
--- a/crates/proxy/tests/decisions.rs
+++ b/crates/proxy/tests/decisions.rs
@@ -1,8 +1,10 @@
 //! The obedient proxy's decisions: tables of cases, and tables and weights drawn by rng.
 
 use dahliapoint_proxy::load_balancing::{BalancingPolicy, FenwickTree, Picker, WeightedServer};
-use dahliapoint_proxy::outlier_ejection::Shunning;
-use dahliapoint_proxy::retry::{Budget, Effect, Failed, Failure, Level, Not, Ordered, again};
+use dahliapoint_proxy::outlier_ejection::OutlierEjector;
+use dahliapoint_proxy::retry::{
+    Admission, FailedTry, Failure, Idempotency, RetryBudget, RetryPolicy, RetryRefusal, check_retry,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
@@ -149,7 +151,7 @@
 
 #[test]
 fn a_run_of_own_failures_is_shunned_for_its_time_and_never_the_last() {
-    let mut s = Shunning::new(3, 1_000.0);
+    let mut s = OutlierEjector::new(3, 1_000.0);
     let run = [
         (0.0, false),
         (1.0, false),
@@ -158,14 +160,14 @@
         (4.0, false),
     ];
     assert!(
-        run.iter().all(|(at, good)| !s.met(*at, 7, *good)),
+        run.iter().all(|(at, good)| !s.record_try(*at, 7, *good)),
         "a good answer ends the run"
     );
-    assert!(s.met(5.0, 7, false));
-    assert!(s.is_shunned(1_004.0, 7) && !s.is_shunned(1_005.0, 7));
+    assert!(s.record_try(5.0, 7, false));
+    assert!(s.is_ejected(1_004.0, 7) && !s.is_ejected(1_005.0, 7));
     // Late answers do not end it, further failures do not prolong it.
-    assert!(!s.met(10.0, 7, true) && !s.met(11.0, 7, false));
-    assert!(s.is_shunned(1_004.0, 7) && !s.is_shunned(1_005.0, 7));
+    assert!(!s.record_try(10.0, 7, true) && !s.record_try(11.0, 7, false));
+    assert!(s.is_ejected(1_004.0, 7) && !s.is_ejected(1_005.0, 7));
     let mut picker = Picker::new(BalancingPolicy::WeightedRoundRobin, 1);
     picker.swap_table(&[WeightedServer {
         server: 7,
@@ -187,54 +189,93 @@
         },
     ]);
     assert!((0..9).all(|_| s.pick(500.0, |may| picker.pick(may)) == Some(8)));
-    s.keep(|server| server != 7);
-    assert!(!s.is_shunned(500.0, 7));
-    let mut never = Shunning::new(0, 1_000.0);
-    assert!((0..99).all(|_| !never.met(0.0, 1, false)));
+    s.retain(|server| server != 7);
+    assert!(!s.is_ejected(500.0, 7));
+    let mut never = OutlierEjector::new(0, 1_000.0);
+    assert!((0..99).all(|_| !never.record_try(0.0, 1, false)));
 }
 
 #[test]
 fn nothing_is_tried_again_but_as_ordered_and_where_it_cannot_run_twice() {
-    use Effect::{Keyed, Pure};
     use Failure::{MayHaveRun, NeverRan};
-    use Ordered::{Never, OnFailure, OnProof};
+    use Idempotency::{Keyed, Safe};
+    use RetryPolicy::{Never, OnFailure, OnProof};
     let cases = [
-        (Pure, Never, NeverRan, 1, 9.0, Err(Not::Ordered)),
-        (Pure, OnProof, NeverRan, 1, 9.0, Ok(())),
-        (Pure, OnProof, MayHaveRun, 1, 9.0, Err(Not::Ordered)),
-        (Pure, OnFailure, MayHaveRun, 1, 9.0, Ok(())),
-        (Keyed, OnFailure, MayHaveRun, 1, 9.0, Err(Not::MayRunTwice)),
         (
-            Effect::Effect,
+            Safe,
+            Never,
+            NeverRan,
+            1,
+            9.0,
+            Err(RetryRefusal::NotInPolicy),
+        ),
+        (Safe, OnProof, NeverRan, 1, 9.0, Ok(())),
+        (
+            Safe,
+            OnProof,
+            MayHaveRun,
+            1,
+            9.0,
+            Err(RetryRefusal::NotInPolicy),
+        ),
+        (Safe, OnFailure, MayHaveRun, 1, 9.0, Ok(())),
+        (
+            Keyed,
             OnFailure,
             MayHaveRun,
             1,
             9.0,
-            Err(Not::MayRunTwice),
+            Err(RetryRefusal::MayRunTwice),
+        ),
+        (
+            Idempotency::Never,
+            OnFailure,
+            MayHaveRun,
+            1,
+            9.0,
+            Err(RetryRefusal::MayRunTwice),
+        ),
+        (Idempotency::Never, OnProof, NeverRan, 1, 9.0, Ok(())),
+        (Idempotency::Never, OnFailure, NeverRan, 1, 9.0, Ok(())),
+        (
+            Safe,
+            OnFailure,
+            NeverRan,
+            2,
+            9.0,
+            Err(RetryRefusal::AlreadyRetried),
+        ),
+        (
+            Safe,
+            OnFailure,
+            NeverRan,
+            1,
+            0.0,
+            Err(RetryRefusal::NoTimeLeft),
         ),
-        (Effect::Effect, OnProof, NeverRan, 1, 9.0, Ok(())),
-        (Effect::Effect, OnFailure, NeverRan, 1, 9.0, Ok(())),
-        (Pure, OnFailure, NeverRan, 2, 9.0, Err(Not::TriedBefore)),
-        (Pure, OnFailure, NeverRan, 1, 0.0, Err(Not::NoTime)),
     ];
-    for (effect, ordered, failure, tries, left_ms, wanted) in cases {
-        let failed = Failed {
-            effect,
-            ordered,
+    for (idempotency, policy, failure, tries, left_ms, wanted) in cases {
+        let failed = FailedTry {
+            idempotency,
+            policy,
             failure,
             tries,
             left_ms,
         };
-        assert_eq!(again(&failed, &mut Budget::new(0.1)), wanted, "{failed:?}");
+        assert_eq!(
+            check_retry(&failed, &mut RetryBudget::new(0.1)),
+            wanted,
+            "{failed:?}"
+        );
     }
 }
 
 #[test]
 fn further_tries_do_not_amplify_an_outage() {
-    let mut budget = Budget::new(0.1);
-    let failed = Failed {
-        effect: Effect::Pure,
-        ordered: Ordered::OnFailure,
+    let mut budget = RetryBudget::new(0.1);
+    let failed = FailedTry {
+        idempotency: Idempotency::Safe,
+        policy: RetryPolicy::OnFailure,
         failure: Failure::MayHaveRun,
         tries: 1,
         left_ms: 9.0,
@@ -242,7 +283,7 @@
     let mut tries = 0;
     for _ in 0..10_000 {
         budget.visit();
-        tries += usize::from(again(&failed, &mut budget).is_ok());
+        tries += usize::from(check_retry(&failed, &mut budget).is_ok());
     }
     assert!(
         (990..=1_011).contains(&tries),
@@ -253,9 +294,9 @@
 #[test]
 fn levels_let_their_share_in_evenly() {
     for share in [0.0, 0.1, 0.5, 0.73, 1.0, 2.0, -1.0] {
-        let mut level = Level::new();
-        level.set(share);
-        let lets: Vec<bool> = (0..1_000).map(|_| level.lets_in()).collect();
+        let mut admission = Admission::new();
+        admission.set_share(share);
+        let lets: Vec<bool> = (0..1_000).map(|_| admission.admits()).collect();
         for stretch in [10, 100, 1_000] {
             for window in lets.windows(stretch) {
                 let had = window.iter().filter(|l| **l).count() as f64;
--- a/crates/standins/src/obedient.rs
+++ b/crates/standins/src/obedient.rs
@@ -8,7 +8,7 @@
 use dahliapoint_proxy::data_plane::DataPlane;
 use dahliapoint_proxy::environment::{Environment, TableMessage};
 use dahliapoint_proxy::file_client::{FileClient, ShutdownMode};
-use dahliapoint_proxy::retry::Effect;
+use dahliapoint_proxy::retry::Idempotency;
 use dahliapoint_proxy::settings::{Class, Described, Listed, Spooled};
 use dahliapoint_proxy::xds_client::XdsClient;
 use rand::rngs::StdRng;
@@ -75,10 +75,10 @@
         let classes = classes.map(|(c, repeat)| Class {
             name: c.name.clone(),
             hard_limit_ms: c.hard_ms,
-            effect: match repeat {
-                Repeat::Safe => Effect::Pure,
-                Repeat::Keyed => Effect::Keyed,
-                Repeat::Never => Effect::Effect,
+            idempotency: match repeat {
+                Repeat::Safe => Idempotency::Safe,
+                Repeat::Keyed => Idempotency::Keyed,
+                Repeat::Never => Idempotency::Never,
             },
         });
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
