--- a/crates/proxy/examples/spread.rs
+++ b/crates/proxy/examples/spread.rs
@@ -2,7 +2,7 @@
 //! through the proxy costs. `cargo run --release -p dahliapoint-proxy --example spread [VISITS]`
 
 use dahliapoint_proxy::data_plane::DataPlane;
-use dahliapoint_proxy::settings::{self, Listed};
+use dahliapoint_proxy::settings::{self, RosterServer};
 use dahliapoint_xds::{Held, HeldLine};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -102,7 +102,7 @@
              picks: {way}\nclasses: [{{name: view, hard_limit: 5s, repeat: safe}}]\n"
         );
         let settings = settings::parse("p", &text).expect("settings");
-        let listed: Vec<Listed> = Vec::new();
+        let listed: Vec<RosterServer> = Vec::new();
         let plane = DataPlane::new(settings, &listed);
         let line = |(i, weight): (usize, &f64)| HeldLine {
             server: format!("s{i}"),
--- a/crates/proxy/src/data_plane.rs
+++ b/crates/proxy/src/data_plane.rs
@@ -6,7 +6,7 @@
 use crate::load_balancing::{Picker, WeightedServer};
 use crate::outlier_ejection::OutlierEjector;
 use crate::retry::{self, Admission, FailedTry, Failure, RetryBudget, RetryPolicy};
-use crate::settings::{Described, Listed};
+use crate::settings::{RosterServer, Settings};
 use dahliapoint_fibers::{Notify, TcpStream, Timer, dial, listen, shutdown_at, sleep, spawn};
 use dahliapoint_xds::{ClusterTally, EndpointTally, Held, names};
 use std::collections::{BTreeMap, HashMap};
@@ -71,10 +71,10 @@
 
 /// The data plane of one proxy.
 pub struct DataPlane {
-    pub settings: Described,
+    pub settings: Settings,
     begun: Instant,
     servers: Mutex<Servers>,
-    standing: Vec<Listed>,
+    standing: Vec<RosterServer>,
     table: Mutex<Table>,
     pools: Mutex<HashMap<usize, Vec<(Source, Instant)>>>,
     counts: Mutex<Counts>,
@@ -120,26 +120,26 @@
 
 impl DataPlane {
     /// A plane with its standing table: so many servers of the roster, of its own zone if three are there.
-    pub fn new(settings: Described, roster: &[Listed]) -> Arc<DataPlane> {
+    pub fn new(settings: Settings, roster: &[RosterServer]) -> Arc<DataPlane> {
         DataPlane::with_environment(settings, roster, Arc::new(PlainSockets))
     }
 
     /// The same, with something else than plain sockets around it.
     pub fn with_environment(
-        settings: Described,
-        roster: &[Listed],
+        settings: Settings,
+        roster: &[RosterServer],
         environment: Arc<dyn Environment>,
     ) -> Arc<DataPlane> {
         let mut rng = Rng::from_seed(settings.seed);
         let ready = || roster.iter().filter(|l| l.ready);
-        let near: Vec<&Listed> = ready().filter(|l| l.zone == settings.zone).collect();
-        let mut left: Vec<&Listed> = if near.len() >= 3 {
+        let near: Vec<&RosterServer> = ready().filter(|l| l.zone == settings.zone).collect();
+        let mut left: Vec<&RosterServer> = if near.len() >= 3 {
             near
         } else {
             ready().collect()
         };
         let mut standing = Vec::new();
-        while standing.len() < settings.standing && !left.is_empty() {
+        while standing.len() < settings.initial_servers && !left.is_empty() {
             let at = (rng.next_f64() * left.len() as f64) as usize;
             standing.push(left.swap_remove(at.min(left.len() - 1)).clone());
         }
@@ -149,11 +149,11 @@
             servers: Mutex::default(),
             standing,
             table: Mutex::new(Table {
-                picker: Picker::new(settings.way, settings.seed),
-                ejector: OutlierEjector::new(settings.strikes, settings.shun_ms),
+                picker: Picker::new(settings.balancing, settings.seed),
+                ejector: OutlierEjector::new(settings.ejection_failures, settings.ejection_ms),
                 admissions: vec![Admission::new(); classes],
                 retry_policies: vec![RetryPolicy::OnProof; classes],
-                budget: RetryBudget::new(settings.further_share),
+                budget: RetryBudget::new(settings.retry_budget_share),
                 stalled_until: Instant::now(),
             }),
             pools: Mutex::default(),
@@ -217,7 +217,7 @@
             table.admissions[i].set_share(share);
             table.retry_policies[i] = policy;
         }
-        let stall = Duration::from_secs_f64(self.settings.stall_us * lines as f64 / 1e6);
+        let stall = Duration::from_secs_f64(self.settings.stall_per_line_us * lines as f64 / 1e6);
         table.stalled_until = Instant::now() + stall;
         drop(table);
         // Connections to servers that are not in the table are closed.
@@ -299,10 +299,10 @@
                     sleep(Duration::from_millis(20));
                     continue;
                 };
-                if plane.clients.fetch_add(1, Ordering::SeqCst) >= plane.settings.most_clients {
+                if plane.clients.fetch_add(1, Ordering::SeqCst) >= plane.settings.max_clients {
                     plane.clients.fetch_sub(1, Ordering::SeqCst);
                     warn!(
-                        most = plane.settings.most_clients,
+                        most = plane.settings.max_clients,
                         "a client too many is refused"
                     );
                     continue;
@@ -346,8 +346,10 @@
         let mut client = Source::of(socket);
         loop {
             // A client that says nothing for long is let go.
-            let Ok(idle) = shutdown_at(&client.socket, Instant::now() + ms(self.settings.idle_ms))
-            else {
+            let Ok(idle) = shutdown_at(
+                &client.socket,
+                Instant::now() + ms(self.settings.idle_timeout_ms),
+            ) else {
                 return;
             };
             let head = match client.request() {
@@ -530,7 +532,7 @@
     }
 
     fn connection(&self, server: usize, until: Instant) -> Result<(Source, bool), Failure> {
-        let idle = ms(self.settings.idle_ms);
+        let idle = ms(self.settings.idle_timeout_ms);
         loop {
             let kept = lock(&self.pools).get_mut(&server).and_then(Vec::pop);
             match kept {
@@ -543,7 +545,7 @@
         }
         let to = self.address(server).ok_or(Failure::NeverRan)?;
         let left = until.saturating_duration_since(Instant::now());
-        let patience = left.min(ms(self.settings.connect_ms));
+        let patience = left.min(ms(self.settings.connect_timeout_ms));
         let socket = self.environment.dial(to, patience);
         let socket = socket.map_err(|_| Failure::NeverRan)?;
         let _ = socket.set_nodelay(true);
--- a/crates/proxy/src/file_client.rs
+++ b/crates/proxy/src/file_client.rs
@@ -3,7 +3,7 @@
 
 use crate::data_plane::DataPlane;
 use crate::environment::TableMessage;
-use crate::settings::Spooled;
+use crate::settings::FileSettings;
 use dahliapoint_control::RetryPolicy;
 use dahliapoint_files::forms::Table;
 use dahliapoint_files::front::{ALIVE, keys};
@@ -48,7 +48,7 @@
 
 struct Hand {
     own: Arc<FileClient>,
-    spooled: Spooled,
+    files: FileSettings,
     alive: PathBuf,
     keys: Keys,
     mouth: Mouth,
@@ -67,14 +67,14 @@
     /// When the keys cannot be read or the spool cannot be made.
     pub fn start(
         plane: Arc<DataPlane>,
-        spooled: Spooled,
+        files: FileSettings,
     ) -> Result<(Arc<FileClient>, JoinHandle<()>), String> {
-        let keys = spooled.keys.as_deref().map(keys).transpose()?;
+        let keys = files.keys.as_deref().map(keys).transpose()?;
         let keys = keys.unwrap_or_default();
         let name = &plane.settings.name;
-        let mouth = Mouth::open(&spooled.dir, name, keys.clone());
-        let mouth = mouth.map_err(|e| format!("{}: {e}", spooled.dir.display()))?;
-        let tables = spooled.dir.join("tables").join(name);
+        let mouth = Mouth::open(&files.dir, name, keys.clone());
+        let mouth = mouth.map_err(|e| format!("{}: {e}", files.dir.display()))?;
+        let tables = files.dir.join("tables").join(name);
         let own = Arc::new(FileClient {
             stop_mode: Mutex::default(),
             bell: Condvar::new(),
@@ -86,7 +86,7 @@
         let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
         let hand = Hand {
             own: own.clone(),
-            alive: spooled.dir.join(ALIVE),
+            alive: files.dir.join(ALIVE),
             mouth,
             reader: Reader::new(tables, name, keys.clone()),
             keys,
@@ -96,7 +96,7 @@
             acks: 0,
             reports: 0,
             seen: None,
-            spooled,
+            files,
         };
         let thread = std::thread::Builder::new().name("filed".into());
         let thread = thread
@@ -141,11 +141,11 @@
             let begun = Instant::now();
             if begun >= beat_at {
                 self.beat(false);
-                beat_at = begun + ms(self.spooled.beat_ms);
+                beat_at = begun + ms(self.files.heartbeat_interval_ms);
             }
             if begun >= controller_at {
                 self.look_for_the_controller();
-                controller_at = begun + ms(self.spooled.beat_ms / 2.0);
+                controller_at = begun + ms(self.files.heartbeat_interval_ms / 2.0);
             }
             self.look_for_a_table();
             let every = self.table.as_ref().map(|t| t.report_every_ms);
@@ -154,9 +154,9 @@
                 self.report(reported.elapsed());
                 reported = Instant::now();
                 // A report is a sign of life as well.
-                beat_at = beat_at.max(reported + ms(self.spooled.beat_ms));
+                beat_at = beat_at.max(reported + ms(self.files.heartbeat_interval_ms));
             }
-            if let Some(how) = self.own.wait(begun + ms(self.spooled.every_ms)) {
+            if let Some(how) = self.own.wait(begun + ms(self.files.poll_interval_ms)) {
                 if how == ShutdownMode::Goodbye {
                     self.beat(true);
                 }
@@ -171,7 +171,7 @@
             self.own.plane.environment().connection_changed(is_up);
             match is_up {
                 true => {
-                    info!(dir = %self.spooled.dir.display(), "the controller gives signs of life")
+                    info!(dir = %self.files.dir.display(), "the controller gives signs of life")
                 }
                 false => warn!("the controller's sign of life stands still; the table is kept"),
             }
@@ -194,7 +194,7 @@
             }
             self.seen = Some((text.to_string(), Instant::now()));
         }
-        let patience = ms(LOST * self.spooled.beat_ms);
+        let patience = ms(LOST * self.files.heartbeat_interval_ms);
         let is_up = self
             .seen
             .as_ref()
@@ -208,7 +208,7 @@
         let beat = Beat {
             proxy: d.name.clone(),
             zone: d.zone.clone(),
-            pace: Some(d.pace),
+            pace: Some(d.visits_per_s),
             life: self.life,
             count: self.beats,
             holds: self.reader.held(),
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -68,7 +68,7 @@
     }
 }
 
-fn load(file: &Path) -> Result<(settings::Described, Vec<settings::Listed>), String> {
+fn load(file: &Path) -> Result<(settings::Settings, Vec<settings::RosterServer>), String> {
     let read = |path: &Path| {
         let text = std::fs::read_to_string(path);
         text.map_err(|e| format!("{}: {e}", path.display()))
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -16,51 +16,51 @@
 
 /// All that a proxy is told at its start.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Described {
+pub struct Settings {
     pub name: String,
     pub service: String,
     pub zone: String,
-    pub pace: f64,
+    pub visits_per_s: f64,
     /// Empty where it is steered by files.
     pub controllers: Vec<SocketAddr>,
-    pub files: Option<Spooled>,
+    pub files: Option<FileSettings>,
     pub listen: SocketAddr,
     pub roster: PathBuf,
     pub classes: Vec<Class>,
-    pub way: BalancingPolicy,
-    pub standing: usize,
-    pub strikes: u32,
-    pub shun_ms: f64,
-    pub redial_ms: (f64, f64),
+    pub balancing: BalancingPolicy,
+    pub initial_servers: usize,
+    pub ejection_failures: u32,
+    pub ejection_ms: f64,
+    pub reconnect_delay_ms: (f64, f64),
     /// After so long with another controller the first is dialed again; 0: never.
-    pub home_after_ms: f64,
-    pub idle_ms: f64,
-    pub connect_ms: f64,
+    pub failback_after_ms: f64,
+    pub idle_timeout_ms: f64,
+    pub connect_timeout_ms: f64,
     /// It stands still for so long for each line of a table that it is sent: what other proxies do.
-    pub stall_us: f64,
+    pub stall_per_line_us: f64,
     /// Further tries, as a share of visits.
-    pub further_share: f64,
+    pub retry_budget_share: f64,
     /// A 503 with this header proves that nothing ran.
     pub proof_header: String,
-    pub most_clients: usize,
+    pub max_clients: usize,
     pub seed: u64,
     pub log_level: String,
 }
 
 /// Where tables are read as files, and said back.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Spooled {
+pub struct FileSettings {
     pub dir: PathBuf,
     pub keys: Option<PathBuf>,
-    pub every_ms: f64,
-    pub beat_ms: f64,
+    pub poll_interval_ms: f64,
+    pub heartbeat_interval_ms: f64,
 }
 
 /// Reads the settings; paths are taken from the folder of the file.
 ///
 /// # Errors
 /// All that is wrong, with lines.
-pub fn parse(file: &str, text: &str) -> Result<Described, Faults> {
+pub fn parse(file: &str, text: &str) -> Result<Settings, Faults> {
     let folder = Path::new(file)
         .parent()
         .unwrap_or(Path::new(""))
@@ -74,17 +74,17 @@
     read.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)))
 }
 
-fn settings(at: &At, folder: &Path) -> Described {
+fn settings(at: &At, folder: &Path) -> Settings {
     let controllers = at.field("controllers");
     let addresses: Vec<SocketAddr> = controllers.list().iter().map(address).collect();
     let files = at.field("files");
     let files = files.is_there().then(|| {
         let keys = files.field("keys");
-        let spooled = Spooled {
+        let spooled = FileSettings {
             dir: folder.join(files.field("dir").text(None)),
             keys: keys.is_there().then(|| folder.join(keys.text(None))),
-            every_ms: files.field("every").time(10.0..=600_000.0, Some(500.0)),
-            beat_ms: files.field("beat").time(50.0..=600_000.0, Some(1_000.0)),
+            poll_interval_ms: files.field("every").time(10.0..=600_000.0, Some(500.0)),
+            heartbeat_interval_ms: files.field("beat").time(50.0..=600_000.0, Some(1_000.0)),
         };
         files.close();
         spooled
@@ -122,8 +122,8 @@
         ("two", BalancingPolicy::TwoChoices),
     ];
     let shun = at.field("shun");
-    let strikes = shun.field("after").number(0.0..=1e6, Some(0.0)) as u32;
-    let shun_ms = shun.field("for").time(0.0..=3.6e6, Some(3_000.0));
+    let ejection_failures = shun.field("after").number(0.0..=1e6, Some(0.0)) as u32;
+    let ejection_ms = shun.field("for").time(0.0..=3.6e6, Some(3_000.0));
     shun.close();
     let redial = at.field("redial");
     let from = redial.field("from").time(1.0..=3.6e6, Some(200.0));
@@ -134,31 +134,31 @@
             .wrong("a time no shorter than from is wanted");
     }
     redial.close();
-    let levels = ["error", "warn", "info", "debug", "trace"].map(|l| (l, l));
-    let out = Described {
+    let levels = ["error", "warn", "info", "debug", "trace"].map(|level| (level, level));
+    let out = Settings {
         name: at.field("name").text(None),
         service: at.field("service").text(None),
         zone: at.field("zone").text(None),
-        pace: at.field("pace").number(0.0..=1e6, Some(0.0)),
+        visits_per_s: at.field("pace").number(0.0..=1e6, Some(0.0)),
         controllers: addresses,
         files,
         listen: address(&at.field("listen")),
         roster: folder.join(at.field("roster").text(None)),
         classes,
-        way: at
+        balancing: at
             .field("picks")
             .choice(&ways, Some(BalancingPolicy::WeightedRoundRobin)),
-        standing: at.field("standing").number(1.0..=10_000.0, Some(10.0)) as usize,
-        strikes,
-        shun_ms,
-        redial_ms: (from, to),
-        home_after_ms: at.field("home_after").time(0.0..=3.6e6, Some(0.0)),
-        idle_ms: at.field("idle").time(1.0..=3.6e6, Some(15_000.0)),
-        connect_ms: at.field("connect").time(1.0..=60_000.0, Some(250.0)),
-        stall_us: at.field("stall_by_line").time(0.0..=100.0, Some(0.0)) * 1e3,
-        further_share: at.field("further_tries").number(0.0..=1.0, Some(0.1)),
+        initial_servers: at.field("standing").number(1.0..=10_000.0, Some(10.0)) as usize,
+        ejection_failures,
+        ejection_ms,
+        reconnect_delay_ms: (from, to),
+        failback_after_ms: at.field("home_after").time(0.0..=3.6e6, Some(0.0)),
+        idle_timeout_ms: at.field("idle").time(1.0..=3.6e6, Some(15_000.0)),
+        connect_timeout_ms: at.field("connect").time(1.0..=60_000.0, Some(250.0)),
+        stall_per_line_us: at.field("stall_by_line").time(0.0..=100.0, Some(0.0)) * 1e3,
+        retry_budget_share: at.field("further_tries").number(0.0..=1.0, Some(0.1)),
         proof_header: at.field("proof_header").text(Some("x-unseen")),
-        most_clients: at.field("most_clients").number(1.0..=1e6, Some(4096.0)) as usize,
+        max_clients: at.field("most_clients").number(1.0..=1e6, Some(4096.0)) as usize,
         seed: at.field("seed").number(0.0..=9e15, Some(1.0)) as u64,
         log_level: at.field("log").choice(&levels, Some("info")).to_string(),
     };
@@ -168,7 +168,7 @@
 
 /// A server as the roster lists it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct RosterServer {
     pub name: String,
     pub address: SocketAddr,
     pub zone: String,
@@ -179,26 +179,26 @@
 ///
 /// # Errors
 /// All that is wrong, with lines.
-pub fn roster(file: &str, text: &str) -> Result<Vec<Listed>, Faults> {
+pub fn roster(file: &str, text: &str) -> Result<Vec<RosterServer>, Faults> {
     read(file, text, |at| {
         let servers = at.field("servers").list();
-        let listed = servers.iter().map(|s| {
+        let roster_servers = servers.iter().map(|s| {
             for passed_over in ["weight", "started"] {
                 s.field(passed_over);
             }
             let states = [("ready", true), ("draining", false), ("gone", false)];
-            let listed = Listed {
+            let server = RosterServer {
                 name: s.field("name").text(None),
                 address: address(&s.field("address")),
                 zone: s.field("zone").text(None),
                 ready: s.field("state").choice(&states, Some(true)),
             };
             s.close();
-            listed
+            server
         });
-        let listed = listed.collect();
+        let roster_servers = roster_servers.collect();
         at.close();
-        listed
+        roster_servers
     })
 }
 
@@ -213,7 +213,7 @@
     fn settings_have_defaults_and_faults_have_lines() {
         let d = parse("conf/p.yaml", SMALL).unwrap();
         assert_eq!(
-            (d.way, d.classes[0].idempotency),
+            (d.balancing, d.classes[0].idempotency),
             (BalancingPolicy::WeightedRoundRobin, Idempotency::Never)
         );
         assert_eq!(d.roster, PathBuf::from("conf/r.yaml"));
--- a/crates/proxy/src/xds_client.rs
+++ b/crates/proxy/src/xds_client.rs
@@ -53,7 +53,7 @@
 impl XdsClient {
     pub fn start(plane: Arc<DataPlane>) -> Arc<XdsClient> {
         let d = &plane.settings;
-        let holder = Holder::new(&d.service, &d.name, &d.zone, d.pace);
+        let holder = Holder::new(&d.service, &d.name, &d.zone, d.visits_per_s);
         let xds_client = Arc::new(XdsClient {
             holder: Mutex::new(holder),
             connected: AtomicBool::new(false),
@@ -88,8 +88,8 @@
         let mut at = 0;
         while !self.is_stopping() {
             let to = d.controllers[at];
-            let away = at > 0 && d.home_after_ms > 0.0;
-            let home = away.then(|| Duration::from_secs_f64(d.home_after_ms / 1e3));
+            let away = at > 0 && d.failback_after_ms > 0.0;
+            let home = away.then(|| Duration::from_secs_f64(d.failback_after_ms / 1e3));
             let ended = self.one_stream(to, home);
             if self.connected.swap(false, Ordering::SeqCst) {
                 self.plane.environment().connection_changed(false);
@@ -102,7 +102,7 @@
                     (at + 1) % d.controllers.len()
                 }
             };
-            let (from, until) = d.redial_ms;
+            let (from, until) = d.reconnect_delay_ms;
             sleep(Duration::from_secs_f64(
                 (from + (until - from) * rng.next_f64()) / 1e3,
             ));
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -4,7 +4,7 @@
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_proxy::data_plane::DataPlane;
-use dahliapoint_proxy::settings::{self, Listed};
+use dahliapoint_proxy::settings::{self, RosterServer};
 use dahliapoint_proxy::xds_client::XdsClient;
 use dahliapoint_xds::ControllerHandle;
 use std::collections::BTreeMap;
@@ -131,13 +131,13 @@
 fn proxy(controller: SocketAddr, servers: &[SocketAddr], more: &str) -> Proxy {
     let text = SETTINGS.replace("CONTROLLER", &controller.to_string()) + more;
     let settings = settings::parse("p.yaml", &text).unwrap();
-    let listed = |(i, address): (usize, &SocketAddr)| Listed {
+    let listed = |(i, address): (usize, &SocketAddr)| RosterServer {
         name: format!("s{i}"),
         address: *address,
         zone: "east".into(),
         ready: true,
     };
-    let roster: Vec<Listed> = servers.iter().enumerate().map(listed).collect();
+    let roster: Vec<RosterServer> = servers.iter().enumerate().map(listed).collect();
     let plane = DataPlane::new(settings, &roster);
     Proxy {
         address: plane.serve().unwrap(),
--- a/crates/standins/src/obedient.rs
+++ b/crates/standins/src/obedient.rs
@@ -9,7 +9,7 @@
 use dahliapoint_proxy::environment::{Environment, TableMessage};
 use dahliapoint_proxy::file_client::{FileClient, ShutdownMode};
 use dahliapoint_proxy::retry::Idempotency;
-use dahliapoint_proxy::settings::{Class, Described, Listed, Spooled};
+use dahliapoint_proxy::settings::{Class, FileSettings, RosterServer, Settings};
 use dahliapoint_proxy::xds_client::XdsClient;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -51,7 +51,7 @@
     index: usize,
     zone: usize,
     layer: Arc<Layer>,
-    settings: Described,
+    settings: Settings,
     life: Mutex<Option<Arc<Life>>>,
     /// The table before the last message, to see what left it.
     before: Mutex<Vec<SocketAddr>>,
@@ -68,7 +68,7 @@
         index: usize,
         zone: usize,
         pace: f64,
-        files: Option<Spooled>,
+        files: Option<FileSettings>,
     ) -> Arc<Obedient> {
         let name = format!("proxy-{index}");
         let classes = layer.classes.iter().zip(&layer.repeats);
@@ -82,28 +82,28 @@
             },
         });
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let settings = Described {
+        let settings = Settings {
             name: name.clone(),
             service: layer.service.clone(),
             zone: layer.world.zones[zone].clone(),
-            pace,
+            visits_per_s: pace,
             controllers: vec![layer.relays[zone].address],
             files,
             listen: any,
             roster: PathBuf::new(),
             classes: classes.collect(),
-            way: layer.way,
-            standing: layer.standing,
-            strikes: layer.strikes,
-            shun_ms: layer.shun_ms,
-            redial_ms: (100.0, 600.0),
-            home_after_ms: 0.0,
-            idle_ms: layer.idle_ms,
-            connect_ms: layer.connect_ms,
-            stall_us: layer.apply_us,
-            further_share: 1.0,
+            balancing: layer.way,
+            initial_servers: layer.standing,
+            ejection_failures: layer.strikes,
+            ejection_ms: layer.shun_ms,
+            reconnect_delay_ms: (100.0, 600.0),
+            failback_after_ms: 0.0,
+            idle_timeout_ms: layer.idle_ms,
+            connect_timeout_ms: layer.connect_ms,
+            stall_per_line_us: layer.apply_us,
+            retry_budget_share: 1.0,
             proof_header: "x-unseen".into(),
-            most_clients: 4096,
+            max_clients: 4096,
             seed: layer.seed ^ (index as u64 + 1).wrapping_mul(0x9E37_79B9),
             log_level: "error".into(),
         };
@@ -126,13 +126,13 @@
     /// A fresh process: a standing table of what the roster lists now.
     fn rise(self: &Arc<Self>) {
         let told = lock(&self.layer.world.told).clone();
-        let roster = self.layer.backends.iter().map(|b| Listed {
+        let roster = self.layer.backends.iter().map(|b| RosterServer {
             name: b.name.clone(),
             address: b.address,
             zone: self.layer.world.zones[b.zone].clone(),
             ready: told[b.index].state == "ready",
         });
-        let roster: Vec<Listed> = roster.collect();
+        let roster: Vec<RosterServer> = roster.collect();
         let plane = DataPlane::with_environment(self.settings.clone(), &roster, self.clone());
         let address = match plane.serve() {
             Ok(address) => address,
@@ -165,8 +165,8 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let world = self.layer.world.clone();
         let mut next = world.now_ms();
-        while !world.is_over() && self.settings.pace > 0.0 {
-            next += -f64::ln(1.0 - rng.random::<f64>()) / self.settings.pace * 1e3;
+        while !world.is_over() && self.settings.visits_per_s > 0.0 {
+            next += -f64::ln(1.0 - rng.random::<f64>()) / self.settings.visits_per_s * 1e3;
             world.wait_until(next);
             let Some(life) = lock(&self.life).clone() else {
                 next = world.now_ms() + 50.0;
--- a/crates/standins/src/play.rs
+++ b/crates/standins/src/play.rs
@@ -7,7 +7,7 @@
 use crate::relay::{Mode, Relay};
 use crate::rules::{Figures, Ledger};
 use crate::world::{Heard, Told, World, lock};
-use dahliapoint_proxy::settings::Spooled;
+use dahliapoint_proxy::settings::FileSettings;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::{Value, json};
@@ -407,11 +407,11 @@
                         Fronts::Files => true,
                         Fronts::Both => i % 2 == 1,
                     };
-                    let files = by_files.then(|| Spooled {
+                    let files = by_files.then(|| FileSettings {
                         dir: folder.join("files"),
                         keys: None,
-                        every_ms: READ_MS,
-                        beat_ms: BEAT_MS,
+                        poll_interval_ms: READ_MS,
+                        heartbeat_interval_ms: BEAT_MS,
                     });
                     Obedient::new(&layer, i, i % zones, day.pace, files)
                 }
