--- a/crates/proxy/src/data_plane.rs
+++ b/crates/proxy/src/data_plane.rs
@@ -2,7 +2,9 @@
 
 use crate::Rng;
 use crate::environment::{Environment, PlainSockets};
-use crate::http::{Body, Found, Head, Source, Wrong, write_head, write_piece};
+use crate::http::{
+    BadMessage, BodyFraming, Connection, Head, ReadOutcome, write_body_piece, write_head,
+};
 use crate::load_balancing::{Picker, WeightedServer};
 use crate::outlier_ejection::OutlierEjector;
 use crate::retry::{self, Admission, FailedTry, Failure, RetryBudget, RetryPolicy};
@@ -76,7 +78,7 @@
     servers: Mutex<Servers>,
     standing: Vec<RosterServer>,
     table: Mutex<Table>,
-    pools: Mutex<HashMap<usize, Vec<(Source, Instant)>>>,
+    pools: Mutex<HashMap<usize, Vec<(Connection, Instant)>>>,
     counts: Mutex<Counts>,
     clients: AtomicUsize,
     /// Connections of clients, to be ended with the plane.
@@ -106,8 +108,8 @@
 
 struct Answer {
     head: Head,
-    body: Body,
-    source: Source,
+    body: BodyFraming,
+    source: Connection,
     /// Ends the answer at the hard limit.
     limit: Timer,
 }
@@ -115,7 +117,7 @@
 /// A visit's body: held, or still with the client.
 enum Brought {
     Held(Vec<u8>),
-    Streams(Body),
+    Streams(BodyFraming),
 }
 
 impl DataPlane {
@@ -343,7 +345,7 @@
     /// A client's connection: one visit after the other.
     fn converse(&self, socket: TcpStream) {
         let _ = socket.set_nodelay(true);
-        let mut client = Source::of(socket);
+        let mut client = Connection::new(socket);
         loop {
             // A client that says nothing for long is let go.
             let Ok(idle) = shutdown_at(
@@ -353,9 +355,9 @@
                 return;
             };
             let head = match client.request() {
-                Found::There(head) => head,
-                Found::Closed => return,
-                Found::Wrong(Wrong(status, why)) => {
+                ReadOutcome::Message(head) => head,
+                ReadOutcome::Closed => return,
+                ReadOutcome::Invalid(BadMessage(status, why)) => {
                     debug!(status, why, "a request is refused");
                     let _ = answer(&mut client.socket, status, why, true);
                     return;
@@ -377,10 +379,10 @@
     }
 
     /// One visit, to its end. Tells whether the connection can go on.
-    fn visit(&self, client: &mut Source, head: &Head) -> io::Result<bool> {
+    fn visit(&self, client: &mut Connection, head: &Head) -> io::Result<bool> {
         let body = match head.request_body() {
             Ok(body) => body,
-            Err(Wrong(status, why)) => {
+            Err(BadMessage(status, why)) => {
                 answer(&mut client.socket, status, why, true)?;
                 return Ok(false);
             }
@@ -413,10 +415,10 @@
             client.socket.write_all(b"HTTP/1.1 100 Continue\r\n\r\n")?;
         }
         let brought = match body {
-            Body::Length(length) if length <= HELD => {
+            BodyFraming::Length(length) if length <= HELD => {
                 let slow = shutdown_at(&client.socket, until)?;
                 let mut held = Vec::new();
-                client.pass(body, |piece| {
+                client.copy_body(body, |piece| {
                     held.extend_from_slice(piece);
                     Ok(())
                 })?;
@@ -443,7 +445,7 @@
     /// Tries a server, and another if that is ordered and may be. The status to answer with if none did.
     fn carry(
         &self,
-        client: &mut Source,
+        client: &mut Connection,
         head: &Head,
         class: usize,
         brought: &Brought,
@@ -531,7 +533,7 @@
         lock(&self.servers).addresses.get(server).copied().flatten()
     }
 
-    fn connection(&self, server: usize, until: Instant) -> Result<(Source, bool), Failure> {
+    fn connection(&self, server: usize, until: Instant) -> Result<(Connection, bool), Failure> {
         let idle = ms(self.settings.idle_timeout_ms);
         loop {
             let kept = lock(&self.pools).get_mut(&server).and_then(Vec::pop);
@@ -549,13 +551,13 @@
         let socket = self.environment.dial(to, patience);
         let socket = socket.map_err(|_| Failure::NeverRan)?;
         let _ = socket.set_nodelay(true);
-        Ok((Source::of(socket), true))
+        Ok((Connection::new(socket), true))
     }
 
     /// Sends the visit to a server and reads the head of its answer, while the client is watched.
     fn attempt(
         &self,
-        client: &mut Source,
+        client: &mut Connection,
         head: &Head,
         server: usize,
         brought: &Brought,
@@ -596,8 +598,8 @@
 
     fn call(
         &self,
-        client: &mut Source,
-        mut source: Source,
+        client: &mut Connection,
+        mut source: Connection,
         head: &Head,
         brought: &Brought,
         until: Instant,
@@ -606,7 +608,7 @@
             return Tried::Failed(Failure::NeverRan);
         };
         let framing = match brought {
-            Brought::Held(bytes) => Body::Length(bytes.len() as u64),
+            Brought::Held(bytes) => BodyFraming::Length(bytes.len() as u64),
             Brought::Streams(body) => *body,
         };
         let first = format!("{} {} HTTP/1.1", head.method, head.target);
@@ -617,9 +619,11 @@
         let sent = source.socket.write_all(&out).and_then(|()| match brought {
             Brought::Held(_) => Ok(()),
             Brought::Streams(body) => {
-                client.pass(*body, |piece| write_piece(&mut source.socket, *body, piece))?;
+                client.copy_body(*body, |piece| {
+                    write_body_piece(&mut source.socket, *body, piece)
+                })?;
                 match body {
-                    Body::Chunked => source.socket.write_all(b"0\r\n\r\n"),
+                    BodyFraming::Chunked => source.socket.write_all(b"0\r\n\r\n"),
                     _ => Ok(()),
                 }
             }
@@ -630,8 +634,8 @@
         loop {
             match source.response() {
                 // Said ahead of the answer.
-                Found::There(answer) if answer.status < 200 => {}
-                Found::There(answer) => {
+                ReadOutcome::Message(answer) if answer.status < 200 => {}
+                ReadOutcome::Message(answer) => {
                     let unseen =
                         answer.status == 503 && answer.get(&self.settings.proof_header).is_some();
                     if answer.status >= 500 {
@@ -651,7 +655,9 @@
                         limit,
                     }));
                 }
-                Found::Closed | Found::Wrong(_) => return Tried::Failed(Failure::MayHaveRun),
+                ReadOutcome::Closed | ReadOutcome::Invalid(_) => {
+                    return Tried::Failed(Failure::MayHaveRun);
+                }
             }
         }
     }
@@ -659,7 +665,7 @@
     /// Passes an answer on to the client; the connection to the server is kept if it can be.
     fn hand_back(
         &self,
-        client: &mut Source,
+        client: &mut Connection,
         head: &Head,
         found: &mut (Box<Answer>, usize, Instant, usize),
     ) -> io::Result<bool> {
@@ -672,23 +678,25 @@
         // A head goes out with the first of its body, in one packet, where the body's length is known.
         let mut ahead = whole;
         let begins = match body {
-            Body::Length(_) => Ok(()),
-            Body::Chunked | Body::UntilClose => {
+            BodyFraming::Length(_) => Ok(()),
+            BodyFraming::Chunked | BodyFraming::UntilClose => {
                 client.socket.write_all(&std::mem::take(&mut ahead))
             }
         };
         let passed = begins.and_then(|()| {
-            found.source.pass(body, |piece| {
+            found.source.copy_body(body, |piece| {
                 if ahead.is_empty() {
-                    return write_piece(&mut client.socket, body, piece);
+                    return write_body_piece(&mut client.socket, body, piece);
                 }
                 ahead.extend_from_slice(piece);
                 client.socket.write_all(&std::mem::take(&mut ahead))
             })?;
             match body {
-                Body::Length(_) => client.socket.write_all(&ahead),
-                Body::Chunked | Body::UntilClose if bodiless => Ok(()),
-                Body::Chunked | Body::UntilClose => client.socket.write_all(b"0\r\n\r\n"),
+                BodyFraming::Length(_) => client.socket.write_all(&ahead),
+                BodyFraming::Chunked | BodyFraming::UntilClose if bodiless => Ok(()),
+                BodyFraming::Chunked | BodyFraming::UntilClose => {
+                    client.socket.write_all(b"0\r\n\r\n")
+                }
             }
         });
         self.ended(
@@ -700,13 +708,13 @@
         passed?;
         let reusable = !found.limit.has_fired()
             && !found.head.closes()
-            && body != Body::UntilClose
-            && found.source.is_clean();
+            && body != BodyFraming::UntilClose
+            && found.source.is_buffer_empty();
         if reusable && let Ok(socket) = found.source.socket.try_clone() {
             let mut pools = lock(&self.pools);
             let kept = pools.entry(server).or_default();
             if kept.len() < KEPT {
-                kept.push((Source::of(socket), Instant::now()));
+                kept.push((Connection::new(socket), Instant::now()));
             }
         }
         Ok(true)
@@ -748,8 +756,8 @@
         });
     }
 
-    /// What was counted since the last call. Given back by [`DataPlane::untold`] if it could not be sent.
-    pub fn tallies(&self) -> Vec<ClusterTally> {
+    /// What was counted since the last call. Given back by [`DataPlane::restore_tallies`] if it could not be sent.
+    pub fn take_tallies(&self) -> Vec<ClusterTally> {
         let mut counts = lock(&self.counts);
         let endpoints = std::mem::take(&mut counts.endpoints);
         let dropped = std::mem::take(&mut counts.dropped);
@@ -772,7 +780,7 @@
     }
 
     /// A report that could not be sent is added to the next: told once, never twice.
-    pub fn untold(&self, tallies: Vec<ClusterTally>) {
+    pub fn restore_tallies(&self, tallies: Vec<ClusterTally>) {
         for (class, tally) in tallies.into_iter().enumerate() {
             let dropped: u64 = tally.dropped.values().sum();
             if dropped > 0 {
--- a/crates/proxy/src/file_client.rs
+++ b/crates/proxy/src/file_client.rs
@@ -298,7 +298,7 @@
 
     /// What could not be written is told with the next report.
     fn report(&mut self, window: Duration) {
-        let tallies = self.own.plane.tallies();
+        let tallies = self.own.plane.take_tallies();
         self.reports += 1;
         let told = Told {
             life: self.life,
@@ -307,7 +307,7 @@
         };
         if let Err(e) = self.mouth.say(&format!("report-{}", self.reports), &told) {
             warn!(error = %e, "a report cannot be written; it is added to the next");
-            self.own.plane.untold(tallies);
+            self.own.plane.restore_tallies(tallies);
         }
     }
 
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -5,20 +5,20 @@
 use std::io::{self, Read, Write};
 
 /// Bytes of a head, and headers in it.
-const MOST_HEAD: usize = 16 * 1024;
-const MOST_HEADERS: usize = 100;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+const MAX_HEADERS: usize = 100;
 /// Bytes that are read at once, and held of a body.
-const CHUNK: usize = 16 * 1024;
+const READ_BYTES: usize = 16 * 1024;
 /// Bytes of a line that begins a chunk, and of all trailers.
-const MOST_LINE: usize = 1024;
+const MAX_LINE_BYTES: usize = 1024;
 
 /// What is wrong with a message: the status to answer with, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wrong(pub u16, pub &'static str);
+pub struct BadMessage(pub u16, pub &'static str);
 
 /// How long a body is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Body {
+pub enum BodyFraming {
     Length(u64),
     Chunked,
     /// Of a response: until the connection closes.
@@ -38,7 +38,7 @@
 }
 
 /// Headers that are of one connection, not of the message (RFC 9110, 7.6.1).
-const HOP: [&str; 9] = [
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -81,7 +81,7 @@
     }
 
     /// Headers that go on to the next hop: without those of this connection, and those that it names.
-    pub fn onward(&self) -> impl Iterator<Item = &(String, Vec<u8>)> {
+    pub fn end_to_end_headers(&self) -> impl Iterator<Item = &(String, Vec<u8>)> {
         let named: Vec<String> = self
             .all("connection")
             .flat_map(|v| {
@@ -93,12 +93,14 @@
             .collect();
         self.headers.iter().filter(move |(name, _)| {
             let name = name.to_ascii_lowercase();
-            !HOP.contains(&name.as_str()) && name != "content-length" && !named.contains(&name)
+            !HOP_BY_HOP_HEADERS.contains(&name.as_str())
+                && name != "content-length"
+                && !named.contains(&name)
         })
     }
 
     /// The length that the headers tell, if they tell one that can be read in one way only.
-    fn told(&self) -> Result<Option<Body>, Wrong> {
+    fn declared_framing(&self) -> Result<Option<BodyFraming>, BadMessage> {
         let codings: Vec<String> = self
             .all("transfer-encoding")
             .map(|v| String::from_utf8_lossy(v).trim().to_ascii_lowercase())
@@ -108,17 +110,19 @@
             let text = std::str::from_utf8(value).unwrap_or("x").trim();
             let digits = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
             let length = text.parse::<u64>().ok().filter(|_| digits);
-            lengths.push(length.ok_or(Wrong(400, "a length that is no number"))?);
+            lengths.push(length.ok_or(BadMessage(400, "a length that is no number"))?);
         }
         match (codings.as_slice(), lengths.as_slice()) {
             ([], []) => Ok(None),
             ([], [first, rest @ ..]) if rest.iter().all(|l| l == first) => {
-                Ok(Some(Body::Length(*first)))
+                Ok(Some(BodyFraming::Length(*first)))
             }
-            ([], _) => Err(Wrong(400, "lengths that contradict each other")),
-            ([coding], []) if coding == "chunked" && self.version == 1 => Ok(Some(Body::Chunked)),
-            (_, []) => Err(Wrong(501, "a transfer coding that is not served")),
-            _ => Err(Wrong(400, "a length and a transfer coding")),
+            ([], _) => Err(BadMessage(400, "lengths that contradict each other")),
+            ([coding], []) if coding == "chunked" && self.version == 1 => {
+                Ok(Some(BodyFraming::Chunked))
+            }
+            (_, []) => Err(BadMessage(501, "a transfer coding that is not served")),
+            _ => Err(BadMessage(400, "a length and a transfer coding")),
         }
     }
 
@@ -126,102 +130,102 @@
     ///
     /// # Errors
     /// What is wrong with its framing.
-    pub fn request_body(&self) -> Result<Body, Wrong> {
-        Ok(self.told()?.unwrap_or(Body::Length(0)))
+    pub fn request_body(&self) -> Result<BodyFraming, BadMessage> {
+        Ok(self.declared_framing()?.unwrap_or(BodyFraming::Length(0)))
     }
 
     /// The body of a response to a request of that method.
     ///
     /// # Errors
     /// What is wrong with its framing.
-    pub fn response_body(&self, method: &str) -> Result<Body, Wrong> {
-        let told = self.told()?;
+    pub fn response_body(&self, method: &str) -> Result<BodyFraming, BadMessage> {
+        let told = self.declared_framing()?;
         let none =
             method == "HEAD" || self.status == 204 || self.status == 304 || self.status < 200;
         Ok(match none {
-            true => Body::Length(0),
-            false => told.unwrap_or(Body::UntilClose),
+            true => BodyFraming::Length(0),
+            false => told.unwrap_or(BodyFraming::UntilClose),
         })
     }
 }
 
 /// A head and its length, none while more of it is wanted.
-type Parsed = Result<Option<(usize, Head)>, Wrong>;
+type Parsed = Result<Option<(usize, Head)>, BadMessage>;
 
 /// A socket with what was read of it and not used yet.
-pub struct Source {
+pub struct Connection {
     pub socket: TcpStream,
     buffer: Vec<u8>,
 }
 
-fn refused(kind: httparse::Error) -> Wrong {
+fn parse_error(kind: httparse::Error) -> BadMessage {
     match kind {
-        httparse::Error::TooManyHeaders => Wrong(431, "too many headers"),
-        httparse::Error::Version => Wrong(505, "not HTTP/1.1"),
-        _ => Wrong(400, "not a head of HTTP/1.1"),
+        httparse::Error::TooManyHeaders => BadMessage(431, "too many headers"),
+        httparse::Error::Version => BadMessage(505, "not HTTP/1.1"),
+        _ => BadMessage(400, "not a head of HTTP/1.1"),
     }
 }
 
 /// What reading found.
 #[derive(Debug)]
-pub enum Found<T> {
-    There(T),
+pub enum ReadOutcome<T> {
+    Message(T),
     /// The other side closed, or broke, before anything of it came.
     Closed,
-    Wrong(Wrong),
+    Invalid(BadMessage),
 }
 
-impl Source {
-    pub fn of(socket: TcpStream) -> Source {
-        Source {
+impl Connection {
+    pub fn new(socket: TcpStream) -> Connection {
+        Connection {
             socket,
             buffer: Vec::new(),
         }
     }
 
     /// Nothing was read ahead.
-    pub fn is_clean(&self) -> bool {
+    pub fn is_buffer_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
     fn fill(&mut self) -> io::Result<usize> {
-        let mut chunk = [0; CHUNK];
+        let mut chunk = [0; READ_BYTES];
         let n = self.socket.read(&mut chunk)?;
         self.buffer.extend_from_slice(&chunk[..n]);
         Ok(n)
     }
 
-    fn head(&mut self, parse: fn(&[u8]) -> Parsed) -> Found<Head> {
+    fn head(&mut self, parse: fn(&[u8]) -> Parsed) -> ReadOutcome<Head> {
         loop {
             match parse(&self.buffer) {
-                Ok(Some((length, _))) if length > MOST_HEAD => {
-                    return Found::Wrong(Wrong(431, "a head that is too large"));
+                Ok(Some((length, _))) if length > MAX_HEAD_BYTES => {
+                    return ReadOutcome::Invalid(BadMessage(431, "a head that is too large"));
                 }
                 Ok(Some((length, head))) => {
                     self.buffer.drain(..length);
-                    return Found::There(head);
+                    return ReadOutcome::Message(head);
                 }
-                Ok(None) if self.buffer.len() > MOST_HEAD => {
-                    return Found::Wrong(Wrong(431, "a head that is too large"));
+                Ok(None) if self.buffer.len() > MAX_HEAD_BYTES => {
+                    return ReadOutcome::Invalid(BadMessage(431, "a head that is too large"));
                 }
                 Ok(None) => {}
-                Err(wrong) => return Found::Wrong(wrong),
+                Err(wrong) => return ReadOutcome::Invalid(wrong),
             }
             match self.fill() {
                 Ok(n) if n > 0 => {}
-                _ if self.buffer.is_empty() => return Found::Closed,
-                _ => return Found::Wrong(Wrong(400, "closed within a head")),
+                _ if self.buffer.is_empty() => return ReadOutcome::Closed,
+                _ => return ReadOutcome::Invalid(BadMessage(400, "closed within a head")),
             }
         }
     }
 
     /// Reads the head of a request.
-    pub fn request(&mut self) -> Found<Head> {
+    pub fn request(&mut self) -> ReadOutcome<Head> {
         self.head(parse_request)
     }
 
     /// Reads the head of a response.
-    pub fn response(&mut self) -> Found<Head> {
+    pub fn response(&mut self) -> ReadOutcome<Head> {
         self.head(parse_response)
     }
 
@@ -229,14 +233,14 @@
     ///
     /// # Errors
     /// When either side breaks, or the body is not framed as it says.
-    pub fn pass(
+    pub fn copy_body(
         &mut self,
-        body: Body,
+        body: BodyFraming,
         mut to: impl FnMut(&[u8]) -> io::Result<()>,
     ) -> io::Result<()> {
         match body {
-            Body::Length(length) => self.pass_bytes(length, &mut to),
-            Body::UntilClose => loop {
+            BodyFraming::Length(length) => self.copy_bytes(length, &mut to),
+            BodyFraming::UntilClose => loop {
                 let held = std::mem::take(&mut self.buffer);
                 if !held.is_empty() {
                     to(&held)?;
@@ -245,12 +249,12 @@
                     return Ok(());
                 }
             },
-            Body::Chunked => loop {
+            BodyFraming::Chunked => loop {
                 let size = self.chunk_size()?;
                 if size == 0 {
                     return self.skip_trailers();
                 }
-                self.pass_bytes(size, &mut to)?;
+                self.copy_bytes(size, &mut to)?;
                 if self.line()? != b"" {
                     return Err(io::Error::other("a chunk that does not end where it says"));
                 }
@@ -258,7 +262,7 @@
         }
     }
 
-    fn pass_bytes(
+    fn copy_bytes(
         &mut self,
         mut left: u64,
         to: &mut impl FnMut(&[u8]) -> io::Result<()>,
@@ -284,12 +288,12 @@
             if let Some(at) = self.buffer.iter().position(|b| *b == b'\n') {
                 let line: Vec<u8> = self.buffer.drain(..=at).collect();
                 let line = line.strip_suffix(b"\r\n");
-                let line = line.filter(|l| !l.contains(&b'\r') && l.len() <= MOST_LINE);
+                let line = line.filter(|l| !l.contains(&b'\r') && l.len() <= MAX_LINE_BYTES);
                 return line
                     .map(<[u8]>::to_vec)
                     .ok_or_else(|| io::Error::other("a line that is not one"));
             }
-            if self.buffer.len() > MOST_LINE + 2 {
+            if self.buffer.len() > MAX_LINE_BYTES + 2 {
                 return Err(io::Error::other("a line that is too long"));
             }
             if self.fill()? == 0 {
@@ -311,7 +315,7 @@
 
     /// Trailers are read and not passed on.
     fn skip_trailers(&mut self) -> io::Result<()> {
-        for _ in 0..MOST_HEADERS {
+        for _ in 0..MAX_HEADERS {
             if self.line()?.is_empty() {
                 return Ok(());
             }
@@ -328,9 +332,9 @@
 }
 
 fn parse_request(bytes: &[u8]) -> Parsed {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
-    let length = match request.parse(bytes).map_err(refused)? {
+    let length = match request.parse(bytes).map_err(parse_error)? {
         httparse::Status::Partial => return Ok(None),
         httparse::Status::Complete(length) => length,
     };
@@ -346,22 +350,22 @@
         .windows(2)
         .any(|w| w[1] == b'\n' && w[0] != b'\r')
     {
-        return Err(Wrong(400, "a line that ends in a bare line feed"));
+        return Err(BadMessage(400, "a line that ends in a bare line feed"));
     }
     let hosts = head.all("host").count();
     if hosts != 1 && head.version == 1 || hosts > 1 {
-        return Err(Wrong(400, "one Host is wanted"));
+        return Err(BadMessage(400, "one Host is wanted"));
     }
     if head.method == "CONNECT" || !head.target.starts_with('/') {
-        return Err(Wrong(400, "a target that begins with / is wanted"));
+        return Err(BadMessage(400, "a target that begins with / is wanted"));
     }
     Ok(Some((length, head)))
 }
 
 fn parse_response(bytes: &[u8]) -> Parsed {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    let length = match response.parse(bytes).map_err(refused)? {
+    let length = match response.parse(bytes).map_err(parse_error)? {
         httparse::Status::Partial => return Ok(None),
         httparse::Status::Complete(length) => length,
     };
@@ -376,21 +380,21 @@
 }
 
 /// Writes a head with the framing of the body that follows.
-pub fn write_head(first: &str, head: &Head, body: Body, closes: bool) -> Vec<u8> {
+pub fn write_head(first: &str, head: &Head, body: BodyFraming, closes: bool) -> Vec<u8> {
     let mut out = Vec::with_capacity(512);
     out.extend_from_slice(first.as_bytes());
     out.extend_from_slice(b"\r\n");
-    for (name, value) in head.onward() {
+    for (name, value) in head.end_to_end_headers() {
         out.extend_from_slice(name.as_bytes());
         out.extend_from_slice(b": ");
         out.extend_from_slice(value);
         out.extend_from_slice(b"\r\n");
     }
     match body {
-        Body::Length(length) => {
+        BodyFraming::Length(length) => {
             out.extend_from_slice(format!("Content-Length: {length}\r\n").as_bytes())
         }
-        Body::Chunked | Body::UntilClose => {
+        BodyFraming::Chunked | BodyFraming::UntilClose => {
             out.extend_from_slice(b"Transfer-Encoding: chunked\r\n")
         }
     }
@@ -405,10 +409,10 @@
 ///
 /// # Errors
 /// Those of the socket.
-pub fn write_piece(to: &mut impl Write, body: Body, piece: &[u8]) -> io::Result<()> {
+pub fn write_body_piece(to: &mut impl Write, body: BodyFraming, piece: &[u8]) -> io::Result<()> {
     match body {
-        Body::Length(_) => to.write_all(piece),
-        Body::Chunked | Body::UntilClose => {
+        BodyFraming::Length(_) => to.write_all(piece),
+        BodyFraming::Chunked | BodyFraming::UntilClose => {
             let mut framed = format!("{:x}\r\n", piece.len()).into_bytes();
             framed.extend_from_slice(piece);
             framed.extend_from_slice(b"\r\n");
@@ -421,7 +425,7 @@
 mod tests {
     use super::*;
 
-    fn framed(head: &str) -> Result<Body, Wrong> {
+    fn framed(head: &str) -> Result<BodyFraming, BadMessage> {
         let text = format!("POST /a HTTP/1.1\r\nHost: h\r\n{head}\r\n");
         let (_, head) = parse_request(text.as_bytes())?.unwrap();
         head.request_body()
@@ -430,12 +434,12 @@
     #[test]
     fn what_could_be_read_in_two_ways_is_refused() {
         let cases = [
-            ("Content-Length: 5\r\n", Ok(Body::Length(5))),
-            ("", Ok(Body::Length(0))),
-            ("Transfer-Encoding: chunked\r\n", Ok(Body::Chunked)),
+            ("Content-Length: 5\r\n", Ok(BodyFraming::Length(5))),
+            ("", Ok(BodyFraming::Length(0))),
+            ("Transfer-Encoding: chunked\r\n", Ok(BodyFraming::Chunked)),
             (
                 "Content-Length: 5\r\nContent-Length: 5\r\n",
-                Ok(Body::Length(5)),
+                Ok(BodyFraming::Length(5)),
             ),
             ("Content-Length: 5\r\nContent-Length: 6\r\n", Err(400)),
             ("Content-Length: 5, 5\r\n", Err(400)),
@@ -475,10 +479,10 @@
         let text = "GET /a HTTP/1.1\r\nHost: h\r\nConnection: keep-alive, X-Own\r\nX-Own: 1\r\nTE: trailers\r\n\
                     Upgrade: x\r\nKeep: 2\r\nContent-Length: 0\r\n\r\n";
         let (_, head) = parse_request(text.as_bytes()).unwrap().unwrap();
-        let names: Vec<&str> = head.onward().map(|(n, _)| n.as_str()).collect();
+        let names: Vec<&str> = head.end_to_end_headers().map(|(n, _)| n.as_str()).collect();
         assert_eq!(names, ["Host", "Keep"]);
         assert!(!head.closes());
-        let wrote = write_head("GET /a HTTP/1.1", &head, Body::Length(0), true);
+        let wrote = write_head("GET /a HTTP/1.1", &head, BodyFraming::Length(0), true);
         let wrote = String::from_utf8(wrote).unwrap();
         assert!(
             wrote.ends_with("Content-Length: 0\r\nConnection: close\r\n\r\n"),
@@ -493,16 +497,28 @@
             parse_response(text.as_bytes()).unwrap().unwrap().1
         };
         let cases = [
-            (head(200, "Content-Length: 3\r\n"), "GET", Body::Length(3)),
-            (head(200, "Content-Length: 3\r\n"), "HEAD", Body::Length(0)),
-            (head(204, ""), "GET", Body::Length(0)),
-            (head(304, "Content-Length: 3\r\n"), "GET", Body::Length(0)),
+            (
+                head(200, "Content-Length: 3\r\n"),
+                "GET",
+                BodyFraming::Length(3),
+            ),
+            (
+                head(200, "Content-Length: 3\r\n"),
+                "HEAD",
+                BodyFraming::Length(0),
+            ),
+            (head(204, ""), "GET", BodyFraming::Length(0)),
+            (
+                head(304, "Content-Length: 3\r\n"),
+                "GET",
+                BodyFraming::Length(0),
+            ),
             (
                 head(200, "Transfer-Encoding: chunked\r\n"),
                 "GET",
-                Body::Chunked,
+                BodyFraming::Chunked,
             ),
-            (head(200, ""), "GET", Body::UntilClose),
+            (head(200, ""), "GET", BodyFraming::UntilClose),
         ];
         for (head, method, wanted) in cases {
             assert_eq!(head.response_body(method), Ok(wanted), "{head:?}");
--- a/crates/proxy/src/xds_client.rs
+++ b/crates/proxy/src/xds_client.rs
@@ -291,9 +291,9 @@
             }
             let now = Instant::now();
             let window = now.saturating_duration_since(since).as_secs_f64() * 1e3;
-            let tallies = self.plane.tallies();
+            let tallies = self.plane.take_tallies();
             if let Err(e) = outbound.send(&load_request(None, window.max(1.0), &tallies)) {
-                self.plane.untold(tallies);
+                self.plane.restore_tallies(tallies);
                 return Err(e);
             }
             since = now;
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -377,7 +377,7 @@
             ended.load(Ordering::SeqCst) == i
         });
     }
-    let tally = &p.plane.tallies()[0].endpoints;
+    let tally = &p.plane.take_tallies()[0].endpoints;
     assert_eq!(
         tally
             .iter()
