--- a/crates/proxy/src/data_plane.rs
+++ b/crates/proxy/src/data_plane.rs
@@ -1,13 +1,14 @@
 //! The data plane: takes visits from clients and carries each to a server by the table in use.
 
 use crate::Rng;
+use crate::admission::Admission;
 use crate::environment::{Environment, PlainSockets};
 use crate::http::{
     BadMessage, BodyFraming, Connection, Head, ReadOutcome, write_body_piece, write_head,
 };
 use crate::load_balancing::{Picker, WeightedServer};
 use crate::outlier_ejection::OutlierEjector;
-use crate::retry::{self, Admission, FailedTry, Failure, RetryBudget, RetryPolicy};
+use crate::retry::{self, FailedTry, Failure, RetryBudget, RetryPolicy};
 use crate::settings::{RosterServer, Settings};
 use dahliapoint_fibers::{Notify, TcpStream, Timer, dial, listen, shutdown_at, sleep, spawn};
 use dahliapoint_xds::{ClusterTally, EndpointTally, Held, names};
--- a/crates/proxy/src/retry.rs
+++ b/crates/proxy/src/retry.rs
@@ -1,40 +1,39 @@
-//! Whether a visit is let in, and whether one that failed is tried again. Rules in order; the first whose
-//! condition holds decides.
+//! Decides whether a failed visit is tried again. Rules are applied in order; the first that refuses decides.
 
-/// Tries that a proxy saves up for, at the most; it starts with these.
-const SAVED: f64 = 10.0;
+/// Tries that a retry budget holds at most, and at its start.
+const MAX_BUDGET_TRIES: f64 = 10.0;
 
-/// What a repeated visit of a class may do.
+/// What running a visit of a class more than once does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Nothing: it only reads.
+    /// Safe to run again: it only reads.
     Safe,
-    /// Nothing, while servers know its key.
+    /// Safe to run again while servers remember its idempotency key.
     Keyed,
-    /// It must never run twice.
+    /// Must never run twice.
     Never,
 }
 
-/// What was ordered for a class.
+/// When the controller allows a visit of a class to be tried again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
     Never,
-    /// Once, after proof that the first try never ran.
+    /// Once, if the first try provably never ran.
     OnProof,
     /// Once, after any failure.
     OnFailure,
 }
 
-/// How a try ended, if not well.
+/// How a try failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Proof that nothing ran: the connection was refused, or the server said so.
+    /// Provably nothing ran: the connection was refused, or the server said so.
     NeverRan,
     /// It may have run.
     MayHaveRun,
 }
 
-/// Why there is no further try.
+/// Why a visit is not tried again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryRefusal {
     NotInPolicy,
@@ -44,49 +43,50 @@
     BudgetExhausted,
 }
 
-/// Further tries are paid from a budget that visits fill: so many in a hundred visits, so that they cannot
-/// amplify an outage.
+/// Pays for retries with a share of the visits that come in, so that retries cannot amplify an outage.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    share: f64,
-    saved: f64,
+    tries_per_visit: f64,
+    tries: f64,
 }
 
 impl RetryBudget {
-    pub fn new(share: f64) -> RetryBudget {
+    /// A full budget that gains `tries_per_visit` with each visit.
+    pub fn new(tries_per_visit: f64) -> RetryBudget {
         RetryBudget {
-            share,
-            saved: SAVED,
+            tries_per_visit,
+            tries: MAX_BUDGET_TRIES,
         }
     }
 
-    /// A visit came.
+    /// Counts a visit that came in.
     pub fn visit(&mut self) {
-        self.saved = (self.saved + self.share).min(SAVED);
+        self.tries = (self.tries + self.tries_per_visit).min(MAX_BUDGET_TRIES);
     }
 }
 
-/// A visit whose try has failed.
+/// A visit whose last try failed.
 #[derive(Clone, Copy, Debug)]
 pub struct FailedTry {
     pub idempotency: Idempotency,
     pub policy: RetryPolicy,
     pub failure: Failure,
-    /// Tries so far, and time left of its hard limit.
+    /// Tries so far.
     pub tries: u32,
+    /// Time left until the hard limit of the visit.
     pub left_ms: f64,
 }
 
 type Rule = fn(&FailedTry) -> Option<RetryRefusal>;
 
 const RULES: [Rule; 4] = [
-    not_unless_ordered,
-    once_only,
-    never_an_effect_without_proof,
-    not_without_time,
+    refuse_outside_policy,
+    refuse_second_retry,
+    refuse_running_twice,
+    refuse_after_hard_limit,
 ];
 
-fn not_unless_ordered(f: &FailedTry) -> Option<RetryRefusal> {
+fn refuse_outside_policy(f: &FailedTry) -> Option<RetryRefusal> {
     let is_allowed = match f.policy {
         RetryPolicy::Never => false,
         RetryPolicy::OnProof => f.failure == Failure::NeverRan,
@@ -95,72 +95,32 @@
     (!is_allowed).then_some(RetryRefusal::NotInPolicy)
 }
 
-fn once_only(f: &FailedTry) -> Option<RetryRefusal> {
+fn refuse_second_retry(f: &FailedTry) -> Option<RetryRefusal> {
     (f.tries > 1).then_some(RetryRefusal::AlreadyRetried)
 }
 
-/// Whatever was ordered: guards against an order that is wrong for a class. A keyed visit is told apart
-/// only by servers that share keys, which a proxy does not know: it counts as an effect here.
-fn never_an_effect_without_proof(f: &FailedTry) -> Option<RetryRefusal> {
-    let twice = f.idempotency != Idempotency::Safe && f.failure == Failure::MayHaveRun;
-    twice.then_some(RetryRefusal::MayRunTwice)
+/// Applies whatever the policy says: guards against a policy that is wrong for the class. A keyed visit counts
+/// as not idempotent here: only servers that share their keys recognise it, and a proxy does not know which do.
+fn refuse_running_twice(f: &FailedTry) -> Option<RetryRefusal> {
+    let may_run_twice = f.idempotency != Idempotency::Safe && f.failure == Failure::MayHaveRun;
+    may_run_twice.then_some(RetryRefusal::MayRunTwice)
 }
 
-fn not_without_time(f: &FailedTry) -> Option<RetryRefusal> {
+fn refuse_after_hard_limit(f: &FailedTry) -> Option<RetryRefusal> {
     (f.left_ms <= 0.0).then_some(RetryRefusal::NoTimeLeft)
 }
 
-/// Whether a failed visit is tried again; if so the budget has paid for it.
+/// Decides whether a failed visit is tried again, and takes one try from the budget if so.
 ///
 /// # Errors
-/// Why it is not.
+/// Why it is not tried again.
 pub fn check_retry(failed: &FailedTry, budget: &mut RetryBudget) -> Result<(), RetryRefusal> {
-    if let Some(not) = RULES.iter().find_map(|rule| rule(failed)) {
-        return Err(not);
+    if let Some(refusal) = RULES.iter().find_map(|rule| rule(failed)) {
+        return Err(refusal);
     }
-    if budget.saved < 1.0 {
+    if budget.tries < 1.0 {
         return Err(RetryRefusal::BudgetExhausted);
     }
-    budget.saved -= 1.0;
+    budget.tries -= 1.0;
     Ok(())
 }
-
-/// Lets a share of the visits of a class in, evenly: of ten visits at 0.7 seven, whatever their order. A
-/// client that comes again counts as a new visit.
-#[derive(Clone, Debug)]
-pub struct Admission {
-    share: f64,
-    owed: f64,
-}
-
-impl Admission {
-    pub fn new() -> Admission {
-        Admission {
-            share: 1.0,
-            owed: 0.0,
-        }
-    }
-
-    pub fn set_share(&mut self, share: f64) {
-        self.share = share.clamp(0.0, 1.0);
-    }
-
-    /// Whether the next visit is let in.
-    pub fn admits(&mut self) -> bool {
-        if self.share >= 1.0 {
-            return true;
-        }
-        self.owed += self.share;
-        let lets = self.owed >= 1.0;
-        if lets {
-            self.owed -= 1.0;
-        }
-        lets
-    }
-}
-
-impl Default for Admission {
-    fn default() -> Admission {
-        Admission::new()
-    }
-}
--- a/crates/proxy/tests/decisions.rs
+++ b/crates/proxy/tests/decisions.rs
@@ -1,9 +1,10 @@
 //! The obedient proxy's decisions: tables of cases, and tables and weights drawn by rng.
 
+use dahliapoint_proxy::admission::Admission;
 use dahliapoint_proxy::load_balancing::{BalancingPolicy, FenwickTree, Picker, WeightedServer};
 use dahliapoint_proxy::outlier_ejection::OutlierEjector;
 use dahliapoint_proxy::retry::{
-    Admission, FailedTry, Failure, Idempotency, RetryBudget, RetryPolicy, RetryRefusal, check_retry,
+    FailedTry, Failure, Idempotency, RetryBudget, RetryPolicy, RetryRefusal, check_retry,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
