--- a/crates/proxy/src/load_balancing.rs
+++ b/crates/proxy/src/load_balancing.rs
@@ -1,35 +1,35 @@
-//! Which line a visit goes to.
+//! Picks the server that a visit goes to.
 //!
-//! How it is called: [`Picker::swap_table`] with each new table, whole; [`Picker::pick`] for each try, with what
-//! may not be picked (withdrawn, shunned, tried before); [`Picker::try_started`] and [`Picker::try_ended`] keep the
-//! proxy's own work out. A server that stays in the table keeps its place in the order over a swap, so that
-//! changes of weights at each tick do not start the order anew.
+//! [`Picker::swap_table`] replaces the whole table. [`Picker::pick`] is called for each try with a filter that
+//! excludes servers (withdrawn, ejected, or tried before). [`Picker::try_started`] and [`Picker::try_ended`] count the
+//! proxy's own tries in flight. A server that stays in the table keeps its position in the round-robin order
+//! when the table is swapped, so that changes of weights at each tick do not restart the order.
 
 use crate::Rng;
 use std::collections::BTreeMap;
 
-/// The ways in which proxies pick.
+/// How a proxy picks a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BalancingPolicy {
-    /// Evenly by weight: over any stretch each line gets its part, to within one visit.
+    /// In turn by weight: over any stretch of visits each server gets its part, to within one visit.
     WeightedRoundRobin,
     /// At random by weight.
     WeightedRandom,
-    /// Two drawn by weight, the one with less of the proxy's own work out.
+    /// Two servers at random by weight, and of these the one with fewer of the proxy's own tries in flight.
     TwoChoices,
 }
 
-/// A line of a table.
+/// A server of the table and its weight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WeightedServer {
     pub server: usize,
     pub weight: f64,
 }
 
-/// Draws that may hit what must not be picked before all others are looked through.
-const DRAWS: usize = 8;
+/// Random draws that may hit an excluded server before the allowed ones are scanned.
+const MAX_DRAWS: usize = 8;
 
-/// Weights as a tree of sums: a draw and a change cost the height of it.
+/// Prefix sums of weights in a Fenwick tree: a draw and a change of one weight take logarithmic time.
 #[derive(Clone, Debug, Default)]
 pub struct FenwickTree {
     tree: Vec<f64>,
@@ -37,6 +37,7 @@
 }
 
 impl FenwickTree {
+    /// Builds the tree from all weights.
     pub fn of(weights: &[f64]) -> FenwickTree {
         let mut tree = vec![0.0; weights.len() + 1];
         for (i, weight) in weights.iter().enumerate() {
@@ -52,6 +53,7 @@
         }
     }
 
+    /// Changes one weight.
     pub fn set(&mut self, index: usize, weight: f64) {
         let change = weight - self.weights[index];
         self.weights[index] = weight;
@@ -62,6 +64,7 @@
         }
     }
 
+    /// The sum of all weights.
     pub fn total(&self) -> f64 {
         let (mut at, mut sum) = (self.weights.len(), 0.0);
         while at > 0 {
@@ -71,7 +74,8 @@
         sum
     }
 
-    /// The index whose part of the total holds this share of it; none if there is no weight.
+    /// Returns the index whose interval of the total contains this share of it (0 to 1), so that a uniform
+    /// share draws by weight. `None` if the total is 0.
     pub fn at(&self, share: f64) -> Option<usize> {
         let total = self.total();
         if total <= 0.0 {
@@ -87,7 +91,7 @@
             }
             step /= 2;
         }
-        // Rounding may lead past the last weight, or onto one of nothing.
+        // Rounding errors may lead past the last weight or to one that is 0.
         let found = at.min(self.weights.len() - 1);
         match self.weights[found] > 0.0 {
             true => Some(found),
@@ -96,23 +100,23 @@
     }
 }
 
-/// The order of turns: each line's next turn is its last one and the inverse of its weight later; the
-/// earliest goes. A heap, so that a pick costs the height of it.
+/// A queue of servers by earliest deadline first. The next deadline of a server is its last one plus the inverse
+/// of its weight. It is a binary heap, so that a pick takes logarithmic time.
 #[derive(Clone, Debug, Default)]
 pub struct EdfQueue {
-    /// Next turn and place in the table, the earliest first.
+    /// Deadline and index in the table; the earliest is first, the lower index among equals.
     heap: Vec<(f64, usize)>,
 }
 
-fn sooner(a: &(f64, usize), b: &(f64, usize)) -> bool {
+fn is_before(a: &(f64, usize), b: &(f64, usize)) -> bool {
     a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)).is_lt()
 }
 
 impl EdfQueue {
-    fn push(&mut self, turn: (f64, usize)) {
-        self.heap.push(turn);
+    fn push(&mut self, entry: (f64, usize)) {
+        self.heap.push(entry);
         let mut at = self.heap.len() - 1;
-        while at > 0 && sooner(&self.heap[at], &self.heap[(at - 1) / 2]) {
+        while at > 0 && is_before(&self.heap[at], &self.heap[(at - 1) / 2]) {
             self.heap.swap(at, (at - 1) / 2);
             at = (at - 1) / 2;
         }
@@ -128,7 +132,7 @@
             let (left, right) = (2 * at + 1, 2 * at + 2);
             let mut first = at;
             for child in [left, right] {
-                if child < self.heap.len() && sooner(&self.heap[child], &self.heap[first]) {
+                if child < self.heap.len() && is_before(&self.heap[child], &self.heap[first]) {
                     first = child;
                 }
             }
@@ -141,163 +145,178 @@
     }
 }
 
-/// See the module's head.
+/// Picks servers from the present table by a balancing policy.
 #[derive(Clone, Debug)]
 pub struct Picker {
-    way: BalancingPolicy,
-    lines: Vec<WeightedServer>,
-    sums: FenwickTree,
-    turns: EdfQueue,
-    /// Where the order of turns has come to.
+    policy: BalancingPolicy,
+    servers: Vec<WeightedServer>,
+    /// The weights of `servers`, for random draws.
+    weights: FenwickTree,
+    /// Deadlines of `servers`, for the round-robin order.
+    queue: EdfQueue,
+    /// The latest deadline that was served.
     now: f64,
-    out: BTreeMap<usize, u32>,
+    /// The proxy's own tries in flight, by server.
+    in_flight: BTreeMap<usize, u32>,
     rng: Rng,
 }
 
 impl Picker {
-    pub fn new(way: BalancingPolicy, seed: u64) -> Picker {
+    /// Creates a picker with an empty table.
+    pub fn new(policy: BalancingPolicy, seed: u64) -> Picker {
         Picker {
-            way,
-            lines: Vec::new(),
-            sums: FenwickTree::default(),
-            turns: EdfQueue::default(),
+            policy,
+            servers: Vec::new(),
+            weights: FenwickTree::default(),
+            queue: EdfQueue::default(),
             now: 0.0,
-            out: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             rng: Rng::from_seed(seed),
         }
     }
 
+    /// The present table.
     pub fn servers(&self) -> &[WeightedServer] {
-        &self.lines
+        &self.servers
     }
 
-    /// Takes a new table whole; lines without weight are not in it, and of two for one server the last
-    /// counts.
+    /// Replaces the table. Entries without a positive finite weight are left out; of two entries for one server
+    /// the last counts.
     pub fn swap_table(&mut self, table: &[WeightedServer]) {
         let mut next: Vec<WeightedServer> = Vec::with_capacity(table.len());
-        let mut places: BTreeMap<usize, usize> = BTreeMap::new();
-        for line in table
+        let mut indices: BTreeMap<usize, usize> = BTreeMap::new();
+        for entry in table
             .iter()
-            .filter(|l| l.weight > 0.0 && l.weight.is_finite())
+            .filter(|e| e.weight > 0.0 && e.weight.is_finite())
         {
-            match places.get(&line.server) {
-                Some(place) => next[*place] = *line,
+            match indices.get(&entry.server) {
+                Some(index) => next[*index] = *entry,
                 None => {
-                    places.insert(line.server, next.len());
-                    next.push(*line);
+                    indices.insert(entry.server, next.len());
+                    next.push(*entry);
                 }
             }
         }
-        if self.way == BalancingPolicy::WeightedRoundRobin {
-            self.turn_over(&next, &places);
+        if self.policy == BalancingPolicy::WeightedRoundRobin {
+            self.rebuild_queue(&next, &indices);
         }
-        let weights: Vec<f64> = next.iter().map(|l| l.weight).collect();
-        self.sums = FenwickTree::of(&weights);
-        self.lines = next;
+        let weights: Vec<f64> = next.iter().map(|e| e.weight).collect();
+        self.weights = FenwickTree::of(&weights);
+        self.servers = next;
     }
 
-    /// The order of turns for a new table. A server that stays has waited a part of its turn, and waits the
-    /// same part of the new one; one that comes waits a part by rng, so that proxies that are given a
-    /// server at one moment do not all send to it first.
-    fn turn_over(&mut self, next: &[WeightedServer], places: &BTreeMap<usize, usize>) {
+    /// Builds the round-robin order of a new table. A server that stays keeps the fraction of its interval that it
+    /// still has to wait. A new server waits a random fraction, so that proxies that get it at the same moment do
+    /// not all send to it first.
+    fn rebuild_queue(&mut self, next: &[WeightedServer], indices: &BTreeMap<usize, usize>) {
         let mut waits: BTreeMap<usize, f64> = BTreeMap::new();
-        for (turn, place) in &self.turns.heap {
-            let line = self.lines[*place];
-            waits.insert(line.server, ((turn - self.now) * line.weight).max(0.0));
+        for (deadline, index) in &self.queue.heap {
+            let entry = self.servers[*index];
+            waits.insert(
+                entry.server,
+                ((deadline - self.now) * entry.weight).max(0.0),
+            );
         }
-        let mut turns = EdfQueue::default();
-        for (server, place) in places {
+        let mut queue = EdfQueue::default();
+        for (server, index) in indices {
             let wait = waits.get(server).copied();
             let wait = wait.unwrap_or_else(|| self.rng.next_f64());
-            turns.push((wait / next[*place].weight, *place));
+            queue.push((wait / next[*index].weight, *index));
         }
-        // From nothing again at each table, so that the order never runs out of digits.
-        (self.turns, self.now) = (turns, 0.0);
+        // Time restarts at 0 with each table, so that deadlines never grow until they lose precision.
+        (self.queue, self.now) = (queue, 0.0);
     }
 
-    /// Picks a server that may be picked; none if there is none.
-    pub fn pick(&mut self, may: impl Fn(usize) -> bool) -> Option<usize> {
-        match self.way {
-            BalancingPolicy::WeightedRoundRobin => self.take_turn(&may),
-            BalancingPolicy::WeightedRandom => self.draw(&may, None),
+    /// Picks a server that `is_allowed` accepts; `None` if there is none.
+    pub fn pick(&mut self, is_allowed: impl Fn(usize) -> bool) -> Option<usize> {
+        match self.policy {
+            BalancingPolicy::WeightedRoundRobin => self.pick_earliest(&is_allowed),
+            BalancingPolicy::WeightedRandom => self.draw(&is_allowed, None),
             BalancingPolicy::TwoChoices => {
-                let one = self.draw(&may, None)?;
-                let Some(two) = self.draw(&may, Some(one)) else {
-                    return Some(one);
+                let first = self.draw(&is_allowed, None)?;
+                let Some(second) = self.draw(&is_allowed, Some(first)) else {
+                    return Some(first);
                 };
-                Some(if self.in_flight(two) < self.in_flight(one) {
-                    two
+                Some(if self.in_flight(second) < self.in_flight(first) {
+                    second
                 } else {
-                    one
+                    first
                 })
             }
         }
     }
 
-    fn take_turn(&mut self, may: &impl Fn(usize) -> bool) -> Option<usize> {
-        // Those passed over keep their turn: once they may be picked again they are first, but they do not
-        // make up for all that they missed.
-        let mut passed = Vec::new();
+    fn pick_earliest(&mut self, is_allowed: &impl Fn(usize) -> bool) -> Option<usize> {
+        // Servers that are skipped keep their deadline, moved up to now: they are first once they are allowed
+        // again, but do not make up for all the visits that they missed.
+        let mut skipped = Vec::new();
         let mut found = None;
-        while let Some((turn, place)) = self.turns.pop() {
-            let line = self.lines[place];
-            if may(line.server) {
-                self.now = self.now.max(turn);
-                self.turns
-                    .push((turn.max(self.now) + 1.0 / line.weight, place));
-                found = Some(line.server);
+        while let Some((deadline, index)) = self.queue.pop() {
+            let entry = self.servers[index];
+            if is_allowed(entry.server) {
+                self.now = self.now.max(deadline);
+                self.queue
+                    .push((deadline.max(self.now) + 1.0 / entry.weight, index));
+                found = Some(entry.server);
                 break;
             }
-            passed.push((turn, place));
+            skipped.push((deadline, index));
         }
-        for (turn, place) in passed {
-            self.turns.push((turn.max(self.now), place));
+        for (deadline, index) in skipped {
+            self.queue.push((deadline.max(self.now), index));
         }
         found
     }
 
-    fn draw(&mut self, may: &impl Fn(usize) -> bool, other: Option<usize>) -> Option<usize> {
-        let fits = |server: usize| Some(server) != other && may(server);
-        for _ in 0..DRAWS {
-            let place = self.sums.at(self.rng.next_f64())?;
-            let server = self.lines[place].server;
-            if fits(server) {
+    /// Draws an allowed server by weight, other than `excluded`.
+    fn draw(
+        &mut self,
+        is_allowed: &impl Fn(usize) -> bool,
+        excluded: Option<usize>,
+    ) -> Option<usize> {
+        let is_candidate = |server: usize| Some(server) != excluded && is_allowed(server);
+        for _ in 0..MAX_DRAWS {
+            let index = self.weights.at(self.rng.next_f64())?;
+            let server = self.servers[index].server;
+            if is_candidate(server) {
                 return Some(server);
             }
         }
-        // Most of the weight may not be picked: among the rest, by weight.
-        let rest: Vec<WeightedServer> = self
-            .lines
+        // Excluded servers probably have most of the weight: draw among the candidates alone.
+        let candidates: Vec<WeightedServer> = self
+            .servers
             .iter()
             .copied()
-            .filter(|l| fits(l.server))
+            .filter(|e| is_candidate(e.server))
             .collect();
-        let all: f64 = rest.iter().map(|l| l.weight).sum();
-        let mut left = self.rng.next_f64() * all;
-        for line in &rest {
-            left -= line.weight;
+        let total: f64 = candidates.iter().map(|e| e.weight).sum();
+        let mut left = self.rng.next_f64() * total;
+        for entry in &candidates {
+            left -= entry.weight;
             if left < 0.0 {
-                return Some(line.server);
+                return Some(entry.server);
             }
         }
-        rest.last().map(|l| l.server)
+        candidates.last().map(|e| e.server)
     }
 
+    /// Counts a try of the proxy's own as in flight at a server.
     pub fn try_started(&mut self, server: usize) {
-        *self.out.entry(server).or_default() += 1;
+        *self.in_flight.entry(server).or_default() += 1;
     }
 
+    /// Counts a try as ended.
     pub fn try_ended(&mut self, server: usize) {
-        if let Some(many) = self.out.get_mut(&server) {
-            *many -= 1;
-            if *many == 0 {
-                self.out.remove(&server);
+        if let Some(count) = self.in_flight.get_mut(&server) {
+            *count -= 1;
+            if *count == 0 {
+                self.in_flight.remove(&server);
             }
         }
     }
 
-    /// The proxy's own visits that are out at a server.
+    /// Returns how many of the proxy's own tries are in flight at a server.
     pub fn in_flight(&self, server: usize) -> u32 {
-        self.out.get(&server).copied().unwrap_or(0)
+        self.in_flight.get(&server).copied().unwrap_or(0)
     }
 }
