--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -1,43 +1,45 @@
-//! HTTP/1.1 as a proxy must read it: heads by a library's parser, bodies framed by RFC 9112, and whatever
-//! could be read in two ways refused.
+//! Reads and writes HTTP/1.1 messages. Heads are parsed by `httparse`, bodies are framed by RFC 9112. Messages that
+//! another hop could read differently are refused, since they could smuggle a request past it.
 
 use dahliapoint_fibers::TcpStream;
 use std::io::{self, Read, Write};
 
-/// Bytes of a head, and headers in it.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Headers of a head; also lines of trailers.
 const MAX_HEADERS: usize = 100;
-/// Bytes that are read at once, and held of a body.
+/// Bytes that are read at once; the buffer of a body is no larger.
 const READ_BYTES: usize = 16 * 1024;
-/// Bytes of a line that begins a chunk, and of all trailers.
+/// Bytes of a line that starts a chunk, and of a line of the trailers.
 const MAX_LINE_BYTES: usize = 1024;
 
-/// What is wrong with a message: the status to answer with, and why.
+/// A message that is refused: the status to answer with, and the reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BadMessage(pub u16, pub &'static str);
 
-/// How long a body is.
+/// How the end of a body is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFraming {
     Length(u64),
     Chunked,
-    /// Of a response: until the connection closes.
+    /// The body of a response that ends with the connection.
     UntilClose,
 }
 
 /// The head of a request or a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
-    /// Method and target of a request; empty for a response.
+    /// Method of a request; empty for a response.
     pub method: String,
+    /// Target of a request; empty for a response.
     pub target: String,
-    /// Of a response.
+    /// Status of a response; 0 for a request.
     pub status: u16,
+    /// Minor version: 0 or 1.
     pub version: u8,
     pub headers: Vec<(String, Vec<u8>)>,
 }
 
-/// Headers that are of one connection, not of the message (RFC 9110, 7.6.1).
+/// Headers that belong to one connection and not to the message (RFC 9110, 7.6.1).
 const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -51,6 +53,7 @@
 ];
 
 impl Head {
+    /// Returns the first header of that name, trimmed, if it is UTF-8.
     pub fn get(&self, name: &str) -> Option<&str> {
         let found = self
             .headers
@@ -61,6 +64,7 @@
             .map(str::trim)
     }
 
+    /// The values of all headers of that name.
     fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         let named = self
             .headers
@@ -69,18 +73,19 @@
         named.map(|(_, v)| v.as_slice())
     }
 
-    /// The connection ends after this message.
+    /// Returns whether the connection ends after this message.
     pub fn closes(&self) -> bool {
-        let said = |word: &str| {
+        let has_option = |option: &str| {
             self.all("connection").any(|v| {
                 let text = String::from_utf8_lossy(v).to_ascii_lowercase();
-                text.split(',').any(|w| w.trim() == word)
+                text.split(',').any(|o| o.trim() == option)
             })
         };
-        said("close") || self.version == 0 && !said("keep-alive")
+        has_option("close") || self.version == 0 && !has_option("keep-alive")
     }
 
-    /// Headers that go on to the next hop: without those of this connection, and those that it names.
+    /// The headers that are passed on to the next hop: without hop-by-hop headers, those that `Connection` names,
+    /// and `Content-Length`, which the next hop gets anew.
     pub fn end_to_end_headers(&self) -> impl Iterator<Item = &(String, Vec<u8>)> {
         let named: Vec<String> = self
             .all("connection")
@@ -99,7 +104,8 @@
         })
     }
 
-    /// The length that the headers tell, if they tell one that can be read in one way only.
+    /// Returns the framing that the headers declare, if any. Headers that can be read in more than one way are
+    /// refused.
     fn declared_framing(&self) -> Result<Option<BodyFraming>, BadMessage> {
         let codings: Vec<String> = self
             .all("transfer-encoding")
@@ -126,33 +132,33 @@
         }
     }
 
-    /// The body of a request.
+    /// Returns the framing of the body of a request.
     ///
     /// # Errors
-    /// What is wrong with its framing.
+    /// Why the framing is refused.
     pub fn request_body(&self) -> Result<BodyFraming, BadMessage> {
         Ok(self.declared_framing()?.unwrap_or(BodyFraming::Length(0)))
     }
 
-    /// The body of a response to a request of that method.
+    /// Returns the framing of the body of a response to a request of that method.
     ///
     /// # Errors
-    /// What is wrong with its framing.
+    /// Why the framing is refused.
     pub fn response_body(&self, method: &str) -> Result<BodyFraming, BadMessage> {
-        let told = self.declared_framing()?;
-        let none =
+        let declared = self.declared_framing()?;
+        let has_no_body =
             method == "HEAD" || self.status == 204 || self.status == 304 || self.status < 200;
-        Ok(match none {
+        Ok(match has_no_body {
             true => BodyFraming::Length(0),
-            false => told.unwrap_or(BodyFraming::UntilClose),
+            false => declared.unwrap_or(BodyFraming::UntilClose),
         })
     }
 }
 
-/// A head and its length, none while more of it is wanted.
+/// A head and its length; `None` if it is not complete yet.
 type Parsed = Result<Option<(usize, Head)>, BadMessage>;
 
-/// A socket with what was read of it and not used yet.
+/// A socket, and the bytes that were read from it but not used yet.
 pub struct Connection {
     pub socket: TcpStream,
     buffer: Vec<u8>,
@@ -166,16 +172,17 @@
     }
 }
 
-/// What reading found.
+/// The result of reading a message.
 #[derive(Debug)]
 pub enum ReadOutcome<T> {
     Message(T),
-    /// The other side closed, or broke, before anything of it came.
+    /// The peer closed the connection, or it broke, before the first byte.
     Closed,
     Invalid(BadMessage),
 }
 
 impl Connection {
+    /// A connection of which nothing was read yet.
     pub fn new(socket: TcpStream) -> Connection {
         Connection {
             socket,
@@ -183,7 +190,7 @@
         }
     }
 
-    /// Nothing was read ahead.
+    /// Returns whether all bytes that were read were used.
     pub fn is_buffer_empty(&self) -> bool {
         self.buffer.is_empty()
     }
@@ -229,10 +236,10 @@
         self.head(parse_response)
     }
 
-    /// Passes a body on, a bounded piece at a time.
+    /// Reads a body and gives it to `to` in pieces of bounded size.
     ///
     /// # Errors
-    /// When either side breaks, or the body is not framed as it says.
+    /// When either side fails, or the body is not framed as declared.
     pub fn copy_body(
         &mut self,
         body: BodyFraming,
@@ -256,7 +263,7 @@
                 }
                 self.copy_bytes(size, &mut to)?;
                 if self.line()? != b"" {
-                    return Err(io::Error::other("a chunk that does not end where it says"));
+                    return Err(io::Error::other("chunk is longer than its declared size"));
                 }
             },
         }
@@ -282,7 +289,7 @@
         Ok(())
     }
 
-    /// A line up to its end, which is CR and LF and nothing else.
+    /// Reads a line, which must end in CR LF and contain no other CR. Returns it without its end.
     fn line(&mut self) -> io::Result<Vec<u8>> {
         loop {
             if let Some(at) = self.buffer.iter().position(|b| *b == b'\n') {
@@ -291,10 +298,10 @@
                 let line = line.filter(|l| !l.contains(&b'\r') && l.len() <= MAX_LINE_BYTES);
                 return line
                     .map(<[u8]>::to_vec)
-                    .ok_or_else(|| io::Error::other("a line that is not one"));
+                    .ok_or_else(|| io::Error::other("line does not end in CR LF or is too long"));
             }
             if self.buffer.len() > MAX_LINE_BYTES + 2 {
-                return Err(io::Error::other("a line that is too long"));
+                return Err(io::Error::other("line is too long"));
             }
             if self.fill()? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
@@ -304,16 +311,16 @@
 
     fn chunk_size(&mut self) -> io::Result<u64> {
         let line = self.line()?;
-        // Extensions are passed over; the size is hexadecimal digits and nothing before or after them.
+        // Extensions are ignored. The size is hexadecimal digits with nothing before or after them.
         let digits = line.split(|b| *b == b';').next().unwrap_or_default();
-        let fine =
+        let is_valid =
             !digits.is_empty() && digits.len() <= 15 && digits.iter().all(u8::is_ascii_hexdigit);
-        let text = std::str::from_utf8(digits).ok().filter(|_| fine);
+        let text = std::str::from_utf8(digits).ok().filter(|_| is_valid);
         let size = text.and_then(|t| u64::from_str_radix(t, 16).ok());
-        size.ok_or_else(|| io::Error::other("a chunk without its size"))
+        size.ok_or_else(|| io::Error::other("chunk without a valid size"))
     }
 
-    /// Trailers are read and not passed on.
+    /// Reads the trailers; they are not passed on.
     fn skip_trailers(&mut self) -> io::Result<()> {
         for _ in 0..MAX_HEADERS {
             if self.line()?.is_empty() {
@@ -325,10 +332,10 @@
 }
 
 fn headers_of(headers: &[httparse::Header<'_>]) -> Vec<(String, Vec<u8>)> {
-    let own = headers
+    let owned = headers
         .iter()
         .map(|h| (h.name.to_string(), h.value.to_vec()));
-    own.collect()
+    owned.collect()
 }
 
 fn parse_request(bytes: &[u8]) -> Parsed {
@@ -345,7 +352,7 @@
         version: request.version.unwrap_or(0),
         headers: headers_of(request.headers),
     };
-    // Bare line feeds are read differently by others: nobody downstream shall see such a head.
+    // Other HTTP parsers read a bare line feed differently, so no server may get such a head.
     if bytes[..length]
         .windows(2)
         .any(|w| w[1] == b'\n' && w[0] != b'\r')
@@ -379,10 +386,10 @@
     Ok(Some((length, head)))
 }
 
-/// Writes a head with the framing of the body that follows.
-pub fn write_head(first: &str, head: &Head, body: BodyFraming, closes: bool) -> Vec<u8> {
+/// Writes a head: the start line, the end-to-end headers of `head`, and the framing of the body that follows.
+pub fn write_head(start_line: &str, head: &Head, body: BodyFraming, closes: bool) -> Vec<u8> {
     let mut out = Vec::with_capacity(512);
-    out.extend_from_slice(first.as_bytes());
+    out.extend_from_slice(start_line.as_bytes());
     out.extend_from_slice(b"\r\n");
     for (name, value) in head.end_to_end_headers() {
         out.extend_from_slice(name.as_bytes());
@@ -405,10 +412,10 @@
     out
 }
 
-/// Writes a piece of a body in its framing; an empty piece ends a chunked one.
+/// Writes a piece of a body in its framing. An empty piece ends a chunked body.
 ///
 /// # Errors
-/// Those of the socket.
+/// Errors of the socket.
 pub fn write_body_piece(to: &mut impl Write, body: BodyFraming, piece: &[u8]) -> io::Result<()> {
     match body {
         BodyFraming::Length(_) => to.write_all(piece),
@@ -422,106 +429,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn framed(head: &str) -> Result<BodyFraming, BadMessage> {
-        let text = format!("POST /a HTTP/1.1\r\nHost: h\r\n{head}\r\n");
-        let (_, head) = parse_request(text.as_bytes())?.unwrap();
-        head.request_body()
-    }
-
-    #[test]
-    fn what_could_be_read_in_two_ways_is_refused() {
-        let cases = [
-            ("Content-Length: 5\r\n", Ok(BodyFraming::Length(5))),
-            ("", Ok(BodyFraming::Length(0))),
-            ("Transfer-Encoding: chunked\r\n", Ok(BodyFraming::Chunked)),
-            (
-                "Content-Length: 5\r\nContent-Length: 5\r\n",
-                Ok(BodyFraming::Length(5)),
-            ),
-            ("Content-Length: 5\r\nContent-Length: 6\r\n", Err(400)),
-            ("Content-Length: 5, 5\r\n", Err(400)),
-            ("Content-Length: +5\r\n", Err(400)),
-            ("Content-Length: 5x\r\n", Err(400)),
-            ("Content-Length:\r\n", Err(400)),
-            ("Content-Length: 99999999999999999999999\r\n", Err(400)),
-            (
-                "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
-                Err(400),
-            ),
-            ("Transfer-Encoding: gzip, chunked\r\n", Err(501)),
-            (
-                "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n",
-                Err(501),
-            ),
-            ("Transfer-Encoding: xchunked\r\n", Err(501)),
-            ("Host: again\r\n", Err(400)),
-            ("X: a\r\n folded\r\n", Err(400)),
-            ("X : a\r\n", Err(400)),
-            ("X: a\nY: b\r\n", Err(400)),
-        ];
-        for (head, wanted) in cases {
-            let got = framed(head).map_err(|w| w.0);
-            assert_eq!(got, wanted, "{head:?}");
-        }
-        for target in ["http://h/", "*", "h:80"] {
-            let text = format!("GET {target} HTTP/1.1\r\nHost: h\r\n\r\n");
-            assert!(parse_request(text.as_bytes()).is_err(), "{target}");
-        }
-        assert!(parse_request(b"GET / HTTP/1.1\r\n\r\n").is_err(), "no Host");
-        assert_eq!(parse_request(b"GET / HTTP/1.1\r\nHo"), Ok(None));
-    }
-
-    #[test]
-    fn headers_of_one_hop_do_not_go_on() {
-        let text = "GET /a HTTP/1.1\r\nHost: h\r\nConnection: keep-alive, X-Own\r\nX-Own: 1\r\nTE: trailers\r\n\
-                    Upgrade: x\r\nKeep: 2\r\nContent-Length: 0\r\n\r\n";
-        let (_, head) = parse_request(text.as_bytes()).unwrap().unwrap();
-        let names: Vec<&str> = head.end_to_end_headers().map(|(n, _)| n.as_str()).collect();
-        assert_eq!(names, ["Host", "Keep"]);
-        assert!(!head.closes());
-        let wrote = write_head("GET /a HTTP/1.1", &head, BodyFraming::Length(0), true);
-        let wrote = String::from_utf8(wrote).unwrap();
-        assert!(
-            wrote.ends_with("Content-Length: 0\r\nConnection: close\r\n\r\n"),
-            "{wrote}"
-        );
-    }
-
-    #[test]
-    fn responses_without_a_body_have_none() {
-        let head = |status: u16, more: &str| {
-            let text = format!("HTTP/1.1 {status} X\r\n{more}\r\n");
-            parse_response(text.as_bytes()).unwrap().unwrap().1
-        };
-        let cases = [
-            (
-                head(200, "Content-Length: 3\r\n"),
-                "GET",
-                BodyFraming::Length(3),
-            ),
-            (
-                head(200, "Content-Length: 3\r\n"),
-                "HEAD",
-                BodyFraming::Length(0),
-            ),
-            (head(204, ""), "GET", BodyFraming::Length(0)),
-            (
-                head(304, "Content-Length: 3\r\n"),
-                "GET",
-                BodyFraming::Length(0),
-            ),
-            (
-                head(200, "Transfer-Encoding: chunked\r\n"),
-                "GET",
-                BodyFraming::Chunked,
-            ),
-            (head(200, ""), "GET", BodyFraming::UntilClose),
-        ];
-        for (head, method, wanted) in cases {
-            assert_eq!(head.response_body(method), Ok(wanted), "{head:?}");
-        }
-    }
-}
+mod tests;
