--- a/crates/proxy/src/data_plane.rs
+++ b/crates/proxy/src/data_plane.rs
@@ -21,13 +21,13 @@
 use tracing::{debug, warn};
 
 /// A body up to this size is held, so that its visit can be tried again.
-const HELD: u64 = 64 * 1024;
+const MAX_BUFFERED_BODY_BYTES: u64 = 64 * 1024;
 /// How often clients of waiting visits are looked at.
-const LOOK: Duration = Duration::from_millis(20);
+const CLIENT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Connections kept to one server.
-const KEPT: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 /// How soon a refused client is to come again, in seconds.
-const COME_AGAIN_S: u32 = 1;
+const RETRY_AFTER_S: u32 = 1;
 
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
@@ -45,13 +45,13 @@
 }
 
 impl Servers {
-    fn place(&mut self, address: &str) -> usize {
+    fn index_of(&mut self, address: &str) -> usize {
         let next = self.addresses.len();
-        let place = *self.by_address.entry(address.to_string()).or_insert(next);
-        if place == next {
+        let index = *self.by_address.entry(address.to_string()).or_insert(next);
+        if index == next {
             self.addresses.push(address.parse().ok());
         }
-        place
+        index
     }
 }
 
@@ -69,31 +69,31 @@
 struct Counts {
     endpoints: BTreeMap<(usize, usize), EndpointTally>,
     dropped: BTreeMap<usize, u64>,
-    under_way: BTreeMap<(usize, usize), u64>,
+    in_progress: BTreeMap<(usize, usize), u64>,
 }
 
 /// The data plane of one proxy.
 pub struct DataPlane {
     pub settings: Settings,
-    begun: Instant,
+    started: Instant,
     servers: Mutex<Servers>,
-    standing: Vec<RosterServer>,
+    initial_servers: Vec<RosterServer>,
     table: Mutex<Table>,
     pools: Mutex<HashMap<usize, Vec<(Connection, Instant)>>>,
     counts: Mutex<Counts>,
-    clients: AtomicUsize,
+    client_count: AtomicUsize,
     /// Connections of clients, to be ended with the plane.
-    met: Mutex<HashMap<u64, std::net::TcpStream>>,
-    waiting: Mutex<HashMap<u64, Arc<Waiting>>>,
+    client_sockets: Mutex<HashMap<u64, std::net::TcpStream>>,
+    waiting_visits: Mutex<HashMap<u64, Arc<WaitingVisit>>>,
     /// Rung when a visit waits where none did: nobody is looked for while there is nobody.
-    waits: Notify,
-    visits: AtomicU64,
+    visit_waiting: Notify,
+    next_id: AtomicU64,
     stopping: AtomicBool,
     environment: Arc<dyn Environment>,
 }
 
 /// How a try ended.
-enum Tried {
+enum TryOutcome {
     Answered(Box<Answer>),
     Failed(Failure),
     /// The client went away; the server was told by its connection's end.
@@ -101,28 +101,37 @@
 }
 
 /// A visit that waits for its answer: both ends, as they are looked at from aside.
-struct Waiting {
+struct WaitingVisit {
     client: std::net::TcpStream,
     server: std::net::TcpStream,
     cancelled: AtomicBool,
 }
 
+/// The answer of a server, of which the head was read.
 struct Answer {
     head: Head,
     body: BodyFraming,
-    source: Connection,
+    connection: Connection,
     /// Ends the answer at the hard limit.
     limit: Timer,
 }
 
+/// A try that a server answered.
+struct AnsweredTry {
+    answer: Box<Answer>,
+    class: usize,
+    server: usize,
+    started: Instant,
+}
+
 /// A visit's body: held, or still with the client.
-enum Brought {
-    Held(Vec<u8>),
-    Streams(BodyFraming),
+enum RequestBody {
+    Buffered(Vec<u8>),
+    Streamed(BodyFraming),
 }
 
 impl DataPlane {
-    /// A plane with its standing table: so many servers of the roster, of its own zone if three are there.
+    /// A plane with its initial_servers table: so many servers of the roster, of its own zone if three are there.
     pub fn new(settings: Settings, roster: &[RosterServer]) -> Arc<DataPlane> {
         DataPlane::with_environment(settings, roster, Arc::new(PlainSockets))
     }
@@ -141,16 +150,16 @@
         } else {
             ready().collect()
         };
-        let mut standing = Vec::new();
-        while standing.len() < settings.initial_servers && !left.is_empty() {
+        let mut initial_servers = Vec::new();
+        while initial_servers.len() < settings.initial_servers && !left.is_empty() {
             let at = (rng.next_f64() * left.len() as f64) as usize;
-            standing.push(left.swap_remove(at.min(left.len() - 1)).clone());
+            initial_servers.push(left.swap_remove(at.min(left.len() - 1)).clone());
         }
         let classes = settings.classes.len();
         let plane = DataPlane {
-            begun: Instant::now(),
+            started: Instant::now(),
             servers: Mutex::default(),
-            standing,
+            initial_servers,
             table: Mutex::new(Table {
                 picker: Picker::new(settings.balancing, settings.seed),
                 ejector: OutlierEjector::new(settings.ejection_failures, settings.ejection_ms),
@@ -161,11 +170,11 @@
             }),
             pools: Mutex::default(),
             counts: Mutex::default(),
-            clients: AtomicUsize::new(0),
-            met: Mutex::default(),
-            waiting: Mutex::default(),
-            waits: Notify::default(),
-            visits: AtomicU64::new(0),
+            client_count: AtomicUsize::new(0),
+            client_sockets: Mutex::default(),
+            waiting_visits: Mutex::default(),
+            visit_waiting: Notify::default(),
+            next_id: AtomicU64::new(0),
             stopping: AtomicBool::new(false),
             environment,
             settings,
@@ -175,10 +184,10 @@
     }
 
     fn now_ms(&self) -> f64 {
-        self.begun.elapsed().as_secs_f64() * 1e3
+        self.started.elapsed().as_secs_f64() * 1e3
     }
 
-    /// Puts a table into use, whole, between two visits: the one given, or the standing one without what
+    /// Puts a table into use, whole, between two visits: the one given, or the initial_servers one without what
     /// is withdrawn. `lines` were sent for it, each of which holds the proxy up.
     pub fn swap_table(&self, held: Option<&Held>, is_shut: &dyn Fn(&str) -> bool, lines: usize) {
         let mut servers = lock(&self.servers);
@@ -186,15 +195,15 @@
             Some(held) => {
                 let open = held.lines.iter().filter(|l| l.open);
                 open.map(|l| WeightedServer {
-                    server: servers.place(&l.address),
+                    server: servers.index_of(&l.address),
                     weight: f64::from(l.weight),
                 })
                 .collect()
             }
             None => {
-                let open = self.standing.iter().filter(|l| !is_shut(&l.name));
+                let open = self.initial_servers.iter().filter(|l| !is_shut(&l.name));
                 open.map(|l| WeightedServer {
-                    server: servers.place(&l.address.to_string()),
+                    server: servers.index_of(&l.address.to_string()),
                     weight: 1.0,
                 })
                 .collect()
@@ -263,17 +272,17 @@
         self.stopping.store(true, Ordering::SeqCst);
         // Wakes the accepting coroutine, which then sees the end.
         let _ = dial(at, Duration::from_secs(1));
-        while !lock(&self.waiting).is_empty() && Instant::now() < until {
-            sleep(LOOK);
+        while !lock(&self.waiting_visits).is_empty() && Instant::now() < until {
+            sleep(CLIENT_CHECK_INTERVAL);
         }
-        for client in lock(&self.met).values() {
+        for client in lock(&self.client_sockets).values() {
             let _ = client.shutdown(Shutdown::Both);
         }
-        for visit in lock(&self.waiting).values() {
+        for visit in lock(&self.waiting_visits).values() {
             let _ = visit.server.shutdown(Shutdown::Both);
         }
         lock(&self.pools).clear();
-        self.waits.notify();
+        self.visit_waiting.notify();
     }
 
     /// Serves clients, until it is ended.
@@ -286,9 +295,9 @@
         let watching = self.clone();
         spawn(move || {
             while !watching.is_stopping() {
-                watching.waits.wait(None);
-                while watching.look_for_the_gone() > 0 {
-                    sleep(LOOK);
+                watching.visit_waiting.wait(None);
+                while watching.cancel_abandoned_visits() > 0 {
+                    sleep(CLIENT_CHECK_INTERVAL);
                 }
             }
         });
@@ -302,8 +311,8 @@
                     sleep(Duration::from_millis(20));
                     continue;
                 };
-                if plane.clients.fetch_add(1, Ordering::SeqCst) >= plane.settings.max_clients {
-                    plane.clients.fetch_sub(1, Ordering::SeqCst);
+                if plane.client_count.fetch_add(1, Ordering::SeqCst) >= plane.settings.max_clients {
+                    plane.client_count.fetch_sub(1, Ordering::SeqCst);
                     warn!(
                         most = plane.settings.max_clients,
                         "a client too many is refused"
@@ -312,13 +321,13 @@
                 }
                 let plane = plane.clone();
                 spawn(move || {
-                    let id = plane.visits.fetch_add(1, Ordering::SeqCst);
+                    let id = plane.next_id.fetch_add(1, Ordering::SeqCst);
                     if let Ok(hand) = socket.inner().try_clone() {
-                        lock(&plane.met).insert(id, hand);
+                        lock(&plane.client_sockets).insert(id, hand);
                     }
-                    plane.converse(socket);
-                    lock(&plane.met).remove(&id);
-                    plane.clients.fetch_sub(1, Ordering::SeqCst);
+                    plane.serve_client(socket);
+                    lock(&plane.client_sockets).remove(&id);
+                    plane.client_count.fetch_sub(1, Ordering::SeqCst);
                 });
             }
         });
@@ -327,8 +336,9 @@
 
     /// Visits whose client has gone away need no answer: their connections to servers are ended, so that
     /// servers which can stop do.
-    fn look_for_the_gone(&self) -> usize {
-        let waiting: Vec<Arc<Waiting>> = lock(&self.waiting).values().cloned().collect();
+    fn cancel_abandoned_visits(&self) -> usize {
+        let waiting: Vec<Arc<WaitingVisit>> =
+            lock(&self.waiting_visits).values().cloned().collect();
         for visit in &waiting {
             let gone = match visit.client.peek(&mut [0; 1]) {
                 Ok(0) => true,
@@ -344,7 +354,7 @@
     }
 
     /// A client's connection: one visit after the other.
-    fn converse(&self, socket: TcpStream) {
+    fn serve_client(&self, socket: TcpStream) {
         let _ = socket.set_nodelay(true);
         let mut client = Connection::new(socket);
         loop {
@@ -360,7 +370,7 @@
                 ReadOutcome::Closed => return,
                 ReadOutcome::Invalid(BadMessage(status, why)) => {
                     debug!(status, why, "a request is refused");
-                    let _ = answer(&mut client.socket, status, why, true);
+                    let _ = write_own_answer(&mut client.socket, status, why, true);
                     return;
                 }
             };
@@ -384,13 +394,13 @@
         let body = match head.request_body() {
             Ok(body) => body,
             Err(BadMessage(status, why)) => {
-                answer(&mut client.socket, status, why, true)?;
+                write_own_answer(&mut client.socket, status, why, true)?;
                 return Ok(false);
             }
         };
         let Some(class) = self.class_of(&head.target) else {
             // What is left of its body is not waited for.
-            answer(&mut client.socket, 404, "no such class of visits", true)?;
+            write_own_answer(&mut client.socket, 404, "no such class of visits", true)?;
             return Ok(false);
         };
         let stalled = {
@@ -399,7 +409,7 @@
             if !table.admissions[class].admits() {
                 drop(table);
                 *lock(&self.counts).dropped.entry(class).or_default() += 1;
-                answer(&mut client.socket, 503, "not let in now", true)?;
+                write_own_answer(&mut client.socket, 503, "not let in now", true)?;
                 return Ok(false);
             }
             table.stalled_until
@@ -415,8 +425,8 @@
         {
             client.socket.write_all(b"HTTP/1.1 100 Continue\r\n\r\n")?;
         }
-        let brought = match body {
-            BodyFraming::Length(length) if length <= HELD => {
+        let request_body = match body {
+            BodyFraming::Length(length) if length <= MAX_BUFFERED_BODY_BYTES => {
                 let slow = shutdown_at(&client.socket, until)?;
                 let mut held = Vec::new();
                 client.copy_body(body, |piece| {
@@ -424,34 +434,34 @@
                     Ok(())
                 })?;
                 drop(slow);
-                Brought::Held(held)
+                RequestBody::Buffered(held)
             }
-            other => Brought::Streams(other),
+            other => RequestBody::Streamed(other),
         };
-        match self.carry(client, head, class, &brought, until) {
-            Ok(mut found) => self.hand_back(client, head, &mut found),
+        match self.forward(client, head, class, &request_body, until) {
+            Ok(mut answered) => self.send_answer(client, head, &mut answered),
             Err(status) => {
-                let kept = matches!(brought, Brought::Held(_));
+                let kept = matches!(request_body, RequestBody::Buffered(_));
                 let why = if status == 504 {
                     "no answer in time"
                 } else {
                     "no server answers"
                 };
-                answer(&mut client.socket, status, why, !kept)?;
+                write_own_answer(&mut client.socket, status, why, !kept)?;
                 Ok(kept)
             }
         }
     }
 
     /// Tries a server, and another if that is ordered and may be. The status to answer with if none did.
-    fn carry(
+    fn forward(
         &self,
         client: &mut Connection,
         head: &Head,
         class: usize,
-        brought: &Brought,
+        request_body: &RequestBody,
         until: Instant,
-    ) -> Result<(Box<Answer>, usize, Instant, usize), u16> {
+    ) -> Result<AnsweredTry, u16> {
         let mut tried: Vec<usize> = Vec::new();
         loop {
             let picked = {
@@ -471,21 +481,28 @@
                 return Err(503);
             };
             tried.push(server);
-            let begun = Instant::now();
+            let started = Instant::now();
             self.count(class, server, |t| t.issued += 1);
             *lock(&self.counts)
-                .under_way
+                .in_progress
                 .entry((class, server))
                 .or_default() += 1;
-            match self.attempt(client, head, server, brought, until) {
-                Tried::Answered(found) => return Ok((found, server, begun, class)),
-                Tried::Cancelled => {
+            match self.attempt(client, head, server, request_body, until) {
+                TryOutcome::Answered(answer) => {
+                    return Ok(AnsweredTry {
+                        answer,
+                        class,
+                        server,
+                        started,
+                    });
+                }
+                TryOutcome::Cancelled => {
                     // Neither good nor failed: it says nothing of the server.
-                    self.left(class, server);
+                    self.try_left(class, server);
                     return Err(499);
                 }
-                Tried::Failed(failure) => {
-                    self.ended(class, server, begun, false);
+                TryOutcome::Failed(failure) => {
+                    self.try_ended(class, server, started, false);
                     let left = until.saturating_duration_since(Instant::now());
                     let failed = FailedTry {
                         idempotency: self.settings.classes[class].idempotency,
@@ -494,7 +511,7 @@
                         tries: tried.len() as u32,
                         left_ms: left.as_secs_f64() * 1e3,
                     };
-                    let streamed = matches!(brought, Brought::Streams(_));
+                    let streamed = matches!(request_body, RequestBody::Streamed(_));
                     let again = retry::check_retry(&failed, &mut lock(&self.table).budget);
                     if streamed || again.is_err() {
                         return Err(if left.is_zero() { 504 } else { 502 });
@@ -504,8 +521,8 @@
         }
     }
 
-    fn ended(&self, class: usize, server: usize, begun: Instant, good: bool) {
-        let took = begun.elapsed().as_secs_f64() * 1e3;
+    fn try_ended(&self, class: usize, server: usize, started: Instant, good: bool) {
+        let took = started.elapsed().as_secs_f64() * 1e3;
         self.count(class, server, |t| match good {
             true => {
                 t.good += 1;
@@ -513,7 +530,7 @@
             }
             false => t.failed += 1,
         });
-        self.left(class, server);
+        self.try_left(class, server);
         let now = self.now_ms();
         let mut table = lock(&self.table);
         if table.ejector.record_try(now, server, good) {
@@ -523,8 +540,8 @@
     }
 
     /// A try is not under way any more.
-    fn left(&self, class: usize, server: usize) {
-        if let Some(many) = lock(&self.counts).under_way.get_mut(&(class, server)) {
+    fn try_left(&self, class: usize, server: usize) {
+        if let Some(many) = lock(&self.counts).in_progress.get_mut(&(class, server)) {
             *many -= 1;
         }
         lock(&self.table).picker.try_ended(server);
@@ -539,8 +556,10 @@
         loop {
             let kept = lock(&self.pools).get_mut(&server).and_then(Vec::pop);
             match kept {
-                Some((source, used)) if used.elapsed() < idle && !is_closed(&source.socket) => {
-                    return Ok((source, false));
+                Some((connection, used))
+                    if used.elapsed() < idle && !is_closed(&connection.socket) =>
+                {
+                    return Ok((connection, false));
                 }
                 Some(_) => {}
                 None => break,
@@ -561,79 +580,82 @@
         client: &mut Connection,
         head: &Head,
         server: usize,
-        brought: &Brought,
+        request_body: &RequestBody,
         until: Instant,
-    ) -> Tried {
-        let (source, _) = match self.connection(server, until) {
+    ) -> TryOutcome {
+        let (connection, _) = match self.connection(server, until) {
             Ok(found) => found,
-            Err(failure) => return Tried::Failed(failure),
+            Err(failure) => return TryOutcome::Failed(failure),
         };
         let hands = (
             client.socket.inner().try_clone(),
-            source.socket.inner().try_clone(),
+            connection.socket.inner().try_clone(),
         );
         let (Ok(near), Ok(far)) = hands else {
-            return Tried::Failed(Failure::NeverRan);
+            return TryOutcome::Failed(Failure::NeverRan);
         };
-        let waiting = Arc::new(Waiting {
+        let waiting = Arc::new(WaitingVisit {
             client: near,
             server: far,
             cancelled: AtomicBool::new(false),
         });
-        let id = self.visits.fetch_add(1, Ordering::SeqCst);
+        let id = self.next_id.fetch_add(1, Ordering::SeqCst);
         let first = {
-            let mut all = lock(&self.waiting);
+            let mut all = lock(&self.waiting_visits);
             all.insert(id, waiting.clone());
             all.len() == 1
         };
         if first {
-            self.waits.notify();
+            self.visit_waiting.notify();
         }
-        let tried = self.call(client, source, head, brought, until);
-        lock(&self.waiting).remove(&id);
+        let tried = self.exchange(client, connection, head, request_body, until);
+        lock(&self.waiting_visits).remove(&id);
         match waiting.cancelled.load(Ordering::SeqCst) {
-            true => Tried::Cancelled,
+            true => TryOutcome::Cancelled,
             false => tried,
         }
     }
 
-    fn call(
+    fn exchange(
         &self,
         client: &mut Connection,
-        mut source: Connection,
+        mut connection: Connection,
         head: &Head,
-        brought: &Brought,
+        request_body: &RequestBody,
         until: Instant,
-    ) -> Tried {
-        let Ok(limit) = shutdown_at(&source.socket, until) else {
-            return Tried::Failed(Failure::NeverRan);
+    ) -> TryOutcome {
+        let Ok(limit) = shutdown_at(&connection.socket, until) else {
+            return TryOutcome::Failed(Failure::NeverRan);
         };
-        let framing = match brought {
-            Brought::Held(bytes) => BodyFraming::Length(bytes.len() as u64),
-            Brought::Streams(body) => *body,
+        let framing = match request_body {
+            RequestBody::Buffered(bytes) => BodyFraming::Length(bytes.len() as u64),
+            RequestBody::Streamed(body) => *body,
         };
         let first = format!("{} {} HTTP/1.1", head.method, head.target);
         let mut out = write_head(&first, head, framing, false);
-        if let Brought::Held(bytes) = brought {
+        if let RequestBody::Buffered(bytes) = request_body {
             out.extend_from_slice(bytes);
         }
-        let sent = source.socket.write_all(&out).and_then(|()| match brought {
-            Brought::Held(_) => Ok(()),
-            Brought::Streams(body) => {
-                client.copy_body(*body, |piece| {
-                    write_body_piece(&mut source.socket, *body, piece)
-                })?;
-                match body {
-                    BodyFraming::Chunked => source.socket.write_all(b"0\r\n\r\n"),
-                    _ => Ok(()),
+        let sent = connection
+            .socket
+            .write_all(&out)
+            .and_then(|()| match request_body {
+                RequestBody::Buffered(_) => Ok(()),
+                RequestBody::Streamed(body) => {
+                    client.copy_body(*body, |piece| {
+                        write_body_piece(&mut connection.socket, *body, piece)
+                    })?;
+                    match body {
+                        BodyFraming::Chunked => connection.socket.write_all(b"0\r\n\r\n"),
+                        _ => Ok(()),
+                    }
                 }
-            }
-        });
+            });
         if sent.is_err() {
-            return Tried::Failed(Failure::MayHaveRun);
+            return TryOutcome::Failed(Failure::MayHaveRun);
         }
         loop {
-            match source.response() {
+            match connection.response() {
                 // Said ahead of the answer.
                 ReadOutcome::Message(answer) if answer.status < 200 => {}
                 ReadOutcome::Message(answer) => {
@@ -641,41 +663,42 @@
                         answer.status == 503 && answer.get(&self.settings.proof_header).is_some();
                     if answer.status >= 500 {
                         // Its connection is not used again: what is left of the answer is not read.
-                        return Tried::Failed(match unseen {
+                        return TryOutcome::Failed(match unseen {
                             true => Failure::NeverRan,
                             false => Failure::MayHaveRun,
                         });
                     }
                     let Ok(body) = answer.response_body(&head.method) else {
-                        return Tried::Failed(Failure::MayHaveRun);
+                        return TryOutcome::Failed(Failure::MayHaveRun);
                     };
-                    return Tried::Answered(Box::new(Answer {
+                    return TryOutcome::Answered(Box::new(Answer {
                         head: answer,
                         body,
-                        source,
+                        connection,
                         limit,
                     }));
                 }
                 ReadOutcome::Closed | ReadOutcome::Invalid(_) => {
-                    return Tried::Failed(Failure::MayHaveRun);
+                    return TryOutcome::Failed(Failure::MayHaveRun);
                 }
             }
         }
     }
 
     /// Passes an answer on to the client; the connection to the server is kept if it can be.
-    fn hand_back(
+    fn send_answer(
         &self,
         client: &mut Connection,
         head: &Head,
-        found: &mut (Box<Answer>, usize, Instant, usize),
+        answered: &mut AnsweredTry,
     ) -> io::Result<bool> {
-        let (found, server, begun, class) = (&mut found.0, found.1, found.2, found.3);
-        self.words(class, server, &found.head);
-        let first = format!("HTTP/1.1 {} X", found.head.status);
-        let whole = write_head(&first, &found.head, found.body, head.closes());
-        let body = found.body;
-        let bodiless = head.method == "HEAD" || matches!(found.head.status, 204 | 304);
+        let (class, server, started) = (answered.class, answered.server, answered.started);
+        let answer = &mut answered.answer;
+        self.record_server_load(class, server, &answer.head);
+        let first = format!("HTTP/1.1 {} X", answer.head.status);
+        let whole = write_head(&first, &answer.head, answer.body, head.closes());
+        let body = answer.body;
+        let bodiless = head.method == "HEAD" || matches!(answer.head.status, 204 | 304);
         // A head goes out with the first of its body, in one packet, where the body's length is known.
         let mut ahead = whole;
         let begins = match body {
@@ -685,7 +708,7 @@
             }
         };
         let passed = begins.and_then(|()| {
-            found.source.copy_body(body, |piece| {
+            answer.connection.copy_body(body, |piece| {
                 if ahead.is_empty() {
                     return write_body_piece(&mut client.socket, body, piece);
                 }
@@ -700,21 +723,21 @@
                 }
             }
         });
-        self.ended(
+        self.try_ended(
             class,
             server,
-            begun,
-            passed.is_ok() || !found.limit.has_fired(),
+            started,
+            passed.is_ok() || !answer.limit.has_fired(),
         );
         passed?;
-        let reusable = !found.limit.has_fired()
-            && !found.head.closes()
+        let reusable = !answer.limit.has_fired()
+            && !answer.head.closes()
             && body != BodyFraming::UntilClose
-            && found.source.is_buffer_empty();
-        if reusable && let Ok(socket) = found.source.socket.try_clone() {
+            && answer.connection.is_buffer_empty();
+        if reusable && let Ok(socket) = answer.connection.socket.try_clone() {
             let mut pools = lock(&self.pools);
             let kept = pools.entry(server).or_default();
-            if kept.len() < KEPT {
+            if kept.len() < MAX_IDLE_CONNECTIONS {
                 kept.push((Connection::new(socket), Instant::now()));
             }
         }
@@ -734,7 +757,7 @@
     }
 
     /// The server's own words, as ORCA has them in an answer's header.
-    fn words(&self, class: usize, server: usize, head: &Head) {
+    fn record_server_load(&self, class: usize, server: usize, head: &Head) {
         let load = head
             .get("endpoint-load-metrics")
             .and_then(|t| t.strip_prefix("TEXT "));
@@ -767,7 +790,7 @@
             .map(|(i, class)| {
                 let met = endpoints.iter().filter(|((c, _), _)| *c == i);
                 let met = met.map(|(place, e)| EndpointTally {
-                    in_progress: counts.under_way.get(place).copied().unwrap_or(0),
+                    in_progress: counts.in_progress.get(place).copied().unwrap_or(0),
                     ..e.clone()
                 });
                 let dropped = dropped.get(&i).map(|n| (class.name.clone(), *n));
@@ -788,7 +811,7 @@
                 *lock(&self.counts).dropped.entry(class).or_default() += dropped;
             }
             for e in tally.endpoints {
-                let server = lock(&self.servers).place(&e.address);
+                let server = lock(&self.servers).index_of(&e.address);
                 self.count(class, server, |t| {
                     t.issued += e.issued;
                     t.good += e.good;
@@ -811,10 +834,10 @@
 }
 
 /// An answer of the proxy's own.
-fn answer(to: &mut TcpStream, status: u16, why: &str, closes: bool) -> io::Result<()> {
+fn write_own_answer(to: &mut TcpStream, status: u16, why: &str, closes: bool) -> io::Result<()> {
     let close = if closes { "Connection: close\r\n" } else { "" };
     let again = match status {
-        503 => format!("Retry-After: {COME_AGAIN_S}\r\n"),
+        503 => format!("Retry-After: {RETRY_AFTER_S}\r\n"),
         _ => String::new(),
     };
     let length = why.len() + 1;
