--- a/crates/proxy/src/data_plane.rs
+++ b/crates/proxy/src/data_plane.rs
@@ -1,4 +1,4 @@
-//! The data plane: takes visits from clients and carries each to a server by the table in use.
+//! The data plane: accepts visits from clients and forwards each to a server of the table in use.
 
 use crate::Rng;
 use crate::admission::Admission;
@@ -20,27 +20,29 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, warn};
 
-/// A body up to this size is held, so that its visit can be tried again.
+/// The body of a request up to this size is buffered, so that its visit can be tried again.
 const MAX_BUFFERED_BODY_BYTES: u64 = 64 * 1024;
-/// How often clients of waiting visits are looked at.
+/// How often the proxy checks whether clients of waiting visits have disconnected.
 const CLIENT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Connections kept to one server.
+/// Idle connections that are kept to one server.
 const MAX_IDLE_CONNECTIONS: usize = 64;
-/// How soon a refused client is to come again, in seconds.
+/// `Retry-After` of a 503 answer.
 const RETRY_AFTER_S: u32 = 1;
 
+/// Locks a mutex, also one that a panic has poisoned.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-fn ms(time: f64) -> Duration {
-    Duration::from_secs_f64(time.max(0.0) / 1e3)
+fn duration_ms(ms: f64) -> Duration {
+    Duration::from_secs_f64(ms.max(0.0) / 1e3)
 }
 
-/// Servers by name and address, and the index that each has for good.
+/// Assigns an index to the address of each server. An index is never reused.
 #[derive(Default)]
 struct Servers {
     by_address: HashMap<String, usize>,
+    /// By index; `None` for an address that cannot be parsed.
     addresses: Vec<Option<SocketAddr>>,
 }
 
@@ -55,20 +57,26 @@
     }
 }
 
-/// What is decided by together: swapped and asked under one lock, held for moments.
+/// The state of all decisions. It is replaced and used under one lock, which is held only briefly, so that no
+/// visit sees parts of two tables.
 struct Table {
     picker: Picker,
     ejector: OutlierEjector,
+    /// By class, as `retry_policies`.
     admissions: Vec<Admission>,
     retry_policies: Vec<RetryPolicy>,
     budget: RetryBudget,
+    /// New visits wait until then; see [`Settings::stall_per_line_us`].
     stalled_until: Instant,
 }
 
+/// Counts for load reports, by class or by class and server.
 #[derive(Default)]
 struct Counts {
     endpoints: BTreeMap<(usize, usize), EndpointTally>,
+    /// Visits that were not admitted.
     dropped: BTreeMap<usize, u64>,
+    /// Tries in flight.
     in_progress: BTreeMap<(usize, usize), u64>,
 }
 
@@ -77,16 +85,19 @@
     pub settings: Settings,
     started: Instant,
     servers: Mutex<Servers>,
+    /// The servers that are used until the controller sends a table.
     initial_servers: Vec<RosterServer>,
     table: Mutex<Table>,
+    /// Idle connections by server, with the time of last use.
     pools: Mutex<HashMap<usize, Vec<(Connection, Instant)>>>,
     counts: Mutex<Counts>,
     client_count: AtomicUsize,
-    /// Connections of clients, to be ended with the plane.
+    /// Connections of clients, which are closed when the data plane shuts down.
     client_sockets: Mutex<HashMap<u64, std::net::TcpStream>>,
     waiting_visits: Mutex<HashMap<u64, Arc<WaitingVisit>>>,
-    /// Rung when a visit waits where none did: nobody is looked for while there is nobody.
+    /// Notified when the first visit starts to wait for its answer; without waiting visits nothing is polled.
     visit_waiting: Notify,
+    /// Next key of `client_sockets` and `waiting_visits`.
     next_id: AtomicU64,
     stopping: AtomicBool,
     environment: Arc<dyn Environment>,
@@ -96,11 +107,11 @@
 enum TryOutcome {
     Answered(Box<Answer>),
     Failed(Failure),
-    /// The client went away; the server was told by its connection's end.
+    /// The client disconnected, and the connection to the server was closed.
     Cancelled,
 }
 
-/// A visit that waits for its answer: both ends, as they are looked at from aside.
+/// The sockets of a visit that waits for its answer, for the coroutine that checks for disconnected clients.
 struct WaitingVisit {
     client: std::net::TcpStream,
     server: std::net::TcpStream,
@@ -112,7 +123,7 @@
     head: Head,
     body: BodyFraming,
     connection: Connection,
-    /// Ends the answer at the hard limit.
+    /// Closes the connection at the hard limit.
     limit: Timer,
 }
 
@@ -124,36 +135,41 @@
     started: Instant,
 }
 
-/// A visit's body: held, or still with the client.
+/// The body of a request: read already, or still to be read from the client.
 enum RequestBody {
     Buffered(Vec<u8>),
     Streamed(BodyFraming),
 }
 
 impl DataPlane {
-    /// A plane with its initial_servers table: so many servers of the roster, of its own zone if three are there.
+    /// Creates a data plane whose first table are random ready servers of the roster, as many as the settings say;
+    /// of its own zone, if at least three are ready there.
     pub fn new(settings: Settings, roster: &[RosterServer]) -> Arc<DataPlane> {
         DataPlane::with_environment(settings, roster, Arc::new(PlainSockets))
     }
 
-    /// The same, with something else than plain sockets around it.
+    /// As [`DataPlane::new`], with an environment other than plain sockets.
     pub fn with_environment(
         settings: Settings,
         roster: &[RosterServer],
         environment: Arc<dyn Environment>,
     ) -> Arc<DataPlane> {
         let mut rng = Rng::from_seed(settings.seed);
-        let ready = || roster.iter().filter(|l| l.ready);
-        let near: Vec<&RosterServer> = ready().filter(|l| l.zone == settings.zone).collect();
-        let mut left: Vec<&RosterServer> = if near.len() >= 3 {
-            near
+        let ready = || roster.iter().filter(|s| s.ready);
+        let in_zone: Vec<&RosterServer> = ready().filter(|s| s.zone == settings.zone).collect();
+        let mut candidates: Vec<&RosterServer> = if in_zone.len() >= 3 {
+            in_zone
         } else {
             ready().collect()
         };
         let mut initial_servers = Vec::new();
-        while initial_servers.len() < settings.initial_servers && !left.is_empty() {
-            let at = (rng.next_f64() * left.len() as f64) as usize;
-            initial_servers.push(left.swap_remove(at.min(left.len() - 1)).clone());
+        while initial_servers.len() < settings.initial_servers && !candidates.is_empty() {
+            let index = (rng.next_f64() * candidates.len() as f64) as usize;
+            initial_servers.push(
+                candidates
+                    .swap_remove(index.min(candidates.len() - 1))
+                    .clone(),
+            );
         }
         let classes = settings.classes.len();
         let plane = DataPlane {
@@ -183,15 +199,22 @@
         Arc::new(plane)
     }
 
+    /// Time since the start, the clock of all decisions.
     fn now_ms(&self) -> f64 {
         self.started.elapsed().as_secs_f64() * 1e3
     }
 
-    /// Puts a table into use, whole, between two visits: the one given, or the initial_servers one without what
-    /// is withdrawn. `lines` were sent for it, each of which holds the proxy up.
-    pub fn swap_table(&self, held: Option<&Held>, is_shut: &dyn Fn(&str) -> bool, lines: usize) {
+    /// Replaces the table between two visits, so that none sees parts of both: by the table `held`, or without one
+    /// by the initial servers without those that are withdrawn. `lines` is the number of changed lines; new visits
+    /// stall for each of them as the settings say.
+    pub fn swap_table(
+        &self,
+        held: Option<&Held>,
+        is_withdrawn: &dyn Fn(&str) -> bool,
+        lines: usize,
+    ) {
         let mut servers = lock(&self.servers);
-        let picks: Vec<WeightedServer> = match held {
+        let entries: Vec<WeightedServer> = match held {
             Some(held) => {
                 let open = held.lines.iter().filter(|l| l.open);
                 open.map(|l| WeightedServer {
@@ -201,78 +224,85 @@
                 .collect()
             }
             None => {
-                let open = self.initial_servers.iter().filter(|l| !is_shut(&l.name));
-                open.map(|l| WeightedServer {
-                    server: servers.index_of(&l.address.to_string()),
+                let open = self
+                    .initial_servers
+                    .iter()
+                    .filter(|s| !is_withdrawn(&s.name));
+                open.map(|s| WeightedServer {
+                    server: servers.index_of(&s.address.to_string()),
                     weight: 1.0,
                 })
                 .collect()
             }
         };
         drop(servers);
-        let there: Vec<usize> = picks.iter().map(|l| l.server).collect();
+        let in_table: Vec<usize> = entries.iter().map(|e| e.server).collect();
         let mut table = lock(&self.table);
-        table.picker.swap_table(&picks);
-        table.ejector.retain(|s| there.contains(&s));
+        table.picker.swap_table(&entries);
+        table.ejector.retain(|s| in_table.contains(&s));
         for (i, class) in self.settings.classes.iter().enumerate() {
-            let given = held.map(|h| {
+            let from_table = held.map(|h| {
                 let share = h.shares.get(&class.name).copied().unwrap_or(1.0);
-                let on = h.retry_on.get(&class.name).map_or("", String::as_str);
-                let policy = match on {
+                let retry_on = h.retry_on.get(&class.name).map_or("", String::as_str);
+                let policy = match retry_on {
                     "" => RetryPolicy::Never,
                     on if on.contains("5xx") => RetryPolicy::OnFailure,
                     _ => RetryPolicy::OnProof,
                 };
                 (share, policy)
             });
-            let (share, policy) = given.unwrap_or((1.0, RetryPolicy::OnProof));
+            let (share, policy) = from_table.unwrap_or((1.0, RetryPolicy::OnProof));
             table.admissions[i].set_share(share);
             table.retry_policies[i] = policy;
         }
         let stall = Duration::from_secs_f64(self.settings.stall_per_line_us * lines as f64 / 1e6);
         table.stalled_until = Instant::now() + stall;
         drop(table);
-        // Connections to servers that are not in the table are closed.
+        // Idle connections to servers that are not in the table are closed, outside the lock.
         let closed: Vec<_> = {
             let mut pools = lock(&self.pools);
-            let out: Vec<usize> = pools
+            let removed: Vec<usize> = pools
                 .keys()
                 .copied()
-                .filter(|s| !there.contains(s))
+                .filter(|s| !in_table.contains(s))
                 .collect();
-            out.iter().filter_map(|s| pools.remove(s)).collect()
+            removed.iter().filter_map(|s| pools.remove(s)).collect()
         };
         drop(closed);
     }
 
-    /// Servers that can be picked now.
+    /// Returns the number of servers in the table in use.
     pub fn server_count(&self) -> usize {
         lock(&self.table).picker.servers().len()
     }
 
-    /// The servers of the table in use.
+    /// Returns the addresses of the servers in the table in use.
     pub fn servers(&self) -> Vec<SocketAddr> {
         let table = lock(&self.table);
-        let picked: Vec<usize> = table.picker.servers().iter().map(|l| l.server).collect();
+        let indices: Vec<usize> = table.picker.servers().iter().map(|e| e.server).collect();
         drop(table);
-        picked.into_iter().filter_map(|s| self.address(s)).collect()
+        indices
+            .into_iter()
+            .filter_map(|s| self.address(s))
+            .collect()
     }
 
     pub(crate) fn environment(&self) -> &Arc<dyn Environment> {
         &self.environment
     }
 
+    /// Returns whether [`DataPlane::shut_down`] was called.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Takes no more clients. Those that are there have until then for their visits; what is left is cut.
-    /// `at` is where it serves.
-    pub fn shut_down(&self, at: SocketAddr, until: Instant) {
+    /// Accepts no more clients. Visits that wait for an answer have until `deadline`; then all connections are
+    /// closed. `listen` is the address that it serves.
+    pub fn shut_down(&self, listen: SocketAddr, deadline: Instant) {
         self.stopping.store(true, Ordering::SeqCst);
-        // Wakes the accepting coroutine, which then sees the end.
-        let _ = dial(at, Duration::from_secs(1));
-        while !lock(&self.waiting_visits).is_empty() && Instant::now() < until {
+        // Wakes the coroutine that accepts connections, which then stops.
+        let _ = dial(listen, Duration::from_secs(1));
+        while !lock(&self.waiting_visits).is_empty() && Instant::now() < deadline {
             sleep(CLIENT_CHECK_INTERVAL);
         }
         for client in lock(&self.client_sockets).values() {
@@ -285,7 +315,7 @@
         self.visit_waiting.notify();
     }
 
-    /// Serves clients, until it is ended.
+    /// Listens and serves clients until [`DataPlane::shut_down`] is called. Returns the address.
     ///
     /// # Errors
     /// When the address cannot be bound.
@@ -315,15 +345,15 @@
                     plane.client_count.fetch_sub(1, Ordering::SeqCst);
                     warn!(
                         most = plane.settings.max_clients,
-                        "a client too many is refused"
+                        "connection refused: too many clients"
                     );
                     continue;
                 }
                 let plane = plane.clone();
                 spawn(move || {
                     let id = plane.next_id.fetch_add(1, Ordering::SeqCst);
-                    if let Ok(hand) = socket.inner().try_clone() {
-                        lock(&plane.client_sockets).insert(id, hand);
+                    if let Ok(handle) = socket.inner().try_clone() {
+                        lock(&plane.client_sockets).insert(id, handle);
                     }
                     plane.serve_client(socket);
                     lock(&plane.client_sockets).remove(&id);
@@ -334,34 +364,34 @@
         Ok(address)
     }
 
-    /// Visits whose client has gone away need no answer: their connections to servers are ended, so that
-    /// servers which can stop do.
+    /// Cancels waiting visits whose client has disconnected: closes their connections to servers, so that servers
+    /// can stop working on them. Returns the number of waiting visits.
     fn cancel_abandoned_visits(&self) -> usize {
         let waiting: Vec<Arc<WaitingVisit>> =
             lock(&self.waiting_visits).values().cloned().collect();
         for visit in &waiting {
-            let gone = match visit.client.peek(&mut [0; 1]) {
+            let is_gone = match visit.client.peek(&mut [0; 1]) {
                 Ok(0) => true,
-                // Said ahead of the answer: the next request, and still there.
+                // The client is connected and has sent its next request before the answer.
                 Ok(_) => false,
                 Err(e) => e.kind() != io::ErrorKind::WouldBlock,
             };
-            if gone && !visit.cancelled.swap(true, Ordering::SeqCst) {
+            if is_gone && !visit.cancelled.swap(true, Ordering::SeqCst) {
                 let _ = visit.server.shutdown(Shutdown::Both);
             }
         }
         waiting.len()
     }
 
-    /// A client's connection: one visit after the other.
+    /// Serves the connection of a client: one visit after the other.
     fn serve_client(&self, socket: TcpStream) {
         let _ = socket.set_nodelay(true);
         let mut client = Connection::new(socket);
         loop {
-            // A client that says nothing for long is let go.
-            let Ok(idle) = shutdown_at(
+            // Closes the connection if no request comes in time.
+            let Ok(idle_timer) = shutdown_at(
                 &client.socket,
-                Instant::now() + ms(self.settings.idle_timeout_ms),
+                Instant::now() + duration_ms(self.settings.idle_timeout_ms),
             ) else {
                 return;
             };
@@ -369,19 +399,20 @@
                 ReadOutcome::Message(head) => head,
                 ReadOutcome::Closed => return,
                 ReadOutcome::Invalid(BadMessage(status, why)) => {
-                    debug!(status, why, "a request is refused");
+                    debug!(status, why, "request refused");
                     let _ = write_own_answer(&mut client.socket, status, why, true);
                     return;
                 }
             };
-            drop(idle);
-            let goes_on = self.visit(&mut client, &head).unwrap_or(false);
-            if !goes_on || head.closes() || self.is_stopping() {
+            drop(idle_timer);
+            let can_continue = self.visit(&mut client, &head).unwrap_or(false);
+            if !can_continue || head.closes() || self.is_stopping() {
                 return;
             }
         }
     }
 
+    /// The class whose name is the first segment of the path.
     fn class_of(&self, target: &str) -> Option<usize> {
         let path = target.split('?').next().unwrap_or_default();
         let first = path.trim_start_matches('/').split('/').next()?;
@@ -389,7 +420,7 @@
         self.settings.classes.iter().position(|c| c.name == name)
     }
 
-    /// One visit, to its end. Tells whether the connection can go on.
+    /// Serves one visit. Returns whether the connection can be used for the next.
     fn visit(&self, client: &mut Connection, head: &Head) -> io::Result<bool> {
         let body = match head.request_body() {
             Ok(body) => body,
@@ -399,11 +430,11 @@
             }
         };
         let Some(class) = self.class_of(&head.target) else {
-            // What is left of its body is not waited for.
+            // The rest of the body is not read.
             write_own_answer(&mut client.socket, 404, "no such class of visits", true)?;
             return Ok(false);
         };
-        let stalled = {
+        let stalled_until = {
             let mut table = lock(&self.table);
             table.budget.visit();
             if !table.admissions[class].admits() {
@@ -414,11 +445,11 @@
             }
             table.stalled_until
         };
-        let wait = stalled.saturating_duration_since(Instant::now());
+        let wait = stalled_until.saturating_duration_since(Instant::now());
         if !wait.is_zero() {
             sleep(wait);
         }
-        let until = Instant::now() + ms(self.settings.classes[class].hard_limit_ms);
+        let deadline = Instant::now() + duration_ms(self.settings.classes[class].hard_limit_ms);
         if head
             .get("expect")
             .is_some_and(|e| e.eq_ignore_ascii_case("100-continue"))
@@ -427,40 +458,40 @@
         }
         let request_body = match body {
             BodyFraming::Length(length) if length <= MAX_BUFFERED_BODY_BYTES => {
-                let slow = shutdown_at(&client.socket, until)?;
-                let mut held = Vec::new();
+                let body_timer = shutdown_at(&client.socket, deadline)?;
+                let mut buffered = Vec::new();
                 client.copy_body(body, |piece| {
-                    held.extend_from_slice(piece);
+                    buffered.extend_from_slice(piece);
                     Ok(())
                 })?;
-                drop(slow);
-                RequestBody::Buffered(held)
+                drop(body_timer);
+                RequestBody::Buffered(buffered)
             }
             other => RequestBody::Streamed(other),
         };
-        match self.forward(client, head, class, &request_body, until) {
+        match self.forward(client, head, class, &request_body, deadline) {
             Ok(mut answered) => self.send_answer(client, head, &mut answered),
             Err(status) => {
-                let kept = matches!(request_body, RequestBody::Buffered(_));
+                let is_body_read = matches!(request_body, RequestBody::Buffered(_));
                 let why = if status == 504 {
                     "no answer in time"
                 } else {
                     "no server answers"
                 };
-                write_own_answer(&mut client.socket, status, why, !kept)?;
-                Ok(kept)
+                write_own_answer(&mut client.socket, status, why, !is_body_read)?;
+                Ok(is_body_read)
             }
         }
     }
 
-    /// Tries a server, and another if that is ordered and may be. The status to answer with if none did.
+    /// Tries a server, and another one if a retry is allowed. Without an answer, returns the status for the client.
     fn forward(
         &self,
         client: &mut Connection,
         head: &Head,
         class: usize,
         request_body: &RequestBody,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<AnsweredTry, u16> {
         let mut tried: Vec<usize> = Vec::new();
         loop {
@@ -470,8 +501,9 @@
                     picker, ejector, ..
                 } = &mut *table;
                 let now = self.now_ms();
-                let picked =
-                    ejector.pick(now, |may| picker.pick(|s| !tried.contains(&s) && may(s)));
+                let picked = ejector.pick(now, |is_allowed| {
+                    picker.pick(|s| !tried.contains(&s) && is_allowed(s))
+                });
                 if let Some(server) = picked {
                     picker.try_started(server);
                 }
@@ -487,7 +519,7 @@
                 .in_progress
                 .entry((class, server))
                 .or_default() += 1;
-            match self.attempt(client, head, server, request_body, until) {
+            match self.attempt(client, head, server, request_body, deadline) {
                 TryOutcome::Answered(answer) => {
                     return Ok(AnsweredTry {
                         answer,
@@ -497,13 +529,13 @@
                     });
                 }
                 TryOutcome::Cancelled => {
-                    // Neither good nor failed: it says nothing of the server.
-                    self.try_left(class, server);
+                    // Neither a success nor a failure: the server is not to blame.
+                    self.release_try(class, server);
                     return Err(499);
                 }
                 TryOutcome::Failed(failure) => {
-                    self.try_ended(class, server, started, false);
-                    let left = until.saturating_duration_since(Instant::now());
+                    self.record_try(class, server, started, false);
+                    let left = deadline.saturating_duration_since(Instant::now());
                     let failed = FailedTry {
                         idempotency: self.settings.classes[class].idempotency,
                         policy: lock(&self.table).retry_policies[class],
@@ -511,9 +543,9 @@
                         tries: tried.len() as u32,
                         left_ms: left.as_secs_f64() * 1e3,
                     };
-                    let streamed = matches!(request_body, RequestBody::Streamed(_));
-                    let again = retry::check_retry(&failed, &mut lock(&self.table).budget);
-                    if streamed || again.is_err() {
+                    let is_streamed = matches!(request_body, RequestBody::Streamed(_));
+                    let retry = retry::check_retry(&failed, &mut lock(&self.table).budget);
+                    if is_streamed || retry.is_err() {
                         return Err(if left.is_zero() { 504 } else { 502 });
                     }
                 }
@@ -521,28 +553,29 @@
         }
     }
 
-    fn try_ended(&self, class: usize, server: usize, started: Instant, good: bool) {
-        let took = started.elapsed().as_secs_f64() * 1e3;
-        self.count(class, server, |t| match good {
+    /// Records the end of a try in the counts and for outlier ejection.
+    fn record_try(&self, class: usize, server: usize, started: Instant, is_success: bool) {
+        let elapsed_ms = started.elapsed().as_secs_f64() * 1e3;
+        self.count(class, server, |t| match is_success {
             true => {
                 t.good += 1;
-                t.good_ms += took;
+                t.good_ms += elapsed_ms;
             }
             false => t.failed += 1,
         });
-        self.try_left(class, server);
+        self.release_try(class, server);
         let now = self.now_ms();
         let mut table = lock(&self.table);
-        if table.ejector.record_try(now, server, good) {
+        if table.ejector.record_try(now, server, is_success) {
             drop(table);
-            warn!(server = ?self.address(server), "kept away from after a run of failures");
+            warn!(server = ?self.address(server), "server ejected after consecutive failures");
         }
     }
 
-    /// A try is not under way any more.
-    fn try_left(&self, class: usize, server: usize) {
-        if let Some(many) = lock(&self.counts).in_progress.get_mut(&(class, server)) {
-            *many -= 1;
+    /// Counts a try as no longer in flight.
+    fn release_try(&self, class: usize, server: usize) {
+        if let Some(count) = lock(&self.counts).in_progress.get_mut(&(class, server)) {
+            *count -= 1;
         }
         lock(&self.table).picker.try_ended(server);
     }
@@ -551,13 +584,14 @@
         lock(&self.servers).addresses.get(server).copied().flatten()
     }
 
-    fn connection(&self, server: usize, until: Instant) -> Result<(Connection, bool), Failure> {
-        let idle = ms(self.settings.idle_timeout_ms);
+    /// Takes an idle connection to a server, or opens one.
+    fn connection(&self, server: usize, deadline: Instant) -> Result<(Connection, bool), Failure> {
+        let idle_timeout = duration_ms(self.settings.idle_timeout_ms);
         loop {
-            let kept = lock(&self.pools).get_mut(&server).and_then(Vec::pop);
-            match kept {
-                Some((connection, used))
-                    if used.elapsed() < idle && !is_closed(&connection.socket) =>
+            let pooled = lock(&self.pools).get_mut(&server).and_then(Vec::pop);
+            match pooled {
+                Some((connection, last_used))
+                    if last_used.elapsed() < idle_timeout && !is_unusable(&connection.socket) =>
                 {
                     return Ok((connection, false));
                 }
@@ -566,73 +600,74 @@
             }
         }
         let to = self.address(server).ok_or(Failure::NeverRan)?;
-        let left = until.saturating_duration_since(Instant::now());
-        let patience = left.min(ms(self.settings.connect_timeout_ms));
-        let socket = self.environment.dial(to, patience);
+        let left = deadline.saturating_duration_since(Instant::now());
+        let timeout = left.min(duration_ms(self.settings.connect_timeout_ms));
+        let socket = self.environment.dial(to, timeout);
         let socket = socket.map_err(|_| Failure::NeverRan)?;
         let _ = socket.set_nodelay(true);
         Ok((Connection::new(socket), true))
     }
 
-    /// Sends the visit to a server and reads the head of its answer, while the client is watched.
+    /// Makes one try at a server. It is cancelled if the client disconnects meanwhile.
     fn attempt(
         &self,
         client: &mut Connection,
         head: &Head,
         server: usize,
         request_body: &RequestBody,
-        until: Instant,
+        deadline: Instant,
     ) -> TryOutcome {
-        let (connection, _) = match self.connection(server, until) {
+        let (connection, _) = match self.connection(server, deadline) {
             Ok(found) => found,
             Err(failure) => return TryOutcome::Failed(failure),
         };
-        let hands = (
+        let handles = (
             client.socket.inner().try_clone(),
             connection.socket.inner().try_clone(),
         );
-        let (Ok(near), Ok(far)) = hands else {
+        let (Ok(client_handle), Ok(server_handle)) = handles else {
             return TryOutcome::Failed(Failure::NeverRan);
         };
         let waiting = Arc::new(WaitingVisit {
-            client: near,
-            server: far,
+            client: client_handle,
+            server: server_handle,
             cancelled: AtomicBool::new(false),
         });
         let id = self.next_id.fetch_add(1, Ordering::SeqCst);
-        let first = {
+        let is_first = {
             let mut all = lock(&self.waiting_visits);
             all.insert(id, waiting.clone());
             all.len() == 1
         };
-        if first {
+        if is_first {
             self.visit_waiting.notify();
         }
-        let tried = self.exchange(client, connection, head, request_body, until);
+        let outcome = self.exchange(client, connection, head, request_body, deadline);
         lock(&self.waiting_visits).remove(&id);
         match waiting.cancelled.load(Ordering::SeqCst) {
             true => TryOutcome::Cancelled,
-            false => tried,
+            false => outcome,
         }
     }
 
+    /// Sends the visit to a server and reads the head of its answer.
     fn exchange(
         &self,
         client: &mut Connection,
         mut connection: Connection,
         head: &Head,
         request_body: &RequestBody,
-        until: Instant,
+        deadline: Instant,
     ) -> TryOutcome {
-        let Ok(limit) = shutdown_at(&connection.socket, until) else {
+        let Ok(limit) = shutdown_at(&connection.socket, deadline) else {
             return TryOutcome::Failed(Failure::NeverRan);
         };
         let framing = match request_body {
             RequestBody::Buffered(bytes) => BodyFraming::Length(bytes.len() as u64),
             RequestBody::Streamed(body) => *body,
         };
-        let first = format!("{} {} HTTP/1.1", head.method, head.target);
-        let mut out = write_head(&first, head, framing, false);
+        let start_line = format!("{} {} HTTP/1.1", head.method, head.target);
+        let mut out = write_head(&start_line, head, framing, false);
         if let RequestBody::Buffered(bytes) = request_body {
             out.extend_from_slice(bytes);
         }
@@ -656,14 +691,14 @@
         }
         loop {
             match connection.response() {
-                // Said ahead of the answer.
+                // An interim response (1xx).
                 ReadOutcome::Message(answer) if answer.status < 200 => {}
                 ReadOutcome::Message(answer) => {
-                    let unseen =
+                    let is_proof =
                         answer.status == 503 && answer.get(&self.settings.proof_header).is_some();
                     if answer.status >= 500 {
-                        // Its connection is not used again: what is left of the answer is not read.
-                        return TryOutcome::Failed(match unseen {
+                        // The connection is not reused, as the rest of the answer is not read.
+                        return TryOutcome::Failed(match is_proof {
                             true => Failure::NeverRan,
                             false => Failure::MayHaveRun,
                         });
@@ -685,7 +720,7 @@
         }
     }
 
-    /// Passes an answer on to the client; the connection to the server is kept if it can be.
+    /// Passes an answer on to the client, and keeps the connection to the server if it can be reused.
     fn send_answer(
         &self,
         client: &mut Connection,
@@ -695,68 +730,67 @@
         let (class, server, started) = (answered.class, answered.server, answered.started);
         let answer = &mut answered.answer;
         self.record_server_load(class, server, &answer.head);
-        let first = format!("HTTP/1.1 {} X", answer.head.status);
-        let whole = write_head(&first, &answer.head, answer.body, head.closes());
+        let start_line = format!("HTTP/1.1 {} X", answer.head.status);
+        let answer_head = write_head(&start_line, &answer.head, answer.body, head.closes());
         let body = answer.body;
-        let bodiless = head.method == "HEAD" || matches!(answer.head.status, 204 | 304);
-        // A head goes out with the first of its body, in one packet, where the body's length is known.
-        let mut ahead = whole;
-        let begins = match body {
+        let has_no_body = head.method == "HEAD" || matches!(answer.head.status, 204 | 304);
+        // If the length of the body is known, the head is sent together with the first piece, in one packet.
+        let mut unsent = answer_head;
+        let sent_head = match body {
             BodyFraming::Length(_) => Ok(()),
             BodyFraming::Chunked | BodyFraming::UntilClose => {
-                client.socket.write_all(&std::mem::take(&mut ahead))
+                client.socket.write_all(&std::mem::take(&mut unsent))
             }
         };
-        let passed = begins.and_then(|()| {
+        let sent = sent_head.and_then(|()| {
             answer.connection.copy_body(body, |piece| {
-                if ahead.is_empty() {
+                if unsent.is_empty() {
                     return write_body_piece(&mut client.socket, body, piece);
                 }
-                ahead.extend_from_slice(piece);
-                client.socket.write_all(&std::mem::take(&mut ahead))
+                unsent.extend_from_slice(piece);
+                client.socket.write_all(&std::mem::take(&mut unsent))
             })?;
             match body {
-                BodyFraming::Length(_) => client.socket.write_all(&ahead),
-                BodyFraming::Chunked | BodyFraming::UntilClose if bodiless => Ok(()),
+                BodyFraming::Length(_) => client.socket.write_all(&unsent),
+                BodyFraming::Chunked | BodyFraming::UntilClose if has_no_body => Ok(()),
                 BodyFraming::Chunked | BodyFraming::UntilClose => {
                     client.socket.write_all(b"0\r\n\r\n")
                 }
             }
         });
-        self.try_ended(
+        self.record_try(
             class,
             server,
             started,
-            passed.is_ok() || !answer.limit.has_fired(),
+            sent.is_ok() || !answer.limit.has_fired(),
         );
-        passed?;
-        let reusable = !answer.limit.has_fired()
+        sent?;
+        let is_reusable = !answer.limit.has_fired()
             && !answer.head.closes()
             && body != BodyFraming::UntilClose
             && answer.connection.is_buffer_empty();
-        if reusable && let Ok(socket) = answer.connection.socket.try_clone() {
+        if is_reusable && let Ok(socket) = answer.connection.socket.try_clone() {
             let mut pools = lock(&self.pools);
-            let kept = pools.entry(server).or_default();
-            if kept.len() < MAX_IDLE_CONNECTIONS {
-                kept.push((Connection::new(socket), Instant::now()));
+            let idle = pools.entry(server).or_default();
+            if idle.len() < MAX_IDLE_CONNECTIONS {
+                idle.push((Connection::new(socket), Instant::now()));
             }
         }
         Ok(true)
     }
 
-    // ---- reports ----
-
-    fn count(&self, class: usize, server: usize, note: impl FnOnce(&mut EndpointTally)) {
+    /// Updates the counts of a class at a server.
+    fn count(&self, class: usize, server: usize, update: impl FnOnce(&mut EndpointTally)) {
         let address = self.address(server);
         let mut counts = lock(&self.counts);
         let tally = counts.endpoints.entry((class, server)).or_default();
         if tally.address.is_empty() {
             tally.address = address.map(|a| a.to_string()).unwrap_or_default();
         }
-        note(tally);
+        update(tally);
     }
 
-    /// The server's own words, as ORCA has them in an answer's header.
+    /// Records the load that a server reports about itself in a header of its answer (ORCA).
     fn record_server_load(&self, class: usize, server: usize, head: &Head) {
         let load = head
             .get("endpoint-load-metrics")
@@ -773,14 +807,15 @@
                     .ok()
                     .filter(|v| v.is_finite() && *v >= 0.0);
                 if let (Some(name), Some(value)) = (name, value) {
-                    let word = t.words.entry(name.to_string()).or_default();
-                    (word.0, word.1) = (word.0 + 1, word.1 + value);
+                    let sample = t.words.entry(name.to_string()).or_default();
+                    (sample.0, sample.1) = (sample.0 + 1, sample.1 + value);
                 }
             }
         });
     }
 
-    /// What was counted since the last call. Given back by [`DataPlane::restore_tallies`] if it could not be sent.
+    /// Returns the counts since the last call and resets them. If they could not be sent, give them back by
+    /// [`DataPlane::restore_tallies`].
     pub fn take_tallies(&self) -> Vec<ClusterTally> {
         let mut counts = lock(&self.counts);
         let endpoints = std::mem::take(&mut counts.endpoints);
@@ -788,22 +823,22 @@
         let classes = self.settings.classes.iter().enumerate();
         classes
             .map(|(i, class)| {
-                let met = endpoints.iter().filter(|((c, _), _)| *c == i);
-                let met = met.map(|(place, e)| EndpointTally {
-                    in_progress: counts.in_progress.get(place).copied().unwrap_or(0),
+                let of_class = endpoints.iter().filter(|((c, _), _)| *c == i);
+                let of_class = of_class.map(|(key, e)| EndpointTally {
+                    in_progress: counts.in_progress.get(key).copied().unwrap_or(0),
                     ..e.clone()
                 });
                 let dropped = dropped.get(&i).map(|n| (class.name.clone(), *n));
                 ClusterTally {
                     cluster: names::cluster(&self.settings.service, &class.name),
-                    endpoints: met.collect(),
+                    endpoints: of_class.collect(),
                     dropped: dropped.into_iter().collect(),
                 }
             })
             .collect()
     }
 
-    /// A report that could not be sent is added to the next: told once, never twice.
+    /// Adds counts that could not be sent to those of the next report, so that they are reported exactly once.
     pub fn restore_tallies(&self, tallies: Vec<ClusterTally>) {
         for (class, tally) in tallies.into_iter().enumerate() {
             let dropped: u64 = tally.dropped.values().sum();
@@ -818,8 +853,8 @@
                     t.failed += e.failed;
                     t.good_ms += e.good_ms;
                     for (name, (n, sum)) in &e.words {
-                        let word = t.words.entry(name.clone()).or_default();
-                        (word.0, word.1) = (word.0 + n, word.1 + sum);
+                        let sample = t.words.entry(name.clone()).or_default();
+                        (sample.0, sample.1) = (sample.0 + n, sample.1 + sum);
                     }
                 });
             }
@@ -827,22 +862,22 @@
     }
 }
 
-/// The other side has closed a connection that was kept, or said something unasked.
-fn is_closed(socket: &TcpStream) -> bool {
+/// Returns whether the peer has closed an idle connection or sent something unexpected.
+fn is_unusable(socket: &TcpStream) -> bool {
     let peeked = socket.inner().peek(&mut [0; 1]);
     !matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// An answer of the proxy's own.
+/// Writes an answer that the proxy itself gives.
 fn write_own_answer(to: &mut TcpStream, status: u16, why: &str, closes: bool) -> io::Result<()> {
     let close = if closes { "Connection: close\r\n" } else { "" };
-    let again = match status {
+    let retry_after = match status {
         503 => format!("Retry-After: {RETRY_AFTER_S}\r\n"),
         _ => String::new(),
     };
     let length = why.len() + 1;
     let text = format!(
-        "HTTP/1.1 {status} X\r\nContent-Type: text/plain\r\nContent-Length: {length}\r\n{again}{close}\r\n{why}\n"
+        "HTTP/1.1 {status} X\r\nContent-Type: text/plain\r\nContent-Length: {length}\r\n{retry_after}{close}\r\n{why}\n"
     );
     to.write_all(text.as_bytes())
 }
