--- a/crates/proxy/src/file_client.rs
+++ b/crates/proxy/src/file_client.rs
@@ -1,5 +1,5 @@
-//! The proxy steered by files: a thread of its own that looks for new tables, answers for them, gives signs
-//! of life and reports. What it holds stays when the controller is lost, as with a stream.
+//! The file client of a proxy: a thread that polls for new tables, acknowledges them, and writes heartbeats and load
+//! reports. As with a stream, the proxy keeps its table when the controller is lost.
 
 use crate::data_plane::DataPlane;
 use crate::environment::TableMessage;
@@ -19,52 +19,61 @@
 use std::time::{Duration, Instant, SystemTime};
 use tracing::{info, warn};
 
-/// The controller counts as lost when its sign of life has stood still for so many of our own beats.
-const LOST: f64 = 3.5;
-/// How often reports are written before a table says.
-const FIRST_EVERY: Duration = Duration::from_secs(1);
-/// The words that servers have for themselves (ORCA).
-const OWN_QUEUE: &str = "queue";
-const OWN_MS: &str = "latency_ms";
+/// The controller counts as lost when its heartbeat has not changed for this many of the proxy's heartbeat intervals.
+const MAX_MISSED_HEARTBEATS: f64 = 3.5;
+/// Interval of load reports until a table sets one.
+const DEFAULT_REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Names of the load metrics that servers report about themselves (ORCA).
+const QUEUE_METRIC: &str = "queue";
+const LATENCY_METRIC: &str = "latency_ms";
 
-/// How it ends.
+/// How the client stops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownMode {
-    /// With a last word, so that nothing is written for it any more.
+    /// With a last heartbeat that says so, so that the controller writes no more tables for the proxy.
     Goodbye,
-    /// As when it is killed.
+    /// Without one, as when the process is killed.
     Silent,
 }
 
-/// Steers a plane by files until it is ended.
+/// Applies tables from files to a data plane, and reports its load, until it is stopped.
 pub struct FileClient {
     plane: Arc<DataPlane>,
     stop_mode: Mutex<Option<ShutdownMode>>,
-    bell: Condvar,
+    stop_notify: Condvar,
     connected: AtomicBool,
+    /// Tables applied so far.
     pub applied: AtomicU64,
+    /// Tables refused so far.
     pub refused: AtomicU64,
 }
 
-struct Hand {
-    own: Arc<FileClient>,
+/// The state of the client's thread.
+struct Worker {
+    client: Arc<FileClient>,
     files: FileSettings,
+    /// Path of the controller's heartbeat file.
     alive: PathBuf,
     keys: Keys,
-    mouth: Mouth,
+    spool: Mouth,
     reader: Reader,
+    /// The table in use.
     table: Option<Table>,
+    /// Start time in nanoseconds, which tells starts of the proxy apart.
     life: u64,
-    beats: u64,
+    /// Heartbeats, acknowledgements and reports written so far.
+    heartbeats: u64,
     acks: u64,
     reports: u64,
-    /// The controller's last sign of life, and when it was new.
+    /// The controller's last heartbeat, and when it was first read.
     seen: Option<(String, Instant)>,
 }
 
 impl FileClient {
+    /// Starts the client in a thread of its own.
+    ///
     /// # Errors
-    /// When the keys cannot be read or the spool cannot be made.
+    /// When the keys cannot be read or the spool cannot be created.
     pub fn start(
         plane: Arc<DataPlane>,
         files: FileSettings,
@@ -72,27 +81,27 @@
         let keys = files.keys.as_deref().map(keys).transpose()?;
         let keys = keys.unwrap_or_default();
         let name = &plane.settings.name;
-        let mouth = Mouth::open(&files.dir, name, keys.clone());
-        let mouth = mouth.map_err(|e| format!("{}: {e}", files.dir.display()))?;
+        let spool = Mouth::open(&files.dir, name, keys.clone());
+        let spool = spool.map_err(|e| format!("{}: {e}", files.dir.display()))?;
         let tables = files.dir.join("tables").join(name);
-        let own = Arc::new(FileClient {
+        let client = Arc::new(FileClient {
             stop_mode: Mutex::default(),
-            bell: Condvar::new(),
+            stop_notify: Condvar::new(),
             connected: AtomicBool::new(false),
             applied: AtomicU64::new(0),
             refused: AtomicU64::new(0),
             plane: plane.clone(),
         });
         let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-        let hand = Hand {
-            own: own.clone(),
+        let worker = Worker {
+            client: client.clone(),
             alive: files.dir.join(ALIVE),
-            mouth,
+            spool,
             reader: Reader::new(tables, name, keys.clone()),
             keys,
             table: None,
             life: since.map_or(1, |d| d.as_nanos() as u64),
-            beats: 0,
+            heartbeats: 0,
             acks: 0,
             reports: 0,
             seen: None,
@@ -100,65 +109,73 @@
         };
         let thread = std::thread::Builder::new().name("filed".into());
         let thread = thread
-            .spawn(move || hand.live())
+            .spawn(move || worker.run())
             .map_err(|e| e.to_string())?;
-        Ok((own, thread))
+        Ok((client, thread))
     }
 
-    /// Reads no more; the plane goes on with what it holds.
-    pub fn stop(&self, how: ShutdownMode) {
-        *self.stop_mode.lock().unwrap_or_else(|e| e.into_inner()) = Some(how);
-        self.bell.notify_all();
+    /// Stops the client. The data plane keeps its table.
+    pub fn stop(&self, mode: ShutdownMode) {
+        *self.stop_mode.lock().unwrap_or_else(|e| e.into_inner()) = Some(mode);
+        self.stop_notify.notify_all();
     }
 
+    /// Returns whether the controller's heartbeat is fresh.
     pub fn is_connected(&self) -> bool {
         self.connected.load(Ordering::SeqCst)
     }
 
-    /// Waits until then; tells whether it is over.
-    fn wait(&self, until: Instant) -> Option<ShutdownMode> {
-        let mut over = self.stop_mode.lock().unwrap_or_else(|e| e.into_inner());
+    /// Waits until `deadline` or until the client is stopped. Returns how it was stopped, if it was.
+    fn wait(&self, deadline: Instant) -> Option<ShutdownMode> {
+        let mut stop_mode = self.stop_mode.lock().unwrap_or_else(|e| e.into_inner());
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            if over.is_some() || left.is_zero() {
-                return *over;
+            let left = deadline.saturating_duration_since(Instant::now());
+            if stop_mode.is_some() || left.is_zero() {
+                return *stop_mode;
             }
-            let waited = self.bell.wait_timeout(over, left);
-            over = waited.unwrap_or_else(|e| e.into_inner()).0;
+            let waited = self.stop_notify.wait_timeout(stop_mode, left);
+            stop_mode = waited.unwrap_or_else(|e| e.into_inner()).0;
         }
     }
 }
 
-fn ms(time: f64) -> Duration {
-    Duration::from_secs_f64(time / 1e3)
+fn duration_ms(ms: f64) -> Duration {
+    Duration::from_secs_f64(ms / 1e3)
 }
 
-impl Hand {
-    fn live(mut self) {
-        let mut beat_at = Instant::now();
-        let (mut reported, mut controller_at) = (Instant::now(), beat_at);
+impl Worker {
+    fn run(mut self) {
+        let mut heartbeat_at = Instant::now();
+        let (mut last_report, mut controller_check_at) = (Instant::now(), heartbeat_at);
         loop {
-            let begun = Instant::now();
-            if begun >= beat_at {
-                self.beat(false);
-                beat_at = begun + ms(self.files.heartbeat_interval_ms);
+            let round_start = Instant::now();
+            if round_start >= heartbeat_at {
+                self.write_heartbeat(false);
+                heartbeat_at = round_start + duration_ms(self.files.heartbeat_interval_ms);
             }
-            if begun >= controller_at {
-                self.look_for_the_controller();
-                controller_at = begun + ms(self.files.heartbeat_interval_ms / 2.0);
+            if round_start >= controller_check_at {
+                self.check_controller();
+                controller_check_at =
+                    round_start + duration_ms(self.files.heartbeat_interval_ms / 2.0);
             }
-            self.look_for_a_table();
-            let every = self.table.as_ref().map(|t| t.report_every_ms);
-            let every = every.filter(|e| (10.0..=3.6e6).contains(e));
-            if reported.elapsed() >= every.map_or(FIRST_EVERY, ms) && self.own.is_connected() {
-                self.report(reported.elapsed());
-                reported = Instant::now();
-                // A report is a sign of life as well.
-                beat_at = beat_at.max(reported + ms(self.files.heartbeat_interval_ms));
+            self.check_table();
+            let interval_ms = self.table.as_ref().map(|t| t.report_every_ms);
+            let interval_ms = interval_ms.filter(|ms| (10.0..=3.6e6).contains(ms));
+            if last_report.elapsed() >= interval_ms.map_or(DEFAULT_REPORT_INTERVAL, duration_ms)
+                && self.client.is_connected()
+            {
+                self.report(last_report.elapsed());
+                last_report = Instant::now();
+                // A report counts as a heartbeat.
+                heartbeat_at =
+                    heartbeat_at.max(last_report + duration_ms(self.files.heartbeat_interval_ms));
             }
-            if let Some(how) = self.own.wait(begun + ms(self.files.poll_interval_ms)) {
-                if how == ShutdownMode::Goodbye {
-                    self.beat(true);
+            if let Some(mode) = self
+                .client
+                .wait(round_start + duration_ms(self.files.poll_interval_ms))
+            {
+                if mode == ShutdownMode::Goodbye {
+                    self.write_heartbeat(true);
                 }
                 self.set_connected(false);
                 return;
@@ -167,18 +184,19 @@
     }
 
     fn set_connected(&self, is_up: bool) {
-        if self.own.connected.swap(is_up, Ordering::SeqCst) != is_up {
-            self.own.plane.environment().connection_changed(is_up);
+        if self.client.connected.swap(is_up, Ordering::SeqCst) != is_up {
+            self.client.plane.environment().connection_changed(is_up);
             match is_up {
                 true => {
-                    info!(dir = %self.files.dir.display(), "the controller gives signs of life")
+                    info!(dir = %self.files.dir.display(), "heartbeat of the controller found")
                 }
-                false => warn!("the controller's sign of life stands still; the table is kept"),
+                false => warn!("heartbeat of the controller missing; the table is kept"),
             }
         }
     }
 
-    fn look_for_the_controller(&mut self) {
+    /// Reads the controller's heartbeat and decides whether it is connected.
+    fn check_controller(&mut self) {
         let bytes = std::fs::read(&self.alive).unwrap_or_default();
         if let Ok(text) = self.keys.opened(&bytes)
             && self.seen.as_ref().is_none_or(|(last, _)| last != text)
@@ -189,39 +207,42 @@
                 .as_ref()
                 .is_some_and(|(last, _)| life(last) != life(text))
             {
-                // Another controller, or another life of it.
+                // Another controller, or the same one after a restart.
                 self.set_connected(false);
             }
             self.seen = Some((text.to_string(), Instant::now()));
         }
-        let patience = ms(LOST * self.files.heartbeat_interval_ms);
+        let timeout = duration_ms(MAX_MISSED_HEARTBEATS * self.files.heartbeat_interval_ms);
         let is_up = self
             .seen
             .as_ref()
-            .is_some_and(|(_, at)| at.elapsed() < patience);
+            .is_some_and(|(_, at)| at.elapsed() < timeout);
         self.set_connected(is_up);
     }
 
-    fn beat(&mut self, leaves: bool) -> Option<SystemTime> {
-        let d = &self.own.plane.settings;
-        self.beats += 1;
+    /// Writes a heartbeat. Returns the time stamp of its file.
+    fn write_heartbeat(&mut self, leaves: bool) -> Option<SystemTime> {
+        let settings = &self.client.plane.settings;
+        self.heartbeats += 1;
         let beat = Beat {
-            proxy: d.name.clone(),
-            zone: d.zone.clone(),
-            pace: Some(d.visits_per_s),
+            proxy: settings.name.clone(),
+            zone: settings.zone.clone(),
+            pace: Some(settings.visits_per_s),
             life: self.life,
-            count: self.beats,
+            count: self.heartbeats,
             holds: self.reader.held(),
             leaves,
         };
-        let said = self.mouth.say("beat", &beat);
-        said.map_err(|e| warn!(error = %e, "the sign of life cannot be written"))
+        let written = self.spool.say("beat", &beat);
+        written
+            .map_err(|e| warn!(error = %e, "cannot write the heartbeat"))
             .ok()
     }
 
-    fn look_for_a_table(&mut self) {
-        self.own.plane.environment().before_read();
-        // Only the first table can be out of date: one in use stays.
+    /// Reads the published table if there is a new one, applies it and writes an acknowledgement.
+    fn check_table(&mut self) {
+        self.client.plane.environment().before_read();
+        // Only the first table can be too old to use; a table in use stays in use.
         let fresh = match self.reader.held() {
             Some(_) => None,
             None => std::fs::metadata(&self.alive)
@@ -230,12 +251,12 @@
         };
         let (generation, refused) = match self.reader.look(fresh) {
             Look::Same => return,
-            Look::New(table) => (table.generation, self.take(*table).err()),
+            Look::New(table) => (table.generation, self.apply(*table).err()),
             Look::Bad(generation, why) => (generation, Some(why)),
         };
         if let Some(why) = &refused {
-            self.own.refused.fetch_add(1, Ordering::SeqCst);
-            warn!(generation, why, "a table is refused; the old one stands");
+            self.client.refused.fetch_add(1, Ordering::SeqCst);
+            warn!(generation, why, "table refused; the old one stays in use");
         }
         if generation > 0 {
             self.acks += 1;
@@ -244,25 +265,22 @@
                 generation,
                 refused,
             };
-            if let Err(e) = self.mouth.say(&format!("ack-{}", self.acks), &ack) {
-                warn!(error = %e, "the answer for a table cannot be written");
+            if let Err(e) = self.spool.say(&format!("ack-{}", self.acks), &ack) {
+                warn!(error = %e, "cannot write the acknowledgement of a table");
             }
         }
     }
 
-    /// Takes a table whole, or refuses it whole.
-    fn take(&mut self, table: Table) -> Result<(), String> {
-        let own = self.own.clone();
-        let environment = own.plane.environment();
-        let before = self.table.take().unwrap_or_default();
+    /// Applies a table as a whole, or refuses it as a whole.
+    fn apply(&mut self, table: Table) -> Result<(), String> {
+        let client = self.client.clone();
+        let environment = client.plane.environment();
+        let old = self.table.take().unwrap_or_default();
         let changed = table.lines.values();
-        let changed = changed.filter(|l| before.lines.get(&l.server) != Some(l));
-        let gone = before
-            .lines
-            .keys()
-            .filter(|s| !table.lines.contains_key(*s));
-        let shut = before.shut.symmetric_difference(&table.shut);
-        let lines = changed.count() + gone.count() + shut.count();
+        let changed = changed.filter(|l| old.lines.get(&l.server) != Some(l));
+        let removed = old.lines.keys().filter(|s| !table.lines.contains_key(*s));
+        let withdrawn = old.shut.symmetric_difference(&table.shut);
+        let lines = changed.count() + removed.count() + withdrawn.count();
         let serial = table.serial.to_string();
         let table_message = TableMessage {
             serial: &serial,
@@ -270,10 +288,10 @@
             carries_lines: true,
             bytes: 0,
         };
-        let came = Instant::now();
+        let received = Instant::now();
         let wait = environment
             .message_received(&table_message)
-            .saturating_duration_since(came);
+            .saturating_duration_since(received);
         if !wait.is_zero() {
             std::thread::sleep(wait);
         }
@@ -283,61 +301,63 @@
             .find(|s| !environment.knows_server(s))
             .cloned();
         if let Some(server) = unknown {
-            self.table = Some(before);
-            environment.message_processed(&table_message, came, true);
+            self.table = Some(old);
+            environment.message_processed(&table_message, received, true);
             return Err(format!("no server {server:?} is known"));
         }
-        let held = (table.bound || !table.lines.is_empty()).then(|| held(&table));
-        own.plane
+        let held = (table.bound || !table.lines.is_empty()).then(|| to_held(&table));
+        client
+            .plane
             .swap_table(held.as_ref(), &|s| table.shut.contains(s), lines);
-        own.applied.fetch_add(1, Ordering::SeqCst);
+        client.applied.fetch_add(1, Ordering::SeqCst);
         self.table = Some(table);
-        environment.message_processed(&table_message, came, false);
+        environment.message_processed(&table_message, received, false);
         Ok(())
     }
 
-    /// What could not be written is told with the next report.
+    /// Writes a load report. Counts that could not be written go into the next one.
     fn report(&mut self, window: Duration) {
-        let tallies = self.own.plane.take_tallies();
+        let tallies = self.client.plane.take_tallies();
         self.reports += 1;
-        let told = Told {
+        let report = Told {
             life: self.life,
             window_ms: (window.as_secs_f64() * 1e3).max(1.0),
-            classes: tallies.iter().map(|t| self.class_met(t)).collect(),
+            classes: tallies.iter().map(|t| self.class_report(t)).collect(),
         };
-        if let Err(e) = self.mouth.say(&format!("report-{}", self.reports), &told) {
-            warn!(error = %e, "a report cannot be written; it is added to the next");
-            self.own.plane.restore_tallies(tallies);
+        if let Err(e) = self.spool.say(&format!("report-{}", self.reports), &report) {
+            warn!(error = %e, "cannot write a report; its counts go into the next");
+            self.client.plane.restore_tallies(tallies);
         }
     }
 
-    fn class_met(&self, tally: &ClusterTally) -> ClassMet {
-        let service = &self.own.plane.settings.service;
+    /// The part of a load report about one class.
+    fn class_report(&self, tally: &ClusterTally) -> ClassMet {
+        let service = &self.client.plane.settings.service;
         let issued: u64 = tally.endpoints.iter().map(|e| e.issued).sum();
         let dropped: u64 = tally.dropped.values().sum();
-        let met = tally.endpoints.iter().map(|e| {
-            let word = |name: &str| e.words.get(name).copied().unwrap_or_default();
+        let servers = tally.endpoints.iter().map(|e| {
+            let metric = |name: &str| e.words.get(name).copied().unwrap_or_default();
             Met {
                 server: e.address.clone(),
                 good: e.good,
                 failed: e.failed,
                 good_ms: e.good_ms,
                 in_flight: e.in_progress,
-                words: word(OWN_MS).0,
-                own_queue: word(OWN_QUEUE).1,
-                own_ms: word(OWN_MS).1,
+                words: metric(LATENCY_METRIC).0,
+                own_queue: metric(QUEUE_METRIC).1,
+                own_ms: metric(LATENCY_METRIC).1,
             }
         });
         ClassMet {
             class: names::class_of(service, &tally.cluster).unwrap_or_default(),
             came: issued + dropped,
-            met: met.collect(),
+            met: servers.collect(),
         }
     }
 }
 
-/// As the plane takes tables.
-fn held(table: &Table) -> Held {
+/// Converts a table to the form that the data plane takes.
+fn to_held(table: &Table) -> Held {
     let lines = table.lines.values().map(|l| HeldLine {
         server: l.server.clone(),
         address: l.address.clone(),
@@ -345,18 +365,18 @@
         open: table.is_open(l),
     });
     let classes = table.classes.iter();
-    let retry_on = classes.clone().map(|(class, way)| {
-        let on = match way.tries {
+    let retry_on = classes.clone().map(|(class, policy)| {
+        let retry_on = match policy.tries {
             RetryPolicy::Never => "",
             RetryPolicy::OnProof => "connect-failure,refused-stream",
             RetryPolicy::OnFailure => "5xx",
         };
-        (class.clone(), on.to_string())
+        (class.clone(), retry_on.to_string())
     });
     Held {
         lines: lines.collect(),
         shares: classes
-            .map(|(class, way)| (class.clone(), way.share))
+            .map(|(class, policy)| (class.clone(), policy.share))
             .collect(),
         retry_on: retry_on.collect(),
     }
