--- a/crates/proxy/tests/matrix.rs
+++ b/crates/proxy/tests/matrix.rs
@@ -1,4 +1,4 @@
-//! A fault at each point of a visit, for each class and each order; and bytes that nobody would send.
+//! A fault at each point of a visit, for each class and each retry policy; and malformed input.
 
 use dahliapoint_proxy::Rng;
 use dahliapoint_proxy::data_plane::DataPlane;
@@ -13,26 +13,27 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-const LONG: Duration = Duration::from_secs(20);
+/// Turns a hang into a failure.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Where a visit's first server fails.
+/// The point at which the first server of a visit fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    /// Nobody listens.
+    /// The connection is refused.
     BeforeConnect,
-    /// The connection ends before anything of the visit is read.
+    /// The connection is closed before anything of the visit is read.
     AfterConnect,
-    /// It ends after the head of the visit was read; the server had begun.
+    /// It is closed after the head of the visit was read, when the server may have run it.
     AfterHead,
-    /// It ends in the body of the answer.
-    InTheAnswer,
-    /// The answer was whole; the connection ends after it.
-    AfterTheAnswer,
-    /// It says that nothing ran.
-    Unseen,
-    /// It says that it failed.
-    Said500,
-    /// It takes the visit and says nothing.
+    /// It is closed within the body of the answer.
+    WithinAnswer,
+    /// It is closed after a complete answer.
+    AfterAnswer,
+    /// The server answers that the visit did not run.
+    NotRun,
+    /// The server answers with an error.
+    Error500,
+    /// The server reads the visit and never answers.
     Silent,
 }
 
@@ -42,14 +43,14 @@
     BeforeConnect,
     AfterConnect,
     AfterHead,
-    InTheAnswer,
-    AfterTheAnswer,
-    Unseen,
-    Said500,
+    WithinAnswer,
+    AfterAnswer,
+    NotRun,
+    Error500,
     Silent,
 ];
 
-/// A server with a fault; counts the visits that could have taken effect.
+/// Starts a server with a fault. It counts the visits that may have taken effect.
 fn server(fault: Option<Fault>) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -64,80 +65,84 @@
                 continue;
             }
             let count = count.clone();
-            std::thread::spawn(move || while talk(&mut socket, fault, &count).is_some() {});
+            std::thread::spawn(move || while serve_visit(&mut socket, fault, &count).is_some() {});
         }
     });
     (address, effects)
 }
 
-/// One visit; nothing if the connection ends with it.
-fn talk(socket: &mut TcpStream, fault: Option<Fault>, count: &AtomicUsize) -> Option<()> {
+/// Serves one visit. `None` if the connection is closed after it.
+fn serve_visit(socket: &mut TcpStream, fault: Option<Fault>, count: &AtomicUsize) -> Option<()> {
     let mut bytes = Vec::new();
     let mut chunk = [0; 1024];
     while !bytes.windows(4).any(|w| w == b"\r\n\r\n") {
         let n = socket.read(&mut chunk).ok().filter(|n| *n > 0)?;
         bytes.extend_from_slice(&chunk[..n]);
     }
-    if fault != Some(Unseen) {
+    if fault != Some(NotRun) {
         count.fetch_add(1, Ordering::SeqCst);
     }
-    let said: &[u8] = match fault {
-        None | Some(AfterTheAnswer) => b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nok",
-        Some(InTheAnswer) => b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\nhal",
-        Some(Unseen) => b"HTTP/1.1 503 X\r\nX-Unseen: 1\r\nContent-Length: 0\r\n\r\n",
-        Some(Said500) => b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
+    let answer: &[u8] = match fault {
+        None | Some(AfterAnswer) => b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nok",
+        Some(WithinAnswer) => b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\nhal",
+        Some(NotRun) => b"HTTP/1.1 503 X\r\nX-Unseen: 1\r\nContent-Length: 0\r\n\r\n",
+        Some(Error500) => b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
         Some(Silent) => {
             let _ = socket.read(&mut chunk);
             return None;
         }
         Some(BeforeConnect | AfterConnect | AfterHead) => return None,
     };
-    socket.write_all(said).ok()?;
+    socket.write_all(answer).ok()?;
     fault.is_none().then_some(())
 }
 
-/// A proxy with servers in this order of turns.
-fn proxy(servers: &[SocketAddr], on: &str, hard_ms: u32) -> (Arc<DataPlane>, SocketAddr) {
+/// Starts a proxy that tries servers in this order.
+fn proxy(
+    servers: &[SocketAddr],
+    retry_on: &str,
+    hard_limit_ms: u32,
+) -> (Arc<DataPlane>, SocketAddr) {
     let text = format!(
         "name: p\nservice: s\nzone: z\ncontrollers: ['127.0.0.1:1']\nlisten: 127.0.0.1:0\nroster: none\n\
-         further_tries: 1\nclasses:\n- {{name: safe, hard_limit: {hard_ms}ms, repeat: safe}}\n\
-         - {{name: keyed, hard_limit: {hard_ms}ms, repeat: keyed}}\n\
-         - {{name: never, hard_limit: {hard_ms}ms, repeat: never}}\n"
+         further_tries: 1\nclasses:\n- {{name: safe, hard_limit: {hard_limit_ms}ms, repeat: safe}}\n\
+         - {{name: keyed, hard_limit: {hard_limit_ms}ms, repeat: keyed}}\n\
+         - {{name: never, hard_limit: {hard_limit_ms}ms, repeat: never}}\n"
     );
     let plane = DataPlane::new(settings::parse("p", &text).unwrap(), &[]);
     let line = |(i, address): (usize, &SocketAddr)| HeldLine {
         server: format!("s{i}"),
         address: address.to_string(),
-        // The first in turn is the heaviest.
+        // The server with the largest weight is picked first.
         weight: if i == 0 { 10_000 } else { 1 },
         open: true,
     };
-    let on = |class: &str| (class.to_string(), on.to_string());
+    let retry_on = |class: &str| (class.to_string(), retry_on.to_string());
     let held = Held {
         lines: servers.iter().enumerate().map(line).collect(),
         shares: BTreeMap::new(),
-        retry_on: ["safe", "keyed", "never"].map(on).into(),
+        retry_on: ["safe", "keyed", "never"].map(retry_on).into(),
     };
     plane.swap_table(Some(&held), &|_| false, 0);
     let address = plane.serve().unwrap();
     (plane, address)
 }
 
-/// What a client gets, if anything whole.
-fn ask(at: SocketAddr, bytes: &[u8]) -> Option<u16> {
-    let mut socket = TcpStream::connect(at).unwrap();
-    socket.set_read_timeout(Some(LONG)).unwrap();
+/// Sends a request and returns the status of the answer; `None` if the answer is not complete.
+fn ask(address: SocketAddr, bytes: &[u8]) -> Option<u16> {
+    let mut socket = TcpStream::connect(address).unwrap();
+    socket.set_read_timeout(Some(TIMEOUT)).unwrap();
     socket.write_all(bytes).ok()?;
-    let mut said = Vec::new();
+    let mut answer = Vec::new();
     let mut chunk = [0; 1024];
     loop {
         let n = socket.read(&mut chunk).ok()?;
-        said.extend_from_slice(&chunk[..n]);
-        let text = String::from_utf8_lossy(&said).to_ascii_lowercase();
-        let begins = text.find("\r\n\r\n").map(|at| at + 4);
+        answer.extend_from_slice(&chunk[..n]);
+        let text = String::from_utf8_lossy(&answer).to_ascii_lowercase();
+        let body_start = text.find("\r\n\r\n").map(|at| at + 4);
         let length = text.split("content-length: ").nth(1);
         let length = length.and_then(|l| l.split("\r\n").next()?.parse::<usize>().ok());
-        if begins.is_some_and(|b| said.len() >= b + length.unwrap_or(0)) {
+        if body_start.is_some_and(|b| answer.len() >= b + length.unwrap_or(0)) {
             return text.get(9..12)?.parse().ok();
         }
         if n == 0 {
@@ -147,46 +152,47 @@
 }
 
 #[test]
-fn no_fault_at_any_point_makes_an_effect_run_twice() {
-    for on in ["", "connect-failure,refused-stream", "5xx"] {
+fn no_fault_makes_a_visit_that_is_not_idempotent_run_twice() {
+    for retry_on in ["", "connect-failure,refused-stream", "5xx"] {
         for class in ["safe", "keyed", "never"] {
             for fault in FAULTS {
-                let hard_ms = if fault == Silent { 150 } else { 5_000 };
+                let hard_limit_ms = if fault == Silent { 150 } else { 5_000 };
                 let (bad, good) = (server(Some(fault)), server(None));
-                let (plane, at) = proxy(&[bad.0, good.0], on, hard_ms);
+                let (plane, address) = proxy(&[bad.0, good.0], retry_on, hard_limit_ms);
                 let text =
                     format!("GET /{class} HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody");
-                let said = ask(at, text.as_bytes());
+                let status = ask(address, text.as_bytes());
                 let effects = bad.1.load(Ordering::SeqCst) + good.1.load(Ordering::SeqCst);
-                let what =
-                    format!("{class}, ordered on {on:?}, {fault:?}: {said:?}, {effects} effects");
-                if class != "safe" || on != "5xx" {
-                    assert!(effects <= 1, "{what}");
+                let case = format!(
+                    "{class}, retry on {retry_on:?}, {fault:?}: {status:?}, {effects} effects"
+                );
+                if class != "safe" || retry_on != "5xx" {
+                    assert!(effects <= 1, "{case}");
                 }
-                let proof = matches!(fault, BeforeConnect | Unseen);
-                let again = match on {
+                let is_proof = matches!(fault, BeforeConnect | NotRun);
+                let is_retried = match retry_on {
                     "" => false,
-                    "5xx" => proof || class == "safe",
-                    _ => proof,
+                    "5xx" => is_proof || class == "safe",
+                    _ => is_proof,
                 };
-                let wanted = match fault {
-                    AfterTheAnswer => Some(200),
-                    // Its head was passed on: the client sees the end, and nothing is hidden from it.
-                    InTheAnswer => None,
-                    // No time is left for another.
+                let expected = match fault {
+                    AfterAnswer => Some(200),
+                    // The head was passed on already: the client sees that the connection is closed.
+                    WithinAnswer => None,
+                    // No time is left for another try.
                     Silent => Some(504),
-                    _ if again => Some(200),
+                    _ if is_retried => Some(200),
                     _ => Some(502),
                 };
-                assert_eq!(said, wanted, "{what}");
-                plane.shut_down(at, std::time::Instant::now());
+                assert_eq!(status, expected, "{case}");
+                plane.shut_down(address, std::time::Instant::now());
             }
         }
     }
 }
 
 #[test]
-fn a_flood_beyond_the_caps_is_refused_and_those_who_are_in_go_on() {
+fn clients_beyond_the_maximum_are_refused_and_the_others_are_served() {
     let good = server(None);
     let text = "name: p\nservice: s\nzone: z\ncontrollers: ['127.0.0.1:1']\nlisten: 127.0.0.1:0\n\
                 roster: none\nmost_clients: 3\nclasses: [{name: safe, hard_limit: 5s}]\n";
@@ -201,24 +207,26 @@
         ..Held::default()
     };
     plane.swap_table(Some(&held), &|_| false, 0);
-    let at = plane.serve().unwrap();
+    let address = plane.serve().unwrap();
     const VISIT: &[u8] = b"GET /safe HTTP/1.1\r\nHost: h\r\n\r\n";
-    let mut inside: Vec<TcpStream> = (0..3).map(|_| TcpStream::connect(at).unwrap()).collect();
-    let mut talk = |socket: &mut TcpStream| {
-        socket.set_read_timeout(Some(LONG)).unwrap();
+    let mut accepted: Vec<TcpStream> = (0..3)
+        .map(|_| TcpStream::connect(address).unwrap())
+        .collect();
+    let mut visit = |socket: &mut TcpStream| {
+        socket.set_read_timeout(Some(TIMEOUT)).unwrap();
         socket.write_all(VISIT).unwrap();
         let mut bytes = [0; 256];
         let n = socket.read(&mut bytes).unwrap();
         bytes[..n].starts_with(b"HTTP/1.1 200")
     };
-    assert!(inside.iter_mut().all(&mut talk));
+    assert!(accepted.iter_mut().all(&mut visit));
     for _ in 0..50 {
-        let mut more = TcpStream::connect(at).unwrap();
-        more.set_read_timeout(Some(LONG)).unwrap();
-        let _ = more.write_all(VISIT);
-        assert!(matches!(more.read(&mut [0; 16]), Ok(0) | Err(_)));
+        let mut refused = TcpStream::connect(address).unwrap();
+        refused.set_read_timeout(Some(TIMEOUT)).unwrap();
+        let _ = refused.write_all(VISIT);
+        assert!(matches!(refused.read(&mut [0; 16]), Ok(0) | Err(_)));
     }
-    assert!(inside.iter_mut().all(&mut talk));
+    assert!(accepted.iter_mut().all(&mut visit));
 }
 
 const REQUESTS: [&[u8]; 4] = [
@@ -228,8 +236,8 @@
     b"GET /keyed HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nConnection: close\r\n\r\n",
 ];
 
-/// Flips, cuts, doubles and inserts, from a seed.
-fn mangled(bytes: &[u8], rng: &mut Rng) -> Vec<u8> {
+/// Mutates a message at random: flips a bit, truncates, repeats a part or inserts a byte.
+fn mutated(bytes: &[u8], rng: &mut Rng) -> Vec<u8> {
     let mut out = bytes.to_vec();
     for _ in 0..=(rng.next_f64() * 4.0) as usize {
         let at = (rng.next_f64() * out.len() as f64) as usize;
@@ -243,39 +251,39 @@
     out
 }
 
-/// A bounded smoke run of what a fuzzer would do; seed 7.
+/// A short fuzz test with a fixed seed, 7.
 #[test]
-fn mangled_requests_are_answered_or_refused_and_the_proxy_goes_on() {
+fn mutated_requests_are_answered_or_refused_and_the_proxy_keeps_working() {
     let good = server(None);
-    let (_plane, at) = proxy(&[good.0], "", 2_000);
+    let (_plane, address) = proxy(&[good.0], "", 2_000);
     let mut rng = Rng::from_seed(7);
     for i in 0..1_500 {
-        let bytes = mangled(REQUESTS[i % REQUESTS.len()], &mut rng);
-        let mut socket = TcpStream::connect(at).unwrap();
+        let bytes = mutated(REQUESTS[i % REQUESTS.len()], &mut rng);
+        let mut socket = TcpStream::connect(address).unwrap();
         let _ = socket.write_all(&bytes);
         let _ = socket.shutdown(std::net::Shutdown::Write);
-        socket.set_read_timeout(Some(LONG)).unwrap();
-        let mut said = Vec::new();
-        let ended = socket.read_to_end(&mut said);
-        let text = String::from_utf8_lossy(&said);
+        socket.set_read_timeout(Some(TIMEOUT)).unwrap();
+        let mut answer = Vec::new();
+        let read = socket.read_to_end(&mut answer);
+        let text = String::from_utf8_lossy(&answer);
         assert!(
-            ended.is_err() || said.is_empty() || text.starts_with("HTTP/1.1 "),
+            read.is_err() || answer.is_empty() || text.starts_with("HTTP/1.1 "),
             "{i}: {:?} -> {text}",
             String::from_utf8_lossy(&bytes)
         );
     }
-    assert_eq!(ask(at, REQUESTS[0]), Some(200));
+    assert_eq!(ask(address, REQUESTS[0]), Some(200));
 }
 
-/// The same for assignments: whatever comes is taken whole or refused whole.
+/// A short fuzz test of assignments with a fixed seed, 11: each is applied as a whole or refused as a whole.
 #[test]
-fn mangled_assignments_are_taken_whole_or_refused_whole() {
+fn mutated_assignments_are_applied_or_refused_as_a_whole() {
     let mut rng = Rng::from_seed(11);
     let mut holder = Holder::new("s", "p", "z", 1.0);
     let types = [names::CDS, names::EDS, names::RDS, names::LEDS];
     let (mut applied, mut refused) = (0, 0);
     for i in 0..20_000 {
-        let before = holder.table();
+        let table_before = holder.table();
         let length = (rng.next_f64() * 40.0) as usize;
         let value: Vec<u8> = (0..length)
             .map(|_| (rng.next_f64() * 256.0) as u8)
@@ -285,7 +293,7 @@
             name: names::part("s", i % 3).replace('*', "x"),
             resource: Some(Any {
                 type_url: kind.into(),
-                value: mangled(&[&value[..], b"\x0a\x03abc"].concat(), &mut rng),
+                value: mutated(&[&value[..], b"\x0a\x03abc"].concat(), &mut rng),
             }),
             ..Resource::default()
         };
@@ -295,13 +303,13 @@
             nonce: i.to_string(),
             ..DeltaDiscoveryResponse::default()
         };
-        let at = holder.refused;
+        let refused_before = holder.refused;
         let answers = holder.apply(&response, |s| !s.is_empty());
         assert_eq!(answers[0].response_nonce, response.nonce);
-        if holder.refused > at {
+        if holder.refused > refused_before {
             refused += 1;
             assert!(answers[0].error_detail.is_some());
-            assert_eq!(holder.table(), before, "{i}");
+            assert_eq!(holder.table(), table_before, "{i}");
         } else {
             applied += 1;
         }
