--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy on real sockets: clients and servers of the test's own, tables from the real controller.
+//! The proxy on real sockets, between clients and servers of the test, with tables from the real controller.
 
 use dahliapoint_control::{AdminState, Input, RosterEntry};
 use dahliapoint_daemon::deployment;
@@ -15,55 +15,57 @@
 use std::time::{Duration, Instant};
 
 /// Turns a hang into a failure; nothing here takes that long.
-const LONG: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-fn until(what: &str, mut met: impl FnMut() -> bool) {
-    let end = Instant::now() + LONG;
-    while !met() {
-        assert!(Instant::now() < end, "{what}");
+/// Waits for a condition, and fails after the timeout.
+fn until(what: &str, mut is_met: impl FnMut() -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
+    while !is_met() {
+        assert!(Instant::now() < deadline, "{what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A message as it came: its head, and its body unframed.
-struct Came {
+/// A received message: its head, and its body without framing.
+struct Message {
     head: String,
     body: Vec<u8>,
 }
 
-fn read_message(from: &mut TcpStream, ahead: &mut Vec<u8>) -> Option<Came> {
+/// Reads a message. `unread` holds bytes that were read beyond the last one.
+fn read_message(from: &mut TcpStream, unread: &mut Vec<u8>) -> Option<Message> {
     let mut chunk = [0; 4096];
-    let mut more = |ahead: &mut Vec<u8>| {
+    let mut more = |unread: &mut Vec<u8>| {
         let n = from.read(&mut chunk).ok().filter(|n| *n > 0)?;
-        ahead.extend_from_slice(&chunk[..n]);
+        unread.extend_from_slice(&chunk[..n]);
         Some(())
     };
     let end = loop {
-        if let Some(at) = ahead.windows(4).position(|w| w == b"\r\n\r\n") {
+        if let Some(at) = unread.windows(4).position(|w| w == b"\r\n\r\n") {
             break at + 4;
         }
-        more(ahead)?;
+        more(unread)?;
     };
-    let head = String::from_utf8(ahead.drain(..end).collect()).ok()?;
+    let head = String::from_utf8(unread.drain(..end).collect()).ok()?;
     let lower = head.to_ascii_lowercase();
     let mut body = Vec::new();
     if lower.contains("transfer-encoding: chunked") {
         loop {
             let at = loop {
-                if let Some(at) = ahead.windows(2).position(|w| w == b"\r\n") {
+                if let Some(at) = unread.windows(2).position(|w| w == b"\r\n") {
                     break at;
                 }
-                more(ahead)?;
+                more(unread)?;
             };
-            let line: Vec<u8> = ahead.drain(..at + 2).collect();
+            let line: Vec<u8> = unread.drain(..at + 2).collect();
             let size = usize::from_str_radix(std::str::from_utf8(&line[..at]).ok()?, 16).ok()?;
-            while ahead.len() < size + 2 {
-                more(ahead)?;
+            while unread.len() < size + 2 {
+                more(unread)?;
             }
-            body.extend(ahead.drain(..size));
-            ahead.drain(..2);
+            body.extend(unread.drain(..size));
+            unread.drain(..2);
             if size == 0 {
-                return Some(Came { head, body });
+                return Some(Message { head, body });
             }
         }
     }
@@ -71,22 +73,23 @@
     let length = length
         .and_then(|l| l.split("\r\n").next()?.parse().ok())
         .unwrap_or(0);
-    while ahead.len() < length {
-        more(ahead)?;
+    while unread.len() < length {
+        more(unread)?;
     }
-    body.extend(ahead.drain(..length));
-    Some(Came { head, body })
+    body.extend(unread.drain(..length));
+    Some(Message { head, body })
 }
 
-type Answer = dyn Fn(&Came) -> Vec<u8> + Send + Sync;
+/// Makes the answer to a request.
+type Answer = dyn Fn(&Message) -> Vec<u8> + Send + Sync;
 
-/// A server: one thread a connection.
+/// A server with one thread per connection.
 struct Server {
     address: SocketAddr,
     visits: Arc<AtomicUsize>,
 }
 
-fn server(answer: impl Fn(&Came) -> Vec<u8> + Send + Sync + 'static) -> Server {
+fn server(answer: impl Fn(&Message) -> Vec<u8> + Send + Sync + 'static) -> Server {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let visits = Arc::new(AtomicUsize::new(0));
@@ -95,10 +98,10 @@
         for socket in listener.incoming().map_while(Result::ok) {
             let (count, answer) = (count.clone(), answer.clone());
             std::thread::spawn(move || {
-                let (mut socket, mut ahead) = (socket, Vec::new());
-                while let Some(came) = read_message(&mut socket, &mut ahead) {
+                let (mut socket, mut unread) = (socket, Vec::new());
+                while let Some(message) = read_message(&mut socket, &mut unread) {
                     count.fetch_add(1, Ordering::SeqCst);
-                    if socket.write_all(&answer(&came)).is_err() {
+                    if socket.write_all(&answer(&message)).is_err() {
                         return;
                     }
                 }
@@ -114,8 +117,9 @@
     out
 }
 
-fn plain() -> Server {
-    server(|came| ok(&came.body))
+/// A server that echoes the body of a request.
+fn echo_server() -> Server {
+    server(|message| ok(&message.body))
 }
 
 const SETTINGS: &str = "name: p1\nservice: portal\nzone: east\npace: 20\ncontrollers: ['CONTROLLER']\n\
@@ -128,16 +132,16 @@
     xds_client: Arc<XdsClient>,
 }
 
-fn proxy(controller: SocketAddr, servers: &[SocketAddr], more: &str) -> Proxy {
-    let text = SETTINGS.replace("CONTROLLER", &controller.to_string()) + more;
+fn proxy(controller: SocketAddr, servers: &[SocketAddr], more_settings: &str) -> Proxy {
+    let text = SETTINGS.replace("CONTROLLER", &controller.to_string()) + more_settings;
     let settings = settings::parse("p.yaml", &text).unwrap();
-    let listed = |(i, address): (usize, &SocketAddr)| RosterServer {
+    let roster_server = |(i, address): (usize, &SocketAddr)| RosterServer {
         name: format!("s{i}"),
         address: *address,
         zone: "east".into(),
         ready: true,
     };
-    let roster: Vec<RosterServer> = servers.iter().enumerate().map(listed).collect();
+    let roster: Vec<RosterServer> = servers.iter().enumerate().map(roster_server).collect();
     let plane = DataPlane::new(settings, &roster);
     Proxy {
         address: plane.serve().unwrap(),
@@ -146,8 +150,8 @@
     }
 }
 
-fn nowhere() -> SocketAddr {
-    // Bound and let go: nobody listens there.
+fn unused_address() -> SocketAddr {
+    // Bound and closed again: nothing listens there.
     TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -156,35 +160,38 @@
 
 struct Client {
     socket: TcpStream,
-    ahead: Vec<u8>,
+    unread: Vec<u8>,
 }
 
 impl Client {
     fn of(proxy: &Proxy) -> Client {
         let socket = TcpStream::connect(proxy.address).unwrap();
-        socket.set_read_timeout(Some(LONG)).unwrap();
+        socket.set_read_timeout(Some(TIMEOUT)).unwrap();
         Client {
             socket,
-            ahead: Vec::new(),
+            unread: Vec::new(),
         }
     }
 
-    fn say(&mut self, text: &[u8]) -> Option<Came> {
+    /// Sends bytes and reads the answer.
+    fn send(&mut self, text: &[u8]) -> Option<Message> {
         self.socket.write_all(text).ok()?;
-        read_message(&mut self.socket, &mut self.ahead)
+        read_message(&mut self.socket, &mut self.unread)
     }
 
+    /// Makes a visit and returns the status of the answer; 0 without one.
     fn visit(&mut self, class: &str) -> u16 {
         let text = format!("GET /{class}/x?y=1 HTTP/1.1\r\nHost: h\r\n\r\n");
-        let came = self.say(text.as_bytes());
-        came.map_or(0, |c| status(&c))
+        let message = self.send(text.as_bytes());
+        message.map_or(0, |c| status(&c))
     }
 }
 
-fn status(came: &Came) -> u16 {
-    came.head[9..12].parse().unwrap()
+fn status(message: &Message) -> u16 {
+    message.head[9..12].parse().unwrap()
 }
 
+/// Roster entries with addresses, weights and states.
 fn entries(servers: &[(SocketAddr, f64, AdminState)]) -> Vec<RosterEntry> {
     let entry =
         |(i, (address, weight, state)): (usize, &(SocketAddr, f64, AdminState))| RosterEntry {
@@ -210,19 +217,19 @@
 use AdminState::{Draining, Ready};
 
 #[test]
-fn the_table_given_is_obeyed_to_the_weight_and_drains_end_at_once() {
-    let servers: Vec<Server> = (0..4).map(|_| plain()).collect();
+fn visits_follow_the_weights_of_the_table_and_drains_apply_at_once() {
+    let servers: Vec<Server> = (0..4).map(|_| echo_server()).collect();
     let weights = [1.0, 2.0, 0.5, 4.0];
-    let mut listed: Vec<_> = servers
+    let mut roster: Vec<_> = servers
         .iter()
         .zip(weights)
         .map(|(s, w)| (s.address, w, Ready))
         .collect();
-    let daemon = controller(&listed, "127.0.0.1:0");
+    let daemon = controller(&roster, "127.0.0.1:0");
     let addresses: Vec<SocketAddr> = servers.iter().map(|s| s.address).collect();
     let p = proxy(daemon.address(), &addresses[..2], "");
-    assert_eq!(p.plane.server_count(), 2, "its standing table");
-    until("the table given", || p.plane.server_count() == 4);
+    assert_eq!(p.plane.server_count(), 2, "the initial servers");
+    until("the table is applied", || p.plane.server_count() == 4);
     let mut client = Client::of(&p);
     let before: Vec<usize> = servers
         .iter()
@@ -232,50 +239,55 @@
         assert_eq!(client.visit("view"), 200);
     }
     for ((server, weight), before) in servers.iter().zip(weights).zip(before) {
-        let had = (server.visits.load(Ordering::SeqCst) - before) as f64;
-        let part = 3_000.0 * weight / 7.5;
-        assert!((had / part - 1.0).abs() < 0.02, "{had} of {part}");
+        let count = (server.visits.load(Ordering::SeqCst) - before) as f64;
+        let expected = 3_000.0 * weight / 7.5;
+        assert!(
+            (count / expected - 1.0).abs() < 0.02,
+            "{count} instead of {expected}"
+        );
     }
-    // What it met comes back to the controller, nothing twice and nothing lost.
-    until("all reports read", || {
-        let lines = daemon.engine().overview();
-        let of = |s: &dahliapoint_daemon::engine::Json| {
+    // The controller reads the load reports of the proxy.
+    until("all reports are read", || {
+        let overview = daemon.engine().overview();
+        let tries_per_s = |s: &dahliapoint_daemon::engine::Json| {
             s["estimate"]["tries_per_s"].as_f64().unwrap_or(0.0)
         };
-        lines["servers"]
+        overview["servers"]
             .as_array()
             .unwrap()
             .iter()
-            .map(of)
+            .map(tries_per_s)
             .sum::<f64>()
             > 100.0
     });
-    listed[3].2 = Draining;
-    daemon.engine().send(Input::Roster(entries(&listed)));
-    until("withdrawn", || p.plane.server_count() == 3);
-    let then = servers[3].visits.load(Ordering::SeqCst);
+    roster[3].2 = Draining;
+    daemon.engine().send(Input::Roster(entries(&roster)));
+    until("the drained server is withdrawn", || {
+        p.plane.server_count() == 3
+    });
+    let before = servers[3].visits.load(Ordering::SeqCst);
     (0..200).for_each(|_| assert_eq!(client.visit("view"), 200));
-    assert_eq!(servers[3].visits.load(Ordering::SeqCst), then);
+    assert_eq!(servers[3].visits.load(Ordering::SeqCst), before);
     assert_eq!(p.xds_client.refused.load(Ordering::SeqCst), 0);
 }
 
 #[test]
-fn a_lost_controller_leaves_the_table_and_the_next_one_is_told_what_is_held() {
-    let servers: Vec<Server> = (0..3).map(|_| plain()).collect();
-    let listed: Vec<_> = servers.iter().map(|s| (s.address, 1.0, Ready)).collect();
-    let daemon = controller(&listed, "127.0.0.1:0");
-    let at = daemon.address();
-    let p = proxy(at, &[servers[0].address], "");
-    until("given", || p.plane.server_count() == 3);
+fn the_table_survives_the_loss_of_the_controller_and_the_next_one_learns_what_is_held() {
+    let servers: Vec<Server> = (0..3).map(|_| echo_server()).collect();
+    let roster: Vec<_> = servers.iter().map(|s| (s.address, 1.0, Ready)).collect();
+    let daemon = controller(&roster, "127.0.0.1:0");
+    let address = daemon.address();
+    let p = proxy(address, &[servers[0].address], "");
+    until("the table is applied", || p.plane.server_count() == 3);
     let mut client = Client::of(&p);
     daemon.end(Duration::from_secs(5));
-    until("lost", || !p.xds_client.is_connected());
+    until("the loss is noticed", || !p.xds_client.is_connected());
     (0..50).for_each(|_| assert_eq!(client.visit("view"), 200));
     assert_eq!(p.plane.server_count(), 3);
-    let again = controller(&listed, &at.to_string());
-    until("joined again", || p.xds_client.is_connected());
-    until("bound again", || {
-        let view = again.engine().overview();
+    let restarted = controller(&roster, &address.to_string());
+    until("connected again", || p.xds_client.is_connected());
+    until("bound to a part again", || {
+        let view = restarted.engine().overview();
         view["proxies"]
             .as_array()
             .is_some_and(|p| p.iter().any(|p| !p["part"].is_null()))
@@ -285,10 +297,10 @@
 }
 
 #[test]
-fn a_proxy_goes_to_the_next_controller_and_back_to_the_first_later() {
-    let s = plain();
-    let listed = [(s.address, 1.0, Ready)];
-    let (first, second) = (nowhere(), controller(&listed, "127.0.0.1:0"));
+fn a_proxy_connects_to_the_next_controller_and_later_fails_back_to_the_first() {
+    let s = echo_server();
+    let roster = [(s.address, 1.0, Ready)];
+    let (first, second) = (unused_address(), controller(&roster, "127.0.0.1:0"));
     let text = SETTINGS.replace(
         "'CONTROLLER'",
         &format!("'{first}', '{}'", second.address()),
@@ -297,50 +309,52 @@
     let settings = settings::parse("p.yaml", &text).unwrap();
     let plane = DataPlane::new(settings, &[]);
     let xds_client = XdsClient::start(plane.clone());
-    let joined = |d: &Daemon| {
+    let is_joined = |d: &Daemon| {
         let view = d.engine().overview();
         view["proxies"].as_array().is_some_and(|p| !p.is_empty())
     };
-    until("joined the second", || {
-        joined(&second) && plane.server_count() == 1
+    until("connected to the second", || {
+        is_joined(&second) && plane.server_count() == 1
+    });
+    let restored = controller(&roster, &first.to_string());
+    until("back at the first", || {
+        is_joined(&restored) && !is_joined(&second)
     });
-    let home = controller(&listed, &first.to_string());
-    until("back at the first", || joined(&home) && !joined(&second));
-    until("and stays there", || xds_client.is_connected());
-    assert_eq!(plane.server_count(), 1, "its table was kept all the while");
+    until("connected to the first", || xds_client.is_connected());
+    assert_eq!(plane.server_count(), 1, "the table was kept");
 }
 
 #[test]
-fn proof_is_tried_again_elsewhere_and_an_effect_never_without_it() {
+fn a_visit_that_is_not_idempotent_is_retried_only_with_proof_that_it_never_ran() {
     let ran = Arc::new(AtomicUsize::new(0));
     let count = ran.clone();
-    // Takes the visit, carries it out, and says nothing.
-    let silent = server(move |_| {
+    // Reads and runs the visit, and does not answer in time.
+    let unresponsive = server(move |_| {
         count.fetch_add(1, Ordering::SeqCst);
         std::thread::sleep(Duration::from_secs(3));
         Vec::new()
     });
-    let good = plain();
-    let gone = nowhere();
-    let p = proxy(nowhere(), &[gone, good.address], "");
+    let good = echo_server();
+    let unreachable = unused_address();
+    let p = proxy(unused_address(), &[unreachable, good.address], "");
     let mut client = Client::of(&p);
-    (0..6).for_each(|_| assert_eq!(client.visit("pay"), 200, "refused connections prove it"));
+    (0..6).for_each(|_| assert_eq!(client.visit("pay"), 200, "a refused connection is proof"));
     assert_eq!(good.visits.load(Ordering::SeqCst), 6);
-    // Told that it never ran, with a body: sent again whole.
+    // The server answers that the visit never ran: it is sent again with its whole body.
     let full = server(|_| b"HTTP/1.1 503 X\r\nX-Unseen: 1\r\nContent-Length: 0\r\n\r\n".to_vec());
-    let p = proxy(nowhere(), &[full.address, good.address], "");
+    let p = proxy(unused_address(), &[full.address, good.address], "");
     let mut client = Client::of(&p);
     for _ in 0..4 {
-        let came = client
-            .say(b"POST /pay HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello")
+        let message = client
+            .send(b"POST /pay HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello")
             .unwrap();
         assert_eq!(
-            (status(&came), came.body.as_slice()),
+            (status(&message), message.body.as_slice()),
             (200, b"hello".as_slice())
         );
     }
-    // No answer: it may have run. Neither class is tried again where only proof was ordered.
-    let p = proxy(nowhere(), &[silent.address], "");
+    // No answer: it may have run. Without a table the policy is to retry on proof only.
+    let p = proxy(unused_address(), &[unresponsive.address], "");
     let mut client = Client::of(&p);
     assert_eq!(client.visit("pay"), 504);
     assert_eq!(ran.load(Ordering::SeqCst), 1);
@@ -348,8 +362,8 @@
 }
 
 #[test]
-fn a_client_that_goes_away_ends_its_visit_at_the_server_and_harms_no_record() {
-    // A server that tells when its connection was ended while it still worked.
+fn a_disconnected_client_cancels_its_visit_and_counts_as_no_failure() {
+    // A server that counts connections that were closed before it answered.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let ended = Arc::new(AtomicUsize::new(0));
@@ -358,14 +372,14 @@
         for mut socket in listener.incoming().map_while(Result::ok) {
             let count = count.clone();
             std::thread::spawn(move || {
-                let mut ahead = Vec::new();
-                read_message(&mut socket, &mut ahead).unwrap();
+                let mut unread = Vec::new();
+                read_message(&mut socket, &mut unread).unwrap();
                 let end = socket.read(&mut [0; 16]);
                 count.fetch_add(usize::from(matches!(end, Ok(0) | Err(_))), Ordering::SeqCst);
             });
         }
     });
-    let p = proxy(nowhere(), &[address], "");
+    let p = proxy(unused_address(), &[address], "");
     for i in 1..=8 {
         let mut client = Client::of(&p);
         client
@@ -373,7 +387,7 @@
             .write_all(b"GET /view HTTP/1.1\r\nHost: h\r\n\r\n")
             .unwrap();
         drop(client);
-        until("the server's side ended", || {
+        until("the server's connection is closed", || {
             ended.load(Ordering::SeqCst) == i
         });
     }
@@ -388,11 +402,11 @@
 }
 
 #[test]
-fn bodies_of_any_size_pass_both_ways_however_they_are_framed() {
-    let echo = server(|came| {
-        // Back in chunks of an odd size.
+fn bodies_of_any_size_and_framing_pass_both_ways() {
+    let echo = server(|message| {
+        // Returns the body in chunks of an odd size.
         let mut out = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
-        for piece in came.body.chunks(7_001) {
+        for piece in message.body.chunks(7_001) {
             out.extend_from_slice(format!("{:X};ext=1\r\n", piece.len()).as_bytes());
             out.extend_from_slice(piece);
             out.extend_from_slice(b"\r\n");
@@ -400,16 +414,16 @@
         out.extend_from_slice(b"0\r\nTrailer: x\r\n\r\n");
         out
     });
-    let p = proxy(nowhere(), &[echo.address], "");
+    let p = proxy(unused_address(), &[echo.address], "");
     let mut client = Client::of(&p);
     for size in [0, 1, 60_000, 70_000, 3_000_000] {
         let body: Vec<u8> = (0..size).map(|i| (i % 251) as u8).collect();
         let mut whole = format!("POST /view HTTP/1.1\r\nHost: h\r\nContent-Length: {size}\r\n\r\n")
             .into_bytes();
         whole.extend_from_slice(&body);
-        let came = client.say(&whole).unwrap();
+        let message = client.send(&whole).unwrap();
         assert!(
-            status(&came) == 200 && came.body == body,
+            status(&message) == 200 && message.body == body,
             "{size} bytes with their length"
         );
         let mut chunked =
@@ -420,28 +434,28 @@
             chunked.extend_from_slice(b"\r\n");
         }
         chunked.extend_from_slice(b"0\r\n\r\n");
-        let came = client.say(&chunked).unwrap();
+        let message = client.send(&chunked).unwrap();
         assert!(
-            status(&came) == 200 && came.body == body,
+            status(&message) == 200 && message.body == body,
             "{size} bytes in chunks"
         );
     }
     let head = client
-        .say(b"HEAD /view HTTP/1.1\r\nHost: h\r\n\r\n")
+        .send(b"HEAD /view HTTP/1.1\r\nHost: h\r\n\r\n")
         .unwrap();
     assert_eq!(status(&head), 200);
 }
 
 #[test]
-fn what_could_smuggle_is_refused_and_nothing_of_it_reaches_a_server() {
+fn requests_that_could_smuggle_are_refused_and_reach_no_server() {
     let heads = Arc::new(Mutex::new(Vec::new()));
     let seen = heads.clone();
-    let target = server(move |came| {
-        seen.lock().unwrap().push(came.head.clone());
+    let target = server(move |message| {
+        seen.lock().unwrap().push(message.head.clone());
         ok(b"")
     });
-    let p = proxy(nowhere(), &[target.address], "");
-    let odd: BTreeMap<&str, u16> = [
+    let p = proxy(unused_address(), &[target.address], "");
+    let cases: BTreeMap<&str, u16> = [
         ("POST /view HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /x", 400),
         ("POST /view HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", 400),
         ("POST /view HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked, identity\r\n\r\n", 501),
@@ -451,29 +465,29 @@
         ("GET /view HTTP/3.0\r\nHost: h\r\n\r\n", 505),
     ]
     .into();
-    for (text, wanted) in odd {
-        let came = Client::of(&p).say(text.as_bytes()).unwrap();
-        assert_eq!(status(&came), wanted, "{text:?}");
-        assert!(came.head.contains("Connection: close"));
+    for (text, expected) in cases {
+        let message = Client::of(&p).send(text.as_bytes()).unwrap();
+        assert_eq!(status(&message), expected, "{text:?}");
+        assert!(message.head.contains("Connection: close"));
     }
     let large = format!(
         "GET /view HTTP/1.1\r\nHost: h\r\nX: {}\r\n\r\n",
         "x".repeat(20_000)
     );
-    assert_eq!(status(&Client::of(&p).say(large.as_bytes()).unwrap()), 431);
+    assert_eq!(status(&Client::of(&p).send(large.as_bytes()).unwrap()), 431);
     assert!(heads.lock().unwrap().is_empty());
-    // A chunk that lies about its size ends the connection; what follows is no request.
+    // A chunk with a wrong size closes the connection; the bytes after it are not read as a request.
     let mut client = Client::of(&p);
-    let lies = b"POST /view HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcdefGET /evil HTTP/1.1\r\n\r\n";
-    let _ = client.say(lies);
+    let bad_chunk = b"POST /view HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcdefGET /evil HTTP/1.1\r\n\r\n";
+    let _ = client.send(bad_chunk);
     assert_eq!(Client::of(&p).visit("view"), 200);
     assert!(heads.lock().unwrap().iter().all(|h| !h.contains("evil")));
 }
 
 #[test]
-fn levels_refuse_at_once_and_tell_when_to_come_again() {
-    let s = plain();
-    let p = proxy(nowhere(), &[s.address], "");
+fn visits_that_are_not_admitted_are_refused_at_once_with_retry_after() {
+    let s = echo_server();
+    let p = proxy(unused_address(), &[s.address], "");
     let held = dahliapoint_xds::Held {
         lines: vec![dahliapoint_xds::HeldLine {
             server: "s0".into(),
@@ -489,25 +503,25 @@
     assert_eq!(codes.iter().filter(|c| **c == 200).count(), 10);
     assert_eq!(codes.iter().filter(|c| **c == 503).count(), 30);
     let refused =
-        (0..4).filter_map(|_| Client::of(&p).say(b"GET /view HTTP/1.1\r\nHost: h\r\n\r\n"));
-    let refused: Vec<Came> = refused.filter(|c| status(c) == 503).collect();
+        (0..4).filter_map(|_| Client::of(&p).send(b"GET /view HTTP/1.1\r\nHost: h\r\n\r\n"));
+    let refused: Vec<Message> = refused.filter(|c| status(c) == 503).collect();
     assert!(refused.iter().all(|c| c.head.contains("Retry-After: 1")));
     assert_eq!(
         Client::of(&p).visit("pay"),
         200,
-        "the other class is let in"
+        "the other class is admitted"
     );
-    // Empty tables: said at once.
+    // With an empty table visits are refused at once.
     p.plane
         .swap_table(Some(&dahliapoint_xds::Held::default()), &|_| false, 0);
     assert_eq!(Client::of(&p).visit("pay"), 503);
 }
 
 #[test]
-fn no_visit_sees_half_a_table() {
-    // Two tables that share no server, swapped as fast as they can be, while visits go on.
-    let servers: Vec<Server> = (0..2).map(|_| plain()).collect();
-    let p = proxy(nowhere(), &[servers[0].address], "");
+fn no_visit_sees_parts_of_two_tables() {
+    // Two tables without a common server are swapped as fast as possible during visits.
+    let servers: Vec<Server> = (0..2).map(|_| echo_server()).collect();
+    let p = proxy(unused_address(), &[servers[0].address], "");
     let held = |i: usize| dahliapoint_xds::Held {
         lines: vec![dahliapoint_xds::HeldLine {
             server: format!("s{i}"),
@@ -518,12 +532,12 @@
         ..dahliapoint_xds::Held::default()
     };
     let tables = [held(0), held(1)];
-    let over = Arc::new(AtomicBool::new(false));
+    let is_done = Arc::new(AtomicBool::new(false));
     let swapping = {
-        let (plane, over) = (p.plane.clone(), over.clone());
+        let (plane, is_done) = (p.plane.clone(), is_done.clone());
         std::thread::spawn(move || {
             let mut swaps = 0;
-            while !over.load(Ordering::SeqCst) {
+            while !is_done.load(Ordering::SeqCst) {
                 plane.swap_table(Some(&tables[swaps % 2]), &|_| false, 0);
                 assert_eq!(plane.server_count(), 1);
                 swaps += 1;
@@ -534,6 +548,6 @@
     };
     let mut client = Client::of(&p);
     (0..500).for_each(|_| assert_eq!(client.visit("view"), 200));
-    over.store(true, Ordering::SeqCst);
+    is_done.store(true, Ordering::SeqCst);
     assert!(swapping.join().unwrap() > 10);
 }
