--- a/crates/proxy/benches/picking.rs
+++ b/crates/proxy/benches/picking.rs
@@ -1,4 +1,4 @@
-//! Picking against a plain scan, at 5, 12, 30 and 400 lines, with a new table every hundred visits.
+//! Benchmarks picking against a linear scan, with 5, 12, 30 and 400 servers and a new table every hundred visits.
 //!
 //! `cargo bench -p dahliapoint-proxy`; figures are in docs/measurements.md.
 
@@ -11,51 +11,52 @@
 const SIZES: [usize; 4] = [5, 12, 30, 400];
 const VISITS: usize = 100;
 
-fn lines(n: usize, tick: usize) -> Vec<WeightedServer> {
-    let line = |server| WeightedServer {
+fn table(n: usize, tick: usize) -> Vec<WeightedServer> {
+    let entry = |server| WeightedServer {
         server,
         weight: 0.1 + ((server * 7 + tick) % 10) as f64 / 10.0,
     };
-    (0..n).map(line).collect()
+    (0..n).map(entry).collect()
 }
 
-/// The smooth weighted order as a scan: all counters up by their weights, the highest goes.
-fn scanned_order(counters: &mut [f64], lines: &[WeightedServer]) -> usize {
+/// Smooth weighted round robin by a linear scan: each counter grows by its weight, the highest is picked.
+fn scan_round_robin(counters: &mut [f64], table: &[WeightedServer]) -> usize {
     let (mut best, mut sum) = (0, 0.0);
-    for (i, line) in lines.iter().enumerate() {
-        counters[i] += line.weight;
-        sum += line.weight;
+    for (i, entry) in table.iter().enumerate() {
+        counters[i] += entry.weight;
+        sum += entry.weight;
         if counters[i] > counters[best] {
             best = i;
         }
     }
     counters[best] -= sum;
-    lines[best].server
+    table[best].server
 }
 
-fn scanned_draw(lines: &[WeightedServer], rng: &mut Rng) -> usize {
-    let all: f64 = lines.iter().map(|l| l.weight).sum();
-    let mut left = rng.next_f64() * all;
-    for line in lines {
-        left -= line.weight;
+/// A random draw by weight by a linear scan.
+fn scan_draw(table: &[WeightedServer], rng: &mut Rng) -> usize {
+    let total: f64 = table.iter().map(|e| e.weight).sum();
+    let mut left = rng.next_f64() * total;
+    for entry in table {
+        left -= entry.weight;
         if left < 0.0 {
-            return line.server;
+            return entry.server;
         }
     }
-    lines[lines.len() - 1].server
+    table[table.len() - 1].server
 }
 
 fn picking(c: &mut Criterion) {
-    let mut group = c.benchmark_group("a table and a hundred visits");
+    let mut group = c.benchmark_group("a new table and a hundred visits");
     for n in SIZES {
-        let tables: Vec<Vec<WeightedServer>> = (0..10).map(|tick| lines(n, tick)).collect();
-        for (name, way) in [
-            ("turns, a heap", BalancingPolicy::WeightedRoundRobin),
-            ("draws, a tree of sums", BalancingPolicy::WeightedRandom),
-            ("two draws", BalancingPolicy::TwoChoices),
+        let tables: Vec<Vec<WeightedServer>> = (0..10).map(|tick| table(n, tick)).collect();
+        for (name, policy) in [
+            ("round robin, heap", BalancingPolicy::WeightedRoundRobin),
+            ("random, Fenwick tree", BalancingPolicy::WeightedRandom),
+            ("two choices, Fenwick tree", BalancingPolicy::TwoChoices),
         ] {
             group.bench_function(BenchmarkId::new(name, n), |b| {
-                let mut picker = Picker::new(way, 1);
+                let mut picker = Picker::new(policy, 1);
                 let mut tick = 0;
                 b.iter(|| {
                     tick += 1;
@@ -66,23 +67,23 @@
                 });
             });
         }
-        group.bench_function(BenchmarkId::new("turns, a scan", n), |b| {
+        group.bench_function(BenchmarkId::new("round robin, scan", n), |b| {
             let mut counters = vec![0.0; n];
             let mut tick = 0;
             b.iter(|| {
                 tick += 1;
                 for _ in 0..VISITS {
-                    black_box(scanned_order(&mut counters, &tables[tick % 10]));
+                    black_box(scan_round_robin(&mut counters, &tables[tick % 10]));
                 }
             });
         });
-        group.bench_function(BenchmarkId::new("draws, a scan", n), |b| {
+        group.bench_function(BenchmarkId::new("random, scan", n), |b| {
             let mut rng = Rng::from_seed(1);
             let mut tick = 0;
             b.iter(|| {
                 tick += 1;
                 for _ in 0..VISITS {
-                    black_box(scanned_draw(&tables[tick % 10], &mut rng));
+                    black_box(scan_draw(&tables[tick % 10], &mut rng));
                 }
             });
         });
--- a/crates/proxy/examples/cost.rs
+++ b/crates/proxy/examples/cost.rs
@@ -1,5 +1,5 @@
-//! What the proxy costs: the tail of visits while tables of 12, 100 and 400 lines are swapped at tick pace
-//! and faster, CPU a visit, and memory a kept connection.
+//! Measures the cost of the proxy: the tail latency of visits while tables of 12, 100 and 400 lines are swapped at each
+//! tick and faster, the CPU time per visit, and the memory per idle connection.
 //! `cargo run --release -p dahliapoint-proxy --example cost [VISITS]`
 
 use dahliapoint_proxy::data_plane::DataPlane;
@@ -15,6 +15,7 @@
 const CLIENTS: usize = 4;
 const CONNECTIONS: usize = 2_000;
 
+/// Starts a server that answers each request, with one thread per connection.
 fn server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -24,8 +25,8 @@
                 let _ = socket.set_nodelay(true);
                 let mut bytes = [0; 2048];
                 while socket.read(&mut bytes).is_ok_and(|n| n > 0) {
-                    let said = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-                    if socket.write_all(said).is_err() {
+                    let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+                    if socket.write_all(answer).is_err() {
                         return;
                     }
                 }
@@ -35,27 +36,28 @@
     address
 }
 
+/// Makes a visit and returns the time that it took.
 fn visit(socket: &mut TcpStream) -> Duration {
-    let begun = Instant::now();
+    let started = Instant::now();
     socket
         .write_all(b"GET /view HTTP/1.1\r\nHost: h\r\n\r\n")
         .expect("sent");
     let (mut bytes, mut n) = ([0; 2048], 0);
     while !bytes[..n].ends_with(b"ok") {
-        let more = socket.read(&mut bytes[n..]).expect("answered");
-        assert!(more > 0, "closed");
-        n += more;
+        let read = socket.read(&mut bytes[n..]).expect("answered");
+        assert!(read > 0, "closed");
+        n += read;
     }
-    begun.elapsed()
+    started.elapsed()
 }
 
-fn connected(to: SocketAddr) -> TcpStream {
+fn connect(to: SocketAddr) -> TcpStream {
     let socket = TcpStream::connect(to).expect("connected");
     let _ = socket.set_nodelay(true);
     socket
 }
 
-/// A table of so many lines over the servers there are; each swap gives other weights.
+/// A table of `lines` servers, with other weights in each round.
 fn table(servers: &[SocketAddr], lines: usize, round: usize) -> Held {
     let line = |i: usize| HeldLine {
         server: format!("s{i}"),
@@ -69,8 +71,8 @@
     }
 }
 
-/// CPU time of the calling process in milliseconds, and its memory now in KiB.
-fn used() -> (f64, f64) {
+/// CPU time of this process in milliseconds, and its resident memory in KiB.
+fn usage() -> (f64, f64) {
     let read = |name: &str| std::fs::read_to_string(name).unwrap_or_default();
     let stat = read("/proc/self/stat");
     let fields: Vec<f64> = stat
@@ -84,13 +86,14 @@
     (10.0 * (fields[11] + fields[12]), rss.unwrap_or(0.0))
 }
 
-fn run(name: &str, to: SocketAddr, many: usize) {
-    let cpu = used().0;
+/// Makes visits from several clients at once and prints their times.
+fn run(name: &str, to: SocketAddr, visits: usize) {
+    let cpu = usage().0;
     let clients: Vec<_> = (0..CLIENTS)
         .map(|_| {
             std::thread::spawn(move || {
-                let mut socket = connected(to);
-                let times = (0..many / CLIENTS).map(|_| visit(&mut socket));
+                let mut socket = connect(to);
+                let times = (0..visits / CLIENTS).map(|_| visit(&mut socket));
                 times.collect::<Vec<_>>()
             })
         })
@@ -102,57 +105,61 @@
     times.sort_unstable();
     let at = |q: f64| times[((times.len() - 1) as f64 * q) as usize].as_secs_f64() * 1e6;
     println!(
-        "{name:<40} median {:>5.0} us, 99th {:>5.0}, 99.9th {:>6.0}, worst {:>6.0}; CPU of all in here {:.0} us a visit",
+        "{name:<40} median {:>5.0} us, 99th {:>5.0}, 99.9th {:>6.0}, worst {:>6.0}; CPU of client, proxy and server together {:.0} us per visit",
         at(0.5),
         at(0.99),
         at(0.999),
         at(1.0),
-        (used().0 - cpu) * 1e3 / times.len() as f64
+        (usage().0 - cpu) * 1e3 / times.len() as f64
     );
 }
 
 fn main() {
-    let many = std::env::args().nth(1).and_then(|n| n.parse().ok());
-    let many: usize = many.unwrap_or(40_000);
+    let visits = std::env::args().nth(1).and_then(|n| n.parse().ok());
+    let visits: usize = visits.unwrap_or(40_000);
     let servers: Vec<SocketAddr> = (0..SERVERS).map(|_| server()).collect();
-    run("directly", servers[0], many);
+    run("directly", servers[0], visits);
     let text = "name: p\nservice: s\nzone: z\ncontrollers: ['127.0.0.1:1']\nlisten: 127.0.0.1:0\nroster: none\n\
                 idle: 60s\nclasses: [{name: view, hard_limit: 5s, repeat: safe}]\n";
     let plane = DataPlane::new(settings::parse("p", text).expect("settings"), &[]);
-    let at = plane.serve().expect("a port");
+    let address = plane.serve().expect("a port");
     for lines in [12, 100, 400] {
         plane.swap_table(Some(&table(&servers, lines, 0)), &|_| false, 0);
-        run(&format!("{lines} lines, no swap"), at, many);
-        for every in [2_000, 50] {
-            let over = Arc::new(AtomicBool::new(false));
+        run(&format!("{lines} lines, no swap"), address, visits);
+        for interval_ms in [2_000, 50] {
+            let is_done = Arc::new(AtomicBool::new(false));
             let swapping = {
-                let (plane, servers, over) = (plane.clone(), servers.clone(), over.clone());
+                let (plane, servers, is_done) = (plane.clone(), servers.clone(), is_done.clone());
                 std::thread::spawn(move || {
                     let (mut round, mut worst) = (0, Duration::ZERO);
-                    while !over.load(Ordering::SeqCst) {
+                    while !is_done.load(Ordering::SeqCst) {
                         round += 1;
                         let held = table(&servers, lines, round);
-                        let begun = Instant::now();
+                        let started = Instant::now();
                         plane.swap_table(Some(&held), &|_| false, lines);
-                        worst = worst.max(begun.elapsed());
-                        std::thread::sleep(Duration::from_millis(every));
+                        worst = worst.max(started.elapsed());
+                        std::thread::sleep(Duration::from_millis(interval_ms));
                     }
                     (round, worst)
                 })
             };
-            run(&format!("{lines} lines, swapped each {every} ms"), at, many);
-            over.store(true, Ordering::SeqCst);
+            run(
+                &format!("{lines} lines, swapped every {interval_ms} ms"),
+                address,
+                visits,
+            );
+            is_done.store(true, Ordering::SeqCst);
             let (rounds, worst) = swapping.join().expect("swaps");
             println!("{:<40} {rounds} swaps, the longest {worst:?}", "");
         }
     }
-    let before = used().1;
-    let mut kept: Vec<TcpStream> = (0..CONNECTIONS).map(|_| connected(at)).collect();
-    for socket in &mut kept {
+    let memory_before = usage().1;
+    let mut idle: Vec<TcpStream> = (0..CONNECTIONS).map(|_| connect(address)).collect();
+    for socket in &mut idle {
         visit(socket);
     }
     println!(
-        "{CONNECTIONS} clients' connections kept open: {:.1} KiB each (both ends are in this process)",
-        (used().1 - before) / CONNECTIONS as f64
+        "{CONNECTIONS} idle connections of clients: {:.1} KiB each (both ends are in this process)",
+        (usage().1 - memory_before) / CONNECTIONS as f64
     );
 }
