--- a/crates/proxy/src/load_balancing.rs
+++ b/crates/proxy/src/load_balancing.rs
@@ -22,6 +22,7 @@
 /// A server of the table and its weight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WeightedServer {
+    /// Index of the server.
     pub server: usize,
     pub weight: f64,
 }
@@ -282,7 +283,7 @@
                 return Some(server);
             }
         }
-        // Excluded servers probably have most of the weight: draw among the candidates alone.
+        // Excluded servers have most of the weight: draw among the candidates alone.
         let candidates: Vec<WeightedServer> = self
             .servers
             .iter()
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -21,7 +21,7 @@
     pub name: String,
     pub service: String,
     pub zone: String,
-    /// Expected visit rate, told to the controller.
+    /// Expected visit rate, sent to the controller.
     pub visits_per_s: f64,
     /// Controllers to connect to, the preferred one first; empty if tables come by files.
     pub controllers: Vec<SocketAddr>,
