--- a/crates/proxy/src/data_plane.rs
+++ b/crates/proxy/src/data_plane.rs
@@ -568,7 +568,7 @@
         let mut table = lock(&self.table);
         if table.ejector.record_try(now, server, is_success) {
             drop(table);
-            warn!(server = ?self.address(server), "server ejected after consecutive failures");
+            warn!(server = ?self.address(server), "kept away from after a run of failures");
         }
     }
 
--- a/crates/proxy/src/xds_client.rs
+++ b/crates/proxy/src/xds_client.rs
@@ -114,7 +114,7 @@
                 Ok(StreamEnd::FailBack) => 0,
                 Ok(StreamEnd::Closed) => (index + 1) % settings.controllers.len(),
                 Err(status) => {
-                    warn!(controller = %to, %status, "stream to the controller lost; the table is kept");
+                    warn!(controller = %to, %status, "the stream to the controller is lost; the table is kept");
                     (index + 1) % settings.controllers.len()
                 }
             };
@@ -263,7 +263,7 @@
                 self.refused.fetch_add(1, Ordering::SeqCst);
                 warn!(
                     nonce = response.nonce,
-                    "message refused; the old table stays in use"
+                    "a message is refused; the old table stands"
                 );
             }
             false => {
