--- a/crates/files/src/disk.rs
+++ b/crates/files/src/disk.rs
@@ -20,7 +20,7 @@
     ///
     /// # Errors
     /// See [`Disk::make_dir`].
-    fn link(&mut self, from: &Path, to: &Path) -> io::Result<()>;
+    fn hard_link(&mut self, from: &Path, to: &Path) -> io::Result<()>;
     /// Creates a symbolic link to a name in the same directory.
     ///
     /// # Errors
@@ -81,7 +81,7 @@
         if synced { file.sync_data() } else { Ok(()) }
     }
 
-    fn link(&mut self, from: &Path, to: &Path) -> io::Result<()> {
+    fn hard_link(&mut self, from: &Path, to: &Path) -> io::Result<()> {
         self.calls += 1;
         fs::hard_link(from, to)
     }
--- a/crates/files/src/publish.rs
+++ b/crates/files/src/publish.rs
@@ -201,7 +201,7 @@
                     .dir
                     .join(generation_dir(base.generation))
                     .join(base.file);
-                disk.link(&base_file, &dir.join(BASE))?;
+                disk.hard_link(&base_file, &dir.join(BASE))?;
                 disk.write(&dir.join(PATCH), patch.as_bytes(), synced)?;
                 files.push(base.entry.clone());
                 files.push(entry(PATCH, &patch));
--- a/crates/files/tests/publication.rs
+++ b/crates/files/tests/publication.rs
@@ -68,9 +68,9 @@
         Err(disk_full())
     }
 
-    fn link(&mut self, from: &Path, to: &Path) -> io::Result<()> {
+    fn hard_link(&mut self, from: &Path, to: &Path) -> io::Result<()> {
         if self.succeeds() {
-            self.disk.link(from, to)
+            self.disk.hard_link(from, to)
         } else {
             Err(disk_full())
         }
