--- a/crates/files/src/cost.rs
+++ b/crates/files/src/cost.rs
@@ -13,7 +13,6 @@
 }
 
 /// How a table is written.
-
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Encoding {
     Snapshot,
--- a/crates/files/src/disk.rs
+++ b/crates/files/src/disk.rs
@@ -46,7 +46,9 @@
 /// The file system of the machine; counts system calls and written bytes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemDisk {
+    /// System calls made.
     pub calls: u64,
+    /// Bytes written.
     pub bytes: u64,
 }
 
--- a/crates/files/src/formats.rs
+++ b/crates/files/src/formats.rs
@@ -151,6 +151,7 @@
 }
 
 impl Format {
+    /// All formats.
     pub const ALL: [Format; 3] = [Format::Balancer, Format::Workers, Format::HaproxyState];
 
     /// Its name in settings.
--- a/crates/files/src/integrity.rs
+++ b/crates/files/src/integrity.rs
@@ -7,7 +7,9 @@
 use sha2::{Digest, Sha256};
 use std::fmt::Write;
 
+/// Shorter keys are refused.
 const MIN_KEY_BYTES: usize = 16;
+/// The current key, and the old or new one during a rotation.
 const MAX_KEYS: usize = 2;
 
 /// Bytes in hexadecimal.
--- a/crates/files/src/proxy_session.rs
+++ b/crates/files/src/proxy_session.rs
@@ -41,6 +41,7 @@
     pending: Option<Urgency>,
     /// Published generations, each with the newest mark in it.
     unacknowledged: VecDeque<(u64, u64)>,
+    /// Infinity before the first publication, so that nothing is refreshed.
     published_at: f64,
     failures: u32,
     retry_at: f64,
--- a/crates/files/src/spool_rules.rs
+++ b/crates/files/src/spool_rules.rs
@@ -17,10 +17,12 @@
     Report(u64),
     /// Still being written.
     Temporary,
+    /// Any other name.
     Unknown,
 }
 
 impl FileKind {
+    /// The kind of a file of this name.
     pub fn of(name: &str) -> FileKind {
         let number = |prefix: &str| {
             let digits = name.strip_prefix(prefix)?;
--- a/crates/files/tests/publication.rs
+++ b/crates/files/tests/publication.rs
@@ -204,7 +204,7 @@
     assert!(reads.iter().all(|n| *n > 10), "{reads:?}");
     assert!(
         p.patches > 100 && p.snapshots > 1,
-        "{} patched, {} whole",
+        "{} patches, {} snapshots",
         p.patches,
         p.snapshots
     );
--- a/crates/files/tests/spool.rs
+++ b/crates/files/tests/spool.rs
@@ -125,13 +125,13 @@
         .status();
     let pipes = usize::from(pipe.is_ok_and(|s| s.success()));
     std::fs::write(f.spool_file("report-5"), vec![b'x'; (1 << 20) + 1]).unwrap();
-    std::fs::write(f.spool_file("report-6"), "{}\nno seal\n").unwrap();
+    std::fs::write(f.spool_file("report-6"), "{}\nno tag\n").unwrap();
     std::fs::write(
         f.spool_file("report-7"),
         Keys::default().add_tag("{\"life\":"),
     )
     .unwrap();
-    std::fs::write(f.spool_file("..report"), "aside").unwrap();
+    std::fs::write(f.spool_file("..report"), "temporary").unwrap();
     std::fs::write(f.spool_file("evil\n2027 ERROR"), "x").unwrap();
     let other = Heartbeat {
         proxy: "q".into(),
--- a/crates/import/src/tokenizer.rs
+++ b/crates/import/src/tokenizer.rs
@@ -8,6 +8,7 @@
 pub struct Token {
     pub text: String,
     pub bytes: Range<usize>,
+    /// The quotation mark around it.
     pub quote: Option<char>,
 }
 
