--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -11,7 +11,7 @@
 //! 5. When the connection limit is reached, the oldest connection that has not joined is closed. Bytes
 //!    it sent before are read first; if they make it join, it stays.
 //! 6. A zone has at most [`MAX_COLLECTORS_PER_ZONE`] collectors; a further one replaces the one silent
-//!    for longest. So a silent collector blocks no new one, and a stranger does not at once replace one
+//!    for longest. So a silent collector blocks no new one, and a newcomer does not at once replace one
 //!    that reports.
 //! 7. A client that got an answer can read it and then the end of the stream: the sending side is shut
 //!    down first, and further input is discarded for a while ([`ANSWER_TIMEOUT`],
@@ -204,7 +204,7 @@
         let mut deadline = Instant::now() + JOIN_TIMEOUT;
         let mut buffer = [0; 4096];
         loop {
-            // An evicted connection is read once more without waiting.
+            // An evicted connection is read one last time, without waiting.
             let is_open = self.is_open(number);
             let read_deadline = if is_open { deadline } else { Instant::now() };
             let n = match socket.read(&mut buffer, Some(read_deadline)) {
