--- a/crates/control/tests/controller.rs
+++ b/crates/control/tests/controller.rs
@@ -1,4 +1,5 @@
-//! The controller against a model of what proxies hold: tables of cases, and days drawn by chance.
+//! The controller against a model of the proxies that applies what it is sent: single cases and
+//! randomized days.
 
 use dahliapoint_control::record::{End, Header, Recorder, encode_outputs, replay};
 use dahliapoint_control::{
@@ -9,7 +10,7 @@
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn terms() -> ControllerSettings {
+fn settings() -> ControllerSettings {
     let class = |name: &str, earnings| ClassSettings {
         name: name.into(),
         soft_limit_ms: 1000.0,
@@ -33,7 +34,7 @@
         initial_servers: 12.0,
         default_visits_per_s: 20.0,
         report_interval_ms: 500.0,
-        reports_per_s: 300.0,
+        report_lines_per_s: 300.0,
         cold_capacity_share: 0.15,
         warm_up_ms: 16_000.0,
         overload_multiple: 3.0,
@@ -62,12 +63,12 @@
     }
 }
 
-/// What a proxy holds, by obeying.
+/// What a proxy holds after applying all messages.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Held {
     part: Option<usize>,
     lines: BTreeMap<String, (String, LineState)>,
-    shut: BTreeSet<String>,
+    withdrawn: BTreeSet<String>,
     last: u64,
     answered: u64,
 }
@@ -83,9 +84,9 @@
 }
 
 impl Day {
-    fn begun(terms: ControllerSettings) -> Day {
+    fn new(settings: ControllerSettings) -> Day {
         Day {
-            controller: Controller::new(1e6, 7, terms),
+            controller: Controller::new(1e6, 7, settings),
             now: 1e6,
             held: BTreeMap::new(),
             closed: Vec::new(),
@@ -95,7 +96,7 @@
         }
     }
 
-    fn tell(&mut self, inputs: Vec<Input>) -> Vec<Output> {
+    fn send(&mut self, inputs: Vec<Input>) -> Vec<Output> {
         for input in &inputs {
             if let Input::Joined { session, .. } = input {
                 self.held.insert(*session, Held::default());
@@ -109,24 +110,31 @@
             match o {
                 Output::Write(sessions, m) => {
                     for s in sessions {
-                        let held = self.held.get_mut(s).expect("written to who is joined");
-                        assert!(m.serial > held.last, "serials rise");
+                        let held = self
+                            .held
+                            .get_mut(s)
+                            .expect("messages go to joined proxies only");
+                        assert!(m.serial > held.last, "serials grow");
                         held.last = m.serial;
                         if let Scope::Snapshot(part) = m.scope {
                             held.lines.clear();
                             held.part = Some(part);
                         }
                         if let Scope::Changes(part) = m.scope {
-                            assert_eq!(held.part, Some(part), "changes of the part bound to");
+                            assert_eq!(
+                                held.part,
+                                Some(part),
+                                "changes are of the part that the proxy is bound to"
+                            );
                         }
                         for l in &m.lines {
                             let name = l.server.to_string();
                             match (m.scope, l.state) {
                                 (Scope::Unbound, LineState::Withdrawn) => {
-                                    held.shut.insert(name);
+                                    held.withdrawn.insert(name);
                                 }
                                 (Scope::Unbound, _) => {
-                                    held.shut.remove(&name);
+                                    held.withdrawn.remove(&name);
                                 }
                                 (_, LineState::Removed) => {
                                     held.lines.remove(&name);
@@ -151,8 +159,8 @@
         out
     }
 
-    /// Lets time pass in steps; proxies answer what they were sent a step later.
-    fn pass(&mut self, ms: f64, step: f64) {
+    /// Lets time pass in steps; proxies answer a message one step later.
+    fn run(&mut self, ms: f64, step: f64) {
         let end = self.now + ms;
         while self.now < end {
             self.now += step;
@@ -170,7 +178,7 @@
                     took_ms: 1.0,
                 });
             }
-            self.tell(inputs);
+            self.send(inputs);
         }
     }
 
@@ -181,16 +189,16 @@
             zone: "east".into(),
             visits_per_s: Some(50.0),
         };
-        self.tell(vec![input]);
+        self.send(vec![input]);
     }
 
     fn roster(&mut self, servers: &[(&str, AdminState)]) {
         let entries = servers.iter().map(|(n, s)| entry(n, *s)).collect();
-        self.tell(vec![Input::Roster(entries)]);
+        self.send(vec![Input::Roster(entries)]);
     }
 
-    /// Every bound proxy holds exactly what the controller says its part is.
-    fn agrees(&self) {
+    /// Asserts that every bound proxy holds the table of its part.
+    fn assert_tables_agree(&self) {
         let view = self.controller.overview();
         for p in &view.proxies {
             let held = &self.held[&p.session];
@@ -217,28 +225,28 @@
 
 use AdminState::{Draining, Gone, Ready};
 
-fn five() -> Day {
-    let mut day = Day::begun(terms());
+fn five_servers() -> Day {
+    let mut day = Day::new(settings());
     let names = ["a", "bb", "ccc", "dddd", "eeeee"];
     day.roster(&names.map(|n| (n, Ready)));
     day.join(1, "p1");
     day.join(2, "p2");
-    day.pass(3000.0, 100.0);
+    day.run(3000.0, 100.0);
     day
 }
 
 #[test]
 fn a_proxy_is_bound_and_holds_every_ready_server() {
-    let day = five();
-    day.agrees();
+    let day = five_servers();
+    day.assert_tables_agree();
     assert_eq!(day.held[&1].lines.len(), 5);
     assert_eq!(day.held[&1].lines, day.held[&2].lines);
     assert!(day.closed.is_empty());
 }
 
 #[test]
-fn a_drain_goes_out_at_once_to_bound_and_to_waiting_proxies() {
-    let mut day = five();
+fn a_drain_is_sent_at_once_to_bound_and_to_unbound_proxies() {
+    let mut day = five_servers();
     day.roster(&[
         ("a", Draining),
         ("bb", Ready),
@@ -253,10 +261,11 @@
         let open: Vec<_> = open.map(|(n, _)| n.as_str()).collect();
         assert_eq!(open, ["bb", "ccc", "dddd"], "draining and dropped alike");
     }
-    // The channel is full of what nobody answers: a joiner waits, but is told what is withdrawn.
-    let mut day = Day::begun(ControllerSettings {
+    // The channel is full of unanswered messages: a new proxy is not bound, but learns of
+    // withdrawals.
+    let mut day = Day::new(ControllerSettings {
         max_queued_lines: 150.0,
-        ..terms()
+        ..settings()
     });
     day.answering = false;
     day.roster(&["a", "bb", "ccc", "dddd", "eeeee"].map(|n| (n, Ready)));
@@ -264,12 +273,12 @@
     day.roster(&[("a", Draining), ("bb", Ready), ("ccc", Ready)]);
     day.join(10, "late");
     assert_eq!(day.held[&10].part, None);
-    assert!(day.held[&10].shut.contains("a"), "{:?}", day.held[&10]);
+    assert!(day.held[&10].withdrawn.contains("a"), "{:?}", day.held[&10]);
 }
 
 #[test]
-fn a_refused_message_is_told_again_withdrawals_first() {
-    let mut day = five();
+fn a_refused_message_is_sent_again_withdrawals_first() {
+    let mut day = five_servers();
     day.answering = false;
     day.roster(&[
         ("a", Draining),
@@ -278,27 +287,27 @@
         ("dddd", Ready),
     ]);
     let serial = day.held[&1].last;
-    let out = day.tell(vec![Input::Refused(1, serial, "unknown server".into())]);
-    let again = out.iter().find_map(|o| match o {
+    let out = day.send(vec![Input::Refused(1, serial, "unknown server".into())]);
+    let resent = out.iter().find_map(|o| match o {
         Output::Write(to, m) if to == &vec![1] => Some(m.clone()),
         _ => None,
     });
-    let again = again.expect("what was withdrawn is written again at once");
-    assert!(again.lines.iter().all(|l| l.state != LineState::Open));
-    assert!(again.lines.iter().any(|l| &*l.server == "a"));
-    // The rest follows after the grace.
+    let resent = resent.expect("withdrawals are sent again at once");
+    assert!(resent.lines.iter().all(|l| l.state != LineState::Open));
+    assert!(resent.lines.iter().any(|l| &*l.server == "a"));
+    // The rest follows after the grace period.
     day.answering = true;
-    day.pass(3_500.0, 100.0);
+    day.run(3_500.0, 100.0);
     let view = day.controller.overview();
     assert!(view.proxies.iter().all(|p| p.refusal.is_none()), "{view:?}");
     assert_eq!(view.counters.refused, 1);
-    day.agrees();
+    day.assert_tables_agree();
 }
 
 #[test]
-fn odd_answers_and_second_streams_disturb_nobody() {
-    let mut day = five();
-    let odd = [
+fn unexpected_answers_and_second_streams_do_no_harm() {
+    let mut day = five_servers();
+    let unexpected = [
         Input::Applied(1, 0),
         Input::Applied(1, 9999),
         Input::Applied(77, 1),
@@ -306,30 +315,31 @@
         Input::Left(77),
         Input::Reported("nobody".into(), LoadReport::default()),
     ];
-    day.tell(odd.to_vec());
+    day.send(unexpected.to_vec());
     assert_eq!(day.controller.overview().counters.unexpected_answers, 4);
-    // The same node again: the newer stream holds, the older one's late words count for nothing.
+    // The same proxy again: the newer stream replaces the older one, whose late messages are
+    // ignored.
     day.join(3, "p1");
     assert_eq!(day.closed, [1]);
     day.controller.handle(day.now, vec![Input::Left(1)]);
-    day.pass(3000.0, 100.0);
-    day.agrees();
+    day.run(3000.0, 100.0);
+    day.assert_tables_agree();
     assert_eq!(day.controller.overview().proxies.len(), 2);
-    // A zone that nobody knows.
+    // An unknown zone.
     let input = Input::Joined {
         session: 9,
         proxy: "p9".into(),
         zone: "mars".into(),
         visits_per_s: None,
     };
-    day.tell(vec![input]);
+    day.send(vec![input]);
     assert_eq!(day.closed, [1, 9]);
 }
 
 #[test]
-fn a_proxy_that_answers_nothing_is_given_up_and_the_others_go_on() {
-    let mut day = five();
-    let mute = 2;
+fn a_proxy_that_does_not_answer_is_evicted_and_the_others_go_on() {
+    let mut day = five_servers();
+    let unresponsive = 2;
     let mut last = 0;
     for i in 0..40 {
         let state = if i % 2 == 0 { Draining } else { Ready };
@@ -338,22 +348,22 @@
         if let Some(h) = day.held.get_mut(&1) {
             last = h.last;
         }
-        day.tell(vec![Input::Applied(1, last)]);
-        if day.closed.contains(&mute) {
+        day.send(vec![Input::Applied(1, last)]);
+        if day.closed.contains(&unresponsive) {
             break;
         }
     }
-    assert_eq!(day.closed, [mute]);
+    assert_eq!(day.closed, [unresponsive]);
     assert!(day.notes.iter().any(|n| n.contains("p2: answers nothing")));
-    day.pass(15_000.0, 100.0);
-    day.agrees();
+    day.run(15_000.0, 100.0);
+    day.assert_tables_agree();
 }
 
 #[test]
-fn an_index_is_used_again_only_when_nothing_refers_to_it() {
-    let mut day = five();
+fn an_index_is_reused_only_when_nothing_refers_to_it() {
+    let mut day = five_servers();
     for round in 0..40 {
-        // Each day one server is replaced by one of a new name, of the same zone.
+        // Each round one server is replaced by one with a new name in the same zone.
         let name = format!(
             "{}{}",
             "n".repeat(2 + 2 * (round % 3)),
@@ -361,8 +371,8 @@
         );
         let names = [(name.as_str(), Ready), ("bb", Ready), ("dddd", Ready)];
         day.roster(&names);
-        day.pass(170_000.0, 1000.0);
-        day.agrees();
+        day.run(170_000.0, 1000.0);
+        day.assert_tables_agree();
     }
     let view = day.controller.overview();
     let known: Vec<_> = view.servers.iter().map(|s| s.name.to_string()).collect();
@@ -371,8 +381,8 @@
 }
 
 #[test]
-fn reports_that_cannot_be_are_refused_and_unknown_ones_counted() {
-    let mut day = five();
+fn impossible_reports_are_refused_and_unknown_lines_counted() {
+    let mut day = five_servers();
     let line = |server: &str, tries, failed, good_ms| ReportLine {
         server: server.into(),
         tries,
@@ -380,10 +390,10 @@
         success_ms: good_ms,
         ..ReportLine::default()
     };
-    let report = |met| LoadReport {
+    let report = |line| LoadReport {
         window_ms: 500.0,
         ended_ago_ms: 0.0,
-        lines: vec![met],
+        lines: vec![line],
         arrivals: vec![("view".into(), 3.0)],
     };
     let cases = [
@@ -396,36 +406,39 @@
         (line("a", 5.0, 5.0, 1.0), false),
         (line("a", 5.0, 0.0, f64::INFINITY), false),
     ];
-    for (met, fine) in &cases {
-        let report = report(met.clone());
+    for (line, valid) in &cases {
+        let report = report(line.clone());
         assert_eq!(
             dahliapoint_control::report_error(&report).is_none(),
-            *fine,
-            "{met:?}"
+            *valid,
+            "{line:?}"
         );
-        day.tell(vec![Input::Reported("p1".into(), report)]);
+        day.send(vec![Input::Reported("p1".into(), report)]);
     }
-    let accounts = day.controller.overview().counters;
-    assert_eq!((accounts.report_lines, accounts.unknown_lines), (1, 1));
-    assert_eq!(accounts.refused_reports, 6);
-    // A class that the terms do not have: counted as unknown, nothing else.
-    let odd = ReportLine {
+    let counters = day.controller.overview().counters;
+    assert_eq!((counters.report_lines, counters.unknown_lines), (1, 1));
+    assert_eq!(counters.refused_reports, 6);
+    // A class that the settings do not have: the line counts as unknown.
+    let unexpected = ReportLine {
         class: 9,
         ..line("a", 1.0, 0.0, 1.0)
     };
-    day.tell(vec![Input::Reported("p1".into(), report(odd))]);
+    day.send(vec![Input::Reported("p1".into(), report(unexpected))]);
     assert_eq!(day.controller.overview().counters.unknown_lines, 2);
-    // Visits under way are those of each proxy's newest word.
-    let busy = |n: f64| ReportLine {
+    // Visits in flight are those of the newest report of each proxy.
+    let in_flight_line = |n: f64| ReportLine {
         in_flight: n,
         ..line("a", 1.0, 0.0, 1.0)
     };
-    for (proxy, many) in [("p1", 5.0), ("p2", 2.0), ("p1", 3.0)] {
-        day.tell(vec![Input::Reported(proxy.into(), report(busy(many)))]);
+    for (proxy, in_flight) in [("p1", 5.0), ("p2", 2.0), ("p1", 3.0)] {
+        day.send(vec![Input::Reported(
+            proxy.into(),
+            report(in_flight_line(in_flight)),
+        )]);
     }
-    // What was met is told by class once the round has ended and its stretch is complete.
+    // Estimates by class appear once the round has ended and its window is complete.
     day.now += 1500.0;
-    day.tell(vec![Input::RoundEnded]);
+    day.send(vec![Input::RoundEnded]);
     let view = day.controller.overview();
     let a = view.servers.iter().find(|s| &*s.name == "a").unwrap();
     assert_eq!((a.by_class.len(), a.by_class[0].class), (1, 0));
@@ -442,16 +455,77 @@
     assert!(dahliapoint_control::report_error(&long).is_some());
 }
 
-/// All proxies of a grown site come back within a second: nobody is written more than the channel bears,
-/// and all are bound in the end.
+/// The status page, hooks and scripts read the overview by these keys, whatever the fields are called
+/// in the code.
 #[test]
-fn many_that_come_back_at_once_are_paced() {
-    let most_waiting = 4_000.0;
-    let mut day = Day::begun(ControllerSettings {
-        max_queued_lines: most_waiting,
+fn the_overview_keeps_its_json_keys() {
+    let mut day = five_servers();
+    let report = LoadReport {
+        window_ms: 500.0,
+        ended_ago_ms: 0.0,
+        lines: vec![ReportLine {
+            server: "a".into(),
+            tries: 10.0,
+            success_ms: 90.0,
+            ..ReportLine::default()
+        }],
+        arrivals: Vec::new(),
+    };
+    day.send(vec![Input::Reported("p1".into(), report)]);
+    day.now += 1500.0;
+    day.send(vec![Input::RoundEnded]);
+    let view = serde_json::to_value(day.controller.overview()).unwrap();
+    let keys = |pointer: &str| {
+        let object = view.pointer(pointer).and_then(|v| v.as_object());
+        let object = object.unwrap_or_else(|| panic!("{pointer} is an object"));
+        let mut keys: Vec<&str> = object.keys().map(String::as_str).collect();
+        keys.sort_unstable();
+        keys.join(" ")
+    };
+    assert_eq!(keys(""), "accounts guard proxies servers ways");
+    assert_eq!(
+        keys("/accounts"),
+        "closed late_lines lines messages most_messages most_waiting odd_answers refused \
+         refused_reports report_lines unknown_lines vague waiting"
+    );
+    assert_eq!(
+        keys("/guard"),
+        "best dangerous held judged last mode steps waits withdrawn"
+    );
+    assert_eq!(view["guard"]["mode"], "hold");
+    assert_eq!(
+        keys("/servers/0"),
+        "address by_class estimate listed_weight met_ago_ms name part shut started_ago_ms state \
+         weight zone"
+    );
+    assert_eq!(
+        keys("/servers/0/estimate"),
+        "age_ms error_per_s failed_share heard_share in_flight mean_ms stale tail_ms tries_per_s"
+    );
+    assert_eq!(
+        keys("/servers/0/by_class/0"),
+        "class failed_share mean_ms tries_per_s"
+    );
+    assert_eq!(view["servers"][0]["state"], "Ready");
+    assert_eq!(
+        keys("/proxies/0"),
+        "contrary name part refusal session silent unanswered unanswered_lines zone"
+    );
+    assert_eq!(view["ways"][0][0], "view");
+    assert_eq!(keys("/ways/0/1"), "share tries");
+    assert_eq!(view["ways"][0][1]["tries"], "OnProof");
+}
+
+/// All proxies of a large site reconnect within a second: the lines in the channel stay within
+/// their limit, and all proxies are bound in the end.
+#[test]
+fn many_proxies_that_reconnect_at_once_are_paced() {
+    let max_queued_lines = 4_000.0;
+    let mut day = Day::new(ControllerSettings {
+        max_queued_lines,
         max_messages: 0.0,
         default_visits_per_s: 0.1,
-        ..terms()
+        ..settings()
     });
     let names: Vec<String> = (0..115)
         .map(|i| format!("server{}", "x".repeat(i)))
@@ -467,52 +541,59 @@
                 zone: if p % 2 == 0 { "east" } else { "west" }.into(),
                 visits_per_s: Some(2.0),
             };
-            day.tell(vec![input]);
+            day.send(vec![input]);
             let view = day.controller.overview();
-            assert!(view.counters.waiting <= most_waiting, "{:?}", view.counters);
+            assert!(
+                view.counters.waiting <= max_queued_lines,
+                "{:?}",
+                view.counters
+            );
         }
-        day.pass(30_000.0, 100.0);
+        day.run(30_000.0, 100.0);
         let view = day.controller.overview();
         assert_eq!(
             view.proxies.iter().filter(|p| p.part.is_some()).count(),
             361
         );
-        day.agrees();
+        day.assert_tables_agree();
     }
-    assert!(day.controller.overview().counters.most_waiting <= most_waiting);
+    assert!(day.controller.overview().counters.max_waiting <= max_queued_lines);
 }
 
-/// The roster's clock jumps: the same start told with another age is no new start.
+/// The roster's clock jumps: the same start with another age must not count as a new start.
 #[test]
-fn a_clock_that_jumps_makes_no_new_start() {
-    let mut day = five();
+fn a_clock_jump_is_no_new_start() {
+    let mut day = five_servers();
     let started = |ago, stamp| RosterEntry {
         started: Some((ago, stamp)),
         ..entry("a", Ready)
     };
     let rest = || ["bb", "ccc", "dddd", "eeeee"].map(|n| entry(n, Ready));
-    let tell = |day: &mut Day, first: RosterEntry| {
+    let weight_after = |day: &mut Day, first: RosterEntry| {
         let mut entries = vec![first];
         entries.extend(rest());
-        day.tell(vec![Input::Roster(entries)]);
-        day.pass(3_000.0, 100.0);
+        day.send(vec![Input::Roster(entries)]);
+        day.run(3_000.0, 100.0);
         let view = day.controller.overview();
         let a = view.servers.iter().find(|s| &*s.name == "a").unwrap();
         a.weight
     };
     assert!(
-        tell(&mut day, started(50.0, 1)) < 0.5,
-        "a new start is cold"
+        weight_after(&mut day, started(50.0, 1)) < 0.5,
+        "a server that has just started is cold"
     );
-    day.pass(30_000.0, 500.0);
+    day.run(30_000.0, 500.0);
     for ago in [0.0, 5.0, 1e7, 0.0] {
         assert_eq!(
-            tell(&mut day, started(ago, 1)),
+            weight_after(&mut day, started(ago, 1)),
             1.0,
             "the same start, {ago}"
         );
     }
-    assert!(tell(&mut day, started(0.0, 2)) < 0.5, "another start");
+    assert!(
+        weight_after(&mut day, started(0.0, 2)) < 0.5,
+        "another start"
+    );
 }
 
 fn inputs() -> impl Strategy<Value = Input> {
@@ -527,7 +608,7 @@
         });
     let roster = prop::collection::vec(one, 0..7);
     let session = 1_u64..6;
-    let met = ("[a-d]{1,4}", 0.0..50.0, 0.0..1.0, 0.0..3000.0).prop_map(
+    let line = ("[a-d]{1,4}", 0.0..50.0, 0.0..1.0, 0.0..3000.0).prop_map(
         |(server, tries, part, mean): (String, f64, f64, f64)| ReportLine {
             server,
             tries,
@@ -536,10 +617,10 @@
             ..ReportLine::default()
         },
     );
-    let report = prop::collection::vec(met, 0..5).prop_map(|met| LoadReport {
+    let report = prop::collection::vec(line, 0..5).prop_map(|lines| LoadReport {
         window_ms: 500.0,
         ended_ago_ms: 20.0,
-        lines: met,
+        lines,
         arrivals: vec![("view".into(), 9.0), ("none".into(), 1.0)],
     });
     prop_oneof![
@@ -556,9 +637,9 @@
         (session.clone(), 0_u64..60).prop_map(|(s, n)| Input::Refused(s, n, "no".into())),
         (session, report).prop_map(|(s, r)| Input::Reported(format!("p{}", s % 4), r)),
         Just(Input::RoundEnded),
-        ("[a-d]{1,4}", any::<bool>()).prop_map(|(server, fine)| Input::Probed {
+        ("[a-d]{1,4}", any::<bool>()).prop_map(|(server, healthy)| Input::Probed {
             server,
-            healthy: fine,
+            healthy,
             took_ms: 3.0
         }),
     ]
@@ -567,22 +648,23 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 96, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Whatever comes, in whatever order: no panic, tables held are those that were ordered, and the
-    /// day written down plays again to the same bytes; torn or damaged records end where they must.
+    /// For any inputs in any order: no panic, proxies hold the ordered tables, and a replay of the
+    /// record gives the same bytes; truncated or corrupt records end where they must.
     #[test]
-    fn any_day_is_obeyed_and_plays_again(
+    fn any_day_is_applied_and_replays(
         moments in prop::collection::vec((prop::collection::vec(inputs(), 0..4), 1.0..4000.0_f64), 1..60),
         cut in 0.0..1.0_f64,
     ) {
-        let mut day = Day::begun(terms());
-        let begin = Header { now: day.now, seed: 7, settings: terms() };
-        let mut record = Recorder::create(Vec::new(), &begin).unwrap();
+        let mut day = Day::new(settings());
+        let header = Header { now: day.now, seed: 7, settings: settings() };
+        let mut record = Recorder::create(Vec::new(), &header).unwrap();
         let mut bytes = Vec::new();
         let mut streams = 0;
         let mut live: BTreeMap<Session, Session> = BTreeMap::new();
         for (inputs, step) in moments {
             day.now += step;
-            // Streams are numbered once each; later words of a drawn number mean its newest stream.
+            // Each stream gets a new number; later inputs with a drawn number mean its newest
+            // stream.
             let inputs: Vec<_> = inputs.into_iter().map(|input| {
                 let of = |s: &Session| live.get(s).copied().unwrap_or(*s + 1000);
                 match input {
@@ -598,26 +680,26 @@
                 }
             }).collect();
             record.append(day.now, &inputs).unwrap();
-            let out = day.tell(inputs);
+            let out = day.send(inputs);
             bytes.extend(encode_outputs(&out));
         }
-        day.agrees();
+        day.assert_tables_agree();
         let written = record.into_inner();
-        let mut again = Vec::new();
-        let (controller, end) = replay(&written[..], |_, out| again.extend(encode_outputs(out))).unwrap();
+        let mut replayed = Vec::new();
+        let (controller, end) = replay(&written[..], |_, out| replayed.extend(encode_outputs(out))).unwrap();
         prop_assert_eq!(end, End::Complete);
-        prop_assert!(bytes == again);
+        prop_assert!(bytes == replayed);
         prop_assert_eq!(controller.overview(), day.controller.overview());
         let cut = 8 + ((written.len() - 8) as f64 * cut) as usize;
         let mut part = Vec::new();
         if let Ok((_, end)) = replay(&written[..cut], |_, out| part.extend(encode_outputs(out))) {
             prop_assert!(end == End::Truncated || end == End::Complete);
-            prop_assert!(again.starts_with(&part));
+            prop_assert!(replayed.starts_with(&part));
         }
-        let mut damaged = written.clone();
-        damaged[cut.min(written.len() - 1)] ^= 0x40;
-        if let Ok((_, end)) = replay(&damaged[..], |_, _| ()) {
-            prop_assert!(end != End::Complete, "damage is seen");
+        let mut corrupt = written.clone();
+        corrupt[cut.min(written.len() - 1)] ^= 0x40;
+        if let Ok((_, end)) = replay(&corrupt[..], |_, _| ()) {
+            prop_assert!(end != End::Complete, "corruption is detected");
         }
     }
 }
--- a/crates/guard/src/lib.rs
+++ b/crates/guard/src/lib.rs
@@ -1,15 +1,15 @@
-//! Judges every table before it leaves, free of I/O, clock and chance.
+//! Checks every table before it is sent, without I/O, clock or randomness.
 //!
-//! How it is called: [`Guard::server`] whenever something about a server changes, [`Guard::proxies`] when
-//! a part's load changes, [`Guard::wants`] with the lines that a part's next table changes: it answers with all
-//! that is dangerous about them. [`Guard::step`] with the whole wanted table answers with what may leave now,
-//! and what is held back for which reason ([`steps`]). [`Guard::sent`] when a table leaves, with its serial,
-//! [`Guard::settled`] when all proxies of the part have answered up to a serial. Names end before its door:
-//! servers and parts are small indices; loads are visits a second; all figures are ratios to what the caller
-//! tells.
+//! Call [`Guard::set_server`] when something about a server changes and [`Guard::set_load`] when
+//! the load of a part changes. [`Guard::check`] takes the lines that the next table of a part
+//! changes and returns all rules that it violates. [`Guard::next_step`] takes the whole wanted
+//! table and returns what may be sent now and what it violates ([`steps`]). Call
+//! [`Guard::record_sent`] when a table is sent, with its serial, and [`Guard::record_applied`] when
+//! all proxies of the part have answered up to a serial. Servers and parts are small indices; loads
+//! are visits a second; all limits are ratios of the caller's figures.
 //!
-//! A judgement costs by what changed: what a part holds, its sums, and what each cold server may be brought by
-//! all tables that are in force or under way are kept, not found anew.
+//! The cost of a check depends on what changes: the tables of a part, their sums, and the load that
+//! all tables in force or in transit can bring to each cold server are kept and not computed anew.
 
 pub mod capacity;
 pub mod caps;
@@ -17,20 +17,21 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A cold server may be brought this share of what pushes it over: tables are one cause of load, bursts and
-/// proxies' own choices are others.
-const COLD_MOST: f64 = 0.8;
-/// One server's share of a table beyond so many times its share of the listed weight, and beyond so much.
-const HEAVIER: f64 = 6.0;
-const HEAVY: f64 = 0.4;
-/// One step may move so much of the share from servers that are ready to others.
-const STEP: f64 = 0.6;
-/// Shares that differ by less are the same.
-const SLACK: f64 = 1e-9;
-/// Tables of a part that are told apart while they are under way; older ones are kept as the worst of them.
-const APART: usize = 8;
-
-/// What the roster says of a server.
+/// Share of its overload limit that tables may bring to a cold server: bursts and the proxies' own
+/// choices bring load too.
+const MAX_COLD_LOAD_SHARE: f64 = 0.8;
+/// A server's share of a table may be this multiple of its share of the listed weight ...
+const OVERWEIGHT_RATIO: f64 = 6.0;
+/// ... or this share of the table, whichever is larger.
+const OVERWEIGHT_SHARE: f64 = 0.4;
+/// Share of a table that one step may move away from ready servers.
+const MAX_STEP_SHARE: f64 = 0.6;
+/// Shares that differ by no more than this are equal.
+const EPSILON: f64 = 1e-9;
+/// Tables of a part in transit that are kept separately; older ones are merged into their maximum.
+const MAX_OLDER_TABLES: usize = 8;
+
+/// State of a server in the roster.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AdminState {
     Ready,
@@ -39,12 +40,12 @@
     Gone,
 }
 
-/// A server as it is now.
+/// The present state of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Server {
     pub admin_state: AdminState,
     pub listed_weight: f64,
-    /// Visits a second that push it over while it is cold; infinite once it is warm.
+    /// Visits a second that overload it while it is cold; infinite once it is warm.
     pub overload_per_s: f64,
 }
 
@@ -54,38 +55,40 @@
     }
 }
 
-/// Why a table is dangerous; the order is that of the rules, the gravest first.
+/// The rule that a table violates, in the order of the rules, the gravest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
-    /// No ready server is left to pick, and the roster has one for this part.
+    /// No line is open, although the roster has a ready server for this part.
     Empty,
     /// A line is open for a server that is draining or gone.
     NotReady,
-    /// A cold server could be brought more than it can take, by some mixture of old and new tables.
+    /// Some mixture of old and new tables could bring a cold server more than it can take.
     Cold,
-    /// Only cold servers are left, and the roster has a warm one for this part.
+    /// Only cold servers are open, although the roster has a warm one for this part.
     OnlyCold,
-    /// One server has far more than its listed part.
+    /// A server's share is far above its share of the listed weight.
     Overweight,
-    /// Too much moves in one step that withdraws nobody.
+    /// Too much moves away from ready servers in one step.
     LargeStep,
-    /// Tries that may repeat an effect were ordered for a class.
+    /// Retries that could execute a visit twice were ordered for a class that is not idempotent.
     UnsafeRetry,
     /// The channel has no room for lines that can wait.
     ChannelFull,
 }
 
-/// What is dangerous, and about which server if it is about one.
+/// A violated rule, and the server if it is about one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Violation {
     pub reason: Reason,
     pub server: Option<usize>,
-    /// What was found, and what is borne.
+    /// The value that was found.
     pub found: f64,
+    /// The value that is allowed.
     pub limit: f64,
 }
 
-/// A line as wanted; nothing: it is not in the table any more. A shut one is there and not picked.
+/// A line of a wanted table. A line with a weight of 0 is not in the table; a line that is not open
+/// is in it, but not picked.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
     pub server: usize,
@@ -93,66 +96,70 @@
     pub open: bool,
 }
 
-/// A table: open weights by server, and their sum.
+/// A table: the weights of open lines by server, and their sum.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Table {
     lines: BTreeMap<usize, f64>,
-    sum: f64,
+    total: f64,
 }
 
 impl Table {
+    /// Sets a line; one that is not open or has no weight is removed.
     fn set(&mut self, line: &Line) {
         let weight = if line.open { line.weight.max(0.0) } else { 0.0 };
         let before = match weight > 0.0 {
             true => self.lines.insert(line.server, weight),
             false => self.lines.remove(&line.server),
         };
-        self.sum += weight - before.unwrap_or(0.0);
+        self.total += weight - before.unwrap_or(0.0);
         if self.lines.is_empty() {
-            self.sum = 0.0;
+            self.total = 0.0;
         }
     }
 
-    /// The sum anew: what rounding adds up over many changes is gone.
-    fn tidied(mut self) -> Table {
-        self.sum = self.lines.values().sum();
+    /// Computes the sum anew, so that rounding errors do not add up over many changes.
+    fn with_exact_total(mut self) -> Table {
+        self.total = self.lines.values().sum();
         self
     }
 
+    /// The share of a server, 0 in an empty table.
     fn share(&self, server: usize) -> f64 {
-        match self.sum > 0.0 {
-            true => self.lines.get(&server).copied().unwrap_or(0.0) / self.sum,
+        match self.total > 0.0 {
+            true => self.lines.get(&server).copied().unwrap_or(0.0) / self.total,
             false => 0.0,
         }
     }
 
     fn shares(&self) -> Shares {
-        let share = |(s, w): (&usize, &f64)| (*s, w / self.sum);
-        match self.sum > 0.0 {
+        let share = |(s, weight): (&usize, &f64)| (*s, weight / self.total);
+        match self.total > 0.0 {
             true => self.lines.iter().map(share).collect(),
             false => Shares::new(),
         }
     }
 }
 
+/// Shares of a table by server.
 type Shares = BTreeMap<usize, f64>;
 
-/// A table that some proxies may hold still, or the worst of several: for each server the largest share.
+/// A table that some proxies may still hold, or the maximum of several: for each server the largest
+/// share.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Older {
+struct OlderTable {
     serial: u64,
     shares: Shares,
 }
 
-/// A part of the shared table: the newest table, those before it that some proxy may hold, and the load that
-/// its servers are brought together.
+/// A part of the shared table: the newest table, the older ones that some proxies may still hold,
+/// and the load that its proxies bring to its servers together.
 #[derive(Clone, Debug, Default)]
 struct Part {
     newest: Option<Table>,
     serial: u64,
-    older: VecDeque<Older>,
+    older: VecDeque<OlderTable>,
     load: f64,
-    /// Servers that the roster deals to it.
+    /// Servers that are assigned to the part.
     members: BTreeSet<usize>,
 }
 
@@ -161,36 +168,38 @@
         self.newest.as_ref().map_or(0.0, |t| t.share(server))
     }
 
-    /// The most of its load that any mixture of the tables that may be held brings a server: proxies apply at
-    /// different moments, and the worst mixture is that all hold the table that brings it most.
-    fn most(&self, server: usize) -> f64 {
+    /// The highest load that any mixture of the tables in transit brings to a server. Proxies apply
+    /// tables at different times; in the worst mixture all of them hold the table that brings it
+    /// most.
+    fn max_load(&self, server: usize) -> f64 {
         let older = self.older.iter();
         let older = older.map(|o| o.shares.get(&server).copied().unwrap_or(0.0));
         self.load * older.fold(self.share(server), f64::max)
     }
 
-    /// The newest table is one of the older ones from now on. Where there are many, the two oldest become
-    /// one: what it says of a server is the worse of both, so nothing is judged milder.
-    fn put(&mut self, serial: u64, table: Table) {
+    /// Makes a table the newest; the previous one joins the older ones. If there are too many of
+    /// these, the two oldest are merged by their maximum, so that the check never becomes more
+    /// lenient.
+    fn push(&mut self, serial: u64, table: Table) {
         if let Some(before) = self.newest.replace(table) {
             let shares = before.shares();
             let serial = self.serial;
-            self.older.push_back(Older { serial, shares });
+            self.older.push_back(OlderTable { serial, shares });
         }
         self.serial = serial;
-        if self.older.len() > APART
+        if self.older.len() > MAX_OLDER_TABLES
             && let (Some(first), Some(second)) = (self.older.pop_front(), self.older.front_mut())
         {
             for (server, share) in first.shares {
-                let worse = second.shares.entry(server).or_default();
-                *worse = worse.max(share);
+                let max_share = second.shares.entry(server).or_default();
+                *max_share = max_share.max(share);
             }
         }
     }
 
-    /// All that its proxies were sent up to this serial is answered: what is older than the newest of it is
-    /// held by nobody.
-    fn settle(&mut self, serial: u64) {
+    /// All proxies have answered up to this serial: no proxy holds a table older than the newest
+    /// one up to it.
+    fn record_applied(&mut self, serial: u64) {
         if self.serial <= serial {
             self.older.clear();
         }
@@ -199,162 +208,180 @@
         }
     }
 
-    fn named(&self) -> BTreeSet<usize> {
+    /// The servers in any table that may be held.
+    fn servers_in_tables(&self) -> BTreeSet<usize> {
         let newest = self.newest.iter().flat_map(|t| t.lines.keys());
         let older = self.older.iter().flat_map(|o| o.shares.keys());
         newest.chain(older).copied().collect()
     }
 }
 
-/// See the crate's head.
+/// The guard over all parts. See the crate documentation.
 #[derive(Clone, Debug, Default)]
 pub struct Guard {
     servers: BTreeMap<usize, Server>,
     parts: BTreeMap<usize, Part>,
-    /// What all parts together may bring a server, kept for those that are cold.
-    brought: BTreeMap<usize, f64>,
+    /// The highest load that all parts together can bring to each cold server.
+    max_loads: BTreeMap<usize, f64>,
 }
 
-/// What a rule looks at: the part, its next table, and the one before.
-struct Wanted<'a> {
+/// The next table of a part, as the rules see it.
+struct Candidate<'a> {
     guard: &'a Guard,
     part: &'a Part,
     next: &'a Table,
+    /// The newest table that was sent.
     before: &'a Table,
     changed: &'a [Line],
 }
 
-type Rule = fn(&Wanted) -> Vec<Violation>;
+type Rule = fn(&Candidate) -> Vec<Violation>;
 
 const RULES: [Rule; 6] = [
-    nobody_is_left_empty,
-    nobody_is_sent_to_who_is_not_ready,
-    no_cold_server_is_pushed_over,
-    somebody_is_warm,
-    nobody_is_piled_upon,
-    no_step_is_too_large,
+    check_empty,
+    check_not_ready,
+    check_cold,
+    check_only_cold,
+    check_overweight,
+    check_large_step,
 ];
 
-fn one(reason: Reason, server: Option<usize>, found: f64, most: f64) -> Vec<Violation> {
+/// A single violation.
+fn violation(reason: Reason, server: Option<usize>, found: f64, limit: f64) -> Vec<Violation> {
     vec![Violation {
         reason,
         server,
         found,
-        limit: most,
+        limit,
     }]
 }
 
-/// Guards against a table that empties a pool, whatever made it. A part whose roster has no ready server may
-/// be empty: nothing better is to be had.
-fn nobody_is_left_empty(w: &Wanted) -> Vec<Violation> {
-    let ready = w.ready();
-    match w.next.lines.is_empty() && ready.count() > 0 {
-        true => one(Reason::Empty, None, 0.0, 1.0),
+/// Guards against a table that empties a part, whatever made it. A part without a ready server may
+/// be empty.
+fn check_empty(candidate: &Candidate) -> Vec<Violation> {
+    let ready = candidate.ready();
+    match candidate.next.lines.is_empty() && ready.count() > 0 {
+        true => violation(Reason::Empty, None, 0.0, 1.0),
         false => Vec::new(),
     }
 }
 
-/// Guards against drains undone by a table: only lines that change are looked at, since the roster's own
-/// changes lead to withdrawals that always pass.
-fn nobody_is_sent_to_who_is_not_ready(w: &Wanted) -> Vec<Violation> {
-    let open = w.changed.iter().filter(|l| l.open && l.weight > 0.0);
-    let wrong = open.filter(|l| w.guard.server_of(l.server).admin_state != AdminState::Ready);
-    let danger = |l: &Line| one(Reason::NotReady, Some(l.server), l.weight, 0.0);
-    wrong.flat_map(danger).collect()
+/// Guards against tables that undo a drain. Only changed lines are checked, since changes of the
+/// roster lead to withdrawals, which always pass.
+fn check_not_ready(candidate: &Candidate) -> Vec<Violation> {
+    let open = candidate
+        .changed
+        .iter()
+        .filter(|l| l.open && l.weight > 0.0);
+    let not_ready =
+        open.filter(|l| candidate.guard.server_of(l.server).admin_state != AdminState::Ready);
+    let not_ready_line = |l: &Line| violation(Reason::NotReady, Some(l.server), l.weight, 0.0);
+    not_ready.flat_map(not_ready_line).collect()
 }
 
-/// Guards against a site piled onto a server that has just started: over all parts, with the tables that are
-/// in force, under way and new, at their worst mixture. Only what grows is dangerous; a table that brings a
-/// cold server less passes even if it is too much still.
-fn no_cold_server_is_pushed_over(w: &Wanted) -> Vec<Violation> {
+/// Guards against overloading a server that has just started: over all parts, with the worst
+/// mixture of the tables in force, in transit and new. Only growth is a violation: a table that
+/// brings a cold server less load passes, even if that is still too much.
+fn check_cold(candidate: &Candidate) -> Vec<Violation> {
     let mut out = Vec::new();
-    for server in w.next.lines.keys() {
-        let s = w.guard.server_of(*server);
+    for server in candidate.next.lines.keys() {
+        let s = candidate.guard.server_of(*server);
         if s.is_warm() || s.admin_state != AdminState::Ready {
             continue;
         }
-        let next = w.part.load * w.next.share(*server);
-        let here = w.part.most(*server);
-        if next <= w.part.load * w.before.share(*server) * (1.0 + SLACK) {
+        let next_load = candidate.part.load * candidate.next.share(*server);
+        let part_load = candidate.part.max_load(*server);
+        if next_load <= candidate.part.load * candidate.before.share(*server) * (1.0 + EPSILON) {
             continue;
         }
-        let brought = w.guard.brought.get(server).copied().unwrap_or(0.0);
-        let found = brought - here + next.max(here);
-        let most = COLD_MOST * s.overload_per_s;
-        if found > most {
-            out.extend(one(Reason::Cold, Some(*server), found, most));
+        let total_load = candidate
+            .guard
+            .max_loads
+            .get(server)
+            .copied()
+            .unwrap_or(0.0);
+        let found = total_load - part_load + next_load.max(part_load);
+        let limit = MAX_COLD_LOAD_SHARE * s.overload_per_s;
+        if found > limit {
+            out.extend(violation(Reason::Cold, Some(*server), found, limit));
         }
     }
     out
 }
 
-/// Guards against a part that is left to servers which have just started while warm ones are there.
-fn somebody_is_warm(w: &Wanted) -> Vec<Violation> {
-    let warm = |s: &usize| w.guard.server_of(*s).is_warm();
-    let any = w.next.lines.keys().any(warm);
-    let lost = !w.next.lines.is_empty() && !any && w.ready().any(|s| warm(&s));
-    match lost {
-        true => one(Reason::OnlyCold, None, 0.0, 1.0),
+/// Guards against leaving a part to cold servers while it has a warm one.
+fn check_only_cold(candidate: &Candidate) -> Vec<Violation> {
+    let warm = |s: &usize| candidate.guard.server_of(*s).is_warm();
+    let any_warm = candidate.next.lines.keys().any(warm);
+    let only_cold =
+        !candidate.next.lines.is_empty() && !any_warm && candidate.ready().any(|s| warm(&s));
+    match only_cold {
+        true => violation(Reason::OnlyCold, None, 0.0, 1.0),
         false => Vec::new(),
     }
 }
 
-/// Guards against weights that are wrong by an order of magnitude. May harm where nearly all others are
-/// trimmed for good reason: so both the ratio and a large share are wanted, and a server may always have
-/// what it has had.
-fn nobody_is_piled_upon(w: &Wanted) -> Vec<Violation> {
-    let listed: f64 = w.ready().map(|s| w.guard.server_of(s).listed_weight).sum();
+/// Guards against weights that are wrong by an order of magnitude. It could harm where nearly all
+/// other servers are reduced for good reason, so it needs both a large ratio and a large share, and
+/// a server may always keep its share.
+fn check_overweight(candidate: &Candidate) -> Vec<Violation> {
+    let total_listed: f64 = candidate
+        .ready()
+        .map(|s| candidate.guard.server_of(s).listed_weight)
+        .sum();
     let mut out = Vec::new();
-    for server in w.next.lines.keys() {
-        let share = w.next.share(*server);
-        let part = w.guard.server_of(*server).listed_weight / listed.max(SLACK);
-        let most = (HEAVIER * part).max(HEAVY);
-        if share > most + SLACK && share > w.before.share(*server) + SLACK {
-            out.extend(one(Reason::Overweight, Some(*server), share, most));
+    for server in candidate.next.lines.keys() {
+        let share = candidate.next.share(*server);
+        let listed_share =
+            candidate.guard.server_of(*server).listed_weight / total_listed.max(EPSILON);
+        let limit = (OVERWEIGHT_RATIO * listed_share).max(OVERWEIGHT_SHARE);
+        if share > limit + EPSILON && share > candidate.before.share(*server) + EPSILON {
+            out.extend(violation(Reason::Overweight, Some(*server), share, limit));
         }
     }
     out
 }
 
-/// Guards against a whole table thrown over at once by something that is not the fleet's own change: what
-/// leaves servers that are not ready any more is no step, nor is the first table of a part.
-fn no_step_is_too_large(w: &Wanted) -> Vec<Violation> {
-    if w.before.lines.is_empty() || w.next.lines.is_empty() {
+/// Guards against replacing a whole table at once without a change of the fleet: shares that leave
+/// servers which are no longer ready do not count, and the first table of a part passes.
+fn check_large_step(candidate: &Candidate) -> Vec<Violation> {
+    if candidate.before.lines.is_empty() || candidate.next.lines.is_empty() {
         return Vec::new();
     }
-    let ready = |s: &usize| w.guard.server_of(*s).admin_state == AdminState::Ready;
-    let left: f64 = w
+    let ready = |s: &usize| candidate.guard.server_of(*s).admin_state == AdminState::Ready;
+    let before_total: f64 = candidate
         .before
         .lines
         .iter()
         .filter(|(s, _)| ready(s))
-        .map(|(_, w)| w)
+        .map(|(_, weight)| weight)
         .sum();
-    if left <= 0.0 {
+    if before_total <= 0.0 {
         return Vec::new();
     }
-    let stays: f64 = w
+    let next_total: f64 = candidate
         .next
         .lines
         .iter()
         .filter(|(s, _)| ready(s))
-        .map(|(_, w)| w)
+        .map(|(_, weight)| weight)
         .sum();
-    let part = |t: &Table, s: &usize, of: f64| match of > 0.0 {
-        true => t.lines.get(s).copied().unwrap_or(0.0) / of,
+    let share = |t: &Table, s: &usize, total: f64| match total > 0.0 {
+        true => t.lines.get(s).copied().unwrap_or(0.0) / total,
         false => 0.0,
     };
-    let lost = w.before.lines.keys().filter(|s| ready(s));
-    let lost = lost.map(|s| part(w.before, s, left) - part(w.next, s, stays));
+    let servers = candidate.before.lines.keys().filter(|s| ready(s));
+    let lost = servers
+        .map(|s| share(candidate.before, s, before_total) - share(candidate.next, s, next_total));
     let moved: f64 = lost.map(|l| l.max(0.0)).sum();
-    match moved > STEP + SLACK {
-        true => one(Reason::LargeStep, None, moved, STEP),
+    match moved > MAX_STEP_SHARE + EPSILON {
+        true => violation(Reason::LargeStep, None, moved, MAX_STEP_SHARE),
         false => Vec::new(),
     }
 }
 
-impl Wanted<'_> {
-    /// The ready servers that the roster deals to this part.
+impl Candidate<'_> {
+    /// The ready servers of this part.
     fn ready(&self) -> impl Iterator<Item = usize> + '_ {
         let members = self.part.members.iter().copied();
         members.filter(|s| self.guard.server_of(*s).admin_state == AdminState::Ready)
@@ -362,7 +389,7 @@
 }
 
 impl Reason {
-    /// Its code, for logs and people.
+    /// Its code in logs and on the status page.
     pub fn code(self) -> &'static str {
         match self {
             Reason::Empty => "empty",
@@ -378,7 +405,7 @@
 }
 
 impl Guard {
-    /// Whether a part has a table.
+    /// Whether a table of the part has been sent.
     pub fn has_table(&self, part: usize) -> bool {
         self.parts.get(&part).is_some_and(|p| p.newest.is_some())
     }
@@ -388,12 +415,13 @@
         self.parts.get(&part).is_some_and(|p| !p.older.is_empty())
     }
 
+    /// The state of a server; an unknown one counts as gone.
     fn server_of(&self, server: usize) -> Server {
         self.servers.get(&server).copied().unwrap_or_default()
     }
 
-    /// What is now known of a server, and which part it is dealt to.
-    pub fn set_server(&mut self, server: usize, part: Option<usize>, now: Server) {
+    /// Sets the present state of a server and the part it is assigned to.
+    pub fn set_server(&mut self, server: usize, part: Option<usize>, state: Server) {
         for (index, p) in &mut self.parts {
             if Some(*index) != part {
                 p.members.remove(&server);
@@ -402,213 +430,100 @@
         if let Some(part) = part {
             self.parts.entry(part).or_default().members.insert(server);
         }
-        let before = self.servers.insert(server, now);
-        if !now.is_warm() || before.is_some_and(|b| !b.is_warm()) {
-            self.weigh(server);
+        let before = self.servers.insert(server, state);
+        if !state.is_warm() || before.is_some_and(|b| !b.is_warm()) {
+            self.update_max_load(server);
         }
     }
 
-    /// The load that the servers of a part are brought together now.
+    /// Sets the load that the proxies of a part bring to its servers together, in visits a second.
     pub fn set_load(&mut self, part: usize, load: f64) {
         self.parts.entry(part).or_default().load = load.max(0.0);
-        self.weigh_named(part);
+        self.update_max_loads(part);
     }
 
-    fn weigh_named(&mut self, part: usize) {
-        let named = self.parts.get(&part).map(Part::named);
+    /// Updates `max_loads` for the cold servers in the tables of a part.
+    fn update_max_loads(&mut self, part: usize) {
+        let servers_in_tables = self.parts.get(&part).map(Part::servers_in_tables);
         let cold = |s: &usize| !self.server_of(*s).is_warm();
-        let cold: Vec<usize> = named.into_iter().flatten().filter(cold).collect();
-        cold.into_iter().for_each(|s| self.weigh(s));
+        let cold: Vec<usize> = servers_in_tables
+            .into_iter()
+            .flatten()
+            .filter(cold)
+            .collect();
+        cold.into_iter().for_each(|s| self.update_max_load(s));
     }
 
-    /// What all parts may bring a server; kept for cold ones alone.
-    fn weigh(&mut self, server: usize) {
+    /// Updates `max_loads` for a server.
+    fn update_max_load(&mut self, server: usize) {
         match self.server_of(server).is_warm() {
-            true => self.brought.remove(&server),
+            true => self.max_loads.remove(&server),
             false => {
-                let all = self.parts.values().map(|p| p.most(server)).sum();
-                self.brought.insert(server, all)
+                let total = self.parts.values().map(|p| p.max_load(server)).sum();
+                self.max_loads.insert(server, total)
             }
         };
     }
 
-    /// A part's next table: what it has now with these lines changed, or these alone.
+    /// The next table of a part: the newest one with these lines changed, or, if `whole`, these
+    /// lines alone.
     fn next(&self, part: &Part, changed: &[Line], whole: bool) -> Table {
         let mut next = match whole {
             true => Table::default(),
             false => part.newest.clone().unwrap_or_default(),
         };
         changed.iter().for_each(|l| next.set(l));
-        next.tidied()
+        next.with_exact_total()
     }
 
-    /// All that is dangerous about a part's next table, the gravest first; nothing: it may leave.
+    /// All violations of the next table of a part, the gravest first; none: it may be sent.
     pub fn check(&self, part: usize, changed: &[Line], whole: bool) -> Vec<Violation> {
         let none = Part::default();
-        let held = self.parts.get(&part).unwrap_or(&none);
-        let next = self.next(held, changed, whole);
-        self.judge(held, &next, changed)
+        let part_state = self.parts.get(&part).unwrap_or(&none);
+        let next = self.next(part_state, changed, whole);
+        self.apply_rules(part_state, &next, changed)
     }
 
-    fn judge(&self, held: &Part, next: &Table, changed: &[Line]) -> Vec<Violation> {
+    /// Applies all rules.
+    fn apply_rules(&self, part_state: &Part, next: &Table, changed: &[Line]) -> Vec<Violation> {
         let nothing = Table::default();
-        let wanted = Wanted {
+        let candidate = Candidate {
             guard: self,
-            part: held,
+            part: part_state,
             next,
-            before: held.newest.as_ref().unwrap_or(&nothing),
+            before: part_state.newest.as_ref().unwrap_or(&nothing),
             changed,
         };
-        RULES.iter().flat_map(|rule| rule(&wanted)).collect()
+        RULES.iter().flat_map(|rule| rule(&candidate)).collect()
     }
 
-    /// A table leaves: from now on some proxies may hold it and some what was before. Serials grow.
+    /// Records that a table is sent: from now on some proxies may hold it and some an older one.
+    /// Serials grow.
     pub fn record_sent(&mut self, part: usize, changed: &[Line], whole: bool, serial: u64) {
-        let mut held = self.parts.remove(&part).unwrap_or_default();
-        let next = self.next(&held, changed, whole);
-        held.put(serial, next);
-        self.parts.insert(part, held);
-        self.weigh_named(part);
+        let mut part_state = self.parts.remove(&part).unwrap_or_default();
+        let next = self.next(&part_state, changed, whole);
+        part_state.push(serial, next);
+        self.parts.insert(part, part_state);
+        self.update_max_loads(part);
     }
 
-    /// All proxies of a part have applied what they were sent up to this serial.
+    /// Records that all proxies of a part have applied what they were sent up to this serial.
     pub fn record_applied(&mut self, part: usize, serial: u64) {
-        let named = self.parts.get(&part).map(Part::named).unwrap_or_default();
+        let servers_in_tables = self
+            .parts
+            .get(&part)
+            .map(Part::servers_in_tables)
+            .unwrap_or_default();
         if let Some(p) = self.parts.get_mut(&part) {
-            p.settle(serial);
+            p.record_applied(serial);
         }
-        let cold = named.into_iter().filter(|s| !self.server_of(*s).is_warm());
+        let cold = servers_in_tables
+            .into_iter()
+            .filter(|s| !self.server_of(*s).is_warm());
         let cold: Vec<usize> = cold.collect();
-        cold.into_iter().for_each(|s| self.weigh(s));
+        cold.into_iter().for_each(|s| self.update_max_load(s));
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use AdminState::{Draining, Ready};
-    use Reason::*;
-
-    fn line(server: usize, weight: f64) -> Line {
-        Line {
-            server,
-            weight,
-            open: true,
-        }
-    }
-
-    /// Four servers of one part: three warm, the fourth cold, falling over at 10 visits a second; load 100.
-    fn fleet() -> Guard {
-        let mut guard = Guard::default();
-        for s in 0..4 {
-            let now = Server {
-                admin_state: Ready,
-                listed_weight: 1.0,
-                overload_per_s: if s == 3 { 10.0 } else { f64::INFINITY },
-            };
-            guard.set_server(s, Some(0), now);
-        }
-        guard.set_load(0, 100.0);
-        guard.record_sent(0, &[line(0, 1.0), line(1, 1.0), line(2, 1.0)], true, 1);
-        guard
-    }
-
-    #[test]
-    fn each_rule_names_its_danger_and_only_that() {
-        let all = |w: [f64; 4]| [0, 1, 2, 3].map(|s| line(s, w[s]));
-        let cases: [(&str, Vec<Line>, &[Reason]); 9] = [
-            ("as it is", vec![], &[]),
-            ("the cold one gets a little", vec![line(3, 0.2)], &[]),
-            ("the cold one gets much", vec![line(3, 0.5)], &[Cold]),
-            ("nobody", all([0.0; 4]).to_vec(), &[Empty]),
-            (
-                "the cold one alone",
-                all([0.0, 0.0, 0.0, 0.001]).to_vec(),
-                &[Cold, OnlyCold, LargeStep],
-            ),
-            (
-                "one has all",
-                all([1.0, 0.0, 0.0, 0.0]).to_vec(),
-                &[LargeStep],
-            ),
-            ("two have all", all([1.0, 1.0, 0.0, 0.0]).to_vec(), &[]),
-            ("10,000 beside 1", vec![line(1, 10_000.0)], &[LargeStep]),
-            ("all alike", all([1.0; 4]).to_vec(), &[Cold]),
-        ];
-        for (name, changed, wanted) in cases {
-            let found = fleet().check(0, &changed, false);
-            let reasons: Vec<Reason> = found.iter().map(|d| d.reason).collect();
-            assert_eq!(reasons, wanted, "{name}: {found:?}");
-        }
-    }
-
-    #[test]
-    fn one_of_many_is_not_piled_upon() {
-        let mut guard = Guard::default();
-        for s in 0..20 {
-            let now = Server {
-                admin_state: Ready,
-                listed_weight: 1.0,
-                overload_per_s: f64::INFINITY,
-            };
-            guard.set_server(s, Some(0), now);
-        }
-        let lines: Vec<Line> = (0..20).map(|s| line(s, 1.0)).collect();
-        guard.record_sent(0, &lines, true, 1);
-        assert_eq!(guard.check(0, &[line(3, 12.0)], false), [], "a third of it");
-        let found = guard.check(0, &[line(3, 15.0)], false);
-        assert_eq!(
-            found.iter().map(|d| d.reason).collect::<Vec<_>>(),
-            [Overweight]
-        );
-        guard.record_sent(0, &[line(3, 15.0)], false, 2);
-        assert_eq!(
-            guard.check(0, &[line(5, 1.1)], false),
-            [],
-            "what it has had it may keep"
-        );
-    }
-
-    #[test]
-    fn mixtures_count_until_all_have_settled() {
-        let mut guard = fleet();
-        // Another part brings the same cold server load by an old table that some still hold.
-        guard.set_load(1, 100.0);
-        guard.record_sent(1, &[line(0, 0.94), line(3, 0.06)], true, 2);
-        guard.record_sent(1, &[line(0, 1.0)], true, 3);
-        assert_eq!(guard.check(0, &[line(3, 0.1)], false)[0].reason, Cold);
-        guard.record_applied(1, 2);
-        assert_eq!(guard.check(0, &[line(3, 0.1)], false)[0].reason, Cold);
-        guard.record_applied(1, 3);
-        assert_eq!(guard.check(0, &[line(3, 0.1)], false), []);
-    }
-
-    #[test]
-    fn withdrawals_pass_and_drains_are_not_undone() {
-        let mut guard = fleet();
-        let drains = Server {
-            admin_state: Draining,
-            listed_weight: 1.0,
-            overload_per_s: f64::INFINITY,
-        };
-        (0..2).for_each(|s| guard.set_server(s, Some(0), drains));
-        let shut = |server| Line {
-            server,
-            weight: 1.0,
-            open: false,
-        };
-        assert_eq!(
-            guard.check(0, &[shut(0), shut(1)], false),
-            [],
-            "two of three drain"
-        );
-        let found = guard.check(0, &[line(0, 1.0)], false);
-        assert_eq!(
-            found.iter().map(|d| d.reason).collect::<Vec<_>>(),
-            [NotReady]
-        );
-        // Nobody is ready: an empty table is all there is.
-        (2..4).for_each(|s| guard.set_server(s, Some(0), drains));
-        assert_eq!(guard.check(0, &[0, 1, 2].map(shut), false), []);
-    }
-}
+mod tests;
--- a/crates/peer/src/merge.rs
+++ b/crates/peer/src/merge.rs
@@ -9,7 +9,7 @@
 
 /// Running time, in multiples of the warm-up time, below which a peer cannot tell which servers are
 /// new: to it all are.
-const LIVED: f64 = 1.0;
+const MIN_WARM_UPS_RUN: f64 = 1.0;
 
 /// A peer's answer.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -40,34 +40,35 @@
     now: &'a Timestamp,
     own: &'a ServerFact,
     peers: &'a ServerFact,
-    /// When our own facts were last written, and the maximum age of the peer's.
+    /// When our own facts were last written.
     own_alive: &'a Timestamp,
+    /// Maximum age of the peer's view.
     took_ms: f64,
 }
 
 /// What is taken from the peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Takes {
+struct FromPeer {
     state: bool,
     share: bool,
 }
 
 /// Decides one aspect of what is taken from the peer.
-type Rule = fn(&Case, &mut Takes);
+type Rule = fn(&Case, &mut FromPeer);
 
 /// The rules, applied in order; the last may override the one before.
 const RULES: [Rule; 3] = [
-    the_fresher_eye_says_who_is_there,
-    the_fresher_judgement_says_how_well,
-    another_machine_is_judged_by_who_saw_it,
+    state_from_last_observer,
+    share_from_last_confirmation,
+    share_follows_address,
 ];
 
 /// State and address come from the side that looked last: a running peer looks now, our own facts
 /// ended with our last run. Prevents use of facts about a machine that was replaced during the
 /// downtime. If the peer's roster is behind ours the state is wrong, but the true roster follows at
 /// once.
-fn the_fresher_eye_says_who_is_there(c: &Case, takes: &mut Takes) {
-    takes.state = match c.now.since(c.own_alive) {
+fn state_from_last_observer(c: &Case, from_peer: &mut FromPeer) {
+    from_peer.state = match c.now.since(c.own_alive) {
         Some(age) => age > c.took_ms,
         None => true,
     };
@@ -76,9 +77,9 @@
 /// The share comes from the side that confirmed it last; at the same age from our own. An unknown
 /// age counts as older than any. Prevents hours-old shares of a peer that has had no visits since
 /// from replacing ours: a peer may be running and still know less.
-fn the_fresher_judgement_says_how_well(c: &Case, takes: &mut Takes) {
+fn share_from_last_confirmation(c: &Case, from_peer: &mut FromPeer) {
     let age = |f: &ServerFact| c.now.since(&f.judged);
-    takes.share = match (age(c.own), age(c.peers)) {
+    from_peer.share = match (age(c.own), age(c.peers)) {
         (Some(own), Some(peers)) => peers < own,
         (None, Some(_)) => true,
         (_, None) => false,
@@ -87,9 +88,9 @@
 
 /// A share belongs to a machine, not to a name: if the addresses differ, the share comes from the
 /// side whose address was taken.
-fn another_machine_is_judged_by_who_saw_it(c: &Case, takes: &mut Takes) {
+fn share_follows_address(c: &Case, from_peer: &mut FromPeer) {
     if c.own.address != c.peers.address {
-        takes.share = takes.state;
+        from_peer.share = from_peer.state;
     }
 }
 
@@ -97,230 +98,62 @@
 pub fn merge_facts(
     now: &Timestamp,
     own: &Facts,
-    learned: &PeerFacts,
+    answer: &PeerFacts,
     warm_ms: f64,
 ) -> (Facts, Counted) {
     let mut out = own.clone();
     let mut counted = Counted::default();
-    for told in &learned.facts {
-        let peers = aged(now, told, learned.took_ms);
-        let Some(kept) = own.servers.get(&peers.name) else {
+    for fact in &answer.facts {
+        let peers = aged(now, fact, answer.took_ms);
+        let Some(stored) = own.servers.get(&peers.name) else {
             counted.peers += 1;
             out.servers.insert(peers.name.clone(), peers);
             continue;
         };
         let case = Case {
             now,
-            own: kept,
+            own: stored,
             peers: &peers,
             own_alive: &own.alive,
-            took_ms: learned.took_ms,
+            took_ms: answer.took_ms,
         };
-        let mut takes = Takes::default();
-        RULES.iter().for_each(|rule| rule(&case, &mut takes));
-        let seen = if takes.state { &peers } else { kept };
-        let judged = if takes.share { &peers } else { kept };
-        match (takes.state, takes.share) {
+        let mut from_peer = FromPeer::default();
+        RULES.iter().for_each(|rule| rule(&case, &mut from_peer));
+        let state_source = if from_peer.state { &peers } else { stored };
+        let share_source = if from_peer.share { &peers } else { stored };
+        match (from_peer.state, from_peer.share) {
             (true, true) => counted.peers += 1,
             (false, false) => counted.own += 1,
             _ => counted.mixed += 1,
         }
         let fact = ServerFact {
-            share: judged.share,
-            judged: judged.judged.clone(),
-            ..seen.clone()
+            share: share_source.share,
+            judged: share_source.judged.clone(),
+            ..state_source.clone()
         };
         out.servers.insert(fact.name.clone(), fact);
     }
     // A server missing from the answer is new only if the peer had been running long enough and its
-    // answer is complete. Otherwise the time of our own facts stands, and without any it is
+    // answer is complete. Otherwise the time of our own facts is kept, and without any it is
     // unknown.
-    if learned.complete && learned.runs_ms >= LIVED * warm_ms && !learned.facts.is_empty() {
-        out.alive = timestamp_ago(now, learned.took_ms);
+    if answer.complete && answer.runs_ms >= MIN_WARM_UPS_RUN * warm_ms && !answer.facts.is_empty() {
+        out.alive = timestamp_ago(now, answer.took_ms);
     }
     (out, counted)
 }
 
 /// Ages a fact by the duration of the query. An unknown age stays unknown.
-fn aged(now: &Timestamp, told: &ServerFact, took_ms: f64) -> ServerFact {
+fn aged(now: &Timestamp, fact: &ServerFact, took_ms: f64) -> ServerFact {
     let older = |at: &Timestamp| match now.since(at) {
         Some(age) => timestamp_ago(now, age + took_ms.max(0.0)),
         None => at.clone(),
     };
     ServerFact {
-        since: older(&told.since),
-        judged: older(&told.judged),
-        ..told.clone()
+        since: older(&fact.since),
+        judged: older(&fact.judged),
+        ..fact.clone()
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use dahliapoint_control::AdminState::{self, Draining, Ready};
-    use proptest::prelude::*;
-
-    const HOUR: f64 = 3.6e6;
-
-    fn now() -> Timestamp {
-        Timestamp {
-            wall_ms: 1e12,
-            boot: "b".into(),
-            up_ms: 1e9,
-        }
-    }
-
-    fn fact(state: AdminState, share: f64, judged_ms: f64, address: &str) -> ServerFact {
-        ServerFact {
-            name: "s".into(),
-            address: address.into(),
-            zone: "z".into(),
-            state,
-            since: timestamp_ago(&now(), 1e5),
-            weight: 1.0,
-            share,
-            judged: timestamp_ago(&now(), judged_ms),
-            withdrawn: false,
-        }
-    }
-
-    fn kept(alive_ms: f64, fact: Option<ServerFact>) -> Facts {
-        Facts {
-            servers: fact.into_iter().map(|f| (f.name.clone(), f)).collect(),
-            alive: timestamp_ago(&now(), alive_ms),
-            ..Facts::default()
-        }
-    }
-
-    fn told(fact: ServerFact) -> PeerFacts {
-        PeerFacts {
-            facts: vec![fact],
-            complete: true,
-            runs_ms: HOUR,
-            took_ms: 10.0,
-        }
-    }
-
-    #[test]
-    fn the_fresher_word_counts() {
-        // Own: time since last alive; then state, share, time since confirmed and address, own and
-        // the peer's; then the expected result.
-        type Said = (AdminState, f64, f64, &'static str);
-        type Case = (
-            &'static str,
-            f64,
-            Said,
-            Said,
-            (AdminState, f64, &'static str),
-        );
-        let cases: [Case; 7] = [
-            (
-                "the peer looked last and judged last",
-                5e3,
-                (Ready, 1.0, 5e3, "a"),
-                (Draining, 0.3, 1e3, "a"),
-                (Draining, 0.3, "a"),
-            ),
-            (
-                "the peer runs, but has had no visits for hours",
-                5e3,
-                (Ready, 0.4, 6e3, "a"),
-                (Draining, 1.0, 3.0 * HOUR, "a"),
-                (Draining, 0.4, "a"),
-            ),
-            (
-                "our own memory is of a moment ago",
-                5.0,
-                (Ready, 0.4, 100.0, "a"),
-                (Draining, 1.0, 1e3, "a"),
-                (Ready, 0.4, "a"),
-            ),
-            (
-                "of the same age: our own",
-                5e3,
-                (Ready, 0.4, 1010.0, "a"),
-                (Ready, 0.9, 1e3, "a"),
-                (Ready, 0.4, "a"),
-            ),
-            (
-                "an unknown age is older than any",
-                5e3,
-                (Ready, 0.4, HOUR, "a"),
-                (Ready, 0.9, -1.0, "a"),
-                (Ready, 0.4, "a"),
-            ),
-            (
-                "and ours too",
-                5e3,
-                (Ready, 0.4, -1.0, "a"),
-                (Ready, 0.9, 9.0 * HOUR, "a"),
-                (Ready, 0.9, "a"),
-            ),
-            (
-                "a machine that took over the name",
-                5e3,
-                (Ready, 0.2, 10.0, "a"),
-                (Ready, 1.0, 2e3, "b"),
-                (Ready, 1.0, "b"),
-            ),
-        ];
-        for (name, alive, own, peers, wanted) in cases {
-            let one = |s: Said| fact(s.0, s.1, s.2, s.3);
-            let (out, _) =
-                merge_facts(&now(), &kept(alive, Some(one(own))), &told(one(peers)), 1e4);
-            let f = &out.servers["s"];
-            assert_eq!((f.state, f.share, f.address.as_str()), wanted, "{name}");
-        }
-    }
-
-    #[test]
-    fn who_is_missing_is_new_only_to_who_was_there() {
-        let complete = told(fact(Ready, 1.0, 0.0, "a"));
-        let cases = [
-            ("whole, of one who has lived", complete.clone(), Some(10.0)),
-            (
-                "cut off",
-                PeerFacts {
-                    complete: false,
-                    ..complete.clone()
-                },
-                Some(HOUR),
-            ),
-            (
-                "of a newcomer",
-                PeerFacts {
-                    runs_ms: 5e3,
-                    ..complete.clone()
-                },
-                Some(HOUR),
-            ),
-            (
-                "of one who knows nobody",
-                PeerFacts {
-                    facts: vec![],
-                    ..complete
-                },
-                Some(HOUR),
-            ),
-        ];
-        for (name, learned, alive) in cases {
-            let (out, _) = merge_facts(&now(), &kept(HOUR, None), &learned, 1e4);
-            let age = now().since(&out.alive).map(f64::round);
-            assert_eq!(age, alive, "{name}");
-        }
-    }
-
-    proptest! {
-        /// Whatever the ages, the result has the share that was confirmed last, with its age.
-        #[test]
-        fn stale_never_counts_more_than_fresh(own in 0.0..1e8, peers in 0.0..1e8, took in 0.0..1e4, alive in 0.0..1e8) {
-            let learned = PeerFacts { took_ms: took, ..told(fact(Ready, 0.2, peers, "a")) };
-            let (out, _) = merge_facts(&now(), &kept(alive, Some(fact(Ready, 0.9, own, "a"))), &learned, 1e4);
-            let f = &out.servers["s"];
-            let age = now().since(&f.judged).unwrap();
-            let least = own.min(peers + took);
-            prop_assert!((age - least).abs() < 1e-3, "{age} {own} {peers}");
-            prop_assert_eq!(f.share, if own <= peers + took { 0.9 } else { 0.2 });
-        }
-    }
-}
+mod tests;
