--- a/crates/daemon/src/deployment.rs
+++ b/crates/daemon/src/deployment.rs
@@ -12,7 +12,7 @@
 use dahliapoint_hooks::run::Allowance;
 use dahliapoint_import::Kind;
 use dahliapoint_xds::{RESPONSES_BY_JOINING, RESPONSES_BY_MESSAGE};
-use dahliapoint_yaml::{At, Faults, read};
+use dahliapoint_yaml::{Faults, FieldReader, read};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -98,8 +98,8 @@
     read(file, text, |at| deployment(at, &folder))
 }
 
-fn deployment(at: &At, folder: &Path) -> Deployment {
-    let service = at.field("service").text(None);
+fn deployment(at: &FieldReader, folder: &Path) -> Deployment {
+    let service = at.field("service").string(None);
     let zones = names(&at.field("zones"), "zone");
     let (classes, repeats, hard_limits_ms) = classes(&at.field("classes"));
 
@@ -114,18 +114,22 @@
         Some(RetryPolicy::OnProof),
     );
     if usual_tries == RetryPolicy::OnFailure && repeats.contains(&Repeat::Never) {
-        tries.wrong("never or on_proof is wanted: a class here must never run twice");
+        tries.add_fault("never or on_proof is wanted: a class here must never run twice");
     }
     let shares = proxies.field("refuse");
     let shares = shares.choice(&[("share", true), ("nothing", false)], Some(false));
-    let idle_ms = proxies.field("idle").time(1.0..=3.6e6, Some(15_000.0));
+    let idle_ms = proxies
+        .field("idle")
+        .duration_ms(1.0..=3.6e6, Some(15_000.0));
     let standing_lines = proxies.field("standing").number(0.0..=10_000.0, Some(10.0));
     let usual_pace = proxies.field("usual_pace").number(0.0..=1e6, Some(0.0));
-    let connect_ms = proxies.field("connect").time(1.0..=60_000.0, Some(250.0));
+    let connect_ms = proxies
+        .field("connect")
+        .duration_ms(1.0..=60_000.0, Some(250.0));
     let patience = proxies
         .field("patience")
-        .time(100.0..=600_000.0, Some(4_000.0));
-    proxies.close();
+        .duration_ms(100.0..=600_000.0, Some(4_000.0));
+    proxies.deny_unknown_fields();
 
     let channel = at.field("channel");
     let most_waiting = channel
@@ -134,7 +138,7 @@
     let lines_per_s = channel
         .field("lines_per_s")
         .number(1.0..=1e9, Some(15_000.0));
-    let way_ms = channel.field("way").time(0.0..=60_000.0, Some(50.0));
+    let way_ms = channel.field("way").duration_ms(0.0..=60_000.0, Some(50.0));
     let message_lines = channel
         .field("message_lines")
         .number(0.0..=1000.0, Some(3.0));
@@ -142,65 +146,77 @@
     let most_messages = most.number(0.0..=1e6, Some(0.0));
     let least = RESPONSES_BY_JOINING + 4.0 * RESPONSES_BY_MESSAGE;
     if most_messages > 0.0 && most_messages < least {
-        most.wrong(format!(
+        most.add_fault(format!(
             "0 for no limit, or at least {least}: a joining takes {RESPONSES_BY_JOINING}"
         ));
     }
-    let message_span_ms = channel.field("within").time(1.0..=3.6e6, Some(10_000.0));
-    channel.close();
+    let message_span_ms = channel
+        .field("within")
+        .duration_ms(1.0..=3.6e6, Some(10_000.0));
+    channel.deny_unknown_fields();
 
     let reports = at.field("reports");
-    let report_every_ms = reports.field("every").time(50.0..=60_000.0, Some(1_000.0));
+    let report_every_ms = reports
+        .field("every")
+        .duration_ms(50.0..=60_000.0, Some(1_000.0));
     let reports_per_s = reports
         .field("lines_per_s")
         .number(1.0..=1e9, Some(100_000.0));
-    reports.close();
+    reports.deny_unknown_fields();
 
     let cold = at.field("cold");
     let cold_share = cold.field("share").number(0.001..=1.0, Some(0.15));
-    let warm_after_ms = cold.field("warm_after").time(0.0..=3.6e6, Some(18_000.0));
+    let warm_after_ms = cold
+        .field("warm_after")
+        .duration_ms(0.0..=3.6e6, Some(18_000.0));
     let fall_multiple = cold.field("falls_at").number(1.0..=1000.0, Some(3.0));
-    cold.close();
+    cold.deny_unknown_fields();
 
     let drains = at.field("drains");
-    let grace_ms = drains.field("grace").time(1.0..=3.6e6, Some(3_000.0));
-    let dropped_may_stay = drains.field("dropped_may_stay").flag(Some(false));
-    drains.close();
+    let grace_ms = drains
+        .field("grace")
+        .duration_ms(1.0..=3.6e6, Some(3_000.0));
+    let dropped_may_stay = drains.field("dropped_may_stay").boolean(Some(false));
+    drains.deny_unknown_fields();
 
     let roster = at.field("roster");
-    let roster_file = roster.field("file").text(None);
-    let roster_every_ms = roster.field("every").time(10.0..=60_000.0, Some(200.0));
+    let roster_file = roster.field("file").string(None);
+    let roster_every_ms = roster
+        .field("every")
+        .duration_ms(10.0..=60_000.0, Some(200.0));
     let roster_form = roster_form(&roster, folder, &zones);
     let dns = roster.field("dns");
-    let dns = dns.is_there().then(|| self::dns(&dns, &zones));
+    let dns = dns.is_present().then(|| self::dns(&dns, &zones));
     let probe = roster.field("probe");
-    let may_probe = probe.is_there();
-    let probe_path = probe.field("path").text(Some("/"));
+    let may_probe = probe.is_present();
+    let probe_path = probe.field("path").string(Some("/"));
     if !probe_path.starts_with('/') || probe_path.contains(|c: char| c <= ' ' || c > '~') {
         probe
             .field("path")
-            .wrong("a path that begins with / is wanted");
+            .add_fault("a path that begins with / is wanted");
     }
-    let probe_within_ms = probe.field("within").time(1.0..=60_000.0, Some(1_000.0));
-    probe.close();
-    roster.close();
+    let probe_within_ms = probe
+        .field("within")
+        .duration_ms(1.0..=60_000.0, Some(1_000.0));
+    probe.deny_unknown_fields();
+    roster.deny_unknown_fields();
 
     let listen = at.field("listen");
     let wanted = "an address such as 127.0.0.1:18000";
     let address = listen.field("xds").parsed(wanted, None, |t| t.parse().ok());
-    listen.close();
+    listen.deny_unknown_fields();
 
     let files = at.field("files");
     let files = files
-        .is_there()
+        .is_present()
         .then(|| self::files(&files, folder, grace_ms));
 
     let memory = at.field("memory");
-    let memory = memory.is_there().then(|| {
+    let memory = memory.is_present().then(|| {
         let key = memory.field("key");
-        let key = key.is_there().then(|| folder.join(key.text(None)));
-        let dir = folder.join(memory.field("dir").text(None));
-        memory.close();
+        let key = key.is_present().then(|| folder.join(key.string(None)));
+        let dir = folder.join(memory.field("dir").string(None));
+        memory.deny_unknown_fields();
         (dir, key)
     });
 
@@ -215,13 +231,15 @@
             })
         })
         .collect();
-    let peers_within_ms = peers.field("within").time(10.0..=60_000.0, Some(1_000.0));
-    let tells = peers.field("tell").flag(Some(true));
-    peers.close();
+    let peers_within_ms = peers
+        .field("within")
+        .duration_ms(10.0..=60_000.0, Some(1_000.0));
+    let tells = peers.field("tell").boolean(Some(true));
+    peers.deny_unknown_fields();
 
     let hooks = at.field("hooks");
     let hooks = hooks
-        .is_there()
+        .is_present()
         .then(|| self::hooks(&hooks, folder, grace_ms));
 
     let guard = at.field("guard");
@@ -237,13 +255,13 @@
     let log_form = log.field("form").choice(&forms, Some(LogForm::Text));
     let levels = ["error", "warn", "info", "debug", "trace"].map(|l| (l, l));
     let log_level = log.field("level").choice(&levels, Some("info")).to_string();
-    log.close();
+    log.deny_unknown_fields();
 
     let seed = at.field("seed");
     let seed = seed
-        .is_there()
+        .is_present()
         .then(|| seed.number(0.0..=9e15, None) as u64);
-    at.close();
+    at.deny_unknown_fields();
 
     Deployment {
         terms: ControllerSettings {
@@ -297,11 +315,11 @@
     }
 }
 
-fn dns(at: &At, zones: &[String]) -> DnsPlace {
+fn dns(at: &FieldReader, zones: &[String]) -> DnsPlace {
     let name = at.field("name");
-    let told = name.text(None);
+    let told = name.string(None);
     if let Err(why) = dahliapoint_dns::lookup::name(&told) {
-        name.wrong(format!(
+        name.add_fault(format!(
             "a name such as _portal._tcp.example.org is wanted: {why}"
         ));
     }
@@ -312,23 +330,25 @@
         [one] => Some(one.as_str()),
         _ => None,
     };
-    let told_zone = zone.text(one);
+    let told_zone = zone.string(one);
     if !zones.contains(&told_zone) {
-        zone.wrong(format!("one of the zones {} is wanted", zones.join(", ")));
+        zone.add_fault(format!("one of the zones {} is wanted", zones.join(", ")));
     }
     let place = DnsPlace {
         name: told,
         server: server.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 53))),
         zone: told_zone,
-        adds: at.field("adds").flag(Some(false)),
-        within_ms: at.field("within").time(50.0..=60_000.0, Some(1_000.0)),
+        adds: at.field("adds").boolean(Some(false)),
+        within_ms: at
+            .field("within")
+            .duration_ms(50.0..=60_000.0, Some(1_000.0)),
     };
-    at.close();
+    at.deny_unknown_fields();
     place
 }
 
 /// Our own form, or others' files with what is to be known beside them.
-fn roster_form(at: &At, folder: &Path, zones: &[String]) -> RosterForm {
+fn roster_form(at: &FieldReader, folder: &Path, zones: &[String]) -> RosterForm {
     let kinds = [
         ("yaml", None),
         ("apache", Some(Kind::Apache)),
@@ -339,17 +359,17 @@
     };
     let optional = |name: &str| {
         let field = at.field(name);
-        field.is_there().then(|| field.text(None))
+        field.is_present().then(|| field.string(None))
     };
     let zone = at.field("zone");
     let one = match zones {
         [one] => Some(one.clone()),
         _ => None,
     };
-    let zone = if zone.is_there() {
-        let told = zone.text(None);
+    let zone = if zone.is_present() {
+        let told = zone.string(None);
         if !zones.contains(&told) {
-            zone.wrong(format!("one of the zones {} is wanted", zones.join(", ")));
+            zone.add_fault(format!("one of the zones {} is wanted", zones.join(", ")));
         }
         Some(told)
     } else {
@@ -363,7 +383,7 @@
             .field("assume")
             .list()
             .iter()
-            .map(|a| a.text(None))
+            .map(|a| a.string(None))
             .collect(),
         root: optional("root").map(|root| folder.join(root).display().to_string()),
         zone,
@@ -371,17 +391,17 @@
 }
 
 /// Hooks: what all of them may use is bounded by the grace, since a roster waits for them.
-fn hooks(at: &At, folder: &Path, grace_ms: f64) -> HooksPlace {
+fn hooks(at: &FieldReader, folder: &Path, grace_ms: f64) -> HooksPlace {
     let usual = Bounds::default();
     let run = at.field("run");
-    let run_ms = run.time(1.0..=1_000.0, Some(20.0));
-    let publication_ms = at.field("publication").time(0.1..=50.0, Some(2.0));
+    let run_ms = run.duration_ms(1.0..=1_000.0, Some(20.0));
+    let publication_ms = at.field("publication").duration_ms(0.1..=50.0, Some(2.0));
     let roster = at.field("roster");
-    let roster_ms = roster.time(1.0..=1_000.0, Some(50.0));
+    let roster_ms = roster.duration_ms(1.0..=1_000.0, Some(50.0));
     // A roster waits for the run at hand, then for the hooks that see it.
     if run_ms + roster_ms > grace_ms * HOOKS_GRACE {
         let most = grace_ms * HOOKS_GRACE;
-        roster.wrong(format!(
+        roster.add_fault(format!(
             "run and roster together are at most {most} ms: a tenth of the drains' grace"
         ));
     }
@@ -396,7 +416,7 @@
         .field("wishes_a_minute")
         .number(1.0..=1e6, Some(usual.wishes_a_minute as f64));
     let place = HooksPlace {
-        dir: folder.join(at.field("dir").text(None)),
+        dir: folder.join(at.field("dir").string(None)),
         bounds: Bounds {
             allowance,
             wishes_a_minute: wishes as usize,
@@ -404,77 +424,81 @@
         run_ms,
         publication_ms,
         roster_ms,
-        every_ms: at.field("every").time(10.0..=600_000.0, Some(500.0)),
+        every_ms: at.field("every").duration_ms(10.0..=600_000.0, Some(500.0)),
     };
-    at.close();
+    at.deny_unknown_fields();
     place
 }
 
 /// The front of files.
-fn files(at: &At, folder: &Path, grace_ms: f64) -> Files {
+fn files(at: &FieldReader, folder: &Path, grace_ms: f64) -> Files {
     let forms = at.field("forms");
     let mut listed = Vec::new();
     for place in forms.list() {
         let names = Form::ALL.map(|f| (f.name(), f));
         let form = place.choice(&names, None);
         if listed.contains(&form) {
-            place.wrong("each form once is wanted");
+            place.add_fault("each form once is wanted");
         }
         listed.push(form);
     }
     let every = at.field("every");
-    let every_ms = every.time(10.0..=600_000.0, Some(200.0));
+    let every_ms = every.duration_ms(10.0..=600_000.0, Some(200.0));
     let read = at.field("read_every");
     let reach = Reach {
         every_ms,
-        read_every_ms: read.time(10.0..=600_000.0, Some(500.0)),
+        read_every_ms: read.duration_ms(10.0..=600_000.0, Some(500.0)),
         grace_ms,
     };
     let keys = at.field("keys");
-    let keys = keys.is_there().then(|| folder.join(keys.text(None)));
+    let keys = keys.is_present().then(|| folder.join(keys.string(None)));
     let files = Files {
-        dir: folder.join(at.field("dir").text(None)),
+        dir: folder.join(at.field("dir").string(None)),
         forms: listed,
         reach,
-        beat_ms: at.field("beat").time(50.0..=600_000.0, Some(1_000.0)),
-        valid_ms: at.field("valid").time(1_000.0..=8.64e8, Some(600_000.0)),
+        beat_ms: at
+            .field("beat")
+            .duration_ms(50.0..=600_000.0, Some(1_000.0)),
+        valid_ms: at
+            .field("valid")
+            .duration_ms(1_000.0..=8.64e8, Some(600_000.0)),
         keys,
     };
     if let Promise::Broken(why) = reach.promise() {
-        read.wrong(why);
+        read.add_fault(why);
     }
-    at.close();
+    at.deny_unknown_fields();
     files
 }
 
 /// Names, at least one, each once.
-fn names(at: &At, what: &str) -> Vec<String> {
+fn names(at: &FieldReader, what: &str) -> Vec<String> {
     let mut seen = BTreeSet::new();
     let mut names = Vec::new();
     for place in at.list() {
-        let name = place.text(None);
+        let name = place.string(None);
         if !seen.insert(name.clone()) {
-            place.wrong(format!("{name:?} is named twice"));
+            place.add_fault(format!("{name:?} is named twice"));
         }
         names.push(name);
     }
     if names.is_empty() {
-        at.wrong(format!("at least one {what} is wanted"));
+        at.add_fault(format!("at least one {what} is wanted"));
     }
     names
 }
 
-fn classes(at: &At) -> (Vec<ClassSettings>, Vec<Repeat>, Vec<f64>) {
+fn classes(at: &FieldReader) -> (Vec<ClassSettings>, Vec<Repeat>, Vec<f64>) {
     let (mut classes, mut repeats, mut limits) = (Vec::new(), Vec::new(), Vec::new());
     let mut seen = BTreeSet::new();
     for place in at.list() {
-        let name = place.field("name").text(None);
+        let name = place.field("name").string(None);
         if !seen.insert(name.clone()) {
             place
                 .field("name")
-                .wrong(format!("{name:?} is named twice"));
+                .add_fault(format!("{name:?} is named twice"));
         }
-        let soft = place.field("soft_limit").time(1.0..=3.6e6, None);
+        let soft = place.field("soft_limit").duration_ms(1.0..=3.6e6, None);
         let words = [
             ("safe", Repeat::Safe),
             ("keyed", Repeat::Keyed),
@@ -482,9 +506,9 @@
         ];
         let repeat = place.field("repeat").choice(&words, Some(Repeat::Never));
         let hard = place.field("hard_limit");
-        let hard_ms = hard.time(1.0..=3.6e6, Some(soft * 3.0));
+        let hard_ms = hard.duration_ms(1.0..=3.6e6, Some(soft * 3.0));
         if hard_ms < soft {
-            hard.wrong("a time no shorter than the soft limit is wanted");
+            hard.add_fault("a time no shorter than the soft limit is wanted");
         }
         classes.push(ClassSettings {
             name,
@@ -494,10 +518,10 @@
         });
         repeats.push(repeat);
         limits.push(hard_ms);
-        place.close();
+        place.deny_unknown_fields();
     }
     if classes.is_empty() {
-        at.wrong("at least one class is wanted");
+        at.add_fault("at least one class is wanted");
     }
     (classes, repeats, limits)
 }
--- a/crates/daemon/src/guarding.rs
+++ b/crates/daemon/src/guarding.rs
@@ -1,7 +1,7 @@
 //! The guard offline: a table from a file is judged, and what would leave in its place is told.
 
 use dahliapoint_guard::{AdminState, Guard, Line, Server, Violation};
-use dahliapoint_yaml::{At, read};
+use dahliapoint_yaml::{FieldReader, read};
 use std::fmt::Write;
 
 /// What a danger is, in words.
@@ -19,7 +19,7 @@
     read(file, text, judged).map_err(|f| f.to_string())
 }
 
-fn judged(at: &At) -> (String, bool) {
+fn judged(at: &FieldReader) -> (String, bool) {
     let mut guard = Guard::default();
     let mut names: Vec<String> = Vec::new();
     let states = [
@@ -28,17 +28,17 @@
         ("gone", AdminState::Gone),
     ];
     for s in at.field("servers").list() {
-        names.push(s.field("name").text(None));
+        names.push(s.field("name").string(None));
         let falls = s.field("falls_at");
         let now = Server {
             admin_state: s.field("state").choice(&states, Some(AdminState::Ready)),
             listed_weight: s.field("weight").number(0.0..=1e6, Some(1.0)),
-            overload_per_s: match falls.is_there() {
+            overload_per_s: match falls.is_present() {
                 true => falls.number(0.0..=1e9, None),
                 false => f64::INFINITY,
             },
         };
-        s.close();
+        s.deny_unknown_fields();
         guard.set_server(names.len() - 1, Some(0), now);
     }
     guard.set_load(0, at.field("load").number(0.0..=1e9, Some(0.0)));
@@ -46,7 +46,7 @@
         let table = at.field(field);
         let list = table.list();
         let lines = list.iter().map(|l| {
-            let name = l.field("server").text(None);
+            let name = l.field("server").string(None);
             let server = names.iter().position(|n| *n == name).unwrap_or_else(|| {
                 names.push(name);
                 names.len() - 1
@@ -54,16 +54,16 @@
             let line = Line {
                 server,
                 weight: l.field("weight").number(0.0..=1e6, Some(1.0)),
-                open: l.field("open").flag(Some(true)),
+                open: l.field("open").boolean(Some(true)),
             };
-            l.close();
+            l.deny_unknown_fields();
             line
         });
         lines.collect()
     };
     let before = lines("before");
     let next = lines("next");
-    at.close();
+    at.deny_unknown_fields();
     if !before.is_empty() {
         guard.record_sent(0, &before, true, 1);
         guard.record_applied(0, 1);
--- a/crates/daemon/src/hooks.rs
+++ b/crates/daemon/src/hooks.rs
@@ -8,7 +8,7 @@
 use dahliapoint_hooks::ops::Wished;
 use dahliapoint_hooks::points::{Point, WishKind};
 use dahliapoint_hooks::value::{LineSeen, ProxySeen, ServerSeen, State, World};
-use dahliapoint_yaml::{At, read};
+use dahliapoint_yaml::{FieldReader, read};
 use std::fmt::Write;
 use std::path::Path;
 use std::sync::Arc;
@@ -71,58 +71,58 @@
     steps: Vec<Step>,
 }
 
-fn server(at: &At) -> ServerSeen {
+fn server(at: &FieldReader) -> ServerSeen {
     let s = ServerSeen {
-        name: at.field("name").text(None).into(),
-        zone: at.field("zone").text(Some("here")).into(),
+        name: at.field("name").string(None).into(),
+        zone: at.field("zone").string(Some("here")).into(),
         state: at.field("state").choice(&STATES, Some(State::Ready)),
         listed: at.field("listed").number(0.0..=1e6, Some(1.0)),
         weight: at.field("weight").number(0.0..=1e6, Some(1.0)),
-        shut: at.field("shut").flag(Some(false)),
+        shut: at.field("shut").boolean(Some(false)),
         part: at.field("part").number(-1.0..=1e6, Some(0.0)),
-        age_ms: at.field("age").time(0.0..=1e15, Some(3.2e10)),
+        age_ms: at.field("age").duration_ms(0.0..=1e15, Some(3.2e10)),
         tries_per_s: at.field("tries").number(0.0..=1e9, Some(0.0)),
         failed_share: at.field("failed").number(0.0..=1.0, Some(0.0)),
-        mean_ms: at.field("time").time(0.0..=1e9, Some(0.0)),
+        mean_ms: at.field("time").duration_ms(0.0..=1e9, Some(0.0)),
         in_flight: at.field("in_flight").number(0.0..=1e9, Some(0.0)),
-        stale: at.field("stale").flag(Some(false)),
+        stale: at.field("stale").boolean(Some(false)),
     };
-    at.close();
+    at.deny_unknown_fields();
     s
 }
 
-fn proxy(at: &At) -> ProxySeen {
+fn proxy(at: &FieldReader) -> ProxySeen {
     let p = ProxySeen {
-        name: at.field("name").text(None).into(),
-        zone: at.field("zone").text(Some("here")).into(),
+        name: at.field("name").string(None).into(),
+        zone: at.field("zone").string(Some("here")).into(),
         part: at.field("part").number(-1.0..=1e6, Some(0.0)),
         unanswered: at.field("unanswered").number(0.0..=1e9, Some(0.0)),
-        silent: at.field("silent").flag(Some(false)),
-        contrary: at.field("contrary").flag(Some(false)),
+        silent: at.field("silent").boolean(Some(false)),
+        contrary: at.field("contrary").boolean(Some(false)),
     };
-    at.close();
+    at.deny_unknown_fields();
     p
 }
 
-fn line(at: &At) -> LineSeen {
+fn line(at: &FieldReader) -> LineSeen {
     let l = LineSeen {
-        server: at.field("server").text(None).into(),
+        server: at.field("server").string(None).into(),
         weight: at.field("weight").number(0.0..=1e9, Some(1.0)),
-        open: at.field("open").flag(Some(true)),
+        open: at.field("open").boolean(Some(true)),
         before: at.field("before").number(0.0..=1e9, Some(0.0)),
     };
-    at.close();
+    at.deny_unknown_fields();
     l
 }
 
-fn texts(at: &At) -> Option<Vec<String>> {
-    at.is_there()
-        .then(|| at.list().iter().map(|t| t.text(None)).collect())
+fn texts(at: &FieldReader) -> Option<Vec<String>> {
+    at.is_present()
+        .then(|| at.list().iter().map(|t| t.string(None)).collect())
 }
 
-fn event(at: &At, point: Point) -> Event {
+fn event(at: &FieldReader, point: Point) -> Event {
     let part = || at.field("part").number(0.0..=1e6, Some(0.0)) as usize;
-    let name = |field: &str| Arc::from(at.field(field).text(None));
+    let name = |field: &str| Arc::from(at.field(field).string(None));
     match point {
         Point::BeforePublication => Event::BeforePublication(part()),
         Point::AfterPublication => Event::AfterPublication(part(), Vec::new()),
@@ -146,29 +146,29 @@
     }
 }
 
-fn step(at: &At) -> Step {
+fn step(at: &FieldReader) -> Step {
     let on = at.field("on");
     let points = Point::ALL.map(|p| (p.name(), p));
-    let point = on.is_there().then(|| on.choice(&points, None));
+    let point = on.is_present().then(|| on.choice(&points, None));
     let fails = at.field("fails");
     let hold = at.field("hold");
     let step = Step {
         line: at.line(),
-        at_ms: at.field("at").time(0.0..=1e12, Some(0.0)),
+        at_ms: at.field("at").duration_ms(0.0..=1e12, Some(0.0)),
         event: point.map(|p| event(at, p)),
         servers: at.field("servers").list().iter().map(server).collect(),
         proxies: at.field("proxies").list().iter().map(proxy).collect(),
         lines: at.field("lines").list().iter().map(line).collect(),
         wishes: texts(&at.field("wishes")),
-        hold: hold.is_there().then(|| hold.flag(None)),
-        fails: fails.is_there().then(|| fails.text(None)),
+        hold: hold.is_present().then(|| hold.boolean(None)),
+        fails: fails.is_present().then(|| fails.string(None)),
         drained: texts(&at.field("drained")),
     };
-    at.close();
+    at.deny_unknown_fields();
     step
 }
 
-fn night(at: &At) -> Night {
+fn night(at: &FieldReader) -> Night {
     let world = World {
         now_ms: at.field("hour").number(0.0..=24.0, Some(0.0)) * 3.6e6,
         zones: texts(&at.field("zones"))
@@ -181,7 +181,7 @@
         ..World::default()
     };
     let steps = at.field("steps").list().iter().map(step).collect();
-    at.close();
+    at.deny_unknown_fields();
     Night { world, steps }
 }
 
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -29,13 +29,13 @@
         let servers = at.field("servers");
         let places = servers.list();
         if places.len() > MOST {
-            servers.wrong(format!("at most {MOST} servers are wanted"));
+            servers.add_fault(format!("at most {MOST} servers are wanted"));
         }
         for place in places.iter().take(MOST) {
             let name = place.field("name");
-            let called = name.text(None);
+            let called = name.string(None);
             if let Some(line) = names.insert(called.clone(), name.line()) {
-                name.wrong(format!("{called:?} is named twice; first in line {line}"));
+                name.add_fault(format!("{called:?} is named twice; first in line {line}"));
             }
             let address = place.field("address");
             let wanted = "an address such as 127.0.0.1:8080";
@@ -44,12 +44,12 @@
             if let Some(line) = addresses.insert(socket.clone(), address.line())
                 && !socket.is_empty()
             {
-                address.wrong(format!("{socket} is listed twice; first in line {line}"));
+                address.add_fault(format!("{socket} is listed twice; first in line {line}"));
             }
             let zone = place.field("zone");
-            let in_zone = zone.text(None);
+            let in_zone = zone.string(None);
             if !zones.contains(&in_zone) {
-                zone.wrong(format!("one of the zones {} is wanted", zones.join(", ")));
+                zone.add_fault(format!("one of the zones {} is wanted", zones.join(", ")));
             }
             let states = [
                 ("ready", AdminState::Ready),
@@ -57,7 +57,7 @@
                 ("gone", AdminState::Gone),
             ];
             let started = place.field("started");
-            let started = started.is_there().then(|| {
+            let started = started.is_present().then(|| {
                 let seconds = started.number(0.0..=1e11, None);
                 // In the future only by a wrong clock: just now, then.
                 let ago = (wall_ms - seconds * 1e3).max(0.0);
@@ -73,9 +73,9 @@
                 weight: place.field("weight").number(0.0..=10_000.0, Some(1.0)),
                 started,
             });
-            place.close();
+            place.deny_unknown_fields();
         }
-        at.close();
+        at.deny_unknown_fields();
         entries
     })
 }
--- a/crates/proxy/src/described.rs
+++ b/crates/proxy/src/described.rs
@@ -2,7 +2,7 @@
 
 use crate::picking::Way;
 use crate::trying::Effect;
-use dahliapoint_yaml::{At, Faults, read};
+use dahliapoint_yaml::{Faults, FieldReader, read};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
@@ -68,30 +68,34 @@
     read(file, text, |at| described(at, &folder))
 }
 
-fn address(at: &At) -> SocketAddr {
+fn address(at: &FieldReader) -> SocketAddr {
     let wanted = "an address such as 127.0.0.1:8080";
     let read = at.parsed(wanted, None, |t| t.parse().ok());
     read.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)))
 }
 
-fn described(at: &At, folder: &Path) -> Described {
+fn described(at: &FieldReader, folder: &Path) -> Described {
     let controllers = at.field("controllers");
     let addresses: Vec<SocketAddr> = controllers.list().iter().map(address).collect();
     let files = at.field("files");
-    let files = files.is_there().then(|| {
+    let files = files.is_present().then(|| {
         let keys = files.field("keys");
         let spooled = Spooled {
-            dir: folder.join(files.field("dir").text(None)),
-            keys: keys.is_there().then(|| folder.join(keys.text(None))),
-            every_ms: files.field("every").time(10.0..=600_000.0, Some(500.0)),
-            beat_ms: files.field("beat").time(50.0..=600_000.0, Some(1_000.0)),
+            dir: folder.join(files.field("dir").string(None)),
+            keys: keys.is_present().then(|| folder.join(keys.string(None))),
+            every_ms: files
+                .field("every")
+                .duration_ms(10.0..=600_000.0, Some(500.0)),
+            beat_ms: files
+                .field("beat")
+                .duration_ms(50.0..=600_000.0, Some(1_000.0)),
         };
-        files.close();
+        files.deny_unknown_fields();
         spooled
     });
     match (addresses.is_empty(), &files) {
-        (true, None) => controllers.wrong("at least one controller is wanted, or files"),
-        (false, Some(_)) => controllers.wrong("controllers or files are wanted, not both"),
+        (true, None) => controllers.add_fault("at least one controller is wanted, or files"),
+        (false, Some(_)) => controllers.add_fault("controllers or files are wanted, not both"),
         _ => {}
     }
     let list = at.field("classes");
@@ -105,16 +109,16 @@
                 ("never", Effect::Effect),
             ];
             let class = Class {
-                name: c.field("name").text(None),
-                hard_limit_ms: c.field("hard_limit").time(1.0..=3.6e6, None),
+                name: c.field("name").string(None),
+                hard_limit_ms: c.field("hard_limit").duration_ms(1.0..=3.6e6, None),
                 effect: c.field("repeat").choice(&effects, Some(Effect::Effect)),
             };
-            c.close();
+            c.deny_unknown_fields();
             class
         })
         .collect();
     if classes.is_empty() {
-        list.wrong("at least one class is wanted");
+        list.add_fault("at least one class is wanted");
     }
     let ways = [
         ("rotate", Way::Rotate),
@@ -123,44 +127,47 @@
     ];
     let shun = at.field("shun");
     let strikes = shun.field("after").number(0.0..=1e6, Some(0.0)) as u32;
-    let shun_ms = shun.field("for").time(0.0..=3.6e6, Some(3_000.0));
-    shun.close();
+    let shun_ms = shun.field("for").duration_ms(0.0..=3.6e6, Some(3_000.0));
+    shun.deny_unknown_fields();
     let redial = at.field("redial");
-    let from = redial.field("from").time(1.0..=3.6e6, Some(200.0));
-    let to = redial.field("to").time(1.0..=3.6e6, Some(1_000.0));
+    let from = redial.field("from").duration_ms(1.0..=3.6e6, Some(200.0));
+    let to = redial.field("to").duration_ms(1.0..=3.6e6, Some(1_000.0));
     if to < from {
         redial
             .field("to")
-            .wrong("a time no shorter than from is wanted");
+            .add_fault("a time no shorter than from is wanted");
     }
-    redial.close();
+    redial.deny_unknown_fields();
     let levels = ["error", "warn", "info", "debug", "trace"].map(|l| (l, l));
     let out = Described {
-        name: at.field("name").text(None),
-        service: at.field("service").text(None),
-        zone: at.field("zone").text(None),
+        name: at.field("name").string(None),
+        service: at.field("service").string(None),
+        zone: at.field("zone").string(None),
         pace: at.field("pace").number(0.0..=1e6, Some(0.0)),
         controllers: addresses,
         files,
         listen: address(&at.field("listen")),
-        roster: folder.join(at.field("roster").text(None)),
+        roster: folder.join(at.field("roster").string(None)),
         classes,
         way: at.field("picks").choice(&ways, Some(Way::Rotate)),
         standing: at.field("standing").number(1.0..=10_000.0, Some(10.0)) as usize,
         strikes,
         shun_ms,
         redial_ms: (from, to),
-        home_after_ms: at.field("home_after").time(0.0..=3.6e6, Some(0.0)),
-        idle_ms: at.field("idle").time(1.0..=3.6e6, Some(15_000.0)),
-        connect_ms: at.field("connect").time(1.0..=60_000.0, Some(250.0)),
-        stall_us: at.field("stall_by_line").time(0.0..=100.0, Some(0.0)) * 1e3,
+        home_after_ms: at.field("home_after").duration_ms(0.0..=3.6e6, Some(0.0)),
+        idle_ms: at.field("idle").duration_ms(1.0..=3.6e6, Some(15_000.0)),
+        connect_ms: at.field("connect").duration_ms(1.0..=60_000.0, Some(250.0)),
+        stall_us: at
+            .field("stall_by_line")
+            .duration_ms(0.0..=100.0, Some(0.0))
+            * 1e3,
         further_share: at.field("further_tries").number(0.0..=1.0, Some(0.1)),
-        proof_header: at.field("proof_header").text(Some("x-unseen")),
+        proof_header: at.field("proof_header").string(Some("x-unseen")),
         most_clients: at.field("most_clients").number(1.0..=1e6, Some(4096.0)) as usize,
         seed: at.field("seed").number(0.0..=9e15, Some(1.0)) as u64,
         log_level: at.field("log").choice(&levels, Some("info")).to_string(),
     };
-    at.close();
+    at.deny_unknown_fields();
     out
 }
 
@@ -186,16 +193,16 @@
             }
             let states = [("ready", true), ("draining", false), ("gone", false)];
             let listed = Listed {
-                name: s.field("name").text(None),
+                name: s.field("name").string(None),
                 address: address(&s.field("address")),
-                zone: s.field("zone").text(None),
+                zone: s.field("zone").string(None),
                 ready: s.field("state").choice(&states, Some(true)),
             };
-            s.close();
+            s.deny_unknown_fields();
             listed
         });
         let listed = listed.collect();
-        at.close();
+        at.deny_unknown_fields();
         listed
     })
 }
--- a/crates/standins/src/day.rs
+++ b/crates/standins/src/day.rs
@@ -2,7 +2,7 @@
 
 use dahliapoint_daemon::deployment::{self, Deployment, Repeat};
 use dahliapoint_proxy::picking::Way;
-use dahliapoint_yaml::{At, read};
+use dahliapoint_yaml::{FieldReader, read};
 use std::path::{Path, PathBuf};
 
 use crate::proxy::ClassPlay;
@@ -118,7 +118,7 @@
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let folder = path.parent().unwrap_or(Path::new(""));
     let name = path.display().to_string();
-    let file = read(&name, &text, |at| at.field("deployment").text(None));
+    let file = read(&name, &text, |at| at.field("deployment").string(None));
     let file: PathBuf = folder.join(file.map_err(|f| f.to_string())?);
     let shown = file.display().to_string();
     let deployed = std::fs::read_to_string(&file).map_err(|e| format!("{shown}: {e}"))?;
@@ -126,7 +126,7 @@
     read(&name, &text, |at| day(at, deployment.clone(), &deployed)).map_err(|f| f.to_string())
 }
 
-fn day(at: &At, deployment: Deployment, deployed: &str) -> Day {
+fn day(at: &FieldReader, deployment: Deployment, deployed: &str) -> Day {
     at.field("deployment");
     let servers = at.field("servers");
     let count = servers.field("count").number(1.0..=10_000.0, None) as usize;
@@ -134,7 +134,7 @@
     let slowest = servers.field("slowest").number(0.01..=100.0, Some(1.0));
     let fastest = servers.field("fastest").number(0.01..=100.0, Some(1.0));
     let queue = servers.field("queue").number(0.0..=1e6, Some(100.0)) as usize;
-    servers.close();
+    servers.deny_unknown_fields();
     let proxies = at.field("proxies");
     let proxy_count = proxies.field("count").number(1.0..=10_000.0, None) as usize;
     let pace = proxies.field("pace").number(0.0..=10_000.0, None);
@@ -155,33 +155,39 @@
         .field("front")
         .choice(&fronts, Some(Fronts::Streams));
     let strikes = proxies.field("strikes").number(0.0..=1000.0, Some(5.0)) as u32;
-    let shun_ms = proxies.field("shun").time(0.0..=600_000.0, Some(3_000.0));
-    let apply_us = proxies.field("apply").time(0.0..=1000.0, Some(0.04)) * 1e3;
-    proxies.close();
+    let shun_ms = proxies
+        .field("shun")
+        .duration_ms(0.0..=600_000.0, Some(3_000.0));
+    let apply_us = proxies.field("apply").duration_ms(0.0..=1000.0, Some(0.04)) * 1e3;
+    proxies.deny_unknown_fields();
     let (work, shares) = (at.field("work"), at.field("shares"));
     let terms = &deployment.terms;
     let classes = terms.classes.iter().enumerate().map(|(i, c)| ClassPlay {
         name: c.name.clone(),
         share: shares.field(&c.name).number(0.0..=1.0, Some(1.0)),
-        work_ms: work.field(&c.name).time(0.001..=60_000.0, Some(20.0)),
+        work_ms: work
+            .field(&c.name)
+            .duration_ms(0.001..=60_000.0, Some(20.0)),
         soft_ms: c.soft_limit_ms,
         hard_ms: deployment.hard_limits_ms[i],
         earnings: c.earnings,
         never_twice: deployment.repeats[i] == Repeat::Never,
     });
     let classes: Vec<ClassPlay> = classes.collect();
-    work.close();
-    shares.close();
+    work.deny_unknown_fields();
+    shares.deny_unknown_fields();
     let roster = at.field("roster");
-    let roster_late_ms = roster.field("late").time(0.0..=60_000.0, Some(300.0));
-    roster.close();
+    let roster_late_ms = roster
+        .field("late")
+        .duration_ms(0.0..=60_000.0, Some(300.0));
+    roster.deny_unknown_fields();
     let events = at.field("events").list();
     let events = events.iter().map(|e| event(e, count, proxy_count));
     let events = events.collect();
     let out = Day {
-        name: at.field("name").text(None),
+        name: at.field("name").string(None),
         deployment_text: deployed.to_string(),
-        lasts_ms: at.field("lasts").time(1000.0..=3.6e6, None),
+        lasts_ms: at.field("lasts").duration_ms(1000.0..=3.6e6, None),
         seed: at.field("seed").number(0.0..=1e15, Some(1.0)) as u64,
         servers: count,
         cores,
@@ -196,19 +202,25 @@
         shun_ms,
         apply_us,
         classes,
-        falls_in_ms: at.field("falls_in").time(100.0..=60_000.0, Some(2_000.0)),
-        bare_ms: at.field("bare").time(100.0..=60_000.0, Some(4_000.0)),
+        falls_in_ms: at
+            .field("falls_in")
+            .duration_ms(100.0..=60_000.0, Some(2_000.0)),
+        bare_ms: at
+            .field("bare")
+            .duration_ms(100.0..=60_000.0, Some(4_000.0)),
         roster_late_ms,
-        watch_ms: at.field("watch_estimates").time(0.0..=60_000.0, Some(0.0)),
-        memory: at.field("memory").flag(Some(false)),
+        watch_ms: at
+            .field("watch_estimates")
+            .duration_ms(0.0..=60_000.0, Some(0.0)),
+        memory: at.field("memory").boolean(Some(false)),
         events,
         deployment,
     };
-    at.close();
+    at.deny_unknown_fields();
     out
 }
 
-fn event(at: &At, servers: usize, proxies: usize) -> Event {
+fn event(at: &FieldReader, servers: usize, proxies: usize) -> Event {
     let what = at.field("do").choice(&WORDS, None);
     let of_proxies = matches!(
         what,
@@ -223,19 +235,19 @@
         .collect();
     // A share: every so manieth, so that zones are struck alike.
     let share = at.field("share");
-    if share.is_there() {
+    if share.is_present() {
         let share = share.number(0.0..=1.0, None);
         let wanted = (share * many as f64).round() as usize;
         let picked = |i: &usize| i * wanted / many != (i + 1) * wanted / many;
         whom.extend((0..many).filter(picked));
     }
     let event = Event {
-        at_ms: at.field("at").time(0.0..=3.6e6, None),
+        at_ms: at.field("at").duration_ms(0.0..=3.6e6, None),
         what,
         whom,
-        for_ms: at.field("for").time(0.0..=3.6e6, Some(0.0)),
+        for_ms: at.field("for").duration_ms(0.0..=3.6e6, Some(0.0)),
         size: at.field("size").number(0.0..=1e6, Some(1.0)),
     };
-    at.close();
+    at.deny_unknown_fields();
     event
 }
--- a/crates/yaml/src/lib.rs
+++ b/crates/yaml/src/lib.rs
@@ -139,7 +139,11 @@
 ///
 /// # Errors
 /// All faults: of the text as YAML, or those that the reader noted.
-pub fn read<T>(file: &str, text: &str, reader: impl FnOnce(&At) -> T) -> Result<T, Faults> {
+pub fn read<T>(
+    file: &str,
+    text: &str,
+    reader: impl FnOnce(&FieldReader) -> T,
+) -> Result<T, Faults> {
     let alone = |line, wanted: String| {
         Faults(vec![Fault {
             file: file.to_string(),
@@ -160,7 +164,7 @@
         alone(line, said)
     })?;
     let faults = RefCell::new(Vec::new());
-    let out = reader(&At {
+    let out = reader(&FieldReader {
         file,
         faults: &faults,
         node: Some(&root),
@@ -179,7 +183,7 @@
 }
 
 /// A place in the tree; a missing field is a place too, so that readers need not ask.
-pub struct At<'a> {
+pub struct FieldReader<'a> {
     file: &'a str,
     faults: &'a RefCell<Vec<Fault>>,
     node: Option<&'a Node>,
@@ -188,9 +192,9 @@
     read: RefCell<BTreeSet<String>>,
 }
 
-impl<'a> At<'a> {
+impl<'a> FieldReader<'a> {
     /// Notes a fault here.
-    pub fn wrong(&self, wanted: impl Into<String>) {
+    pub fn add_fault(&self, wanted: impl Into<String>) {
         self.faults.borrow_mut().push(Fault {
             file: self.file.to_string(),
             line: self.line,
@@ -200,7 +204,7 @@
     }
 
     /// Whether anything stands here.
-    pub fn is_there(&self) -> bool {
+    pub fn is_present(&self) -> bool {
         self.node.is_some_and(|n| !matches!(n.tree, Tree::Nothing))
     }
 
@@ -209,8 +213,8 @@
         there.filter(|t| !matches!(t, Tree::Nothing))
     }
 
-    /// The place of a field; the fields read are the ones allowed (see [`At::close`]).
-    pub fn field(&self, name: &str) -> At<'a> {
+    /// The place of a field; the fields read are the ones allowed (see [`FieldReader::deny_unknown_fields`]).
+    pub fn field(&self, name: &str) -> FieldReader<'a> {
         self.read.borrow_mut().insert(name.to_string());
         let found = match self.tree() {
             Some(Tree::Map(pairs)) => {
@@ -219,7 +223,7 @@
             }
             _ => None,
         };
-        At {
+        FieldReader {
             file: self.file,
             faults: self.faults,
             node: found,
@@ -233,7 +237,7 @@
     }
 
     /// To be called when all fields of a map were read: others are faults, and so is anything but a map.
-    pub fn close(&self) {
+    pub fn deny_unknown_fields(&self) {
         let read = self.read.borrow();
         match self.tree() {
             None => {}
@@ -258,7 +262,7 @@
                     }
                 }
             }
-            Some(_) => self.wrong("fields are wanted here"),
+            Some(_) => self.add_fault("fields are wanted here"),
         }
     }
 
@@ -271,11 +275,11 @@
         match (self.tree(), usual) {
             (None, Some(usual)) => Some(usual),
             (None, None) => {
-                self.wrong(format!("{wanted} is wanted; nothing is there"));
+                self.add_fault(format!("{wanted} is wanted; nothing is there"));
                 None
             }
             (Some(tree), usual) => read(tree).or_else(|| {
-                self.wrong(format!("{wanted} is wanted"));
+                self.add_fault(format!("{wanted} is wanted"));
                 usual
             }),
         }
@@ -296,17 +300,17 @@
     }
 
     /// A time in milliseconds, written with its unit.
-    pub fn time(&self, range_ms: RangeInclusive<f64>, usual_ms: Option<f64>) -> f64 {
+    pub fn duration_ms(&self, range_ms: RangeInclusive<f64>, usual_ms: Option<f64>) -> f64 {
         let (low, high) = (range_ms.start(), range_ms.end());
         let wanted = format!("a time such as 250ms, 2s or 1m, from {low}ms to {high}ms");
         let read = |t: &Tree| match t {
-            Tree::Text(text) => time_of(text).filter(|ms| range_ms.contains(ms)),
+            Tree::Text(text) => parse_duration_ms(text).filter(|ms| range_ms.contains(ms)),
             _ => None,
         };
         self.get(usual_ms, &wanted, read).unwrap_or(*low)
     }
 
-    pub fn flag(&self, usual: Option<bool>) -> bool {
+    pub fn boolean(&self, usual: Option<bool>) -> bool {
         let read = |t: &Tree| match t {
             Tree::Flag(b) => Some(*b),
             _ => None,
@@ -315,7 +319,7 @@
     }
 
     /// A text that is not empty; numbers are taken as they are written.
-    pub fn text(&self, usual: Option<&str>) -> String {
+    pub fn string(&self, usual: Option<&str>) -> String {
         let read = |t: &Tree| match t {
             Tree::Text(text) if !text.is_empty() => Some(text.clone()),
             Tree::Number(n) => Some(n.to_string()),
@@ -350,11 +354,11 @@
     }
 
     /// The elements of a list; none where nothing stands.
-    pub fn list(&self) -> Vec<At<'a>> {
+    pub fn list(&self) -> Vec<FieldReader<'a>> {
         match self.tree() {
             None => Vec::new(),
             Some(Tree::List(nodes)) => {
-                let place = |(i, node): (usize, &'a Node)| At {
+                let place = |(i, node): (usize, &'a Node)| FieldReader {
                     file: self.file,
                     faults: self.faults,
                     node: Some(node),
@@ -365,7 +369,7 @@
                 nodes.iter().enumerate().map(place).collect()
             }
             Some(_) => {
-                self.wrong("a list is wanted");
+                self.add_fault("a list is wanted");
                 Vec::new()
             }
         }
@@ -378,7 +382,7 @@
 }
 
 /// A time in milliseconds from a number and its unit.
-pub fn time_of(text: &str) -> Option<f64> {
+pub fn parse_duration_ms(text: &str) -> Option<f64> {
     let text = text.trim();
     let digits = text.trim_end_matches(|c: char| c.is_ascii_alphabetic());
     let number: f64 = digits.trim_end().parse().ok()?;
@@ -397,15 +401,15 @@
 mod tests {
     use super::*;
 
-    fn sample(at: &At) -> (f64, f64, String, Vec<String>) {
+    fn sample(at: &FieldReader) -> (f64, f64, String, Vec<String>) {
         let inner = at.field("channel");
         let lines = inner.field("lines").number(1.0..=100.0, None);
-        let way = inner.field("way").time(0.0..=1e4, Some(200.0));
-        inner.close();
-        let name = at.field("name").text(None);
+        let way = inner.field("way").duration_ms(0.0..=1e4, Some(200.0));
+        inner.deny_unknown_fields();
+        let name = at.field("name").string(None);
         let zones = at.field("zones").list();
-        let zones = zones.iter().map(|z| z.text(None)).collect();
-        at.close();
+        let zones = zones.iter().map(|z| z.string(None)).collect();
+        at.deny_unknown_fields();
         (lines, way, name, zones)
     }
 
@@ -473,7 +477,7 @@
             ("infs", None),
         ];
         for (text, wanted) in cases {
-            assert_eq!(time_of(text), wanted, "{text}");
+            assert_eq!(parse_duration_ms(text), wanted, "{text}");
         }
     }
 }
