--- a/crates/daemon/src/life.rs
+++ b/crates/daemon/src/life.rs
@@ -135,8 +135,8 @@
         let front = Front::new(shape, shared.clone(), 1);
         let patience = Duration::from_secs_f64(deployment.stream_patience_ms / 1e3);
         let limits = Limits {
-            patience,
-            keepalive: patience / 2,
+            peer_timeout: patience,
+            keepalive_interval: patience / 2,
             ..Limits::default()
         };
         let known = SharedFacts::default();
@@ -271,7 +271,7 @@
     pub fn end(self, within: Duration) -> bool {
         self.ending.store(true, Ordering::SeqCst);
         self.front.end();
-        let all = self.server.end(Instant::now() + within);
+        let all = self.server.shut_down(Instant::now() + within);
         if let Some((hooking, thread)) = self.hooks {
             hooking.end();
             let _ = thread.join();
--- a/crates/daemon/src/status.rs
+++ b/crates/daemon/src/status.rs
@@ -1,7 +1,7 @@
 //! `dahliapoint status`: asks a controller by CSDS, tells it as a table or as JSON.
 
 use dahliapoint_files::forms::{FORM, Table, TableLine};
-use dahliapoint_grpc::{Limits, Link, Status};
+use dahliapoint_grpc::{Connection, Limits, Status};
 use dahliapoint_xds::pb::status::{ClientStatusRequest, ClientStatusResponse};
 use dahliapoint_xds::{ResourceState, StatusRow, read_status};
 use serde_json::{Value, json};
@@ -18,12 +18,12 @@
 /// The call's status.
 pub fn fetch(at: SocketAddr) -> Result<(Value, Vec<StatusRow>), Status> {
     let limits = Limits {
-        message: 256 << 20,
+        max_message_bytes: 256 << 20,
         ..Limits::default()
     };
-    let link = Link::dial(at, limits)?;
+    let link = Connection::connect(at, limits)?;
     let asked = ClientStatusRequest::default();
-    let answer: ClientStatusResponse = link.ask(FETCH, &asked, Duration::from_secs(10))?;
+    let answer: ClientStatusResponse = link.unary_call(FETCH, &asked, Duration::from_secs(10))?;
     Ok(read_status(&answer))
 }
 
--- a/crates/daemon/tests/interop.rs
+++ b/crates/daemon/tests/interop.rs
@@ -5,7 +5,7 @@
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_fibers::spawn;
-use dahliapoint_grpc::{Code, Limits, Link};
+use dahliapoint_grpc::{Code, Connection, Limits};
 use dahliapoint_xds::names::{CDS, EDS, LEDS};
 use dahliapoint_xds::pb::core::{Locality, Node};
 use dahliapoint_xds::pb::discovery::{
@@ -326,30 +326,30 @@
     let server = tokio::spawn(server);
     const ADS: &str = "/envoy.service.discovery.v3.AggregatedDiscoveryService/";
     let ours = spawn(move || {
-        let link = Link::dial(address, Limits::default()).unwrap();
+        let link = Connection::connect(address, Limits::default()).unwrap();
         let limit = Some(Duration::from_secs(20));
         let mut dialed = link
-            .open(&format!("{ADS}DeltaAggregatedResources"), limit)
+            .start_call(&format!("{ADS}DeltaAggregatedResources"), limit)
             .unwrap();
         dialed.outbound.send(&ask("0", &[])).unwrap();
-        let (mut outbound, mut inbound) = dialed.answered().unwrap();
+        let (mut outbound, mut inbound) = dialed.wait_for_response().unwrap();
         for i in 1..50 {
-            let got: DeltaDiscoveryResponse = inbound.message().unwrap().unwrap();
+            let got: DeltaDiscoveryResponse = inbound.receive().unwrap().unwrap();
             assert_eq!(got.nonce, format!("to {}", i - 1));
             outbound.send(&ask(&i.to_string(), &[])).unwrap();
         }
         inbound
-            .message::<DeltaDiscoveryResponse>()
+            .receive::<DeltaDiscoveryResponse>()
             .unwrap()
             .unwrap();
         outbound.send(&ask("end", &[])).unwrap();
-        let ended = inbound.message::<DeltaDiscoveryResponse>().unwrap_err();
+        let ended = inbound.receive::<DeltaDiscoveryResponse>().unwrap_err();
         assert_eq!(
             (ended.code, ended.message.as_str()),
             (Code::Aborted, "as asked")
         );
         let path = format!("{ADS}StreamAggregatedResources");
-        let refused = link.ask::<_, DiscoveryResponse>(
+        let refused = link.unary_call::<_, DiscoveryResponse>(
             &path,
             &DiscoveryRequest::default(),
             Duration::from_secs(20),
@@ -359,7 +359,7 @@
             (refused.code, refused.message.as_str()),
             (Code::FailedPrecondition, "nicht heute: größe")
         );
-        let none = link.ask::<_, DiscoveryResponse>(
+        let none = link.unary_call::<_, DiscoveryResponse>(
             "/no.Such/Method",
             &DiscoveryRequest::default(),
             Duration::from_secs(20),
--- a/crates/daemon/tests/peer.rs
+++ b/crates/daemon/tests/peer.rs
@@ -176,7 +176,7 @@
 
 impl Handler for Scripted {
     fn call(&self, mut call: Call) {
-        let _ = call.inbound.message::<Ask>();
+        let _ = call.inbound.receive::<Ask>();
         let mut send = |said| call.outbound.send(&Word { said: Some(said) });
         let head = Head {
             service: self.service.into(),
@@ -298,7 +298,7 @@
             weight(&view, "s1")
         );
         end(newcomer);
-        peer.end(Instant::now());
+        peer.shut_down(Instant::now());
     }
 }
 
@@ -306,7 +306,7 @@
 fn peers_are_asked_in_turn_and_none_may_be_there() {
     let gone = scripted("portal", Vec::new(), Ends::Well);
     let nobody = gone.address();
-    gone.end(Instant::now());
+    gone.shut_down(Instant::now());
     let hangs = scripted("portal", Vec::new(), Ends::Hangs);
     let good = scripted("portal", vec![word("s1", 0.2, 50.0)], Ends::Well);
     let newcomer = start(&[nobody, hangs.address(), good.address()], "");
--- a/crates/grpc/src/client.rs
+++ b/crates/grpc/src/client.rs
@@ -19,7 +19,7 @@
 
 /// A connection to a server; clones share it. It ends when the last clone and call are gone.
 #[derive(Clone)]
-pub struct Link {
+pub struct Connection {
     calls: SendRequest<Bytes>,
     authority: String,
     limits: Limits,
@@ -27,29 +27,29 @@
 }
 
 /// A call under way: the answers' headers are read with the first message.
-pub struct Dialed {
+pub struct PendingCall {
     pub outbound: Outbound,
     answer: ResponseFuture,
     until: Option<Instant>,
     most: usize,
 }
 
-impl Link {
+impl Connection {
     /// Connects; the wait ends with the limits' patience.
     ///
     /// # Errors
     /// `Unavailable` with what went wrong.
-    pub fn dial(to: SocketAddr, limits: Limits) -> Result<Link, Status> {
+    pub fn connect(to: SocketAddr, limits: Limits) -> Result<Connection, Status> {
         let gone = |e: &dyn std::fmt::Display| Status::new(Code::Unavailable, e.to_string());
-        let socket = dial(to, limits.patience).map_err(|e| gone(&e))?;
-        let io = async_stream(socket, limits.patience).map_err(|e| gone(&e))?;
+        let socket = dial(to, limits.peer_timeout).map_err(|e| gone(&e))?;
+        let io = async_stream(socket, limits.peer_timeout).map_err(|e| gone(&e))?;
         let mut builder = h2::client::Builder::new();
         builder
-            .initial_window_size(limits.call_window)
-            .initial_connection_window_size(limits.link_window)
-            .max_header_list_size(limits.headers)
+            .initial_window_size(limits.call_window_bytes)
+            .initial_connection_window_size(limits.connection_window_bytes)
+            .max_header_list_size(limits.max_header_bytes)
             .enable_push(false);
-        let until = Some(Instant::now() + limits.patience);
+        let until = Some(Instant::now() + limits.peer_timeout);
         let (calls, mut link) = block_on_until(builder.handshake(io), until)
             .map_err(|Elapsed| gone(&"no handshake in time"))?
             .map_err(|e| gone(&e))?;
@@ -72,7 +72,7 @@
             }));
             ended.store(true, Ordering::SeqCst);
         });
-        Ok(Link {
+        Ok(Connection {
             calls,
             authority: to.to_string(),
             limits,
@@ -81,7 +81,7 @@
     }
 
     /// The connection has ended; calls on it fail.
-    pub fn is_over(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         self.over.load(Ordering::SeqCst)
     }
 
@@ -89,20 +89,20 @@
     ///
     /// # Errors
     /// `Unavailable` if the connection is gone or takes no more calls.
-    pub fn open(&self, path: &str, limit: Option<Duration>) -> Result<Dialed, Status> {
-        self.open_with(path, limit, &[])
+    pub fn start_call(&self, path: &str, limit: Option<Duration>) -> Result<PendingCall, Status> {
+        self.start_call_with_headers(path, limit, &[])
     }
 
-    /// Like [`Link::open`], with headers of the caller's own.
+    /// Like [`Connection::start_call`], with headers of the caller's own.
     ///
     /// # Errors
     /// As there.
-    pub fn open_with(
+    pub fn start_call_with_headers(
         &self,
         path: &str,
         limit: Option<Duration>,
         more: &[(&'static str, &str)],
-    ) -> Result<Dialed, Status> {
+    ) -> Result<PendingCall, Status> {
         let wrong = |e: &dyn std::fmt::Display| Status::new(Code::InvalidArgument, e.to_string());
         let mut request = Request::builder()
             .method(Method::POST)
@@ -122,14 +122,14 @@
             headers.insert(HeaderName::from_static(name), value);
         }
         let until = limit.map(|limit| Instant::now() + limit);
-        let patience = Some(until.unwrap_or_else(|| Instant::now() + self.limits.patience));
+        let patience = Some(until.unwrap_or_else(|| Instant::now() + self.limits.peer_timeout));
         let mut calls = self.calls.clone();
         let ready = block_on_until(poll_fn(|c| calls.poll_ready(c)), patience);
         let ready = ready.map_err(|Elapsed| Status::new(Code::Unavailable, "no call is free"));
         ready?.map_err(|e| Status::lost(&e))?;
         let sent = calls.send_request(request, false);
         let (answer, stream) = sent.map_err(|e| Status::lost(&e))?;
-        Ok(Dialed {
+        Ok(PendingCall {
             outbound: Outbound {
                 stream,
                 until,
@@ -138,7 +138,7 @@
             },
             answer,
             until,
-            most: self.limits.message,
+            most: self.limits.max_message_bytes,
         })
     }
 
@@ -146,34 +146,34 @@
     ///
     /// # Errors
     /// The call's status, `DeadlineExceeded` when the time is up.
-    pub fn ask<Q: Message, A: Message + Default>(
+    pub fn unary_call<Q: Message, A: Message + Default>(
         &self,
         path: &str,
         question: &Q,
         limit: Duration,
     ) -> Result<A, Status> {
-        let mut dialed = self.open(path, Some(limit))?;
+        let mut dialed = self.start_call(path, Some(limit))?;
         // A server may have answered before it read everything, and takes no more then: what it
         // answered is what counts.
         let _ = dialed.outbound.send(question);
         dialed.outbound.half_close();
-        let (_outbound, mut inbound) = dialed.answered()?;
-        let answer = inbound.message()?;
+        let (_outbound, mut inbound) = dialed.wait_for_response()?;
+        let answer = inbound.receive()?;
         let answer = answer.ok_or_else(|| Status::new(Code::Internal, "no message came"))?;
-        match inbound.message::<A>()? {
+        match inbound.receive::<A>()? {
             None => Ok(answer),
             Some(_) => Err(Status::new(Code::Internal, "a message too many")),
         }
     }
 }
 
-impl Dialed {
+impl PendingCall {
     /// Waits for the head of the answer; then messages can be read. A server may answer only after
     /// the first message was sent to it.
     ///
     /// # Errors
     /// The status, if the answer is only that; `Unavailable` for an answer that is not gRPC.
-    pub fn answered(self) -> Result<(Outbound, Inbound), Status> {
+    pub fn wait_for_response(self) -> Result<(Outbound, Inbound), Status> {
         let late = |Elapsed| Status::new(Code::DeadlineExceeded, "no answer in time");
         let head = block_on_until(self.answer, self.until).map_err(late)?;
         let (head, body) = head.map_err(|e| Status::lost(&e))?.into_parts();
--- a/crates/grpc/src/codec.rs
+++ b/crates/grpc/src/codec.rs
@@ -36,15 +36,15 @@
     ///
     /// # Errors
     /// The status that the call ended with, or what is wrong with what came.
-    pub fn message<M: Message + Default>(&mut self) -> Result<Option<M>, Status> {
-        self.message_until(self.until)
+    pub fn receive<M: Message + Default>(&mut self) -> Result<Option<M>, Status> {
+        self.receive_until(self.until)
     }
 
     /// Like [`Inbound::message`], up to a point in time.
     ///
     /// # Errors
     /// As there; `DeadlineExceeded` when nothing came by then, and the call goes on.
-    pub fn message_until<M: Message + Default>(
+    pub fn receive_until<M: Message + Default>(
         &mut self,
         until: Option<Instant>,
     ) -> Result<Option<M>, Status> {
@@ -165,7 +165,7 @@
     }
 
     /// Until when messages are to be taken by the peer; one that is not is cut off, and the call with it.
-    pub fn limit(&mut self, until: Option<Instant>) {
+    pub fn set_deadline(&mut self, until: Option<Instant>) {
         self.until = until;
     }
 
--- a/crates/grpc/src/lib.rs
+++ b/crates/grpc/src/lib.rs
@@ -1,7 +1,7 @@
 //! gRPC over HTTP/2 on coroutines, after the public description "gRPC over HTTP2" (content type,
 //! length-prefixed messages, trailers, status codes, time-outs) and RFC 9113 as `h2` keeps it.
 //!
-//! [`Server`] gives each call a coroutine of its own; [`Link`] is the client's side of one connection.
+//! [`Server`] gives each call a coroutine of its own; [`Connection`] is the client's side of one connection.
 //! Messages go through [`Inbound`] and [`Outbound`], which park until the peer's window has room: a
 //! slow reader slows the sender and costs no memory. The crate knows no service and decides nothing.
 
@@ -10,7 +10,7 @@
 mod server;
 mod status;
 
-pub use client::{Dialed, Link};
+pub use client::{Connection, PendingCall};
 pub use codec::{Inbound, Outbound};
 pub use server::{Call, Handler, Server};
 pub use status::{Code, Status};
@@ -21,32 +21,32 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Bytes of one message, both ways.
-    pub message: usize,
+    pub max_message_bytes: usize,
     /// Bytes of all headers of a call.
-    pub headers: u32,
+    pub max_header_bytes: u32,
     /// Calls open at one time on one connection.
-    pub calls: u32,
+    pub max_concurrent_calls: u32,
     /// Connections that a server holds at one time.
-    pub links: usize,
+    pub max_connections: usize,
     /// Bytes that a peer may send ahead of being read: by call, and by connection.
-    pub call_window: u32,
-    pub link_window: u32,
-    /// A ping goes out after this long; without its answer in `patience` the connection ends.
-    pub keepalive: Duration,
-    pub patience: Duration,
+    pub call_window_bytes: u32,
+    pub connection_window_bytes: u32,
+    /// A ping goes out after this long; without its answer in `peer_timeout` the connection ends.
+    pub keepalive_interval: Duration,
+    pub peer_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
-            message: 4 << 20,
-            headers: 16 << 10,
-            calls: 64,
-            links: 8192,
-            call_window: 128 << 10,
-            link_window: 512 << 10,
-            keepalive: Duration::from_secs(2),
-            patience: Duration::from_secs(4),
+            max_message_bytes: 4 << 20,
+            max_header_bytes: 16 << 10,
+            max_concurrent_calls: 64,
+            max_connections: 8192,
+            call_window_bytes: 128 << 10,
+            connection_window_bytes: 512 << 10,
+            keepalive_interval: Duration::from_secs(2),
+            peer_timeout: Duration::from_secs(4),
         }
     }
 }
--- a/crates/grpc/src/server.rs
+++ b/crates/grpc/src/server.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// A listening server. Dropping it lets connections go on; [`Server::end`] ends them orderly.
+/// A listening server. Dropping it lets connections go on; [`Server::shut_down`] ends them orderly.
 pub struct Server {
     address: SocketAddr,
     ending: Arc<Ending>,
@@ -99,8 +99,11 @@
                         continue;
                     }
                 };
-                if links.load(Ordering::SeqCst) >= limits.links {
-                    warn!(most = limits.links, "a connection too many is refused");
+                if links.load(Ordering::SeqCst) >= limits.max_connections {
+                    warn!(
+                        most = limits.max_connections,
+                        "a connection too many is refused"
+                    );
                     continue;
                 }
                 links.fetch_add(1, Ordering::SeqCst);
@@ -124,20 +127,20 @@
     }
 
     /// Connections open now.
-    pub fn links(&self) -> usize {
+    pub fn connections(&self) -> usize {
         self.links.load(Ordering::SeqCst)
     }
 
     /// Tells every peer to go away and takes nothing new; waits until all calls have ended, or until
     /// that time. Tells whether all had.
-    pub fn end(&self, until: Instant) -> bool {
+    pub fn shut_down(&self, until: Instant) -> bool {
         self.ending.fire();
         // Wakes the accepting coroutine, which then sees the end.
         let _ = dial(self.address, Duration::from_secs(1));
-        while self.links() > 0 && Instant::now() < until {
+        while self.connections() > 0 && Instant::now() < until {
             dahliapoint_fibers::sleep(Duration::from_millis(10));
         }
-        self.links() == 0
+        self.connections() == 0
     }
 }
 
@@ -150,15 +153,15 @@
     handler: &Arc<dyn Handler>,
     ending: &Arc<Ending>,
 ) -> Result<(), String> {
-    let io = async_stream(socket, limits.patience).map_err(|e| e.to_string())?;
+    let io = async_stream(socket, limits.peer_timeout).map_err(|e| e.to_string())?;
     let mut builder = h2::server::Builder::new();
     builder
-        .max_concurrent_streams(limits.calls)
-        .max_header_list_size(limits.headers)
-        .initial_window_size(limits.call_window)
-        .initial_connection_window_size(limits.link_window)
-        .max_concurrent_reset_streams(limits.calls as usize);
-    let until = Some(Instant::now() + limits.patience);
+        .max_concurrent_streams(limits.max_concurrent_calls)
+        .max_header_list_size(limits.max_header_bytes)
+        .initial_window_size(limits.call_window_bytes)
+        .initial_connection_window_size(limits.connection_window_bytes)
+        .max_concurrent_reset_streams(limits.max_concurrent_calls as usize);
+    let until = Some(Instant::now() + limits.peer_timeout);
     let mut link: Connection<_, Bytes> = block_on_until(builder.handshake(io), until)
         .map_err(|_| "no preface in time".to_string())?
         .map_err(|e| e.to_string())?;
@@ -207,10 +210,10 @@
     poke: &Mutex<Option<Waker>>,
 ) {
     loop {
-        dahliapoint_fibers::sleep(limits.keepalive);
+        dahliapoint_fibers::sleep(limits.keepalive_interval);
         let answer = {
             let ping = pin!(pings.ping(h2::Ping::opaque()));
-            block_on_until(ping, Some(Instant::now() + limits.patience))
+            block_on_until(ping, Some(Instant::now() + limits.peer_timeout))
         };
         match answer {
             Ok(Ok(_)) => {}
@@ -260,7 +263,7 @@
     let Ok(stream) = respond.send_response(answer, false) else {
         return;
     };
-    let mut inbound = Inbound::of(body, limits.message, false);
+    let mut inbound = Inbound::of(body, limits.max_message_bytes, false);
     inbound.until = deadline;
     let outbound = Outbound {
         stream,
--- a/crates/grpc/tests/calls.rs
+++ b/crates/grpc/tests/calls.rs
@@ -1,7 +1,7 @@
 //! Calls between our client and our server, and what broken peers do to them.
 
 use dahliapoint_fibers::spawn;
-use dahliapoint_grpc::{Call, Code, Handler, Limits, Link, Server, Status};
+use dahliapoint_grpc::{Call, Code, Connection, Handler, Limits, Server, Status};
 use prost::Message;
 use std::io::{Read, Write};
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
     fn call(&self, mut call: Call) {
         let status = match call.path.as_str() {
             "/t.T/Echo" => loop {
-                match call.inbound.message::<Text>() {
+                match call.inbound.receive::<Text>() {
                     Ok(Some(m)) => {
                         if let Err(e) = call.outbound.send(&m) {
                             break e;
@@ -49,7 +49,7 @@
             // The same, but it gives a peer up that takes nothing.
             "/t.T/Patience" => loop {
                 let soon = Instant::now() + Duration::from_millis(100);
-                call.outbound.limit(Some(soon));
+                call.outbound.set_deadline(Some(soon));
                 if let Err(e) = call.outbound.send(&text("x".repeat(10_000))) {
                     self.ended.fetch_add(1, Ordering::SeqCst);
                     assert_eq!(e.code, Code::DeadlineExceeded);
@@ -66,9 +66,9 @@
 
 fn limits() -> Limits {
     Limits {
-        message: 100_000,
-        keepalive: Duration::from_millis(50),
-        patience: Duration::from_secs(2),
+        max_message_bytes: 100_000,
+        keepalive_interval: Duration::from_millis(50),
+        peer_timeout: Duration::from_secs(2),
         ..Limits::default()
     }
 }
@@ -95,25 +95,25 @@
 #[test]
 fn unary_calls_and_their_statuses() {
     let (server, _, _) = started();
-    let link = Link::dial(server.address(), limits()).unwrap();
-    let said: Text = link.ask("/t.T/Echo", &text("hello"), LONG).unwrap();
+    let link = Connection::connect(server.address(), limits()).unwrap();
+    let said: Text = link.unary_call("/t.T/Echo", &text("hello"), LONG).unwrap();
     assert_eq!(said.text, "hello");
-    let refused = link.ask::<_, Text>("/t.T/Refuse", &text(""), LONG);
+    let refused = link.unary_call::<_, Text>("/t.T/Refuse", &text(""), LONG);
     let wanted = Status::new(Code::FailedPrecondition, "nicht heute: größe");
     assert_eq!(refused.unwrap_err(), wanted);
-    let unknown = link.ask::<_, Text>("/t.T/Other", &text(""), LONG);
+    let unknown = link.unary_call::<_, Text>("/t.T/Other", &text(""), LONG);
     assert_eq!(unknown.unwrap_err().code, Code::Unimplemented);
-    let large = link.ask::<_, Text>("/t.T/Echo", &text("x".repeat(100_001)), LONG);
+    let large = link.unary_call::<_, Text>("/t.T/Echo", &text("x".repeat(100_001)), LONG);
     assert_eq!(large.unwrap_err().code, Code::ResourceExhausted);
 }
 
 #[test]
 fn streams_both_ways_keep_their_order_and_their_windows() {
     let (server, ended, _) = started();
-    let link = Link::dial(server.address(), limits()).unwrap();
-    let mut dialed = link.open("/t.T/Echo", None).unwrap();
+    let link = Connection::connect(server.address(), limits()).unwrap();
+    let mut dialed = link.start_call("/t.T/Echo", None).unwrap();
     dialed.outbound.send(&text("0".repeat(90_000))).unwrap();
-    let (mut outbound, mut inbound) = dialed.answered().unwrap();
+    let (mut outbound, mut inbound) = dialed.wait_for_response().unwrap();
     // Far more than both windows hold: goes through only if each side gives room as it reads.
     let writer = spawn(move || {
         for i in 1..40 {
@@ -123,10 +123,10 @@
         outbound
     });
     for i in 0..40_u32 {
-        let m: Text = inbound.message().unwrap().unwrap();
+        let m: Text = inbound.receive().unwrap().unwrap();
         assert!(m.text.starts_with(&i.to_string()), "{i}");
     }
-    assert_eq!(inbound.message::<Text>(), Ok(None));
+    assert_eq!(inbound.receive::<Text>(), Ok(None));
     writer.join().unwrap();
     until("the call ended", || ended.load(Ordering::SeqCst) == 1);
 }
@@ -134,14 +134,14 @@
 #[test]
 fn a_reader_that_stops_holds_up_its_sender_and_nobody_else() {
     let (server, ended, sent) = started();
-    let link = Link::dial(server.address(), limits()).unwrap();
-    let mut stuck = link.open("/t.T/Flood", None).unwrap();
+    let link = Connection::connect(server.address(), limits()).unwrap();
+    let mut stuck = link.start_call("/t.T/Flood", None).unwrap();
     stuck.outbound.send(&text("")).unwrap();
-    let most = limits().link_window as usize / 10_000 + 1;
+    let most = limits().connection_window_bytes as usize / 10_000 + 1;
     until("the flood began", || sent.load(Ordering::SeqCst) > 0);
     // Another call on the same connection goes on meanwhile, again and again.
     for _ in 0..200 {
-        let said: Text = link.ask("/t.T/Echo", &text("on"), LONG).unwrap();
+        let said: Text = link.unary_call("/t.T/Echo", &text("on"), LONG).unwrap();
         assert_eq!(said.text, "on");
     }
     assert!(sent.load(Ordering::SeqCst) <= most, "window bounds it");
@@ -153,13 +153,13 @@
 #[test]
 fn a_sender_with_a_limit_gives_up_a_reader_that_stopped() {
     let (server, ended, _) = started();
-    let link = Link::dial(server.address(), limits()).unwrap();
-    let mut stuck = link.open("/t.T/Patience", None).unwrap();
+    let link = Connection::connect(server.address(), limits()).unwrap();
+    let mut stuck = link.start_call("/t.T/Patience", None).unwrap();
     stuck.outbound.send(&text("")).unwrap();
     until("given up", || ended.load(Ordering::SeqCst) == 1);
-    let (_outbound, mut inbound) = stuck.answered().unwrap();
+    let (_outbound, mut inbound) = stuck.wait_for_response().unwrap();
     let end = loop {
-        match inbound.message::<Text>() {
+        match inbound.receive::<Text>() {
             Ok(Some(_)) => {}
             other => break other,
         }
@@ -173,13 +173,13 @@
 #[test]
 fn a_deadline_ends_the_call_on_both_sides() {
     let (server, ended, _) = started();
-    let link = Link::dial(server.address(), limits()).unwrap();
+    let link = Connection::connect(server.address(), limits()).unwrap();
     let limit = Duration::from_millis(100);
-    let mut dialed = link.open("/t.T/Echo", Some(limit)).unwrap();
+    let mut dialed = link.start_call("/t.T/Echo", Some(limit)).unwrap();
     dialed.outbound.send(&text("a")).unwrap();
-    let (_outbound, mut inbound) = dialed.answered().unwrap();
-    assert_eq!(inbound.message(), Ok(Some(text("a"))));
-    let late = inbound.message::<Text>().unwrap_err();
+    let (_outbound, mut inbound) = dialed.wait_for_response().unwrap();
+    assert_eq!(inbound.receive(), Ok(Some(text("a"))));
+    let late = inbound.receive::<Text>().unwrap_err();
     assert_eq!(late.code, Code::DeadlineExceeded);
     until("the server's side ended", || {
         ended.load(Ordering::SeqCst) == 1
@@ -189,19 +189,19 @@
 #[test]
 fn an_orderly_end_lets_calls_finish_and_takes_no_more() {
     let (server, _, _) = started();
-    let link = Link::dial(server.address(), limits()).unwrap();
-    let mut dialed = link.open("/t.T/Echo", None).unwrap();
+    let link = Connection::connect(server.address(), limits()).unwrap();
+    let mut dialed = link.start_call("/t.T/Echo", None).unwrap();
     dialed.outbound.send(&text("a")).unwrap();
-    let (mut outbound, mut inbound) = dialed.answered().unwrap();
-    assert_eq!(inbound.message(), Ok(Some(text("a"))));
-    let ending = std::thread::spawn(move || server.end(Instant::now() + LONG));
+    let (mut outbound, mut inbound) = dialed.wait_for_response().unwrap();
+    assert_eq!(inbound.receive(), Ok(Some(text("a"))));
+    let ending = std::thread::spawn(move || server.shut_down(Instant::now() + LONG));
     until("told to go away", || {
-        link.open("/t.T/Echo", Some(LONG)).is_err()
+        link.start_call("/t.T/Echo", Some(LONG)).is_err()
     });
     outbound.send(&text("still")).unwrap();
-    assert_eq!(inbound.message(), Ok(Some(text("still"))));
+    assert_eq!(inbound.receive(), Ok(Some(text("still"))));
     outbound.half_close();
-    assert_eq!(inbound.message::<Text>(), Ok(None));
+    assert_eq!(inbound.receive::<Text>(), Ok(None));
     drop((outbound, inbound, link));
     assert!(ending.join().unwrap());
 }
@@ -218,9 +218,11 @@
     odd.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
     let mut rest = Vec::new();
     let _ = odd.read_to_end(&mut rest);
-    until("both were given up", || server.links() == 0);
-    let link = Link::dial(server.address(), limits()).unwrap();
-    let said: Text = link.ask("/t.T/Echo", &text("still here"), LONG).unwrap();
+    until("both were given up", || server.connections() == 0);
+    let link = Connection::connect(server.address(), limits()).unwrap();
+    let said: Text = link
+        .unary_call("/t.T/Echo", &text("still here"), LONG)
+        .unwrap();
     assert_eq!(said.text, "still here");
 }
 
@@ -228,10 +230,10 @@
 fn a_server_that_is_gone_is_unavailable() {
     let (server, _, _) = started();
     let address = server.address();
-    assert!(server.end(Instant::now() + LONG));
+    assert!(server.shut_down(Instant::now() + LONG));
     drop(server);
     until(
         "the port is free",
-        || matches!(Link::dial(address, limits()), Err(e) if e.code == Code::Unavailable),
+        || matches!(Connection::connect(address, limits()), Err(e) if e.code == Code::Unavailable),
     );
 }
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -3,7 +3,7 @@
 
 use crate::merge::PeerFacts;
 use crate::messages::{Ask, Said, TELL_METHOD, Word};
-use dahliapoint_grpc::{Code, Limits, Link, Status};
+use dahliapoint_grpc::{Code, Connection, Limits, Status};
 use dahliapoint_memory::facts::Timestamp;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -37,18 +37,18 @@
 ) -> Result<(), Status> {
     let remaining = || until.saturating_duration_since(Instant::now());
     let limits = Limits {
-        patience: remaining().max(Duration::from_millis(1)),
+        peer_timeout: remaining().max(Duration::from_millis(1)),
         ..Limits::default()
     };
-    let link = Link::dial(peer, limits)?;
-    let mut call = link.open(TELL_METHOD, Some(remaining()))?;
+    let link = Connection::connect(peer, limits)?;
+    let mut call = link.start_call(TELL_METHOD, Some(remaining()))?;
     let request = Ask {
         service: service.into(),
     };
     let _ = call.outbound.send(&request);
     call.outbound.half_close();
-    let (_outbound, mut inbound) = call.answered()?;
-    while let Some(message) = inbound.message::<Word>()? {
+    let (_outbound, mut inbound) = call.wait_for_response()?;
+    while let Some(message) = inbound.receive::<Word>()? {
         let now = clock();
         match message.said {
             Some(Said::Head(head)) if head.service == service => {
--- a/crates/peer/src/service.rs
+++ b/crates/peer/src/service.rs
@@ -71,7 +71,7 @@
 
     /// Reads the query and sends all facts. Returns their number.
     fn answer(&self, call: &mut Call) -> Result<usize, Status> {
-        let request: Ask = match call.inbound.message()? {
+        let request: Ask = match call.inbound.receive()? {
             Some(request) => request,
             None => {
                 return Err(Status::new(
--- a/crates/proxy/src/steering.rs
+++ b/crates/proxy/src/steering.rs
@@ -5,7 +5,7 @@
 use crate::around::Crossed;
 use crate::plane::{Plane, lock};
 use dahliapoint_fibers::{Notify, Queue, Received, sleep, spawn};
-use dahliapoint_grpc::{Code, Inbound, Limits, Link, Outbound, Status};
+use dahliapoint_grpc::{Code, Connection, Inbound, Limits, Outbound, Status};
 use dahliapoint_xds::Message as _;
 use dahliapoint_xds::names::LEDS;
 use dahliapoint_xds::pb::discovery::DeltaDiscoveryResponse;
@@ -115,13 +115,13 @@
         to: SocketAddr,
         home: Option<Duration>,
     ) -> Result<bool, Status> {
-        let link = Link::dial(to, Limits::default())?;
-        let mut dialed = link.open(ADS, None)?;
+        let link = Connection::connect(to, Limits::default())?;
+        let mut dialed = link.start_call(ADS, None)?;
         let begin = lock(&self.holder).begin();
         for request in &begin {
             dialed.outbound.send(request)?;
         }
-        let (mut outbound, inbound) = dialed.answered()?;
+        let (mut outbound, inbound) = dialed.wait_for_response()?;
         info!(controller = %to, "joined");
         self.joined.store(true, Ordering::SeqCst);
         self.plane.around().joined(true);
@@ -158,7 +158,7 @@
         let around = self.plane.around();
         let ended = loop {
             around.reads();
-            match inbound.message_until::<DeltaDiscoveryResponse>(Some(Instant::now() + SOON)) {
+            match inbound.receive_until::<DeltaDiscoveryResponse>(Some(Instant::now() + SOON)) {
                 Err(e) if e.code == Code::DeadlineExceeded && !queue.is_closed() => {}
                 Err(e) if e.code == Code::DeadlineExceeded => break Ok(()),
                 Ok(Some(response)) => {
@@ -254,22 +254,22 @@
 
     /// Reports at the interval that the controller names, until the stream is over. What could not be sent
     /// is told with the next report, here or elsewhere.
-    fn report(&self, link: &Link, over: &Notify) {
+    fn report(&self, link: &Connection, over: &Notify) {
         let _ = self.report_on(link, over);
     }
 
-    fn report_on(&self, link: &Link, over: &Notify) -> Result<(), Status> {
-        let mut dialed = link.open(LRS, None)?;
+    fn report_on(&self, link: &Connection, over: &Notify) -> Result<(), Status> {
+        let mut dialed = link.start_call(LRS, None)?;
         let node = lock(&self.holder).node().clone();
         dialed.outbound.send(&load_request(Some(node), 0.0, &[]))?;
-        let (mut outbound, mut inbound) = dialed.answered()?;
+        let (mut outbound, mut inbound) = dialed.wait_for_response()?;
         let mut every = FIRST_EVERY;
         let mut since = Instant::now();
         loop {
             // The interval may be changed at any time; between two reports it is looked for.
             let due = since + every;
             match inbound
-                .message_until::<LoadStatsResponse>(Some(Instant::now() + Duration::from_millis(1)))
+                .receive_until::<LoadStatsResponse>(Some(Instant::now() + Duration::from_millis(1)))
             {
                 Ok(Some(told)) => {
                     let told = told.load_reporting_interval;
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -7,7 +7,7 @@
 use crate::world::{World, lock};
 use dahliapoint_daemon::deployment::Repeat;
 use dahliapoint_fibers::{Queue, Received, TcpStream, dial, shutdown_at, sleep, spawn};
-use dahliapoint_grpc::{Inbound, Limits, Link, Outbound, Status};
+use dahliapoint_grpc::{Connection, Inbound, Limits, Outbound, Status};
 use dahliapoint_proxy::picking::Way;
 use dahliapoint_xds::Message as _;
 use dahliapoint_xds::names::LEDS;
@@ -335,19 +335,19 @@
         let layer = &self.layer;
         self.dials.fetch_add(1, Ordering::SeqCst);
         let limits = Limits {
-            keepalive: Duration::from_secs(1),
-            patience: Duration::from_secs(2),
+            keepalive_interval: Duration::from_secs(1),
+            peer_timeout: Duration::from_secs(2),
             ..Limits::default()
         };
-        let link = Link::dial(layer.relays[self.zone].address, limits)?;
+        let link = Connection::connect(layer.relays[self.zone].address, limits)?;
         const ADS: &str =
             "/envoy.service.discovery.v3.AggregatedDiscoveryService/DeltaAggregatedResources";
-        let mut dialed = link.open(ADS, None)?;
+        let mut dialed = link.start_call(ADS, None)?;
         let begin = lock(&self.holder).begin();
         for request in &begin {
             dialed.outbound.send(request)?;
         }
-        let (outbound, inbound) = dialed.answered()?;
+        let (outbound, inbound) = dialed.wait_for_response()?;
         layer.world.ledger.rejoined(&self.name);
         *lock(&self.joined) = Some(layer.world.now_ms());
         let queue = Queue::bounded(256);
@@ -386,7 +386,7 @@
                 *lock(&self.reads_since) = layer.world.now_ms();
             }
             let soon = layer.world.at(layer.world.now_ms() + 500.0);
-            match inbound.message_until::<DeltaDiscoveryResponse>(Some(soon)) {
+            match inbound.receive_until::<DeltaDiscoveryResponse>(Some(soon)) {
                 Ok(Some(response)) => {
                     let now = layer.world.now_ms();
                     let lines = response.resources.len() + response.removed_resources.len();
@@ -483,14 +483,14 @@
 
     // ---- reports ----
 
-    fn report<T>(&self, link: &Link, alive: &Queue<T>) -> Result<(), Status> {
+    fn report<T>(&self, link: &Connection, alive: &Queue<T>) -> Result<(), Status> {
         const LRS: &str = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats";
         let world = &self.layer.world;
-        let mut dialed = link.open(LRS, None)?;
+        let mut dialed = link.start_call(LRS, None)?;
         let node = lock(&self.holder).node().clone();
         dialed.outbound.send(&load_request(Some(node), 0.0, &[]))?;
-        let (mut outbound, mut inbound) = dialed.answered()?;
-        let first = inbound.message::<LoadStatsResponse>()?;
+        let (mut outbound, mut inbound) = dialed.wait_for_response()?;
+        let first = inbound.receive::<LoadStatsResponse>()?;
         let every = first.and_then(|r| r.load_reporting_interval);
         let every = every.map_or(1.0, |d| d.seconds as f64 + f64::from(d.nanos) / 1e9);
         lock(&self.counts).since_ms = world.now_ms();
--- a/crates/xds/src/front.rs
+++ b/crates/xds/src/front.rs
@@ -229,7 +229,7 @@
         node: &mut String,
     ) -> Result<(), Status> {
         let mut told = f64::NAN;
-        while let Some(request) = inbound.message::<LoadStatsRequest>()? {
+        while let Some(request) = inbound.receive::<LoadStatsRequest>()? {
             if node.is_empty() {
                 let named = request.node.as_ref().map(|n| n.id.clone());
                 *node = named.unwrap_or_default();
@@ -316,8 +316,8 @@
 impl Way {
     fn read(self, inbound: &mut Inbound) -> Result<Option<Request>, Status> {
         Ok(match self {
-            Way::Delta(_) => inbound.message()?.map(|r| Request::Delta(Box::new(r))),
-            Way::Full(_) => inbound.message()?.map(|r| Request::Full(Box::new(r))),
+            Way::Delta(_) => inbound.receive()?.map(|r| Request::Delta(Box::new(r))),
+            Way::Full(_) => inbound.receive()?.map(|r| Request::Full(Box::new(r))),
         })
     }
 }
@@ -401,7 +401,7 @@
         if let Some(response) = next {
             // A peer whose window stays full has stopped reading: what it is told elsewhere (that its
             // stream ends) would wait behind this for ever.
-            outbound.limit(Some(Instant::now() + UNREAD));
+            outbound.set_deadline(Some(Instant::now() + UNREAD));
             let sent = match &response {
                 Response::Delta(r) => outbound.send(r),
                 Response::Full(r) => outbound.send(r),
@@ -414,7 +414,7 @@
                 }
             }
         }
-        outbound.limit(None);
+        outbound.set_deadline(None);
         let closing = lock(&stream.closing).clone();
         if let Some(status) = failed.or(closing) {
             return outbound.finish(&status);
--- a/crates/xds/src/status.rs
+++ b/crates/xds/src/status.rs
@@ -23,7 +23,7 @@
         ..
     } = call;
     let status = loop {
-        match inbound.message::<ClientStatusRequest>() {
+        match inbound.receive::<ClientStatusRequest>() {
             Ok(Some(request)) => {
                 if !request.node_matchers.is_empty() {
                     let why = "all nodes are told; matchers are not served";
