--- a/crates/proxy/examples/cost.rs
+++ b/crates/proxy/examples/cost.rs
@@ -4,7 +4,7 @@
 
 use dahliapoint_proxy::described;
 use dahliapoint_proxy::plane::Plane;
-use dahliapoint_xds::{Held, HeldLine};
+use dahliapoint_xds::{ReceivedLine, ReceivedTable};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -56,16 +56,16 @@
 }
 
 /// A table of so many lines over the servers there are; each swap gives other weights.
-fn table(servers: &[SocketAddr], lines: usize, round: usize) -> Held {
-    let line = |i: usize| HeldLine {
+fn table(servers: &[SocketAddr], lines: usize, round: usize) -> ReceivedTable {
+    let line = |i: usize| ReceivedLine {
         server: format!("s{i}"),
         address: servers[i].to_string(),
         weight: 5_000 + ((i * 7 + round * 13) % 10_000) as u32,
         open: true,
     };
-    Held {
+    ReceivedTable {
         lines: (0..lines).map(line).collect(),
-        ..Held::default()
+        ..ReceivedTable::default()
     }
 }
 
--- a/crates/proxy/examples/spread.rs
+++ b/crates/proxy/examples/spread.rs
@@ -3,7 +3,7 @@
 
 use dahliapoint_proxy::described::{self, Listed};
 use dahliapoint_proxy::plane::Plane;
-use dahliapoint_xds::{Held, HeldLine};
+use dahliapoint_xds::{ReceivedLine, ReceivedTable};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -104,15 +104,15 @@
         let described = described::parse("p", &text).expect("settings");
         let listed: Vec<Listed> = Vec::new();
         let plane = Plane::new(described, &listed);
-        let line = |(i, weight): (usize, &f64)| HeldLine {
+        let line = |(i, weight): (usize, &f64)| ReceivedLine {
             server: format!("s{i}"),
             address: servers[i].0.to_string(),
             weight: (weight * 10_000.0) as u32,
             open: true,
         };
-        let held = Held {
+        let held = ReceivedTable {
             lines: WEIGHTS.iter().enumerate().map(line).collect(),
-            ..Held::default()
+            ..ReceivedTable::default()
         };
         plane.swap(Some(&held), &|_| false, 0);
         servers.iter().for_each(|s| s.1.store(0, Ordering::Relaxed));
--- a/crates/proxy/src/filed.rs
+++ b/crates/proxy/src/filed.rs
@@ -11,7 +11,7 @@
 use dahliapoint_files::seal::Keys;
 use dahliapoint_files::spool::Mouth;
 use dahliapoint_files::words::{Ack, Beat, ClassMet, Met, Told};
-use dahliapoint_xds::{ClusterTally, Held, HeldLine, SCALE, names};
+use dahliapoint_xds::{ClusterTally, ReceivedLine, ReceivedTable, SCALE, names};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
@@ -331,8 +331,8 @@
 }
 
 /// As the plane takes tables.
-fn held(table: &Table) -> Held {
-    let lines = table.lines.values().map(|l| HeldLine {
+fn held(table: &Table) -> ReceivedTable {
+    let lines = table.lines.values().map(|l| ReceivedLine {
         server: l.server.clone(),
         address: l.address.clone(),
         weight: (l.weight * SCALE).round().max(1.0) as u32,
@@ -347,7 +347,7 @@
         };
         (class.clone(), on.to_string())
     });
-    Held {
+    ReceivedTable {
         lines: lines.collect(),
         shares: classes
             .map(|(class, way)| (class.clone(), way.share))
--- a/crates/proxy/src/plane.rs
+++ b/crates/proxy/src/plane.rs
@@ -8,7 +8,7 @@
 use crate::shunning::Shunning;
 use crate::trying::{self, Budget, Failed, Failure, Level, Ordered};
 use dahliapoint_fibers::{Notify, TcpStream, Timer, dial, listen, shutdown_at, sleep, spawn};
-use dahliapoint_xds::{ClusterTally, EndpointTally, Held, names};
+use dahliapoint_xds::{ClusterTally, EndpointTally, ReceivedTable, names};
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, Write};
 use std::net::{Shutdown, SocketAddr};
@@ -173,7 +173,7 @@
 
     /// Puts a table into use, whole, between two visits: the one given, or the standing one without what
     /// is withdrawn. `lines` were sent for it, each of which holds the proxy up.
-    pub fn swap(&self, held: Option<&Held>, is_shut: &dyn Fn(&str) -> bool, lines: usize) {
+    pub fn swap(&self, held: Option<&ReceivedTable>, is_shut: &dyn Fn(&str) -> bool, lines: usize) {
         let mut servers = lock(&self.servers);
         let picks: Vec<Line> = match held {
             Some(held) => {
--- a/crates/proxy/tests/matrix.rs
+++ b/crates/proxy/tests/matrix.rs
@@ -5,7 +5,7 @@
 use dahliapoint_proxy::plane::Plane;
 use dahliapoint_xds::pb::discovery::{DeltaDiscoveryResponse, Resource};
 use dahliapoint_xds::pb::protobuf::Any;
-use dahliapoint_xds::{Held, HeldLine, Holder, names};
+use dahliapoint_xds::{ReceivedLine, ReceivedTable, XdsClient, names};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -105,7 +105,7 @@
          - {{name: never, hard_limit: {hard_ms}ms, repeat: never}}\n"
     );
     let plane = Plane::new(described::parse("p", &text).unwrap(), &[]);
-    let line = |(i, address): (usize, &SocketAddr)| HeldLine {
+    let line = |(i, address): (usize, &SocketAddr)| ReceivedLine {
         server: format!("s{i}"),
         address: address.to_string(),
         // The first in turn is the heaviest.
@@ -113,7 +113,7 @@
         open: true,
     };
     let on = |class: &str| (class.to_string(), on.to_string());
-    let held = Held {
+    let held = ReceivedTable {
         lines: servers.iter().enumerate().map(line).collect(),
         shares: BTreeMap::new(),
         retry_on: ["safe", "keyed", "never"].map(on).into(),
@@ -191,14 +191,14 @@
     let text = "name: p\nservice: s\nzone: z\ncontrollers: ['127.0.0.1:1']\nlisten: 127.0.0.1:0\n\
                 roster: none\nmost_clients: 3\nclasses: [{name: safe, hard_limit: 5s}]\n";
     let plane = Plane::new(described::parse("p", text).unwrap(), &[]);
-    let held = Held {
-        lines: vec![HeldLine {
+    let held = ReceivedTable {
+        lines: vec![ReceivedLine {
             server: "s".into(),
             address: good.0.to_string(),
             weight: 1,
             open: true,
         }],
-        ..Held::default()
+        ..ReceivedTable::default()
     };
     plane.swap(Some(&held), &|_| false, 0);
     let at = plane.serve().unwrap();
@@ -271,7 +271,7 @@
 #[test]
 fn mangled_assignments_are_taken_whole_or_refused_whole() {
     let mut chance = Chance::from(11);
-    let mut holder = Holder::new("s", "p", "z", 1.0);
+    let mut holder = XdsClient::new("s", "p", "z", 1.0);
     let types = [names::CDS, names::EDS, names::RDS, names::LEDS];
     let (mut applied, mut refused) = (0, 0);
     for i in 0..20_000 {
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -474,8 +474,8 @@
 fn levels_refuse_at_once_and_tell_when_to_come_again() {
     let s = plain();
     let p = proxy(nowhere(), &[s.address], "");
-    let held = dahliapoint_xds::Held {
-        lines: vec![dahliapoint_xds::HeldLine {
+    let held = dahliapoint_xds::ReceivedTable {
+        lines: vec![dahliapoint_xds::ReceivedLine {
             server: "s0".into(),
             address: s.address.to_string(),
             weight: 1,
@@ -498,8 +498,11 @@
         "the other class is let in"
     );
     // Empty tables: said at once.
-    p.plane
-        .swap(Some(&dahliapoint_xds::Held::default()), &|_| false, 0);
+    p.plane.swap(
+        Some(&dahliapoint_xds::ReceivedTable::default()),
+        &|_| false,
+        0,
+    );
     assert_eq!(Client::of(&p).visit("pay"), 503);
 }
 
@@ -508,14 +511,14 @@
     // Two tables that share no server, swapped as fast as they can be, while visits go on.
     let servers: Vec<Server> = (0..2).map(|_| plain()).collect();
     let p = proxy(nowhere(), &[servers[0].address], "");
-    let held = |i: usize| dahliapoint_xds::Held {
-        lines: vec![dahliapoint_xds::HeldLine {
+    let held = |i: usize| dahliapoint_xds::ReceivedTable {
+        lines: vec![dahliapoint_xds::ReceivedLine {
             server: format!("s{i}"),
             address: servers[i].address.to_string(),
             weight: 10_000,
             open: true,
         }],
-        ..dahliapoint_xds::Held::default()
+        ..dahliapoint_xds::ReceivedTable::default()
     };
     let tables = [held(0), held(1)];
     let over = Arc::new(AtomicBool::new(false));
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -13,7 +13,7 @@
 use dahliapoint_xds::names::LEDS;
 use dahliapoint_xds::pb::discovery::DeltaDiscoveryResponse;
 use dahliapoint_xds::pb::load_stats::LoadStatsResponse;
-use dahliapoint_xds::{ClusterTally, EndpointTally, Holder, load_request, names};
+use dahliapoint_xds::{ClusterTally, EndpointTally, XdsClient, load_request, names};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, HashMap};
@@ -168,7 +168,7 @@
     layer: Arc<Layer>,
     table: Mutex<Arc<Table>>,
     standing: Mutex<Vec<usize>>,
-    holder: Mutex<Holder>,
+    holder: Mutex<XdsClient>,
     joined: Mutex<Option<f64>>,
     bare_since: Mutex<Look>,
     last_message: Mutex<f64>,
@@ -195,7 +195,7 @@
         let name = format!("proxy-{index}");
         let zone_name = &layer.world.zones[zone];
         Arc::new(Proxy {
-            holder: Mutex::new(Holder::new(&layer.service, &name, zone_name, pace)),
+            holder: Mutex::new(XdsClient::new(&layer.service, &name, zone_name, pace)),
             name,
             zone,
             pace,
@@ -282,7 +282,7 @@
                 let standing = lock(&self.standing);
                 let open = standing
                     .iter()
-                    .filter(|s| !holder.is_shut(&layer.backends[**s].name));
+                    .filter(|s| !holder.is_withdrawn(&layer.backends[**s].name));
                 table.picks = open
                     .map(|s| Pick {
                         server: *s,
@@ -343,7 +343,7 @@
         const ADS: &str =
             "/envoy.service.discovery.v3.AggregatedDiscoveryService/DeltaAggregatedResources";
         let mut dialed = link.start_call(ADS, None)?;
-        let begin = lock(&self.holder).begin();
+        let begin = lock(&self.holder).initial_requests();
         for request in &begin {
             dialed.outbound.send(request)?;
         }
@@ -844,7 +844,7 @@
         spawn(move || {
             sleep(Duration::from_secs_f64(down_ms / 1e3));
             let zone = &self.layer.world.zones[self.zone];
-            *lock(&self.holder) = Holder::new(&self.layer.service, &self.name, zone, self.pace);
+            *lock(&self.holder) = XdsClient::new(&self.layer.service, &self.name, zone, self.pace);
             self.draw_standing();
             self.dead.store(false, Ordering::SeqCst);
         });
--- a/crates/xds/src/holder.rs
+++ b/crates/xds/src/client.rs
@@ -18,7 +18,7 @@
 
 /// A line as held.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeldLine {
+pub struct ReceivedLine {
     pub server: String,
     pub address: String,
     pub weight: u32,
@@ -27,8 +27,8 @@
 
 /// A table as held: the lines, by class the share let in, and by class when to try again.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Held {
-    pub lines: Vec<HeldLine>,
+pub struct ReceivedTable {
+    pub lines: Vec<ReceivedLine>,
     pub shares: BTreeMap<String, f64>,
     pub retry_on: BTreeMap<String, String>,
 }
@@ -41,13 +41,13 @@
 
 /// See the module's head.
 #[derive(Debug)]
-pub struct Holder {
+pub struct XdsClient {
     node: Node,
     service: String,
     versions: BTreeMap<&'static str, BTreeMap<String, String>>,
     assignments: BTreeMap<String, Assignment>,
     retry_on: BTreeMap<String, String>,
-    lines: BTreeMap<String, HeldLine>,
+    lines: BTreeMap<String, ReceivedLine>,
     subscribed: BTreeSet<String>,
     /// The collection whose lines are in use.
     active: Option<String>,
@@ -58,13 +58,13 @@
     pub refused: u64,
 }
 
-impl Holder {
+impl XdsClient {
     /// For a proxy of that name in a zone, to which so many visits a second usually come.
-    pub fn new(service: &str, id: &str, zone: &str, pace: f64) -> Holder {
+    pub fn new(service: &str, id: &str, zone: &str, pace: f64) -> XdsClient {
         let pace = Value {
             kind: Some(Kind::NumberValue(pace)),
         };
-        Holder {
+        XdsClient {
             node: Node {
                 id: id.into(),
                 cluster: service.into(),
@@ -97,7 +97,7 @@
     }
 
     /// The requests that begin a stream, with what is held.
-    pub fn begin(&mut self) -> Vec<DeltaDiscoveryRequest> {
+    pub fn initial_requests(&mut self) -> Vec<DeltaDiscoveryRequest> {
         let held = |t: &'static str| self.versions[t].clone().into_iter().collect();
         let classes: Vec<String> = self.versions[CDS].keys().cloned().collect();
         let mut collections = vec![names::withdrawn(&self.service)];
@@ -302,17 +302,17 @@
     }
 
     /// The table that was given; none yet: the proxy is on a table of its own.
-    pub fn table(&self) -> Option<Held> {
+    pub fn table(&self) -> Option<ReceivedTable> {
         let active = self.active.as_ref()?;
         let stem = active.strip_suffix('*').unwrap_or(active);
         let there = self.lines.iter().filter(|(n, _)| n.starts_with(stem));
-        let lines = there.map(|(_, l)| HeldLine {
-            open: l.open && !self.is_shut(&l.server),
+        let lines = there.map(|(_, l)| ReceivedLine {
+            open: l.open && !self.is_withdrawn(&l.server),
             ..l.clone()
         });
         let class = |name: &String| names::class_of(&self.service, name).unwrap_or_default();
         let shares = self.assignments.iter().map(|(n, a)| (class(n), a.share));
-        Some(Held {
+        Some(ReceivedTable {
             lines: lines.collect(),
             shares: shares.collect(),
             retry_on: self.retry_on.clone(),
@@ -320,7 +320,7 @@
     }
 
     /// Withdrawn, whatever table names it.
-    pub fn is_shut(&self, server: &str) -> bool {
+    pub fn is_withdrawn(&self, server: &str) -> bool {
         self.shut.contains(server)
     }
 }
@@ -330,12 +330,12 @@
     M::decode(any.value.as_slice()).ok()
 }
 
-fn line_of(resource: &Resource) -> Option<HeldLine> {
+fn line_of(resource: &Resource) -> Option<ReceivedLine> {
     let line: LbEndpoint = read(resource)?;
     let Some(HostIdentifier::Endpoint(endpoint)) = &line.host_identifier else {
         return None;
     };
-    Some(HeldLine {
+    Some(ReceivedLine {
         server: endpoint.hostname.clone(),
         address: text_of(endpoint.address.as_ref())?,
         weight: weight_of(&line),
--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -5,17 +5,17 @@
 //! endpoint discovery (delta), load reporting, client status. docs/design/controller.md has the mapping,
 //! and what a plain client sees that knows no LEDS.
 
+mod client;
 mod front;
-mod holder;
 mod lrs;
 pub mod names;
 mod resources;
 mod session;
 mod status;
 
+pub use client::{ReceivedLine, ReceivedTable, XdsClient};
 pub use dahliapoint_control::ControllerHandle;
 pub use front::{Front, Stream};
-pub use holder::{Held, HeldLine, Holder};
 pub use lrs::{ClusterTally, EndpointTally, read as read_loads, request as load_request};
 pub use resources::{SCALE, Shape};
 pub use session::{Answer, Flavour, Session};
--- a/crates/xds/tests/protocol.rs
+++ b/crates/xds/tests/protocol.rs
@@ -9,7 +9,7 @@
 use dahliapoint_xds::pb::discovery::{DeltaDiscoveryRequest, DiscoveryRequest};
 use dahliapoint_xds::pb::endpoint::ClusterLoadAssignment;
 use dahliapoint_xds::pb::rpc::Status;
-use dahliapoint_xds::{Answer, Flavour, Holder, Session, Shape};
+use dahliapoint_xds::{Answer, Flavour, Session, Shape, XdsClient};
 use prost::Message as _;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -56,7 +56,7 @@
 /// A client and its stream; everything said is carried until both are at rest.
 struct Pair {
     session: Session,
-    holder: Holder,
+    holder: XdsClient,
     responses: Vec<(String, usize, usize)>,
     answers: Vec<Answer>,
 }
@@ -65,7 +65,7 @@
     fn new() -> Pair {
         let mut pair = Pair {
             session: Session::new(shape(), Flavour::DeltaLeds),
-            holder: Holder::new("portal", "p1", "east", 10.0),
+            holder: XdsClient::new("portal", "p1", "east", 10.0),
             responses: vec![],
             answers: vec![],
         };
@@ -74,7 +74,7 @@
     }
 
     fn begin(&mut self) {
-        for r in self.holder.begin() {
+        for r in self.holder.initial_requests() {
             self.session.asked_delta(&r).unwrap();
         }
         self.rest("");
@@ -433,8 +433,8 @@
         let mut now = 1e6;
         let mut controller = Controller::new(now, seed, terms());
         let mut streams: BTreeMap<u64, (usize, Session)> = BTreeMap::new();
-        let mut holders: Vec<Holder> = (0..5)
-            .map(|i| Holder::new("portal", &format!("p{i}"), "east", 0.3))
+        let mut holders: Vec<XdsClient> = (0..5)
+            .map(|i| XdsClient::new("portal", &format!("p{i}"), "east", 0.3))
             .collect();
         let mut next = 1;
         let servers: Vec<String> = (0..14).map(|i| format!("s{i}")).collect();
@@ -468,7 +468,7 @@
                     }
                     None if draw(2) == 0 || calm => {
                         let mut session = Session::new(shape(), Flavour::DeltaLeds);
-                        for r in holder.begin() {
+                        for r in holder.initial_requests() {
                             session.asked_delta(&r).unwrap();
                         }
                         assert_eq!(session.answers(), [Answer::Joined]);
