--- a/crates/proxy/src/filed.rs
+++ b/crates/proxy/src/filed.rs
@@ -349,7 +349,7 @@
     });
     ReceivedTable {
         lines: lines.collect(),
-        shares: classes
+        admitted_shares: classes
             .map(|(class, way)| (class.clone(), way.share))
             .collect(),
         retry_on: retry_on.collect(),
--- a/crates/proxy/src/plane.rs
+++ b/crates/proxy/src/plane.rs
@@ -200,7 +200,7 @@
         table.shunning.keep(|s| there.contains(&s));
         for (i, class) in self.described.classes.iter().enumerate() {
             let given = held.map(|h| {
-                let share = h.shares.get(&class.name).copied().unwrap_or(1.0);
+                let share = h.admitted_shares.get(&class.name).copied().unwrap_or(1.0);
                 let on = h.retry_on.get(&class.name).map_or("", String::as_str);
                 let ordered = match on {
                     "" => Ordered::Never,
--- a/crates/proxy/src/steering.rs
+++ b/crates/proxy/src/steering.rs
@@ -222,10 +222,10 @@
         came: Instant,
     ) -> Vec<dahliapoint_xds::pb::discovery::DeltaDiscoveryRequest> {
         let mut holder = lock(&self.holder);
-        let before = holder.refused;
+        let before = holder.nacked;
         // A line can be carried out if it has an address; names alone are the controller's to know.
         let requests = holder.apply(response, |server| self.plane.around().knows(server));
-        let is_refused = holder.refused > before;
+        let is_refused = holder.nacked > before;
         match is_refused {
             true => {
                 self.refused.fetch_add(1, Ordering::SeqCst);
--- a/crates/proxy/tests/matrix.rs
+++ b/crates/proxy/tests/matrix.rs
@@ -115,7 +115,7 @@
     let on = |class: &str| (class.to_string(), on.to_string());
     let held = ReceivedTable {
         lines: servers.iter().enumerate().map(line).collect(),
-        shares: BTreeMap::new(),
+        admitted_shares: BTreeMap::new(),
         retry_on: ["safe", "keyed", "never"].map(on).into(),
     };
     plane.swap(Some(&held), &|_| false, 0);
@@ -293,10 +293,10 @@
             nonce: i.to_string(),
             ..DeltaDiscoveryResponse::default()
         };
-        let at = holder.refused;
+        let at = holder.nacked;
         let answers = holder.apply(&response, |s| !s.is_empty());
         assert_eq!(answers[0].response_nonce, response.nonce);
-        if holder.refused > at {
+        if holder.nacked > at {
             refused += 1;
             assert!(answers[0].error_detail.is_some());
             assert_eq!(holder.table(), before, "{i}");
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -481,7 +481,7 @@
             weight: 1,
             open: true,
         }],
-        shares: [("view".to_string(), 0.25)].into(),
+        admitted_shares: [("view".to_string(), 0.25)].into(),
         retry_on: BTreeMap::new(),
     };
     p.plane.swap(Some(&held), &|_| false, 0);
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -273,7 +273,11 @@
                     })
                     .collect();
                 for (i, class) in layer.classes.iter().enumerate() {
-                    table.shares[i] = held.shares.get(&class.name).copied().unwrap_or(1.0);
+                    table.shares[i] = held
+                        .admitted_shares
+                        .get(&class.name)
+                        .copied()
+                        .unwrap_or(1.0);
                     let on = held.retry_on.get(&class.name);
                     table.on_failure[i] = on.is_some_and(|on| on.contains("5xx"));
                 }
--- a/crates/xds/src/client.rs
+++ b/crates/xds/src/client.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReceivedTable {
     pub lines: Vec<ReceivedLine>,
-    pub shares: BTreeMap<String, f64>,
+    pub admitted_shares: BTreeMap<String, f64>,
     pub retry_on: BTreeMap<String, String>,
 }
 
@@ -54,8 +54,8 @@
     /// Withdrawn, whatever the table: told while the proxy is on tables that this stream has not given.
     shut: BTreeSet<String>,
     /// Responses applied, and refused.
-    pub applied: u64,
-    pub refused: u64,
+    pub acked: u64,
+    pub nacked: u64,
 }
 
 impl XdsClient {
@@ -87,8 +87,8 @@
             subscribed: BTreeSet::new(),
             active: None,
             shut: BTreeSet::new(),
-            applied: 0,
-            refused: 0,
+            acked: 0,
+            nacked: 0,
         }
     }
 
@@ -144,7 +144,7 @@
         let kind = match checked {
             Ok(kind) => kind,
             Err(why) => {
-                self.refused += 1;
+                self.nacked += 1;
                 answer.error_detail = Some(Status {
                     code: 3,
                     message: why,
@@ -153,7 +153,7 @@
                 return vec![answer];
             }
         };
-        self.applied += 1;
+        self.acked += 1;
         let versions = self.versions.entry(kind).or_default();
         for r in &response.resources {
             versions.insert(r.name.clone(), r.version.clone());
@@ -311,10 +311,10 @@
             ..l.clone()
         });
         let class = |name: &String| names::class_of(&self.service, name).unwrap_or_default();
-        let shares = self.assignments.iter().map(|(n, a)| (class(n), a.share));
+        let admitted_shares = self.assignments.iter().map(|(n, a)| (class(n), a.share));
         Some(ReceivedTable {
             lines: lines.collect(),
-            shares: shares.collect(),
+            admitted_shares: admitted_shares.collect(),
             retry_on: self.retry_on.clone(),
         })
     }
