--- a/crates/daemon/src/status.rs
+++ b/crates/daemon/src/status.rs
@@ -3,7 +3,7 @@
 use dahliapoint_files::forms::{FORM, Table, TableLine};
 use dahliapoint_grpc::{Connection, Limits, Status};
 use dahliapoint_xds::pb::status::{ClientStatusRequest, ClientStatusResponse};
-use dahliapoint_xds::{ResourceState, StatusRow, read_status};
+use dahliapoint_xds::{ResourceState, StatusRow, parse_client_status};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -24,7 +24,7 @@
     let link = Connection::connect(at, limits)?;
     let asked = ClientStatusRequest::default();
     let answer: ClientStatusResponse = link.unary_call(FETCH, &asked, Duration::from_secs(10))?;
-    Ok(read_status(&answer))
+    Ok(parse_client_status(&answer))
 }
 
 /// Everything, for a program.
--- a/crates/daemon/tests/interop.rs
+++ b/crates/daemon/tests/interop.rs
@@ -13,7 +13,9 @@
 };
 use dahliapoint_xds::pb::endpoint::ClusterLoadAssignment;
 use dahliapoint_xds::pb::status::ClientStatusRequest;
-use dahliapoint_xds::{ClusterTally, EndpointTally, LEDS_FEATURE, Message, load_request, names};
+use dahliapoint_xds::{
+    ClusterLoad, EndpointLoad, LEDS_FEATURE, Message, load_stats_request, names,
+};
 use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_client::AggregatedDiscoveryServiceClient;
 use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_server::{
     AggregatedDiscoveryService, AggregatedDiscoveryServiceServer,
@@ -128,7 +130,7 @@
             let answer = status
                 .fetch_client_status(ClientStatusRequest::default())
                 .await;
-            let (_, rows) = dahliapoint_xds::read_status(&answer.unwrap().into_inner());
+            let (_, rows) = dahliapoint_xds::parse_client_status(&answer.unwrap().into_inner());
             let acked = |r: &&dahliapoint_xds::StatusRow| {
                 r.resource.starts_with("xdstp:")
                     && r.state == dahliapoint_xds::ResourceState::Acknowledged
@@ -228,7 +230,7 @@
 
     let mut client = LoadReportingServiceClient::new(channel(&daemon).await);
     let (report, said) = mpsc::channel(16);
-    let hello = load_request(Some(node("reporter", &[])), 0.0, &[]);
+    let hello = load_stats_request(Some(node("reporter", &[])), 0.0, &[]);
     report.send(hello).await.unwrap();
     let answers = client.stream_load_stats(ReceiverStream::new(said)).await;
     let mut answers = answers.unwrap().into_inner();
@@ -236,21 +238,21 @@
     let every = told.load_reporting_interval.unwrap();
     assert_eq!((every.seconds, every.nanos), (0, 200_000_000));
     assert!(told.report_endpoint_granularity && told.send_all_clusters);
-    let tally = |address: &str, good, failed| ClusterTally {
+    let tally = |address: &str, good, failed| ClusterLoad {
         cluster: "portal/view".into(),
-        endpoints: vec![EndpointTally {
+        endpoints: vec![EndpointLoad {
             address: address.into(),
             issued: good + failed,
-            good,
+            succeeded: good,
             failed,
-            good_ms: good as f64 * 12.0,
-            ..EndpointTally::default()
+            success_ms: good as f64 * 12.0,
+            ..EndpointLoad::default()
         }],
-        ..ClusterTally::default()
+        ..ClusterLoad::default()
     };
     for address in ["127.0.0.1:7000", "127.0.0.1:7001", "127.0.0.1:9"] {
         report
-            .send(load_request(None, 200.0, &[tally(address, 9, 1)]))
+            .send(load_stats_request(None, 200.0, &[tally(address, 9, 1)]))
             .await
             .unwrap();
     }
@@ -260,7 +262,7 @@
             let answer = status
                 .fetch_client_status(ClientStatusRequest::default())
                 .await;
-            let (view, _) = dahliapoint_xds::read_status(&answer.unwrap().into_inner());
+            let (view, _) = dahliapoint_xds::parse_client_status(&answer.unwrap().into_inner());
             let accounts = &view["accounts"];
             if accounts["report_lines"] == 2 && accounts["unknown_lines"] == 1 {
                 return;
@@ -273,7 +275,7 @@
         .await
         .expect("two lines taken, one of no known server");
     // More than any proxy can have met: the stream ends, nothing else is disturbed.
-    let absurd = load_request(None, 200.0, &[tally("127.0.0.1:7000", u64::MAX / 2, 0)]);
+    let absurd = load_stats_request(None, 200.0, &[tally("127.0.0.1:7000", u64::MAX / 2, 0)]);
     report.send(absurd).await.unwrap();
     let ended = next(&mut answers).await.unwrap_err();
     assert_eq!(ended.code(), tonic::Code::InvalidArgument, "{ended}");
--- a/crates/proxy/src/filed.rs
+++ b/crates/proxy/src/filed.rs
@@ -11,7 +11,7 @@
 use dahliapoint_files::seal::Keys;
 use dahliapoint_files::spool::Mouth;
 use dahliapoint_files::words::{Ack, Beat, ClassMet, Met, Told};
-use dahliapoint_xds::{ClusterTally, ReceivedLine, ReceivedTable, SCALE, names};
+use dahliapoint_xds::{ClusterLoad, ReceivedLine, ReceivedTable, SCALE, names};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
@@ -305,17 +305,17 @@
         }
     }
 
-    fn class_met(&self, tally: &ClusterTally) -> ClassMet {
+    fn class_met(&self, tally: &ClusterLoad) -> ClassMet {
         let service = &self.own.plane.described.service;
         let issued: u64 = tally.endpoints.iter().map(|e| e.issued).sum();
         let dropped: u64 = tally.dropped.values().sum();
         let met = tally.endpoints.iter().map(|e| {
-            let word = |name: &str| e.words.get(name).copied().unwrap_or_default();
+            let word = |name: &str| e.metrics.get(name).copied().unwrap_or_default();
             Met {
                 server: e.address.clone(),
-                good: e.good,
+                good: e.succeeded,
                 failed: e.failed,
-                good_ms: e.good_ms,
+                good_ms: e.success_ms,
                 in_flight: e.in_progress,
                 words: word(OWN_MS).0,
                 own_queue: word(OWN_QUEUE).1,
--- a/crates/proxy/src/plane.rs
+++ b/crates/proxy/src/plane.rs
@@ -8,7 +8,7 @@
 use crate::shunning::Shunning;
 use crate::trying::{self, Budget, Failed, Failure, Level, Ordered};
 use dahliapoint_fibers::{Notify, TcpStream, Timer, dial, listen, shutdown_at, sleep, spawn};
-use dahliapoint_xds::{ClusterTally, EndpointTally, ReceivedTable, names};
+use dahliapoint_xds::{ClusterLoad, EndpointLoad, ReceivedTable, names};
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, Write};
 use std::net::{Shutdown, SocketAddr};
@@ -64,7 +64,7 @@
 
 #[derive(Default)]
 struct Counts {
-    endpoints: BTreeMap<(usize, usize), EndpointTally>,
+    endpoints: BTreeMap<(usize, usize), EndpointLoad>,
     dropped: BTreeMap<usize, u64>,
     under_way: BTreeMap<(usize, usize), u64>,
 }
@@ -499,8 +499,8 @@
         let took = begun.elapsed().as_secs_f64() * 1e3;
         self.count(class, server, |t| match good {
             true => {
-                t.good += 1;
-                t.good_ms += took;
+                t.succeeded += 1;
+                t.success_ms += took;
             }
             false => t.failed += 1,
         });
@@ -708,7 +708,7 @@
 
     // ---- reports ----
 
-    fn count(&self, class: usize, server: usize, note: impl FnOnce(&mut EndpointTally)) {
+    fn count(&self, class: usize, server: usize, note: impl FnOnce(&mut EndpointLoad)) {
         let address = self.address(server);
         let mut counts = lock(&self.counts);
         let tally = counts.endpoints.entry((class, server)).or_default();
@@ -735,7 +735,7 @@
                     .ok()
                     .filter(|v| v.is_finite() && *v >= 0.0);
                 if let (Some(name), Some(value)) = (name, value) {
-                    let word = t.words.entry(name.to_string()).or_default();
+                    let word = t.metrics.entry(name.to_string()).or_default();
                     (word.0, word.1) = (word.0 + 1, word.1 + value);
                 }
             }
@@ -743,7 +743,7 @@
     }
 
     /// What was counted since the last call. Given back by [`Plane::untold`] if it could not be sent.
-    pub fn tallies(&self) -> Vec<ClusterTally> {
+    pub fn tallies(&self) -> Vec<ClusterLoad> {
         let mut counts = lock(&self.counts);
         let endpoints = std::mem::take(&mut counts.endpoints);
         let dropped = std::mem::take(&mut counts.dropped);
@@ -751,12 +751,12 @@
         classes
             .map(|(i, class)| {
                 let met = endpoints.iter().filter(|((c, _), _)| *c == i);
-                let met = met.map(|(place, e)| EndpointTally {
+                let met = met.map(|(place, e)| EndpointLoad {
                     in_progress: counts.under_way.get(place).copied().unwrap_or(0),
                     ..e.clone()
                 });
                 let dropped = dropped.get(&i).map(|n| (class.name.clone(), *n));
-                ClusterTally {
+                ClusterLoad {
                     cluster: names::cluster(&self.described.service, &class.name),
                     endpoints: met.collect(),
                     dropped: dropped.into_iter().collect(),
@@ -766,7 +766,7 @@
     }
 
     /// A report that could not be sent is added to the next: told once, never twice.
-    pub fn untold(&self, tallies: Vec<ClusterTally>) {
+    pub fn untold(&self, tallies: Vec<ClusterLoad>) {
         for (class, tally) in tallies.into_iter().enumerate() {
             let dropped: u64 = tally.dropped.values().sum();
             if dropped > 0 {
@@ -776,11 +776,11 @@
                 let server = lock(&self.servers).place(&e.address);
                 self.count(class, server, |t| {
                     t.issued += e.issued;
-                    t.good += e.good;
+                    t.succeeded += e.succeeded;
                     t.failed += e.failed;
-                    t.good_ms += e.good_ms;
-                    for (name, (n, sum)) in &e.words {
-                        let word = t.words.entry(name.clone()).or_default();
+                    t.success_ms += e.success_ms;
+                    for (name, (n, sum)) in &e.metrics {
+                        let word = t.metrics.entry(name.clone()).or_default();
                         (word.0, word.1) = (word.0 + n, word.1 + sum);
                     }
                 });
--- a/crates/proxy/src/steering.rs
+++ b/crates/proxy/src/steering.rs
@@ -10,7 +10,7 @@
 use dahliapoint_xds::names::LEDS;
 use dahliapoint_xds::pb::discovery::DeltaDiscoveryResponse;
 use dahliapoint_xds::pb::load_stats::LoadStatsResponse;
-use dahliapoint_xds::{XdsClient, load_request};
+use dahliapoint_xds::{XdsClient, load_stats_request};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -261,7 +261,9 @@
     fn report_on(&self, link: &Connection, over: &Notify) -> Result<(), Status> {
         let mut dialed = link.start_call(LRS, None)?;
         let node = lock(&self.holder).node().clone();
-        dialed.outbound.send(&load_request(Some(node), 0.0, &[]))?;
+        dialed
+            .outbound
+            .send(&load_stats_request(Some(node), 0.0, &[]))?;
         let (mut outbound, mut inbound) = dialed.wait_for_response()?;
         let mut every = FIRST_EVERY;
         let mut since = Instant::now();
@@ -288,7 +290,7 @@
             let now = Instant::now();
             let window = now.saturating_duration_since(since).as_secs_f64() * 1e3;
             let tallies = self.plane.tallies();
-            if let Err(e) = outbound.send(&load_request(None, window.max(1.0), &tallies)) {
+            if let Err(e) = outbound.send(&load_stats_request(None, window.max(1.0), &tallies)) {
                 self.plane.untold(tallies);
                 return Err(e);
             }
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -13,7 +13,7 @@
 use dahliapoint_xds::names::LEDS;
 use dahliapoint_xds::pb::discovery::DeltaDiscoveryResponse;
 use dahliapoint_xds::pb::load_stats::LoadStatsResponse;
-use dahliapoint_xds::{ClusterTally, EndpointTally, XdsClient, load_request, names};
+use dahliapoint_xds::{ClusterLoad, EndpointLoad, XdsClient, load_stats_request, names};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, HashMap};
@@ -156,7 +156,7 @@
 
 #[derive(Default)]
 struct Counts {
-    endpoints: BTreeMap<(usize, usize), EndpointTally>,
+    endpoints: BTreeMap<(usize, usize), EndpointLoad>,
     dropped: BTreeMap<usize, u64>,
     since_ms: f64,
 }
@@ -492,7 +492,9 @@
         let world = &self.layer.world;
         let mut dialed = link.start_call(LRS, None)?;
         let node = lock(&self.holder).node().clone();
-        dialed.outbound.send(&load_request(Some(node), 0.0, &[]))?;
+        dialed
+            .outbound
+            .send(&load_stats_request(Some(node), 0.0, &[]))?;
         let (mut outbound, mut inbound) = dialed.wait_for_response()?;
         let first = inbound.receive::<LoadStatsResponse>()?;
         let every = first.and_then(|r| r.load_reporting_interval);
@@ -513,23 +515,23 @@
             };
             let tallies = self.tallies(&counts);
             let window = (now - counts.since_ms).max(1.0);
-            outbound.send(&load_request(None, window, &tallies))?;
+            outbound.send(&load_stats_request(None, window, &tallies))?;
         }
         Ok(())
     }
 
-    fn tallies(&self, counts: &Counts) -> Vec<ClusterTally> {
+    fn tallies(&self, counts: &Counts) -> Vec<ClusterLoad> {
         let classes = self.layer.classes.iter().enumerate();
         classes
             .map(|(i, class)| {
                 let met = counts.endpoints.iter().filter(|((c, _), _)| *c == i);
                 let under_way = lock(&self.under_way);
-                let now = |place, e: &EndpointTally| EndpointTally {
+                let now = |place, e: &EndpointLoad| EndpointLoad {
                     in_progress: under_way.get(place).copied().unwrap_or(0),
                     ..e.clone()
                 };
                 let dropped = counts.dropped.get(&i).map(|n| (class.name.clone(), *n));
-                ClusterTally {
+                ClusterLoad {
                     cluster: names::cluster(&self.layer.service, &class.name),
                     endpoints: met.map(|(place, e)| now(place, e)).collect(),
                     dropped: dropped.into_iter().collect(),
@@ -538,7 +540,7 @@
             .collect()
     }
 
-    fn count(&self, class: usize, server: usize, note: impl FnOnce(&mut EndpointTally)) {
+    fn count(&self, class: usize, server: usize, note: impl FnOnce(&mut EndpointLoad)) {
         let mut counts = lock(&self.counts);
         let tally = counts.endpoints.entry((class, server)).or_default();
         if tally.address.is_empty() {
@@ -709,8 +711,8 @@
         }
         self.count(class, server, |t| {
             if good {
-                t.good += 1;
-                t.good_ms += took;
+                t.succeeded += 1;
+                t.success_ms += took;
             } else {
                 t.failed += 1;
             }
@@ -824,7 +826,7 @@
                 };
                 let name = name.trim().strip_prefix("named_metrics.");
                 if let (Some(name), Ok(value)) = (name, value.parse::<f64>()) {
-                    let word = t.words.entry(name.to_string()).or_default();
+                    let word = t.metrics.entry(name.to_string()).or_default();
                     word.0 += 1;
                     word.1 += value;
                 }
--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -16,10 +16,10 @@
 pub use client::{ReceivedLine, ReceivedTable, XdsClient};
 pub use dahliapoint_control::ControllerHandle;
 pub use front::{Front, Stream};
-pub use lrs::{ClusterTally, EndpointTally, read as read_loads, request as load_request};
+pub use lrs::{ClusterLoad, EndpointLoad, read as parse_load_stats, request as load_stats_request};
 pub use resources::{SCALE, Shape};
 pub use session::{Answer, Flavour, Session};
-pub use status::{ResourceState, StatusRow, read as read_status};
+pub use status::{ResourceState, StatusRow, read as parse_client_status};
 
 pub use prost::Message;
 
--- a/crates/xds/src/lrs.rs
+++ b/crates/xds/src/lrs.rs
@@ -50,7 +50,7 @@
                 let Some(server) = text_of(e.address.as_ref()) else {
                     return Err("an endpoint without an address".into());
                 };
-                let good = e.total_successful_requests as f64;
+                let succeeded = e.total_successful_requests as f64;
                 let failed = e.total_error_requests as f64;
                 let times = e.load_metric_stats.iter();
                 let times = times.filter(|m| m.metric_name == VISIT_MS);
@@ -60,7 +60,7 @@
                     class,
                     ..ReportLine::default()
                 });
-                line.tries += good + failed;
+                line.tries += succeeded + failed;
                 line.failed += failed;
                 line.in_flight += e.total_requests_in_progress as f64;
                 line.success_ms += times.map(|m| m.total_metric_value).sum::<f64>();
@@ -92,40 +92,40 @@
 
 /// What a proxy counted at one endpoint.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct EndpointTally {
+pub struct EndpointLoad {
     pub address: String,
     pub issued: u64,
-    pub good: u64,
+    pub succeeded: u64,
     pub failed: u64,
     pub in_progress: u64,
     /// Summed time of the good ones.
-    pub good_ms: f64,
+    pub success_ms: f64,
     /// The server's own words, by name: how many answers carried one, and their sum.
-    pub words: BTreeMap<String, (u64, f64)>,
+    pub metrics: BTreeMap<String, (u64, f64)>,
 }
 
 /// What a proxy counted of one class.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ClusterTally {
+pub struct ClusterLoad {
     pub cluster: String,
     pub dropped: BTreeMap<String, u64>,
-    pub endpoints: Vec<EndpointTally>,
+    pub endpoints: Vec<EndpointLoad>,
 }
 
 /// A report of what was counted over a stretch of time.
-pub fn request(node: Option<Node>, window_ms: f64, tallies: &[ClusterTally]) -> LoadStatsRequest {
+pub fn request(node: Option<Node>, window_ms: f64, tallies: &[ClusterLoad]) -> LoadStatsRequest {
     let interval = Duration {
         seconds: (window_ms / 1e3) as i64,
         nanos: ((window_ms % 1e3) * 1e6) as i32,
     };
-    let endpoint = |e: &EndpointTally| {
+    let endpoint = |e: &EndpointLoad| {
         let time = EndpointLoadMetricStats {
             metric_name: VISIT_MS.into(),
-            num_requests_finished_with_metric: e.good,
-            total_metric_value: e.good_ms,
+            num_requests_finished_with_metric: e.succeeded,
+            total_metric_value: e.success_ms,
         };
-        let words = e
-            .words
+        let metrics = e
+            .metrics
             .iter()
             .map(|(name, (n, sum))| EndpointLoadMetricStats {
                 metric_name: name.clone(),
@@ -134,15 +134,15 @@
             });
         UpstreamEndpointStats {
             address: Some(address_of(&e.address)),
-            total_successful_requests: e.good,
+            total_successful_requests: e.succeeded,
             total_requests_in_progress: e.in_progress,
             total_error_requests: e.failed,
             total_issued_requests: e.issued,
-            load_metric_stats: std::iter::once(time).chain(words).collect(),
+            load_metric_stats: std::iter::once(time).chain(metrics).collect(),
             ..UpstreamEndpointStats::default()
         }
     };
-    let cluster = |t: &ClusterTally| ClusterStats {
+    let cluster = |t: &ClusterLoad| ClusterStats {
         cluster_name: t.cluster.clone(),
         upstream_locality_stats: vec![UpstreamLocalityStats {
             upstream_endpoint_stats: t.endpoints.iter().map(endpoint).collect(),
