--- a/crates/daemon/src/life.rs
+++ b/crates/daemon/src/life.rs
@@ -18,7 +18,7 @@
 use dahliapoint_peer::merge::merge_facts;
 use dahliapoint_peer::service::{PeerService, SharedFacts};
 use dahliapoint_peer::{client, messages};
-use dahliapoint_xds::{Front, Shape};
+use dahliapoint_xds::{Front, ServiceConfig};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -131,7 +131,7 @@
         });
         let engine = Engine::new(clock, seed, terms.report_interval_ms);
         let shared: Arc<dyn ControllerHandle> = Arc::new(engine.clone());
-        let shape = Shape::of(&terms, deployment.connect_ms);
+        let shape = ServiceConfig::from_settings(&terms, deployment.connect_ms);
         let front = Front::new(shape, shared.clone(), 1);
         let patience = Duration::from_secs_f64(deployment.stream_patience_ms / 1e3);
         let limits = Limits {
--- a/crates/standins/src/sabotage.rs
+++ b/crates/standins/src/sabotage.rs
@@ -8,7 +8,7 @@
 use dahliapoint_daemon::engine::{Clock, Engine};
 use dahliapoint_daemon::roster::{Look, Watch};
 use dahliapoint_grpc::{Limits, Server};
-use dahliapoint_xds::{ControllerHandle, Front, Shape};
+use dahliapoint_xds::{ControllerHandle, Front, ServiceConfig};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -45,7 +45,7 @@
     let seed = deployment.seed.unwrap_or(1);
     let engine = Engine::new(Clock::start(), seed, terms.report_interval_ms);
     let owner: Arc<dyn ControllerHandle> = Arc::new(engine.clone());
-    let shape = Shape::of(&terms, deployment.connect_ms);
+    let shape = ServiceConfig::from_settings(&terms, deployment.connect_ms);
     let front = Front::new(shape, owner.clone(), 1);
     let server =
         Server::start(listen, Limits::default(), front.clone()).map_err(|e| e.to_string())?;
--- a/crates/xds/src/front.rs
+++ b/crates/xds/src/front.rs
@@ -6,7 +6,7 @@
 use crate::pb::discovery::{DeltaDiscoveryRequest, DiscoveryRequest};
 use crate::pb::load_stats::{LoadStatsRequest, LoadStatsResponse};
 use crate::pb::protobuf::{Duration, value::Kind};
-use crate::resources::Shape;
+use crate::resources::ServiceConfig;
 use crate::session::{Answer, Flavour, Session};
 use crate::{LEDS_FEATURE, lrs, status};
 use dahliapoint_control::{ControllerHandle, Input, Output, Session as Id};
@@ -53,7 +53,7 @@
 
 /// The front; give it to a gRPC server as its handler.
 pub struct Front {
-    shape: Arc<Shape>,
+    config: Arc<ServiceConfig>,
     owner: Arc<dyn ControllerHandle>,
     streams: Mutex<Registry>,
     next: AtomicU64,
@@ -61,9 +61,9 @@
 
 impl Front {
     /// `first` is the first number of a stream, so that fronts of one controller do not use each other's.
-    pub fn new(shape: Shape, owner: Arc<dyn ControllerHandle>, first: Id) -> Arc<Front> {
+    pub fn new(config: ServiceConfig, owner: Arc<dyn ControllerHandle>, first: Id) -> Arc<Front> {
         Arc::new(Front {
-            shape: Arc::new(shape),
+            config: Arc::new(config),
             owner,
             streams: Mutex::default(),
             next: AtomicU64::new(first),
@@ -144,7 +144,7 @@
         let stream = Arc::new(Stream {
             id,
             node,
-            state: Mutex::new(Session::new(self.shape.clone(), flavour)),
+            state: Mutex::new(Session::new(self.config.clone(), flavour)),
             bell: Notify::default(),
             closing: Mutex::default(),
         });
@@ -244,7 +244,7 @@
                 told = wanted;
                 outbound.send(&interval(wanted))?;
             }
-            let taken = match lrs::read(&self.shape, &request) {
+            let taken = match lrs::read(&self.config, &request) {
                 Ok(None) => continue,
                 Ok(Some(report)) => self.owner.report(node, stream, report),
                 Err(why) => Err(why),
--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -17,7 +17,7 @@
 pub use dahliapoint_control::ControllerHandle;
 pub use front::{Front, Stream};
 pub use lrs::{ClusterLoad, EndpointLoad, read as parse_load_stats, request as load_stats_request};
-pub use resources::{SCALE, Shape};
+pub use resources::{SCALE, ServiceConfig};
 pub use session::{Answer, Flavour, Session};
 pub use status::{ResourceState, StatusRow, read as parse_client_status};
 
--- a/crates/xds/src/lrs.rs
+++ b/crates/xds/src/lrs.rs
@@ -8,7 +8,7 @@
 };
 use crate::pb::load_stats::LoadStatsRequest;
 use crate::pb::protobuf::Duration;
-use crate::resources::{Shape, address_of, text_of};
+use crate::resources::{ServiceConfig, address_of, text_of};
 use dahliapoint_control::{LoadReport, ReportLine};
 use std::collections::BTreeMap;
 
@@ -27,7 +27,10 @@
 ///
 /// # Errors
 /// A sentence about what no proxy can have met.
-pub fn read(shape: &Shape, request: &LoadStatsRequest) -> Result<Option<LoadReport>, String> {
+pub fn read(
+    config: &ServiceConfig,
+    request: &LoadStatsRequest,
+) -> Result<Option<LoadReport>, String> {
     let mut report = LoadReport::default();
     let mut met: BTreeMap<(String, usize), ReportLine> = BTreeMap::new();
     let mut lines = 0;
@@ -35,7 +38,7 @@
         let interval = cluster.load_report_interval.as_ref();
         let window = interval.map_or(0.0, |d| d.seconds as f64 * 1e3 + f64::from(d.nanos) / 1e6);
         report.window_ms = report.window_ms.max(window);
-        let Some(class) = shape.class_of(&cluster.cluster_name) else {
+        let Some(class) = config.class_of(&cluster.cluster_name) else {
             // Of a cluster that is not this service's; counted by the controller as unknown.
             report.arrivals.push((cluster.cluster_name.clone(), 0.0));
             continue;
@@ -78,7 +81,9 @@
                 visits += e.total_issued_requests as f64;
             }
         }
-        report.arrivals.push((shape.classes[class].clone(), visits));
+        report
+            .arrivals
+            .push((config.classes[class].clone(), visits));
     }
     report.lines = met.into_values().collect();
     if request.cluster_stats.is_empty() {
--- a/crates/xds/src/resources.rs
+++ b/crates/xds/src/resources.rs
@@ -35,23 +35,23 @@
 
 /// What of the service is seen on the wire.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct ServiceConfig {
     pub service: String,
     pub classes: Vec<String>,
     pub zones: Vec<String>,
     /// How long proxies wait for a connection.
-    pub connect_ms: f64,
-    pub shares: bool,
+    pub connect_timeout_ms: f64,
+    pub admission_control: bool,
 }
 
-impl Shape {
-    pub fn of(terms: &ControllerSettings, connect_ms: f64) -> Shape {
-        Shape {
+impl ServiceConfig {
+    pub fn from_settings(terms: &ControllerSettings, connect_timeout_ms: f64) -> ServiceConfig {
+        ServiceConfig {
             service: terms.service.clone(),
             classes: terms.classes.iter().map(|c| c.name.clone()).collect(),
             zones: terms.zones.clone(),
-            connect_ms,
-            shares: terms.admission_control,
+            connect_timeout_ms,
+            admission_control: terms.admission_control,
         }
     }
 
@@ -172,10 +172,10 @@
     }
 }
 
-fn policy(shape: &Shape, class: usize, way: ClassPolicy) -> Policy {
+fn policy(config: &ServiceConfig, class: usize, way: ClassPolicy) -> Policy {
     let refused = (1.0 - way.admitted_share.clamp(0.0, 1.0)) * 1e6;
     let drop = DropOverload {
-        category: shape.classes[class].clone(),
+        category: config.classes[class].clone(),
         drop_percentage: Some(FractionalPercent {
             numerator: refused.round() as u32,
             denominator: DenominatorType::Million.into(),
@@ -192,22 +192,27 @@
 }
 
 /// The assignment of a class whose lines are a collection.
-pub fn by_collection(shape: &Shape, class: usize, part: usize, way: ClassPolicy) -> Versioned {
-    let policy = policy(shape, class, way);
+pub fn by_collection(
+    config: &ServiceConfig,
+    class: usize,
+    part: usize,
+    way: ClassPolicy,
+) -> Versioned {
+    let policy = policy(config, class, way);
     let refused = policy
         .drop_overloads
         .first()
         .and_then(|d| d.drop_percentage);
     let refused = refused.map_or(0, |p| p.numerator);
     let message = ClusterLoadAssignment {
-        cluster_name: shape.cluster_name(class),
+        cluster_name: config.cluster_name(class),
         endpoints: vec![LocalityLbEndpoints {
             lb_config: Some(LbConfig::LedsClusterLocalityConfig(
                 LedsClusterLocalityConfig {
                     leds_config: Some(source(ConfigSourceSpecifier::Ads(
                         AggregatedConfigSource::default(),
                     ))),
-                    leds_collection_name: names::part(&shape.service, part),
+                    leds_collection_name: names::part(&config.service, part),
                 },
             )),
             ..LocalityLbEndpoints::default()
@@ -220,7 +225,7 @@
 
 /// The assignment of a class with its lines in it, for clients without LEDS: a locality a zone.
 pub fn inline<'a>(
-    shape: &Shape,
+    config: &ServiceConfig,
     class: usize,
     lines: impl Iterator<Item = &'a Line> + Clone,
     way: ClassPolicy,
@@ -240,14 +245,14 @@
         })
     };
     let message = ClusterLoadAssignment {
-        cluster_name: shape.cluster_name(class),
-        endpoints: shape
+        cluster_name: config.cluster_name(class),
+        endpoints: config
             .zones
             .iter()
             .enumerate()
             .filter_map(locality)
             .collect(),
-        policy: Some(policy(shape, class, way)),
+        policy: Some(policy(config, class, way)),
         ..ClusterLoadAssignment::default()
     };
     packed(&message, None)
@@ -264,8 +269,8 @@
     weight.map_or(1, |w| w.value)
 }
 
-pub fn cluster(shape: &Shape, class: usize) -> Versioned {
-    let name = shape.cluster_name(class);
+pub fn cluster(config: &ServiceConfig, class: usize) -> Versioned {
+    let name = config.cluster_name(class);
     let message = Cluster {
         name: name.clone(),
         eds_cluster_config: Some(EdsClusterConfig {
@@ -276,7 +281,7 @@
         }),
         cluster_discovery_type: Some(ClusterDiscoveryType::Type(DiscoveryType::Eds.into())),
         lb_policy: LbPolicy::RoundRobin.into(),
-        connect_timeout: Some(millis(shape.connect_ms)),
+        connect_timeout: Some(millis(config.connect_timeout_ms)),
         lrs_server: Some(source(ConfigSourceSpecifier::Self_(
             SelfConfigSource::default(),
         ))),
@@ -286,7 +291,7 @@
 }
 
 /// A route a class, by the first segment of the path, with when its visits may be tried again.
-pub fn routes(shape: &Shape, ways: &[ClassPolicy]) -> Versioned {
+pub fn routes(config: &ServiceConfig, ways: &[ClassPolicy]) -> Versioned {
     let route = |(class, way): (usize, &ClassPolicy)| {
         let retry = |on: &str| RetryPolicy {
             retry_on: on.to_string(),
@@ -302,17 +307,17 @@
             )),
         };
         Route {
-            name: shape.classes[class].clone(),
+            name: config.classes[class].clone(),
             r#match: Some(RouteMatch {
                 path_specifier: Some(PathSpecifier::Prefix(format!(
                     "/{}",
-                    names::escape(&shape.classes[class])
+                    names::escape(&config.classes[class])
                 ))),
                 ..RouteMatch::default()
             }),
             action: Some(route::Action::Route(RouteAction {
                 cluster_specifier: Some(route_action::ClusterSpecifier::Cluster(
-                    shape.cluster_name(class),
+                    config.cluster_name(class),
                 )),
                 retry_policy,
                 ..RouteAction::default()
@@ -321,9 +326,9 @@
         }
     };
     let message = RouteConfiguration {
-        name: names::routes(&shape.service),
+        name: names::routes(&config.service),
         virtual_hosts: vec![VirtualHost {
-            name: names::routes(&shape.service),
+            name: names::routes(&config.service),
             domains: vec!["*".into()],
             routes: ways.iter().enumerate().map(route).collect(),
             ..VirtualHost::default()
--- a/crates/xds/src/session.rs
+++ b/crates/xds/src/session.rs
@@ -10,7 +10,7 @@
 use crate::pb::discovery::{
     DeltaDiscoveryRequest, DeltaDiscoveryResponse, DiscoveryRequest, DiscoveryResponse, Resource,
 };
-use crate::resources::{self, Shape, Versioned};
+use crate::resources::{self, ServiceConfig, Versioned};
 use dahliapoint_control::{ClassPolicy, Line, LineState, Message, RetryPolicy, Scope};
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -104,7 +104,7 @@
 }
 
 pub struct Session {
-    shape: Arc<Shape>,
+    config: Arc<ServiceConfig>,
     flavour: Flavour,
     kinds: [Kind; 4],
     joined: bool,
@@ -125,14 +125,14 @@
 }
 
 impl Session {
-    pub fn new(shape: Arc<Shape>, flavour: Flavour) -> Session {
+    pub fn new(config: Arc<ServiceConfig>, flavour: Flavour) -> Session {
         let way = ClassPolicy {
             admitted_share: 1.0,
             retry: RetryPolicy::OnProof,
         };
-        let ways = vec![way; shape.classes.len()];
+        let ways = vec![way; config.classes.len()];
         Session {
-            shape,
+            config,
             flavour,
             kinds: Default::default(),
             joined: false,
@@ -267,8 +267,8 @@
 
     fn mark_asked(&mut self, kind: usize, names: &[String]) {
         let there = self.there(kind);
-        let bound = self.bound.map(|p| names::part(&self.shape.service, p));
-        let withdrawn = names::withdrawn(&self.shape.service);
+        let bound = self.bound.map(|p| names::part(&self.config.service, p));
+        let withdrawn = names::withdrawn(&self.config.service);
         let k = &mut self.kinds[kind];
         let there: Vec<_> = there.into_iter().filter(|n| k.covers(n)).collect();
         k.dirty.extend(there);
@@ -362,13 +362,13 @@
             }
         }
         if tries(&self.ways) != before {
-            let name = names::routes(&self.shape.service);
+            let name = names::routes(&self.config.service);
             self.kinds[K_RDS].dirty.insert(name);
         }
         let mut assignments = !message.policies.is_empty();
         match message.scope {
             Scope::Unbound => {
-                let collection = names::withdrawn(&self.shape.service);
+                let collection = names::withdrawn(&self.config.service);
                 for line in &message.lines {
                     let name = names::line(&collection, &line.server);
                     match line.state {
@@ -382,14 +382,14 @@
                 self.bound = Some(part);
                 self.raw.clear();
                 self.lines.clear();
-                let collection = names::part(&self.shape.service, part);
+                let collection = names::part(&self.config.service, part);
                 for line in &message.lines {
                     self.put(&collection, line);
                 }
                 let stem = collection.strip_suffix('*').unwrap_or_default().to_string();
                 // The table now says itself what is withdrawn.
                 self.withdrawn.clear();
-                let out = names::withdrawn(&self.shape.service);
+                let out = names::withdrawn(&self.config.service);
                 let out = out.strip_suffix('*').unwrap_or_default().to_string();
                 let k = &mut self.kinds[K_LEDS];
                 let ours = |n: &&String| n.starts_with(&stem) || n.starts_with(&out);
@@ -400,7 +400,7 @@
                 assignments = true;
             }
             Scope::Changes(part) if self.bound == Some(part) => {
-                let collection = names::part(&self.shape.service, part);
+                let collection = names::part(&self.config.service, part);
                 for line in &message.lines {
                     self.put(&collection, line);
                     self.touch_line(names::line(&collection, &line.server));
@@ -439,10 +439,10 @@
 
     /// All names of a type that there are for this client now.
     fn there(&self, kind: usize) -> Vec<String> {
-        let classes = 0..self.shape.classes.len();
+        let classes = 0..self.config.classes.len();
         match kind {
-            K_CDS | K_EDS => classes.map(|c| self.shape.cluster_name(c)).collect(),
-            K_RDS => vec![names::routes(&self.shape.service)],
+            K_CDS | K_EDS => classes.map(|c| self.config.cluster_name(c)).collect(),
+            K_RDS => vec![names::routes(&self.config.service)],
             _ => {
                 let all = self.lines.keys().chain(self.withdrawn.keys());
                 all.cloned().collect()
@@ -451,12 +451,13 @@
     }
 
     fn find(&self, kind: usize, name: &str) -> Found {
-        let class = || (0..self.shape.classes.len()).find(|c| self.shape.cluster_name(*c) == name);
+        let class =
+            || (0..self.config.classes.len()).find(|c| self.config.cluster_name(*c) == name);
         let or_absent = |v: Option<Versioned>| v.map_or(Found::Absent, Found::There);
         match kind {
-            K_CDS => or_absent(class().map(|c| resources::cluster(&self.shape, c))),
-            K_RDS if name == names::routes(&self.shape.service) => {
-                Found::There(resources::routes(&self.shape, &self.ways))
+            K_CDS => or_absent(class().map(|c| resources::cluster(&self.config, c))),
+            K_RDS if name == names::routes(&self.config.service) => {
+                Found::There(resources::routes(&self.config, &self.ways))
             }
             K_RDS => Found::Absent,
             K_EDS => match (class(), self.bound) {
@@ -465,11 +466,11 @@
                 (Some(_), None) => Found::Withheld,
                 (Some(c), Some(part)) if self.flavour == Flavour::DeltaLeds => {
                     let way = self.ways[c];
-                    Found::There(resources::by_collection(&self.shape, c, part, way))
+                    Found::There(resources::by_collection(&self.config, c, part, way))
                 }
                 (Some(c), Some(_)) => {
                     let lines = self.raw.values();
-                    Found::There(resources::inline(&self.shape, c, lines, self.ways[c]))
+                    Found::There(resources::inline(&self.config, c, lines, self.ways[c]))
                 }
             },
             _ => {
@@ -478,7 +479,7 @@
                     return Found::There(found.clone());
                 }
                 let collection = names::of_line(name).map(|(c, _)| c);
-                let service = &self.shape.service;
+                let service = &self.config.service;
                 let bound = self.bound.map(|p| names::part(service, p));
                 let given = collection.is_some() && collection == bound
                     || collection == Some(names::withdrawn(service));
@@ -496,7 +497,7 @@
     fn complete(&self) -> bool {
         match (self.flavour, self.bound) {
             (Flavour::DeltaLeds, Some(part)) => {
-                let name = names::part(&self.shape.service, part);
+                let name = names::part(&self.config.service, part);
                 self.kinds[K_LEDS].names.contains(&name)
             }
             _ => self.joined,
--- a/crates/xds/tests/protocol.rs
+++ b/crates/xds/tests/protocol.rs
@@ -9,18 +9,18 @@
 use dahliapoint_xds::pb::discovery::{DeltaDiscoveryRequest, DiscoveryRequest};
 use dahliapoint_xds::pb::endpoint::ClusterLoadAssignment;
 use dahliapoint_xds::pb::rpc::Status;
-use dahliapoint_xds::{Answer, Flavour, Session, Shape, XdsClient};
+use dahliapoint_xds::{Answer, Flavour, ServiceConfig, Session, XdsClient};
 use prost::Message as _;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-fn shape() -> Arc<Shape> {
-    Arc::new(Shape {
+fn config() -> Arc<ServiceConfig> {
+    Arc::new(ServiceConfig {
         service: "portal".into(),
         classes: vec!["view".into(), "set".into()],
         zones: vec!["east".into(), "west".into()],
-        connect_ms: 250.0,
-        shares: true,
+        connect_timeout_ms: 250.0,
+        admission_control: true,
     })
 }
 
@@ -64,7 +64,7 @@
 impl Pair {
     fn new() -> Pair {
         let mut pair = Pair {
-            session: Session::new(shape(), Flavour::DeltaLeds),
+            session: Session::new(config(), Flavour::DeltaLeds),
             holder: XdsClient::new("portal", "p1", "east", 10.0),
             responses: vec![],
             answers: vec![],
@@ -81,7 +81,7 @@
     }
 
     fn again(&mut self) {
-        self.session = Session::new(shape(), Flavour::DeltaLeds);
+        self.session = Session::new(config(), Flavour::DeltaLeds);
         self.begin();
     }
 
@@ -321,7 +321,7 @@
 
 #[test]
 fn a_plain_client_gets_whole_assignments_by_the_state_of_the_world() {
-    let mut s = Session::new(shape(), Flavour::Full);
+    let mut s = Session::new(config(), Flavour::Full);
     let ask = |type_url: &str, names: &[&str], nonce: &str, error: bool| DiscoveryRequest {
         type_url: type_url.into(),
         resource_names: names.iter().map(|n| n.to_string()).collect(),
@@ -467,7 +467,7 @@
                         inputs.push(Input::Left(id));
                     }
                     None if draw(2) == 0 || calm => {
-                        let mut session = Session::new(shape(), Flavour::DeltaLeds);
+                        let mut session = Session::new(config(), Flavour::DeltaLeds);
                         for r in holder.initial_requests() {
                             session.asked_delta(&r).unwrap();
                         }
