--- a/crates/daemon/src/life.rs
+++ b/crates/daemon/src/life.rs
@@ -18,7 +18,7 @@
 use dahliapoint_peer::merge::merge_facts;
 use dahliapoint_peer::service::{PeerService, SharedFacts};
 use dahliapoint_peer::{client, messages};
-use dahliapoint_xds::{Front, ServiceConfig};
+use dahliapoint_xds::{ServiceConfig, XdsService};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -44,7 +44,7 @@
 /// A running controller.
 pub struct Daemon {
     server: Server,
-    front: Arc<Front>,
+    front: Arc<XdsService>,
     engine: Engine,
     owner: JoinHandle<()>,
     ending: Arc<AtomicBool>,
@@ -132,7 +132,7 @@
         let engine = Engine::new(clock, seed, terms.report_interval_ms);
         let shared: Arc<dyn ControllerHandle> = Arc::new(engine.clone());
         let shape = ServiceConfig::from_settings(&terms, deployment.connect_ms);
-        let front = Front::new(shape, shared.clone(), 1);
+        let front = XdsService::new(shape, shared.clone(), 1);
         let patience = Duration::from_secs_f64(deployment.stream_patience_ms / 1e3);
         let limits = Limits {
             peer_timeout: patience,
@@ -179,7 +179,7 @@
                     prober.send(server, &address);
                     None
                 }
-                other => front.carry_out(other).and_then(|rest| match &filed {
+                other => front.handle_output(other).and_then(|rest| match &filed {
                     Some(filed) => filed.carry_out(rest),
                     None => Some(rest),
                 }),
@@ -270,7 +270,7 @@
     /// whether every connection had ended in time.
     pub fn end(self, within: Duration) -> bool {
         self.ending.store(true, Ordering::SeqCst);
-        self.front.end();
+        self.front.shut_down();
         let all = self.server.shut_down(Instant::now() + within);
         if let Some((hooking, thread)) = self.hooks {
             hooking.end();
@@ -296,7 +296,7 @@
 
 /// Calls of proxies and people, and of newcomers.
 struct Ways {
-    front: Arc<Front>,
+    front: Arc<XdsService>,
     teller: Option<Arc<PeerService>>,
 }
 
--- a/crates/standins/src/sabotage.rs
+++ b/crates/standins/src/sabotage.rs
@@ -8,7 +8,7 @@
 use dahliapoint_daemon::engine::{Clock, Engine};
 use dahliapoint_daemon::roster::{Look, Watch};
 use dahliapoint_grpc::{Limits, Server};
-use dahliapoint_xds::{ControllerHandle, Front, ServiceConfig};
+use dahliapoint_xds::{ControllerHandle, ServiceConfig, XdsService};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -46,7 +46,7 @@
     let engine = Engine::new(Clock::start(), seed, terms.report_interval_ms);
     let owner: Arc<dyn ControllerHandle> = Arc::new(engine.clone());
     let shape = ServiceConfig::from_settings(&terms, deployment.connect_ms);
-    let front = Front::new(shape, owner.clone(), 1);
+    let front = XdsService::new(shape, owner.clone(), 1);
     let server =
         Server::start(listen, Limits::default(), front.clone()).map_err(|e| e.to_string())?;
     let begun = Instant::now();
@@ -77,7 +77,7 @@
             return None;
         }
         for output in spoiler.spoil(output) {
-            spoil_front.carry_out(output);
+            spoil_front.handle_output(output);
         }
         None
     });
--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -6,18 +6,18 @@
 //! and what a plain client sees that knows no LEDS.
 
 mod client;
-mod front;
 mod lrs;
 pub mod names;
 mod resources;
+mod service;
 mod session;
 mod status;
 
 pub use client::{ReceivedLine, ReceivedTable, XdsClient};
 pub use dahliapoint_control::ControllerHandle;
-pub use front::{Front, Stream};
 pub use lrs::{ClusterLoad, EndpointLoad, read as parse_load_stats, request as load_stats_request};
 pub use resources::{SCALE, ServiceConfig};
+pub use service::{DiscoveryStream, XdsService};
 pub use session::{Answer, Flavour, Session};
 pub use status::{ResourceState, StatusRow, read as parse_client_status};
 
--- a/crates/xds/src/front.rs
+++ b/crates/xds/src/service.rs
@@ -22,7 +22,7 @@
 const UNREAD: std::time::Duration = std::time::Duration::from_secs(10);
 
 /// A discovery stream.
-pub struct Stream {
+pub struct DiscoveryStream {
     pub id: Id,
     pub node: Node,
     state: Mutex<Session>,
@@ -34,7 +34,7 @@
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-impl Stream {
+impl DiscoveryStream {
     pub(crate) fn session(&self) -> MutexGuard<'_, Session> {
         lock(&self.state)
     }
@@ -47,22 +47,26 @@
 
 #[derive(Default)]
 struct Registry {
-    by_id: BTreeMap<Id, Arc<Stream>>,
+    by_id: BTreeMap<Id, Arc<DiscoveryStream>>,
     by_node: HashMap<String, Id>,
 }
 
 /// The front; give it to a gRPC server as its handler.
-pub struct Front {
+pub struct XdsService {
     config: Arc<ServiceConfig>,
     owner: Arc<dyn ControllerHandle>,
     streams: Mutex<Registry>,
     next: AtomicU64,
 }
 
-impl Front {
+impl XdsService {
     /// `first` is the first number of a stream, so that fronts of one controller do not use each other's.
-    pub fn new(config: ServiceConfig, owner: Arc<dyn ControllerHandle>, first: Id) -> Arc<Front> {
-        Arc::new(Front {
+    pub fn new(
+        config: ServiceConfig,
+        owner: Arc<dyn ControllerHandle>,
+        first: Id,
+    ) -> Arc<XdsService> {
+        Arc::new(XdsService {
             config: Arc::new(config),
             owner,
             streams: Mutex::default(),
@@ -71,7 +75,7 @@
     }
 
     /// Carries out what concerns streams of this front; gives back what does not.
-    pub fn carry_out(&self, output: Output) -> Option<Output> {
+    pub fn handle_output(&self, output: Output) -> Option<Output> {
         match output {
             Output::Write(ids, message) => {
                 let mut others = Vec::new();
@@ -97,17 +101,17 @@
         }
     }
 
-    fn stream(&self, id: Id) -> Option<Arc<Stream>> {
+    fn stream(&self, id: Id) -> Option<Arc<DiscoveryStream>> {
         lock(&self.streams).by_id.get(&id).cloned()
     }
 
     /// The streams open now, in the order in which they came.
-    pub fn streams(&self) -> Vec<Arc<Stream>> {
+    pub fn streams(&self) -> Vec<Arc<DiscoveryStream>> {
         lock(&self.streams).by_id.values().cloned().collect()
     }
 
     /// Ends all streams, orderly: proxies dial again, elsewhere or here.
-    pub fn end(&self) {
+    pub fn shut_down(&self) {
         for stream in self.streams() {
             stream.end(Status::new(Code::Unavailable, "the controller ends"));
         }
@@ -141,7 +145,7 @@
             Way::Delta(_) => Flavour::DeltaInline,
         };
         let id = self.next.fetch_add(1, Ordering::SeqCst);
-        let stream = Arc::new(Stream {
+        let stream = Arc::new(DiscoveryStream {
             id,
             node,
             state: Mutex::new(Session::new(self.config.clone(), flavour)),
@@ -179,7 +183,7 @@
 
     fn read(
         &self,
-        stream: &Stream,
+        stream: &DiscoveryStream,
         way: Way,
         first: Request,
         mut inbound: Inbound,
@@ -272,7 +276,7 @@
     }
 }
 
-impl Handler for Front {
+impl Handler for XdsService {
     fn call(&self, call: Call) {
         const DISCOVERY: &str = "/envoy.service.discovery.v3.AggregatedDiscoveryService/";
         const ENDPOINTS: &str = "/envoy.service.endpoint.v3.EndpointDiscoveryService/";
@@ -357,7 +361,11 @@
     }
 }
 
-fn tell(stream: &Stream, owner: &dyn ControllerHandle, answers: Vec<Answer>) -> Result<(), Status> {
+fn tell(
+    stream: &DiscoveryStream,
+    owner: &dyn ControllerHandle,
+    answers: Vec<Answer>,
+) -> Result<(), Status> {
     for answer in answers {
         let input = match answer {
             Answer::Joined => {
@@ -387,7 +395,7 @@
 }
 
 /// Writes what the session has, until the stream ends.
-fn write(stream: &Stream, way: Way, mut outbound: Outbound, owner: &dyn ControllerHandle) {
+fn write(stream: &DiscoveryStream, way: Way, mut outbound: Outbound, owner: &dyn ControllerHandle) {
     loop {
         let (next, answers) = {
             let mut session = stream.session();
--- a/crates/xds/src/status.rs
+++ b/crates/xds/src/status.rs
@@ -1,12 +1,12 @@
 //! Client status (CSDS): what each proxy was sent and has acknowledged, and the controller's own state
 //! as a resource of a node of its own. Written here by the server, read here by `dahliapoint status`.
 
-use crate::front::Front;
 use crate::pb::admin::{ClientResourceStatus, UpdateFailureState};
 use crate::pb::core::Node;
 use crate::pb::protobuf::{Any, ListValue, Struct, Value, value::Kind};
 use crate::pb::status::client_config::GenericXdsConfig;
 use crate::pb::status::{ClientConfig, ClientStatusRequest, ClientStatusResponse, ConfigStatus};
+use crate::service::XdsService;
 use dahliapoint_grpc::{Call, Code, Status};
 use prost::Message;
 use serde::Serialize;
@@ -16,7 +16,7 @@
 const OVERVIEW: &str = "overview";
 const STRUCT_URL: &str = "type.googleapis.com/google.protobuf.Struct";
 
-pub(crate) fn serve(front: &Front, call: Call, once: bool) {
+pub(crate) fn serve(service: &XdsService, call: Call, once: bool) {
     let Call {
         mut inbound,
         mut outbound,
@@ -29,7 +29,7 @@
                     let why = "all nodes are told; matchers are not served";
                     break Status::new(Code::Unimplemented, why);
                 }
-                if let Err(status) = outbound.send(&answer(front)) {
+                if let Err(status) = outbound.send(&answer(service)) {
                     break status;
                 }
             }
@@ -43,7 +43,7 @@
     outbound.finish(&status);
 }
 
-fn answer(front: &Front) -> ClientStatusResponse {
+fn answer(service: &XdsService) -> ClientStatusResponse {
     let itself = ClientConfig {
         node: Some(Node {
             id: ITSELF.into(),
@@ -54,13 +54,13 @@
             name: OVERVIEW.into(),
             xds_config: Some(Any {
                 type_url: STRUCT_URL.into(),
-                value: to_struct(&front.overview()).encode_to_vec(),
+                value: to_struct(&service.overview()).encode_to_vec(),
             }),
             ..GenericXdsConfig::default()
         }],
         ..ClientConfig::default()
     };
-    let client = |stream: std::sync::Arc<crate::front::Stream>| {
+    let client = |stream: std::sync::Arc<crate::service::DiscoveryStream>| {
         let rows = stream.session().rows();
         let configs = rows.into_iter().map(|row| {
             let (status, told) = match (&row.refusal, row.acked) {
@@ -88,7 +88,7 @@
             ..ClientConfig::default()
         }
     };
-    let clients = front.streams().into_iter().map(client);
+    let clients = service.streams().into_iter().map(client);
     ClientStatusResponse {
         config: std::iter::once(itself).chain(clients).collect(),
     }
