--- a/crates/daemon/src/deployment.rs
+++ b/crates/daemon/src/deployment.rs
@@ -11,7 +11,7 @@
 use dahliapoint_hooks::host::Bounds;
 use dahliapoint_hooks::run::Allowance;
 use dahliapoint_import::Kind;
-use dahliapoint_xds::{RESPONSES_BY_JOINING, RESPONSES_BY_MESSAGE};
+use dahliapoint_xds::{MAX_RESPONSES_PER_JOIN, MAX_RESPONSES_PER_MESSAGE};
 use dahliapoint_yaml::{Faults, FieldReader, read};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -144,10 +144,10 @@
         .number(0.0..=1000.0, Some(3.0));
     let most = channel.field("most_messages");
     let most_messages = most.number(0.0..=1e6, Some(0.0));
-    let least = RESPONSES_BY_JOINING + 4.0 * RESPONSES_BY_MESSAGE;
+    let least = MAX_RESPONSES_PER_JOIN + 4.0 * MAX_RESPONSES_PER_MESSAGE;
     if most_messages > 0.0 && most_messages < least {
         most.add_fault(format!(
-            "0 for no limit, or at least {least}: a joining takes {RESPONSES_BY_JOINING}"
+            "0 for no limit, or at least {least}: a joining takes {MAX_RESPONSES_PER_JOIN}"
         ));
     }
     let message_span_ms = channel
@@ -275,8 +275,8 @@
             message_overhead_lines: message_lines,
             max_messages: most_messages,
             message_window_ms: message_span_ms,
-            writes_per_message: RESPONSES_BY_MESSAGE,
-            writes_per_join: RESPONSES_BY_JOINING,
+            writes_per_message: MAX_RESPONSES_PER_MESSAGE,
+            writes_per_join: MAX_RESPONSES_PER_JOIN,
             idle_timeout_ms: idle_ms,
             initial_servers: standing_lines,
             default_visits_per_s: usual_pace,
--- a/crates/daemon/tests/interop.rs
+++ b/crates/daemon/tests/interop.rs
@@ -111,7 +111,7 @@
     let given = next(&mut stream).await.unwrap();
     assert_eq!((given.type_url.as_str(), given.resources.len()), (EDS, 1));
     say.send(ack(&given)).await.unwrap();
-    let part = names::part("portal", 0);
+    let part = names::part_collection("portal", 0);
     say.send(ask(LEDS, &[&part])).await.unwrap();
     let lines = next(&mut stream).await.unwrap();
     let versions: Vec<_> = lines.resources.iter().map(|r| r.version.as_str()).collect();
--- a/crates/proxy/src/filed.rs
+++ b/crates/proxy/src/filed.rs
@@ -11,7 +11,7 @@
 use dahliapoint_files::seal::Keys;
 use dahliapoint_files::spool::Mouth;
 use dahliapoint_files::words::{Ack, Beat, ClassMet, Met, Told};
-use dahliapoint_xds::{ClusterLoad, ReceivedLine, ReceivedTable, SCALE, names};
+use dahliapoint_xds::{ClusterLoad, ReceivedLine, ReceivedTable, WEIGHT_SCALE, names};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
@@ -335,7 +335,7 @@
     let lines = table.lines.values().map(|l| ReceivedLine {
         server: l.server.clone(),
         address: l.address.clone(),
-        weight: (l.weight * SCALE).round().max(1.0) as u32,
+        weight: (l.weight * WEIGHT_SCALE).round().max(1.0) as u32,
         open: table.is_open(l),
     });
     let classes = table.classes.iter();
--- a/crates/proxy/tests/matrix.rs
+++ b/crates/proxy/tests/matrix.rs
@@ -280,7 +280,7 @@
         let value: Vec<u8> = (0..length).map(|_| (chance.draw() * 256.0) as u8).collect();
         let kind = types[(chance.draw() * 4.0) as usize % 4];
         let resource = Resource {
-            name: names::part("s", i % 3).replace('*', "x"),
+            name: names::part_collection("s", i % 3).replace('*', "x"),
             resource: Some(Any {
                 type_url: kind.into(),
                 value: mangled(&[&value[..], b"\x0a\x03abc"].concat(), &mut chance),
--- a/crates/xds/src/client.rs
+++ b/crates/xds/src/client.rs
@@ -100,7 +100,7 @@
     pub fn initial_requests(&mut self) -> Vec<DeltaDiscoveryRequest> {
         let held = |t: &'static str| self.versions[t].clone().into_iter().collect();
         let classes: Vec<String> = self.versions[CDS].keys().cloned().collect();
-        let mut collections = vec![names::withdrawn(&self.service)];
+        let mut collections = vec![names::withdrawn_collection(&self.service)];
         let given = [self.active.clone(), self.wanted()];
         collections.extend(given.into_iter().flatten());
         collections.dedup();
@@ -261,11 +261,11 @@
     }
 
     fn take_lines(&mut self, response: &DeltaDiscoveryResponse) -> Option<DeltaDiscoveryRequest> {
-        let withdrawn = names::withdrawn(&self.service);
+        let withdrawn = names::withdrawn_collection(&self.service);
         let mut came = false;
         let wanted = self.wanted();
         for r in &response.resources {
-            let Some((line, (collection, _))) = line_of(r).zip(names::of_line(&r.name)) else {
+            let Some((line, (collection, _))) = line_of(r).zip(names::parse_line(&r.name)) else {
                 continue;
             };
             came |= Some(&collection) == wanted.as_ref();
@@ -276,7 +276,7 @@
             }
         }
         for name in &response.removed_resources {
-            match names::of_line(name) {
+            match names::parse_line(name) {
                 Some((collection, server)) if collection == withdrawn => {
                     self.shut.remove(&server);
                 }
--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -16,7 +16,7 @@
 pub use client::{ReceivedLine, ReceivedTable, XdsClient};
 pub use dahliapoint_control::ControllerHandle;
 pub use lrs::{ClusterLoad, EndpointLoad, read as parse_load_stats, request as load_stats_request};
-pub use resources::{SCALE, ServiceConfig};
+pub use resources::{ServiceConfig, WEIGHT_SCALE};
 pub use service::{DiscoveryStream, XdsService};
 pub use session::{Answer, Flavour, Session};
 pub use status::{ResourceState, StatusRow, read as parse_client_status};
@@ -43,5 +43,5 @@
 
 /// Responses that one message of the controller becomes at most, and those of a joining: clusters,
 /// routes, assignments, lines, withdrawals.
-pub const RESPONSES_BY_MESSAGE: f64 = 3.0;
-pub const RESPONSES_BY_JOINING: f64 = 6.0;
+pub const MAX_RESPONSES_PER_MESSAGE: f64 = 3.0;
+pub const MAX_RESPONSES_PER_JOIN: f64 = 6.0;
--- a/crates/xds/src/names.rs
+++ b/crates/xds/src/names.rs
@@ -50,12 +50,12 @@
 }
 
 /// The collection of a part's lines.
-pub fn part(service: &str, part: usize) -> String {
+pub fn part_collection(service: &str, part: usize) -> String {
     format!("{LINES}/{}/part-{part}/*", escape(service))
 }
 
 /// The collection of servers withdrawn for proxies on tables of their own.
-pub fn withdrawn(service: &str) -> String {
+pub fn withdrawn_collection(service: &str) -> String {
     format!("{LINES}/{}/withdrawn/*", escape(service))
 }
 
@@ -66,7 +66,7 @@
 }
 
 /// The collection that a line is in, and its server.
-pub fn of_line(name: &str) -> Option<(String, String)> {
+pub fn parse_line(name: &str) -> Option<(String, String)> {
     let at = name.rfind('/')?;
     let server = unescape(&name[at + 1..])?;
     Some((format!("{}/*", &name[..at]), server))
@@ -84,7 +84,7 @@
 
     #[test]
     fn any_server_has_a_name_of_its_own_and_back() {
-        let collection = part("plan portal/ü", 3);
+        let collection = part_collection("plan portal/ü", 3);
         let odd = [
             "a",
             "",
@@ -98,7 +98,7 @@
         let mut seen = std::collections::BTreeSet::new();
         for server in odd {
             let name = line(&collection, server);
-            assert_eq!(of_line(&name), Some((collection.clone(), server.into())));
+            assert_eq!(parse_line(&name), Some((collection.clone(), server.into())));
             assert!(seen.insert(name));
         }
         assert_eq!(
--- a/crates/xds/src/resources.rs
+++ b/crates/xds/src/resources.rs
@@ -29,7 +29,7 @@
 
 /// Whole weights on the wire for a weight of 1. Rounding is to the nearest, to no less than 1 while a
 /// line is in the table: a weight of 0.01 is off by half a hundredth at most.
-pub const SCALE: f64 = 10_000.0;
+pub const WEIGHT_SCALE: f64 = 10_000.0;
 /// The heaviest line: forty of them stay below the specification's limit on a locality's sum.
 const HEAVIEST: f64 = 1e8;
 
@@ -89,7 +89,7 @@
 
 /// A weight as it goes over the wire.
 pub fn scaled(weight: f64) -> u32 {
-    (weight * SCALE).round().clamp(1.0, HEAVIEST) as u32
+    (weight * WEIGHT_SCALE).round().clamp(1.0, HEAVIEST) as u32
 }
 
 pub fn address_of(text: &str) -> Address {
@@ -212,7 +212,7 @@
                     leds_config: Some(source(ConfigSourceSpecifier::Ads(
                         AggregatedConfigSource::default(),
                     ))),
-                    leds_collection_name: names::part(&config.service, part),
+                    leds_collection_name: names::part_collection(&config.service, part),
                 },
             )),
             ..LocalityLbEndpoints::default()
--- a/crates/xds/src/session.rs
+++ b/crates/xds/src/session.rs
@@ -267,8 +267,10 @@
 
     fn mark_asked(&mut self, kind: usize, names: &[String]) {
         let there = self.there(kind);
-        let bound = self.bound.map(|p| names::part(&self.config.service, p));
-        let withdrawn = names::withdrawn(&self.config.service);
+        let bound = self
+            .bound
+            .map(|p| names::part_collection(&self.config.service, p));
+        let withdrawn = names::withdrawn_collection(&self.config.service);
         let k = &mut self.kinds[kind];
         let there: Vec<_> = there.into_iter().filter(|n| k.covers(n)).collect();
         k.dirty.extend(there);
@@ -368,7 +370,7 @@
         let mut assignments = !message.policies.is_empty();
         match message.scope {
             Scope::Unbound => {
-                let collection = names::withdrawn(&self.config.service);
+                let collection = names::withdrawn_collection(&self.config.service);
                 for line in &message.lines {
                     let name = names::line(&collection, &line.server);
                     match line.state {
@@ -382,14 +384,14 @@
                 self.bound = Some(part);
                 self.raw.clear();
                 self.lines.clear();
-                let collection = names::part(&self.config.service, part);
+                let collection = names::part_collection(&self.config.service, part);
                 for line in &message.lines {
                     self.put(&collection, line);
                 }
                 let stem = collection.strip_suffix('*').unwrap_or_default().to_string();
                 // The table now says itself what is withdrawn.
                 self.withdrawn.clear();
-                let out = names::withdrawn(&self.config.service);
+                let out = names::withdrawn_collection(&self.config.service);
                 let out = out.strip_suffix('*').unwrap_or_default().to_string();
                 let k = &mut self.kinds[K_LEDS];
                 let ours = |n: &&String| n.starts_with(&stem) || n.starts_with(&out);
@@ -400,7 +402,7 @@
                 assignments = true;
             }
             Scope::Changes(part) if self.bound == Some(part) => {
-                let collection = names::part(&self.config.service, part);
+                let collection = names::part_collection(&self.config.service, part);
                 for line in &message.lines {
                     self.put(&collection, line);
                     self.touch_line(names::line(&collection, &line.server));
@@ -478,11 +480,11 @@
                 if let Some(found) = found {
                     return Found::There(found.clone());
                 }
-                let collection = names::of_line(name).map(|(c, _)| c);
+                let collection = names::parse_line(name).map(|(c, _)| c);
                 let service = &self.config.service;
-                let bound = self.bound.map(|p| names::part(service, p));
+                let bound = self.bound.map(|p| names::part_collection(service, p));
                 let given = collection.is_some() && collection == bound
-                    || collection == Some(names::withdrawn(service));
+                    || collection == Some(names::withdrawn_collection(service));
                 match collection {
                     Some(c) if !given && is_part(&c) => Found::Withheld,
                     // Lifted only with the lines that take its place, never before them.
@@ -497,7 +499,7 @@
     fn complete(&self) -> bool {
         match (self.flavour, self.bound) {
             (Flavour::DeltaLeds, Some(part)) => {
-                let name = names::part(&self.config.service, part);
+                let name = names::part_collection(&self.config.service, part);
                 self.kinds[K_LEDS].names.contains(&name)
             }
             _ => self.joined,
--- a/crates/xds/tests/protocol.rs
+++ b/crates/xds/tests/protocol.rs
@@ -529,7 +529,7 @@
                 .filter(|s| s.part == p.part && s.weight > 0.0);
             let mut wanted: Vec<_> = there
                 .map(|s| {
-                    let weight = (s.weight * dahliapoint_xds::SCALE).round() as u32;
+                    let weight = (s.weight * dahliapoint_xds::WEIGHT_SCALE).round() as u32;
                     (s.name.to_string(), weight, !s.withdrawn)
                 })
                 .collect();
@@ -548,7 +548,7 @@
 
 #[test]
 fn names_that_look_like_others_stay_apart() {
-    let collection = names::part("portal", 1);
+    let collection = names::part_collection("portal", 1);
     let mut p = Pair::new();
     let odd = [
         ("a/b", 1.0, Open),
