--- a/crates/yaml/src/lib.rs
+++ b/crates/yaml/src/lib.rs
@@ -10,7 +10,7 @@
 use std::ops::RangeInclusive;
 
 /// Bytes that a file may have: it is read at once.
-const MOST_BYTES: usize = 16 << 20;
+const MAX_FILE_BYTES: usize = 16 << 20;
 
 /// One thing that is wrong.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -18,7 +18,7 @@
     pub file: String,
     pub line: u64,
     pub field: String,
-    pub wanted: String,
+    pub message: String,
 }
 
 impl fmt::Display for Fault {
@@ -27,11 +27,11 @@
             file,
             line,
             field,
-            wanted,
+            message,
         } = self;
         match field.is_empty() {
-            true => write!(f, "{file}:{line}: {wanted}"),
-            false => write!(f, "{file}:{line}: {field}: {wanted}"),
+            true => write!(f, "{file}:{line}: {message}"),
+            false => write!(f, "{file}:{line}: {field}: {message}"),
         }
     }
 }
@@ -75,9 +75,9 @@
     }
 }
 
-struct Any;
+struct TreeVisitor;
 
-impl<'de> Visitor<'de> for Any {
+impl<'de> Visitor<'de> for TreeVisitor {
     type Value = Tree;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -131,7 +131,7 @@
 
 impl<'de> Deserialize<'de> for Tree {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Tree, D::Error> {
-        from.deserialize_any(Any)
+        from.deserialize_any(TreeVisitor)
     }
 }
 
@@ -144,24 +144,27 @@
     text: &str,
     reader: impl FnOnce(&FieldReader) -> T,
 ) -> Result<T, Faults> {
-    let alone = |line, wanted: String| {
+    let single_fault = |line, message: String| {
         Faults(vec![Fault {
             file: file.to_string(),
             line,
             field: String::new(),
-            wanted,
+            message,
         }])
     };
-    if text.len() > MOST_BYTES {
-        return Err(alone(1, format!("a file of at most {MOST_BYTES} bytes")));
+    if text.len() > MAX_FILE_BYTES {
+        return Err(single_fault(
+            1,
+            format!("a file of at most {MAX_FILE_BYTES} bytes"),
+        ));
     }
     // As YAML 1.2 has it: a server may be called `y` or `on`.
-    let words = serde_saphyr::options! { strict_booleans: true };
-    let root: Node = serde_saphyr::from_str_with_options(text, words).map_err(|e| {
+    let options = serde_saphyr::options! { strict_booleans: true };
+    let root: Node = serde_saphyr::from_str_with_options(text, options).map_err(|e| {
         let line = e.location().map_or(1, |l| l.line());
-        let said = e.to_string();
-        let said = said.lines().next().unwrap_or("not YAML").to_string();
-        alone(line, said)
+        let message = e.to_string();
+        let message = message.lines().next().unwrap_or("not YAML").to_string();
+        single_fault(line, message)
     })?;
     let faults = RefCell::new(Vec::new());
     let out = reader(&FieldReader {
@@ -170,7 +173,7 @@
         node: Some(&root),
         line: root.line,
         path: String::new(),
-        read: RefCell::default(),
+        fields_read: RefCell::default(),
     });
     let mut faults = faults.into_inner();
     if faults.is_empty() {
@@ -189,17 +192,17 @@
     node: Option<&'a Node>,
     line: u64,
     path: String,
-    read: RefCell<BTreeSet<String>>,
+    fields_read: RefCell<BTreeSet<String>>,
 }
 
 impl<'a> FieldReader<'a> {
     /// Notes a fault here.
-    pub fn add_fault(&self, wanted: impl Into<String>) {
+    pub fn add_fault(&self, message: impl Into<String>) {
         self.faults.borrow_mut().push(Fault {
             file: self.file.to_string(),
             line: self.line,
             field: self.path.clone(),
-            wanted: wanted.into(),
+            message: message.into(),
         });
     }
 
@@ -215,7 +218,7 @@
 
     /// The place of a field; the fields read are the ones allowed (see [`FieldReader::deny_unknown_fields`]).
     pub fn field(&self, name: &str) -> FieldReader<'a> {
-        self.read.borrow_mut().insert(name.to_string());
+        self.fields_read.borrow_mut().insert(name.to_string());
         let found = match self.tree() {
             Some(Tree::Map(pairs)) => {
                 let named = |n: &Node| matches!(&n.tree, Tree::Text(t) if t == name);
@@ -232,13 +235,13 @@
                 true => name.to_string(),
                 false => format!("{}.{name}", self.path),
             },
-            read: RefCell::default(),
+            fields_read: RefCell::default(),
         }
     }
 
     /// To be called when all fields of a map were read: others are faults, and so is anything but a map.
     pub fn deny_unknown_fields(&self) {
-        let read = self.read.borrow();
+        let fields_read = self.fields_read.borrow();
         match self.tree() {
             None => {}
             Some(Tree::Map(pairs)) => {
@@ -247,8 +250,8 @@
                         Tree::Text(t) => t.clone(),
                         other => format!("{other:?}"),
                     };
-                    if !read.contains(&name) {
-                        let known: Vec<&str> = read.iter().map(String::as_str).collect();
+                    if !fields_read.contains(&name) {
+                        let known: Vec<&str> = fields_read.iter().map(String::as_str).collect();
                         let field = match self.path.is_empty() {
                             true => name,
                             false => format!("{}.{name}", self.path),
@@ -257,7 +260,7 @@
                             file: self.file.to_string(),
                             line: key.line,
                             field,
-                            wanted: format!("no such field; there are {}", known.join(", ")),
+                            message: format!("no such field; there are {}", known.join(", ")),
                         });
                     }
                 }
@@ -266,29 +269,29 @@
         }
     }
 
-    fn get<T>(
+    fn value_or_default<T>(
         &self,
-        usual: Option<T>,
-        wanted: &str,
+        default: Option<T>,
+        expected: &str,
         read: impl Fn(&Tree) -> Option<T>,
     ) -> Option<T> {
-        match (self.tree(), usual) {
-            (None, Some(usual)) => Some(usual),
+        match (self.tree(), default) {
+            (None, Some(default)) => Some(default),
             (None, None) => {
-                self.add_fault(format!("{wanted} is wanted; nothing is there"));
+                self.add_fault(format!("{expected} is wanted; nothing is there"));
                 None
             }
-            (Some(tree), usual) => read(tree).or_else(|| {
-                self.add_fault(format!("{wanted} is wanted"));
-                usual
+            (Some(tree), default) => read(tree).or_else(|| {
+                self.add_fault(format!("{expected} is wanted"));
+                default
             }),
         }
     }
 
     /// A number within a range; the usual one where nothing stands, if there is a usual one.
-    pub fn number(&self, range: RangeInclusive<f64>, usual: Option<f64>) -> f64 {
+    pub fn number(&self, range: RangeInclusive<f64>, default: Option<f64>) -> f64 {
         let (low, high) = (range.start(), range.end());
-        let wanted = match high.is_finite() {
+        let expected = match high.is_finite() {
             true => format!("a number from {low} to {high}"),
             false => format!("a number from {low} up"),
         };
@@ -296,58 +299,63 @@
             Tree::Number(n) if n.is_finite() && range.contains(n) => Some(*n),
             _ => None,
         };
-        self.get(usual, &wanted, read).unwrap_or(*low)
+        self.value_or_default(default, &expected, read)
+            .unwrap_or(*low)
     }
 
     /// A time in milliseconds, written with its unit.
-    pub fn duration_ms(&self, range_ms: RangeInclusive<f64>, usual_ms: Option<f64>) -> f64 {
+    pub fn duration_ms(&self, range_ms: RangeInclusive<f64>, default_ms: Option<f64>) -> f64 {
         let (low, high) = (range_ms.start(), range_ms.end());
-        let wanted = format!("a time such as 250ms, 2s or 1m, from {low}ms to {high}ms");
+        let expected = format!("a time such as 250ms, 2s or 1m, from {low}ms to {high}ms");
         let read = |t: &Tree| match t {
             Tree::Text(text) => parse_duration_ms(text).filter(|ms| range_ms.contains(ms)),
             _ => None,
         };
-        self.get(usual_ms, &wanted, read).unwrap_or(*low)
+        self.value_or_default(default_ms, &expected, read)
+            .unwrap_or(*low)
     }
 
-    pub fn boolean(&self, usual: Option<bool>) -> bool {
+    pub fn boolean(&self, default: Option<bool>) -> bool {
         let read = |t: &Tree| match t {
             Tree::Flag(b) => Some(*b),
             _ => None,
         };
-        self.get(usual, "true or false", read).unwrap_or(false)
+        self.value_or_default(default, "true or false", read)
+            .unwrap_or(false)
     }
 
     /// A text that is not empty; numbers are taken as they are written.
-    pub fn string(&self, usual: Option<&str>) -> String {
+    pub fn string(&self, default: Option<&str>) -> String {
         let read = |t: &Tree| match t {
             Tree::Text(text) if !text.is_empty() => Some(text.clone()),
             Tree::Number(n) => Some(n.to_string()),
             _ => None,
         };
-        let usual = usual.map(str::to_string);
-        self.get(usual, "a text", read).unwrap_or_default()
+        let default = default.map(str::to_string);
+        self.value_or_default(default, "a text", read)
+            .unwrap_or_default()
     }
 
     /// One of some words.
-    pub fn choice<T: Copy>(&self, words: &[(&str, T)], usual: Option<T>) -> T {
+    pub fn choice<T: Copy>(&self, words: &[(&str, T)], default: Option<T>) -> T {
         let names: Vec<&str> = words.iter().map(|w| w.0).collect();
-        let wanted = format!("one of {}", names.join(", "));
+        let expected = format!("one of {}", names.join(", "));
         let read = |t: &Tree| match t {
             Tree::Text(text) => words.iter().find(|w| w.0 == text).map(|w| w.1),
             _ => None,
         };
-        self.get(usual, &wanted, read).unwrap_or(words[0].1)
+        self.value_or_default(default, &expected, read)
+            .unwrap_or(words[0].1)
     }
 
     /// A text that a function can read.
     pub fn parsed<T>(
         &self,
-        wanted: &str,
-        usual: Option<T>,
+        expected: &str,
+        default: Option<T>,
         read: impl Fn(&str) -> Option<T>,
     ) -> Option<T> {
-        self.get(usual, wanted, |t| match t {
+        self.value_or_default(default, expected, |t| match t {
             Tree::Text(text) => read(text),
             _ => None,
         })
@@ -364,7 +372,7 @@
                     node: Some(node),
                     line: node.line,
                     path: format!("{}[{i}]", self.path),
-                    read: RefCell::default(),
+                    fields_read: RefCell::default(),
                 };
                 nodes.iter().enumerate().map(place).collect()
             }
@@ -417,8 +425,8 @@
     fn what_is_written_is_read() {
         let text = "name: portal\nzones: [a, b]\nchannel:\n  lines: 7\n  way: 1.5s\n";
         let zones = vec!["a".to_string(), "b".to_string()];
-        let wanted = (7.0, 1500.0, "portal".to_string(), zones);
-        assert_eq!(read("f", text, sample), Ok(wanted));
+        let expected = (7.0, 1500.0, "portal".to_string(), zones);
+        assert_eq!(read("f", text, sample), Ok(expected));
         assert_eq!(
             read("f", "name: p\nchannel: {lines: 1}", sample).unwrap().1,
             200.0
@@ -429,12 +437,12 @@
     fn all_faults_are_told_at_once_with_their_lines() {
         let text = "nam: portal\nzones: x\nchannel:\n  lines: 700\n  way: 15\n  more: 1\n";
         let faults = read("f.yaml", text, sample).unwrap_err();
-        let told: Vec<(u64, &str)> = faults
+        let reported: Vec<(u64, &str)> = faults
             .0
             .iter()
             .map(|f| (f.line, f.field.as_str()))
             .collect();
-        let wanted = [
+        let expected = [
             (1, "nam"),
             (1, "name"),
             (2, "zones"),
@@ -442,9 +450,9 @@
             (5, "channel.way"),
             (6, "channel.more"),
         ];
-        assert_eq!(told, wanted);
-        let said = faults.to_string();
-        assert!(said.contains("f.yaml:4: channel.lines: a number from 1 to 100 is wanted"));
+        assert_eq!(reported, expected);
+        let message = faults.to_string();
+        assert!(message.contains("f.yaml:4: channel.lines: a number from 1 to 100 is wanted"));
     }
 
     #[test]
@@ -460,7 +468,7 @@
             let faults = read("f", text, |at| at.field("a").list().len());
             assert!(faults.is_err(), "{text:?}");
         }
-        assert!(read("f", &"x".repeat(MOST_BYTES + 1), |_| ()).is_err());
+        assert!(read("f", &"x".repeat(MAX_FILE_BYTES + 1), |_| ()).is_err());
     }
 
     #[test]
@@ -476,8 +484,8 @@
             ("1 year", None),
             ("infs", None),
         ];
-        for (text, wanted) in cases {
-            assert_eq!(parse_duration_ms(text), wanted, "{text}");
+        for (text, expected) in cases {
+            assert_eq!(parse_duration_ms(text), expected, "{text}");
         }
     }
 }
