--- a/crates/yaml/src/lib.rs
+++ b/crates/yaml/src/lib.rs
@@ -1,6 +1,6 @@
-//! YAML as the project's programs read it: parsed by a library into a tree that knows its lines, then
-//! read field by field. Every fault is noted with file, line, field and what is wanted, and all of them
-//! are told at once; a field that nobody reads is a fault too.
+//! Reader of YAML settings. A library parses the text into a tree with line numbers, and [`read`] takes
+//! values from it field by field. Each fault is recorded with its file, line, field and a message, and
+//! all faults are returned together. A field that the reader never asked for is a fault as well.
 
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_saphyr::Spanned;
@@ -9,15 +9,19 @@
 use std::fmt;
 use std::ops::RangeInclusive;
 
-/// Bytes that a file may have: it is read at once.
+/// Largest text that [`read`] accepts; the whole file is held in memory.
 const MAX_FILE_BYTES: usize = 16 << 20;
 
-/// One thing that is wrong.
+/// One fault of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fault {
+    /// Name of the file as given to [`read`].
     pub file: String,
+    /// Line number, from 1.
     pub line: u64,
+    /// Path of the field, such as `channel.lines` or `zones[2]`; empty if the fault is of the whole file.
     pub field: String,
+    /// What is expected or what is wrong.
     pub message: String,
 }
 
@@ -36,7 +40,7 @@
     }
 }
 
-/// All that is wrong, in the order of lines; a line of text each.
+/// All faults of a file, ordered by line. Displayed as one line of text for each fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Faults(pub Vec<Fault>);
 
@@ -49,6 +53,7 @@
 
 impl std::error::Error for Faults {}
 
+/// A parsed YAML value. The names of the variants appear in faults about keys that are not text.
 #[derive(Clone, Debug)]
 enum Tree {
     Nothing,
@@ -59,6 +64,7 @@
     Map(Vec<(Node, Node)>),
 }
 
+/// A value and the line that it starts on.
 #[derive(Clone, Debug)]
 struct Node {
     line: u64,
@@ -75,6 +81,7 @@
     }
 }
 
+/// Builds a [`Tree`] from whatever the parser finds.
 struct TreeVisitor;
 
 impl<'de> Visitor<'de> for TreeVisitor {
@@ -135,10 +142,10 @@
     }
 }
 
-/// Reads a text with a reader of its fields.
+/// Parses a text and passes its root to `reader`, which reads the fields. `file` names the text in faults.
 ///
 /// # Errors
-/// All faults: of the text as YAML, or those that the reader noted.
+/// The fault of a text that is too large or not YAML, otherwise all faults that `reader` recorded.
 pub fn read<T>(
     file: &str,
     text: &str,
@@ -155,10 +162,10 @@
     if text.len() > MAX_FILE_BYTES {
         return Err(single_fault(
             1,
-            format!("a file of at most {MAX_FILE_BYTES} bytes"),
+            format!("the file is larger than {MAX_FILE_BYTES} bytes"),
         ));
     }
-    // As YAML 1.2 has it: a server may be called `y` or `on`.
+    // Booleans by YAML 1.2, where `y` and `on` are strings: a server may have such a name.
     let options = serde_saphyr::options! { strict_booleans: true };
     let root: Node = serde_saphyr::from_str_with_options(text, options).map_err(|e| {
         let line = e.location().map_or(1, |l| l.line());
@@ -185,7 +192,7 @@
     Err(Faults(faults))
 }
 
-/// A place in the tree; a missing field is a place too, so that readers need not ask.
+/// Reads the value of one field. A missing field has a reader too, so callers need no check for presence.
 pub struct FieldReader<'a> {
     file: &'a str,
     faults: &'a RefCell<Vec<Fault>>,
@@ -196,7 +203,7 @@
 }
 
 impl<'a> FieldReader<'a> {
-    /// Notes a fault here.
+    /// Records a fault of this field.
     pub fn add_fault(&self, message: impl Into<String>) {
         self.faults.borrow_mut().push(Fault {
             file: self.file.to_string(),
@@ -206,17 +213,18 @@
         });
     }
 
-    /// Whether anything stands here.
+    /// Whether the field is present and not null.
     pub fn is_present(&self) -> bool {
         self.node.is_some_and(|n| !matches!(n.tree, Tree::Nothing))
     }
 
+    /// The value, if the field is present and not null.
     fn tree(&self) -> Option<&'a Tree> {
-        let there = self.node.map(|n| &n.tree);
-        there.filter(|t| !matches!(t, Tree::Nothing))
+        let tree = self.node.map(|n| &n.tree);
+        tree.filter(|t| !matches!(t, Tree::Nothing))
     }
 
-    /// The place of a field; the fields read are the ones allowed (see [`FieldReader::deny_unknown_fields`]).
+    /// The reader of a field of this map. The name counts as known to [`FieldReader::deny_unknown_fields`].
     pub fn field(&self, name: &str) -> FieldReader<'a> {
         self.fields_read.borrow_mut().insert(name.to_string());
         let found = match self.tree() {
@@ -239,7 +247,8 @@
         }
     }
 
-    /// To be called when all fields of a map were read: others are faults, and so is anything but a map.
+    /// Records a fault for each field that [`FieldReader::field`] was not called with, and for a value that is
+    /// not a map. Call it after all fields of a map were read.
     pub fn deny_unknown_fields(&self) {
         let fields_read = self.fields_read.borrow();
         match self.tree() {
@@ -260,15 +269,20 @@
                             file: self.file.to_string(),
                             line: key.line,
                             field,
-                            message: format!("no such field; there are {}", known.join(", ")),
+                            message: format!(
+                                "unknown field; known fields are {}",
+                                known.join(", ")
+                            ),
                         });
                     }
                 }
             }
-            Some(_) => self.add_fault("fields are wanted here"),
+            Some(_) => self.add_fault("a map of fields is wanted"),
         }
     }
 
+    /// The value as `read` converts it. The default stands in for a missing value, and for a wrong one once its
+    /// fault is recorded. None after a fault without a default.
     fn value_or_default<T>(
         &self,
         default: Option<T>,
@@ -278,7 +292,7 @@
         match (self.tree(), default) {
             (None, Some(default)) => Some(default),
             (None, None) => {
-                self.add_fault(format!("{expected} is wanted; nothing is there"));
+                self.add_fault(format!("{expected} is wanted; the field is missing"));
                 None
             }
             (Some(tree), default) => read(tree).or_else(|| {
@@ -288,7 +302,7 @@
         }
     }
 
-    /// A number within a range; the usual one where nothing stands, if there is a usual one.
+    /// A number within a range. Without a default, a missing field is a fault and reads as the start of the range.
     pub fn number(&self, range: RangeInclusive<f64>, default: Option<f64>) -> f64 {
         let (low, high) = (range.start(), range.end());
         let expected = match high.is_finite() {
@@ -303,7 +317,7 @@
             .unwrap_or(*low)
     }
 
-    /// A time in milliseconds, written with its unit.
+    /// A time in milliseconds within a range, written with its unit, such as `250ms`.
     pub fn duration_ms(&self, range_ms: RangeInclusive<f64>, default_ms: Option<f64>) -> f64 {
         let (low, high) = (range_ms.start(), range_ms.end());
         let expected = format!("a time such as 250ms, 2s or 1m, from {low}ms to {high}ms");
@@ -315,6 +329,7 @@
             .unwrap_or(*low)
     }
 
+    /// `true` or `false`.
     pub fn boolean(&self, default: Option<bool>) -> bool {
         let read = |t: &Tree| match t {
             Tree::Flag(b) => Some(*b),
@@ -324,7 +339,7 @@
             .unwrap_or(false)
     }
 
-    /// A text that is not empty; numbers are taken as they are written.
+    /// A string that is not empty. A number is accepted and converted to text.
     pub fn string(&self, default: Option<&str>) -> String {
         let read = |t: &Tree| match t {
             Tree::Text(text) if !text.is_empty() => Some(text.clone()),
@@ -332,11 +347,11 @@
             _ => None,
         };
         let default = default.map(str::to_string);
-        self.value_or_default(default, "a text", read)
+        self.value_or_default(default, "a string", read)
             .unwrap_or_default()
     }
 
-    /// One of some words.
+    /// One of the given words, as the value that belongs to it.
     pub fn choice<T: Copy>(&self, words: &[(&str, T)], default: Option<T>) -> T {
         let names: Vec<&str> = words.iter().map(|w| w.0).collect();
         let expected = format!("one of {}", names.join(", "));
@@ -348,7 +363,7 @@
             .unwrap_or(words[0].1)
     }
 
-    /// A text that a function can read.
+    /// A string as `read` parses it; none from `read` is a fault. `expected` describes the form for that fault.
     pub fn parsed<T>(
         &self,
         expected: &str,
@@ -361,7 +376,7 @@
         })
     }
 
-    /// The elements of a list; none where nothing stands.
+    /// Readers of the elements of a list; empty if the field is missing.
     pub fn list(&self) -> Vec<FieldReader<'a>> {
         match self.tree() {
             None => Vec::new(),
@@ -383,13 +398,13 @@
         }
     }
 
-    /// The line that this stands in.
+    /// The line of the value, or of the map around it if the field is missing.
     pub fn line(&self) -> u64 {
         self.line
     }
 }
 
-/// A time in milliseconds from a number and its unit.
+/// Parses a time such as `250ms` or `1.5m` into milliseconds. None without one of the units us, ms, s, m and h.
 pub fn parse_duration_ms(text: &str) -> Option<f64> {
     let text = text.trim();
     let digits = text.trim_end_matches(|c: char| c.is_ascii_alphabetic());
@@ -406,86 +421,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn sample(at: &FieldReader) -> (f64, f64, String, Vec<String>) {
-        let inner = at.field("channel");
-        let lines = inner.field("lines").number(1.0..=100.0, None);
-        let way = inner.field("way").duration_ms(0.0..=1e4, Some(200.0));
-        inner.deny_unknown_fields();
-        let name = at.field("name").string(None);
-        let zones = at.field("zones").list();
-        let zones = zones.iter().map(|z| z.string(None)).collect();
-        at.deny_unknown_fields();
-        (lines, way, name, zones)
-    }
-
-    #[test]
-    fn what_is_written_is_read() {
-        let text = "name: portal\nzones: [a, b]\nchannel:\n  lines: 7\n  way: 1.5s\n";
-        let zones = vec!["a".to_string(), "b".to_string()];
-        let expected = (7.0, 1500.0, "portal".to_string(), zones);
-        assert_eq!(read("f", text, sample), Ok(expected));
-        assert_eq!(
-            read("f", "name: p\nchannel: {lines: 1}", sample).unwrap().1,
-            200.0
-        );
-    }
-
-    #[test]
-    fn all_faults_are_told_at_once_with_their_lines() {
-        let text = "nam: portal\nzones: x\nchannel:\n  lines: 700\n  way: 15\n  more: 1\n";
-        let faults = read("f.yaml", text, sample).unwrap_err();
-        let reported: Vec<(u64, &str)> = faults
-            .0
-            .iter()
-            .map(|f| (f.line, f.field.as_str()))
-            .collect();
-        let expected = [
-            (1, "nam"),
-            (1, "name"),
-            (2, "zones"),
-            (4, "channel.lines"),
-            (5, "channel.way"),
-            (6, "channel.more"),
-        ];
-        assert_eq!(reported, expected);
-        let message = faults.to_string();
-        assert!(message.contains("f.yaml:4: channel.lines: a number from 1 to 100 is wanted"));
-    }
-
-    #[test]
-    fn what_is_no_yaml_is_one_fault() {
-        let cases = [
-            "a: [1",
-            "a: 1\n b: 2\n  - c",
-            "a: 1\na: 2\n",
-            "\t- x: y: z",
-            "&a [*a]",
-        ];
-        for text in cases {
-            let faults = read("f", text, |at| at.field("a").list().len());
-            assert!(faults.is_err(), "{text:?}");
-        }
-        assert!(read("f", &"x".repeat(MAX_FILE_BYTES + 1), |_| ()).is_err());
-    }
-
-    #[test]
-    fn times_have_units() {
-        let cases = [
-            ("250ms", Some(250.0)),
-            ("2 s", Some(2000.0)),
-            ("1.5m", Some(90_000.0)),
-            ("40us", Some(0.04)),
-            ("5", None),
-            ("-1s", None),
-            ("s", None),
-            ("1 year", None),
-            ("infs", None),
-        ];
-        for (text, expected) in cases {
-            assert_eq!(parse_duration_ms(text), expected, "{text}");
-        }
-    }
-}
+mod tests;
