--- a/crates/grpc/src/client.rs
+++ b/crates/grpc/src/client.rs
@@ -20,18 +20,18 @@
 /// A connection to a server; clones share it. It ends when the last clone and call are gone.
 #[derive(Clone)]
 pub struct Connection {
-    calls: SendRequest<Bytes>,
+    requests: SendRequest<Bytes>,
     authority: String,
     limits: Limits,
-    over: Arc<AtomicBool>,
+    closed: Arc<AtomicBool>,
 }
 
 /// A call under way: the answers' headers are read with the first message.
 pub struct PendingCall {
     pub outbound: Outbound,
-    answer: ResponseFuture,
-    until: Option<Instant>,
-    most: usize,
+    response: ResponseFuture,
+    deadline: Option<Instant>,
+    max_message_bytes: usize,
 }
 
 impl Connection {
@@ -40,57 +40,58 @@
     /// # Errors
     /// `Unavailable` with what went wrong.
     pub fn connect(to: SocketAddr, limits: Limits) -> Result<Connection, Status> {
-        let gone = |e: &dyn std::fmt::Display| Status::new(Code::Unavailable, e.to_string());
-        let socket = dial(to, limits.peer_timeout).map_err(|e| gone(&e))?;
-        let io = async_stream(socket, limits.peer_timeout).map_err(|e| gone(&e))?;
+        let unavailable = |e: &dyn std::fmt::Display| Status::new(Code::Unavailable, e.to_string());
+        let socket = dial(to, limits.peer_timeout).map_err(|e| unavailable(&e))?;
+        let io = async_stream(socket, limits.peer_timeout).map_err(|e| unavailable(&e))?;
         let mut builder = h2::client::Builder::new();
         builder
             .initial_window_size(limits.call_window_bytes)
             .initial_connection_window_size(limits.connection_window_bytes)
             .max_header_list_size(limits.max_header_bytes)
             .enable_push(false);
-        let until = Some(Instant::now() + limits.peer_timeout);
-        let (calls, mut link) = block_on_until(builder.handshake(io), until)
-            .map_err(|Elapsed| gone(&"no handshake in time"))?
-            .map_err(|e| gone(&e))?;
-        let over = Arc::new(AtomicBool::new(false));
-        let dead = Arc::new(AtomicBool::new(false));
-        let poke = Arc::new(Mutex::new(None::<Waker>));
-        if let Some(pings) = link.ping_pong() {
-            let (dead, poke) = (dead.clone(), poke.clone());
-            spawn(move || keep_alive(pings, limits, &dead, &poke));
+        let deadline = Some(Instant::now() + limits.peer_timeout);
+        let (requests, mut connection) = block_on_until(builder.handshake(io), deadline)
+            .map_err(|Elapsed| unavailable(&"no handshake in time"))?
+            .map_err(|e| unavailable(&e))?;
+        let closed = Arc::new(AtomicBool::new(false));
+        let ping_failed = Arc::new(AtomicBool::new(false));
+        let connection_waker = Arc::new(Mutex::new(None::<Waker>));
+        if let Some(pings) = connection.ping_pong() {
+            let (ping_failed, connection_waker) = (ping_failed.clone(), connection_waker.clone());
+            spawn(move || keep_alive(pings, limits, &ping_failed, &connection_waker));
         }
-        let ended = over.clone();
+        let closed_flag = closed.clone();
         spawn(move || {
-            let mut link = pin!(link);
+            let mut connection = pin!(connection);
             block_on(poll_fn(|context| {
-                *poke.lock().unwrap_or_else(|e| e.into_inner()) = Some(context.waker().clone());
-                if dead.load(Ordering::SeqCst) {
+                *connection_waker.lock().unwrap_or_else(|e| e.into_inner()) =
+                    Some(context.waker().clone());
+                if ping_failed.load(Ordering::SeqCst) {
                     return Poll::Ready(());
                 }
-                link.as_mut().poll(context).map(|_| ())
+                connection.as_mut().poll(context).map(|_| ())
             }));
-            ended.store(true, Ordering::SeqCst);
+            closed_flag.store(true, Ordering::SeqCst);
         });
         Ok(Connection {
-            calls,
+            requests,
             authority: to.to_string(),
             limits,
-            over,
+            closed,
         })
     }
 
     /// The connection has ended; calls on it fail.
     pub fn is_closed(&self) -> bool {
-        self.over.load(Ordering::SeqCst)
+        self.closed.load(Ordering::SeqCst)
     }
 
     /// Opens a call, with a time limit if there is one.
     ///
     /// # Errors
     /// `Unavailable` if the connection is gone or takes no more calls.
-    pub fn start_call(&self, path: &str, limit: Option<Duration>) -> Result<PendingCall, Status> {
-        self.start_call_with_headers(path, limit, &[])
+    pub fn start_call(&self, path: &str, timeout: Option<Duration>) -> Result<PendingCall, Status> {
+        self.start_call_with_headers(path, timeout, &[])
     }
 
     /// Like [`Connection::start_call`], with headers of the caller's own.
@@ -100,45 +101,46 @@
     pub fn start_call_with_headers(
         &self,
         path: &str,
-        limit: Option<Duration>,
-        more: &[(&'static str, &str)],
+        timeout: Option<Duration>,
+        extra_headers: &[(&'static str, &str)],
     ) -> Result<PendingCall, Status> {
-        let wrong = |e: &dyn std::fmt::Display| Status::new(Code::InvalidArgument, e.to_string());
+        let invalid = |e: &dyn std::fmt::Display| Status::new(Code::InvalidArgument, e.to_string());
         let mut request = Request::builder()
             .method(Method::POST)
             .uri(format!("http://{}{path}", self.authority))
             .body(())
-            .map_err(|e| wrong(&e))?;
+            .map_err(|e| invalid(&e))?;
         let headers: &mut HeaderMap = request.headers_mut();
         headers.insert("content-type", HeaderValue::from_static("application/grpc"));
         headers.insert("te", HeaderValue::from_static("trailers"));
-        if let Some(limit) = limit {
-            let text = format!("{}m", limit.as_millis().min(99_999_999));
-            let value = HeaderValue::from_str(&text).map_err(|e| wrong(&e))?;
+        if let Some(timeout) = timeout {
+            let text = format!("{}m", timeout.as_millis().min(99_999_999));
+            let value = HeaderValue::from_str(&text).map_err(|e| invalid(&e))?;
             headers.insert("grpc-timeout", value);
         }
-        for (name, value) in more {
-            let value = HeaderValue::from_str(value).map_err(|e| wrong(&e))?;
+        for (name, value) in extra_headers {
+            let value = HeaderValue::from_str(value).map_err(|e| invalid(&e))?;
             headers.insert(HeaderName::from_static(name), value);
         }
-        let until = limit.map(|limit| Instant::now() + limit);
-        let patience = Some(until.unwrap_or_else(|| Instant::now() + self.limits.peer_timeout));
-        let mut calls = self.calls.clone();
-        let ready = block_on_until(poll_fn(|c| calls.poll_ready(c)), patience);
+        let deadline = timeout.map(|timeout| Instant::now() + timeout);
+        let ready_deadline =
+            Some(deadline.unwrap_or_else(|| Instant::now() + self.limits.peer_timeout));
+        let mut requests = self.requests.clone();
+        let ready = block_on_until(poll_fn(|c| requests.poll_ready(c)), ready_deadline);
         let ready = ready.map_err(|Elapsed| Status::new(Code::Unavailable, "no call is free"));
-        ready?.map_err(|e| Status::lost(&e))?;
-        let sent = calls.send_request(request, false);
-        let (answer, stream) = sent.map_err(|e| Status::lost(&e))?;
+        ready?.map_err(|e| Status::from_h2(&e))?;
+        let sent = requests.send_request(request, false);
+        let (response, stream) = sent.map_err(|e| Status::from_h2(&e))?;
         Ok(PendingCall {
             outbound: Outbound {
                 stream,
-                until,
-                client: true,
-                done: false,
+                deadline,
+                is_client: true,
+                finished: false,
             },
-            answer,
-            until,
-            most: self.limits.max_message_bytes,
+            response,
+            deadline,
+            max_message_bytes: self.limits.max_message_bytes,
         })
     }
 
@@ -149,19 +151,19 @@
     pub fn unary_call<Q: Message, A: Message + Default>(
         &self,
         path: &str,
-        question: &Q,
-        limit: Duration,
+        request: &Q,
+        timeout: Duration,
     ) -> Result<A, Status> {
-        let mut dialed = self.start_call(path, Some(limit))?;
+        let mut call = self.start_call(path, Some(timeout))?;
         // A server may have answered before it read everything, and takes no more then: what it
         // answered is what counts.
-        let _ = dialed.outbound.send(question);
-        dialed.outbound.half_close();
-        let (_outbound, mut inbound) = dialed.wait_for_response()?;
-        let answer = inbound.receive()?;
-        let answer = answer.ok_or_else(|| Status::new(Code::Internal, "no message came"))?;
+        let _ = call.outbound.send(request);
+        call.outbound.half_close();
+        let (_outbound, mut inbound) = call.wait_for_response()?;
+        let response = inbound.receive()?;
+        let response = response.ok_or_else(|| Status::new(Code::Internal, "no message came"))?;
         match inbound.receive::<A>()? {
-            None => Ok(answer),
+            None => Ok(response),
             Some(_) => Err(Status::new(Code::Internal, "a message too many")),
         }
     }
@@ -175,19 +177,19 @@
     /// The status, if the answer is only that; `Unavailable` for an answer that is not gRPC.
     pub fn wait_for_response(self) -> Result<(Outbound, Inbound), Status> {
         let late = |Elapsed| Status::new(Code::DeadlineExceeded, "no answer in time");
-        let head = block_on_until(self.answer, self.until).map_err(late)?;
-        let (head, body) = head.map_err(|e| Status::lost(&e))?.into_parts();
+        let head = block_on_until(self.response, self.deadline).map_err(late)?;
+        let (head, body) = head.map_err(|e| Status::from_h2(&e))?.into_parts();
         if head.status != http::StatusCode::OK {
-            let said = format!("HTTP status {}", head.status);
-            return Err(Status::new(Code::Unavailable, said));
+            let message = format!("HTTP status {}", head.status);
+            return Err(Status::new(Code::Unavailable, message));
         }
-        if let Some(status) = Status::read(&head.headers)
+        if let Some(status) = Status::read_from(&head.headers)
             && status.code != Code::Ok
         {
             return Err(status);
         }
-        let mut inbound = Inbound::of(body, self.most, true);
-        inbound.until = self.until;
+        let mut inbound = Inbound::new(body, self.max_message_bytes, true);
+        inbound.deadline = self.deadline;
         Ok((self.outbound, inbound))
     }
 }
--- a/crates/grpc/src/codec.rs
+++ b/crates/grpc/src/codec.rs
@@ -9,26 +9,26 @@
 use std::future::poll_fn;
 use std::time::Instant;
 
-const PREFIX: usize = 5;
+const PREFIX_BYTES: usize = 5;
 
 /// Messages that come in.
 pub struct Inbound {
     stream: RecvStream,
     buffer: BytesMut,
-    most: usize,
-    pub(crate) until: Option<Instant>,
+    max_message_bytes: usize,
+    pub(crate) deadline: Option<Instant>,
     /// On a client the end is a status in trailers; on a server it is the end of the request.
-    client: bool,
+    is_client: bool,
 }
 
 impl Inbound {
-    pub(crate) fn of(stream: RecvStream, most: usize, client: bool) -> Inbound {
+    pub(crate) fn new(stream: RecvStream, max_message_bytes: usize, is_client: bool) -> Inbound {
         Inbound {
             stream,
             buffer: BytesMut::new(),
-            most,
-            until: None,
-            client,
+            max_message_bytes,
+            deadline: None,
+            is_client,
         }
     }
 
@@ -37,7 +37,7 @@
     /// # Errors
     /// The status that the call ended with, or what is wrong with what came.
     pub fn receive<M: Message + Default>(&mut self) -> Result<Option<M>, Status> {
-        self.receive_until(self.until)
+        self.receive_until(self.deadline)
     }
 
     /// Like [`Inbound::message`], up to a point in time.
@@ -46,35 +46,35 @@
     /// As there; `DeadlineExceeded` when nothing came by then, and the call goes on.
     pub fn receive_until<M: Message + Default>(
         &mut self,
-        until: Option<Instant>,
+        deadline: Option<Instant>,
     ) -> Result<Option<M>, Status> {
         loop {
-            if let Some(bytes) = self.whole()? {
+            if let Some(bytes) = self.take_message()? {
                 let wrong = |e| Status::new(Code::InvalidArgument, format!("not the message: {e}"));
                 return M::decode(bytes).map(Some).map_err(wrong);
             }
             let late = |Elapsed| Status::new(Code::DeadlineExceeded, "no message in time");
             let data = poll_fn(|c| self.stream.poll_data(c));
-            match block_on_until(data, until).map_err(late)? {
+            match block_on_until(data, deadline).map_err(late)? {
                 Some(Ok(bytes)) => {
                     // Read, so the peer may send as much again: back-pressure up to here only.
                     let _ = self.stream.flow_control().release_capacity(bytes.len());
                     self.buffer.extend_from_slice(&bytes);
                 }
-                Some(Err(e)) => return Err(Status::lost(&e)),
-                None => return self.end(until).map(|()| None),
+                Some(Err(e)) => return Err(Status::from_h2(&e)),
+                None => return self.finish_receiving(deadline).map(|()| None),
             }
         }
     }
 
     /// Cuts a whole message off the buffer, if it holds one.
-    fn whole(&mut self) -> Result<Option<Bytes>, Status> {
-        if self.buffer.len() < PREFIX {
+    fn take_message(&mut self) -> Result<Option<Bytes>, Status> {
+        if self.buffer.len() < PREFIX_BYTES {
             return Ok(None);
         }
         if self.buffer[0] != 0 {
-            let said = "compressed messages are not taken";
-            return Err(Status::new(Code::Unimplemented, said));
+            let message = "compressed messages are not taken";
+            return Err(Status::new(Code::Unimplemented, message));
         }
         let size = u32::from_be_bytes([
             self.buffer[1],
@@ -82,38 +82,41 @@
             self.buffer[3],
             self.buffer[4],
         ]) as usize;
-        if size > self.most {
-            let said = format!("a message of {size} bytes; {} are taken", self.most);
-            return Err(Status::new(Code::ResourceExhausted, said));
+        if size > self.max_message_bytes {
+            let message = format!(
+                "a message of {size} bytes; {} are taken",
+                self.max_message_bytes
+            );
+            return Err(Status::new(Code::ResourceExhausted, message));
         }
-        if self.buffer.len() < PREFIX + size {
+        if self.buffer.len() < PREFIX_BYTES + size {
             return Ok(None);
         }
-        self.buffer.advance(PREFIX);
+        self.buffer.advance(PREFIX_BYTES);
         Ok(Some(self.buffer.split_to(size).freeze()))
     }
 
-    fn end(&mut self, until: Option<Instant>) -> Result<(), Status> {
+    fn finish_receiving(&mut self, deadline: Option<Instant>) -> Result<(), Status> {
         if !self.buffer.is_empty() {
             return Err(Status::new(Code::Internal, "ended within a message"));
         }
-        if !self.client {
+        if !self.is_client {
             return Ok(());
         }
         let late = |Elapsed| Status::new(Code::DeadlineExceeded, "no trailers in time");
         let trailers = poll_fn(|c| self.stream.poll_trailers(c));
-        match block_on_until(trailers, until).map_err(late)? {
+        match block_on_until(trailers, deadline).map_err(late)? {
             Ok(trailers) => {
                 let none = || Status::new(Code::Unknown, "ended without a status");
                 let headers = trailers.unwrap_or_default();
-                let status = Status::read(&headers).ok_or_else(none)?;
+                let status = Status::read_from(&headers).ok_or_else(none)?;
                 if status.code == Code::Ok {
                     Ok(())
                 } else {
                     Err(status)
                 }
             }
-            Err(e) => Err(Status::lost(&e)),
+            Err(e) => Err(Status::from_h2(&e)),
         }
     }
 }
@@ -121,9 +124,9 @@
 /// Messages that go out.
 pub struct Outbound {
     pub(crate) stream: SendStream<Bytes>,
-    pub(crate) until: Option<Instant>,
-    pub(crate) client: bool,
-    pub(crate) done: bool,
+    pub(crate) deadline: Option<Instant>,
+    pub(crate) is_client: bool,
+    pub(crate) finished: bool,
 }
 
 impl Outbound {
@@ -135,29 +138,29 @@
         let size = message.encoded_len();
         let length = u32::try_from(size)
             .map_err(|_| Status::new(Code::ResourceExhausted, "a message over 4 GiB"))?;
-        let mut frame = BytesMut::with_capacity(PREFIX + size);
+        let mut frame = BytesMut::with_capacity(PREFIX_BYTES + size);
         frame.put_u8(0);
         frame.put_u32(length);
         message
             .encode(&mut frame)
             .map_err(|e| Status::new(Code::Internal, e.to_string()))?;
         let total = frame.len();
-        self.write(frame.freeze())?;
+        self.write_all(frame.freeze())?;
         Ok(total)
     }
 
-    fn write(&mut self, mut bytes: Bytes) -> Result<(), Status> {
+    fn write_all(&mut self, mut bytes: Bytes) -> Result<(), Status> {
         while !bytes.is_empty() {
             self.stream.reserve_capacity(bytes.len());
             let late = |Elapsed| Status::new(Code::DeadlineExceeded, "the peer takes nothing");
             let room = poll_fn(|c| self.stream.poll_capacity(c));
-            match block_on_until(room, self.until).map_err(late)? {
+            match block_on_until(room, self.deadline).map_err(late)? {
                 Some(Ok(room)) => {
                     let part = bytes.split_to(room.min(bytes.len()));
                     let sent = self.stream.send_data(part, false);
-                    sent.map_err(|e| Status::lost(&e))?;
+                    sent.map_err(|e| Status::from_h2(&e))?;
                 }
-                Some(Err(e)) => return Err(Status::lost(&e)),
+                Some(Err(e)) => return Err(Status::from_h2(&e)),
                 None => return Err(Status::new(Code::Cancelled, "the call is over")),
             }
         }
@@ -165,27 +168,27 @@
     }
 
     /// Until when messages are to be taken by the peer; one that is not is cut off, and the call with it.
-    pub fn set_deadline(&mut self, until: Option<Instant>) {
-        self.until = until;
+    pub fn set_deadline(&mut self, deadline: Option<Instant>) {
+        self.deadline = deadline;
     }
 
     /// Ends a client's sending side; the answers go on.
     pub fn half_close(&mut self) {
-        self.done = true;
+        self.finished = true;
         let _ = self.stream.send_data(Bytes::new(), true);
     }
 
     /// Ends a call on the server's side, with its status in trailers.
     pub fn finish(mut self, status: &Status) {
-        self.done = true;
+        self.finished = true;
         let mut trailers = HeaderMap::new();
-        status.write(&mut trailers);
+        status.write_to(&mut trailers);
         let _ = self.stream.send_trailers(trailers);
     }
 
     /// Breaks the call off.
     pub fn cancel(mut self) {
-        self.done = true;
+        self.finished = true;
         self.stream.send_reset(h2::Reason::CANCEL);
     }
 }
@@ -193,8 +196,8 @@
 impl Drop for Outbound {
     fn drop(&mut self) {
         // A call that nobody ended is broken off, never left to look complete.
-        if !self.done {
-            let reason = match self.client {
+        if !self.finished {
+            let reason = match self.is_client {
                 true => h2::Reason::CANCEL,
                 false => h2::Reason::INTERNAL_ERROR,
             };
--- a/crates/grpc/src/server.rs
+++ b/crates/grpc/src/server.rs
@@ -37,38 +37,38 @@
 
 /// What tells all connections that the server ends.
 #[derive(Default)]
-struct Ending {
-    set: AtomicBool,
-    waiting: Mutex<Vec<Waker>>,
+struct ShutdownSignal {
+    triggered: AtomicBool,
+    wakers: Mutex<Vec<Waker>>,
 }
 
-impl Ending {
-    fn wait(&self, waker: &Waker) {
-        let mut waiting = self.waiting.lock().unwrap_or_else(|e| e.into_inner());
-        waiting.retain(|w| !w.will_wake(waker));
-        waiting.push(waker.clone());
+impl ShutdownSignal {
+    fn register(&self, waker: &Waker) {
+        let mut wakers = self.wakers.lock().unwrap_or_else(|e| e.into_inner());
+        wakers.retain(|w| !w.will_wake(waker));
+        wakers.push(waker.clone());
     }
 
-    fn forget(&self, waker: &Waker) {
-        let mut waiting = self.waiting.lock().unwrap_or_else(|e| e.into_inner());
-        waiting.retain(|w| !w.will_wake(waker));
+    fn unregister(&self, waker: &Waker) {
+        let mut wakers = self.wakers.lock().unwrap_or_else(|e| e.into_inner());
+        wakers.retain(|w| !w.will_wake(waker));
     }
 
-    fn fire(&self) {
-        self.set.store(true, Ordering::SeqCst);
-        let waiting = {
-            let mut held = self.waiting.lock().unwrap_or_else(|e| e.into_inner());
+    fn trigger(&self) {
+        self.triggered.store(true, Ordering::SeqCst);
+        let wakers = {
+            let mut held = self.wakers.lock().unwrap_or_else(|e| e.into_inner());
             std::mem::take(&mut *held)
         };
-        waiting.into_iter().for_each(Waker::wake);
+        wakers.into_iter().for_each(Waker::wake);
     }
 }
 
 /// A listening server. Dropping it lets connections go on; [`Server::shut_down`] ends them orderly.
 pub struct Server {
     address: SocketAddr,
-    ending: Arc<Ending>,
-    links: Arc<AtomicUsize>,
+    shutdown: Arc<ShutdownSignal>,
+    connections: Arc<AtomicUsize>,
 }
 
 impl Server {
@@ -81,13 +81,13 @@
         let address = listener.local_addr()?;
         let server = Server {
             address,
-            ending: Arc::default(),
-            links: Arc::default(),
+            shutdown: Arc::default(),
+            connections: Arc::default(),
         };
-        let (ending, links) = (server.ending.clone(), server.links.clone());
+        let (shutdown, connections) = (server.shutdown.clone(), server.connections.clone());
         spawn(move || {
             for socket in listener.incoming() {
-                if ending.set.load(Ordering::SeqCst) {
+                if shutdown.triggered.load(Ordering::SeqCst) {
                     return;
                 }
                 let socket = match socket {
@@ -99,23 +99,24 @@
                         continue;
                     }
                 };
-                if links.load(Ordering::SeqCst) >= limits.max_connections {
+                if connections.load(Ordering::SeqCst) >= limits.max_connections {
                     warn!(
                         most = limits.max_connections,
                         "a connection too many is refused"
                     );
                     continue;
                 }
-                links.fetch_add(1, Ordering::SeqCst);
-                let (handler, ending, links) = (handler.clone(), ending.clone(), links.clone());
+                connections.fetch_add(1, Ordering::SeqCst);
+                let (handler, shutdown, connections) =
+                    (handler.clone(), shutdown.clone(), connections.clone());
                 spawn(move || {
                     let peer = socket.peer_addr();
                     if let Ok(peer) = peer
-                        && let Err(e) = serve(socket, peer, limits, &handler, &ending)
+                        && let Err(e) = serve_connection(socket, peer, limits, &handler, &shutdown)
                     {
                         debug!(%peer, error = %e, "a connection ended");
                     }
-                    links.fetch_sub(1, Ordering::SeqCst);
+                    connections.fetch_sub(1, Ordering::SeqCst);
                 });
             }
         });
@@ -128,13 +129,13 @@
 
     /// Connections open now.
     pub fn connections(&self) -> usize {
-        self.links.load(Ordering::SeqCst)
+        self.connections.load(Ordering::SeqCst)
     }
 
     /// Tells every peer to go away and takes nothing new; waits until all calls have ended, or until
     /// that time. Tells whether all had.
     pub fn shut_down(&self, until: Instant) -> bool {
-        self.ending.fire();
+        self.shutdown.trigger();
         // Wakes the accepting coroutine, which then sees the end.
         let _ = dial(self.address, Duration::from_secs(1));
         while self.connections() > 0 && Instant::now() < until {
@@ -144,14 +145,14 @@
     }
 }
 
-type Taken = Option<Result<(Request<RecvStream>, SendResponse<Bytes>), h2::Error>>;
+type Accepted = Option<Result<(Request<RecvStream>, SendResponse<Bytes>), h2::Error>>;
 
-fn serve(
+fn serve_connection(
     socket: TcpStream,
     peer: SocketAddr,
     limits: Limits,
     handler: &Arc<dyn Handler>,
-    ending: &Arc<Ending>,
+    shutdown: &Arc<ShutdownSignal>,
 ) -> Result<(), String> {
     let io = async_stream(socket, limits.peer_timeout).map_err(|e| e.to_string())?;
     let mut builder = h2::server::Builder::new();
@@ -162,41 +163,42 @@
         .initial_connection_window_size(limits.connection_window_bytes)
         .max_concurrent_reset_streams(limits.max_concurrent_calls as usize);
     let until = Some(Instant::now() + limits.peer_timeout);
-    let mut link: Connection<_, Bytes> = block_on_until(builder.handshake(io), until)
+    let mut connection: Connection<_, Bytes> = block_on_until(builder.handshake(io), until)
         .map_err(|_| "no preface in time".to_string())?
         .map_err(|e| e.to_string())?;
-    let dead = Arc::new(AtomicBool::new(false));
-    let poke = Arc::new(Mutex::new(None::<Waker>));
-    if let Some(pings) = link.ping_pong() {
-        let (dead, poke) = (dead.clone(), poke.clone());
-        spawn(move || keep_alive(pings, limits, &dead, &poke));
+    let ping_failed = Arc::new(AtomicBool::new(false));
+    let connection_waker = Arc::new(Mutex::new(None::<Waker>));
+    if let Some(pings) = connection.ping_pong() {
+        let (ping_failed, connection_waker) = (ping_failed.clone(), connection_waker.clone());
+        spawn(move || keep_alive(pings, limits, &ping_failed, &connection_waker));
     }
-    let mut going = false;
-    let mut used = None;
+    let mut shutting_down = false;
+    let mut waker = None;
     loop {
-        let taken: Taken = block_on(poll_fn(|context| {
-            used = Some(context.waker().clone());
-            *poke.lock().unwrap_or_else(|e| e.into_inner()) = Some(context.waker().clone());
-            if dead.load(Ordering::SeqCst) {
+        let accepted: Accepted = block_on(poll_fn(|context| {
+            waker = Some(context.waker().clone());
+            *connection_waker.lock().unwrap_or_else(|e| e.into_inner()) =
+                Some(context.waker().clone());
+            if ping_failed.load(Ordering::SeqCst) {
                 return Poll::Ready(None);
             }
-            ending.wait(context.waker());
-            if ending.set.load(Ordering::SeqCst) && !going {
-                going = true;
-                link.graceful_shutdown();
+            shutdown.register(context.waker());
+            if shutdown.triggered.load(Ordering::SeqCst) && !shutting_down {
+                shutting_down = true;
+                connection.graceful_shutdown();
             }
-            link.poll_accept(context)
+            connection.poll_accept(context)
         }));
-        if let Some(waker) = used.take() {
-            ending.forget(&waker);
+        if let Some(waker) = waker.take() {
+            shutdown.unregister(&waker);
         }
-        match taken {
+        match accepted {
             Some(Ok((request, respond))) => {
                 let handler = handler.clone();
-                spawn(move || take(request, respond, peer, limits, &handler));
+                spawn(move || serve_call(request, respond, peer, limits, &handler));
             }
             Some(Err(e)) => return Err(e.to_string()),
-            None if dead.load(Ordering::SeqCst) => return Err("no answer to a ping".into()),
+            None if ping_failed.load(Ordering::SeqCst) => return Err("no answer to a ping".into()),
             None => return Ok(()),
         }
     }
@@ -206,8 +208,8 @@
 pub(crate) fn keep_alive(
     mut pings: PingPong,
     limits: Limits,
-    dead: &AtomicBool,
-    poke: &Mutex<Option<Waker>>,
+    ping_failed: &AtomicBool,
+    connection_waker: &Mutex<Option<Waker>>,
 ) {
     loop {
         dahliapoint_fibers::sleep(limits.keepalive_interval);
@@ -220,8 +222,11 @@
             // The connection has ended by itself.
             Ok(Err(_)) => return,
             Err(_) => {
-                dead.store(true, Ordering::SeqCst);
-                let waker = poke.lock().unwrap_or_else(|e| e.into_inner()).take();
+                ping_failed.store(true, Ordering::SeqCst);
+                let waker = connection_waker
+                    .lock()
+                    .unwrap_or_else(|e| e.into_inner())
+                    .take();
                 waker.into_iter().for_each(Waker::wake);
                 return;
             }
@@ -229,7 +234,7 @@
     }
 }
 
-fn take(
+fn serve_call(
     request: Request<RecvStream>,
     mut respond: SendResponse<Bytes>,
     peer: SocketAddr,
@@ -248,9 +253,9 @@
         return;
     }
     let path = head.uri.path().to_string();
-    let limit = match time_limit(&head.headers) {
+    let limit = match parse_timeout(&head.headers) {
         Ok(limit) => limit,
-        Err(status) => return refuse(respond, &status),
+        Err(status) => return reject(respond, &status),
     };
     let deadline = limit.map(|time| Instant::now() + time);
     let mut answer = Response::new(());
@@ -263,13 +268,13 @@
     let Ok(stream) = respond.send_response(answer, false) else {
         return;
     };
-    let mut inbound = Inbound::of(body, limits.max_message_bytes, false);
-    inbound.until = deadline;
+    let mut inbound = Inbound::new(body, limits.max_message_bytes, false);
+    inbound.deadline = deadline;
     let outbound = Outbound {
         stream,
-        until: deadline,
-        client: false,
-        done: false,
+        deadline,
+        is_client: false,
+        finished: false,
     };
     handler.call(Call {
         path,
@@ -282,16 +287,16 @@
 }
 
 /// A response that is only a status.
-fn refuse(mut respond: SendResponse<Bytes>, status: &Status) {
+fn reject(mut respond: SendResponse<Bytes>, status: &Status) {
     let mut answer = Response::new(());
     let headers = answer.headers_mut();
     headers.insert("content-type", HeaderValue::from_static("application/grpc"));
-    status.write(headers);
+    status.write_to(headers);
     let _ = respond.send_response(answer, true);
 }
 
 /// Reads `grpc-timeout`: at most eight digits and a unit.
-fn time_limit(headers: &HeaderMap) -> Result<Option<Duration>, Status> {
+fn parse_timeout(headers: &HeaderMap) -> Result<Option<Duration>, Status> {
     let Some(value) = headers.get("grpc-timeout") else {
         return Ok(None);
     };
@@ -335,8 +340,8 @@
         for (text, wanted) in cases {
             let mut headers = HeaderMap::new();
             headers.insert("grpc-timeout", HeaderValue::from_static(text));
-            assert_eq!(time_limit(&headers).ok().flatten(), wanted, "{text}");
+            assert_eq!(parse_timeout(&headers).ok().flatten(), wanted, "{text}");
         }
-        assert_eq!(time_limit(&HeaderMap::new()), Ok(None));
+        assert_eq!(parse_timeout(&HeaderMap::new()), Ok(None));
     }
 }
--- a/crates/grpc/src/status.rs
+++ b/crates/grpc/src/status.rs
@@ -58,7 +58,7 @@
         Status { code, message }
     }
 
-    pub(crate) fn lost(e: &h2::Error) -> Status {
+    pub(crate) fn from_h2(e: &h2::Error) -> Status {
         let code = match e.reason() {
             Some(h2::Reason::CANCEL) => Code::Cancelled,
             Some(h2::Reason::REFUSED_STREAM) | None => Code::Unavailable,
@@ -69,21 +69,21 @@
     }
 
     /// The status headers of trailers, or of a response that is only these.
-    pub(crate) fn write(&self, headers: &mut HeaderMap) {
+    pub(crate) fn write_to(&self, headers: &mut HeaderMap) {
         headers.insert("grpc-status", HeaderValue::from(self.code as i32));
         if !self.message.is_empty()
-            && let Ok(text) = HeaderValue::from_str(&escaped(&self.message))
+            && let Ok(text) = HeaderValue::from_str(&percent_encode(&self.message))
         {
             headers.insert("grpc-message", text);
         }
     }
 
     /// Reads a status from trailers; none without the header.
-    pub(crate) fn read(headers: &HeaderMap) -> Option<Status> {
+    pub(crate) fn read_from(headers: &HeaderMap) -> Option<Status> {
         let number = headers.get("grpc-status")?.to_str().ok()?.parse::<usize>();
         let code = number.ok().and_then(|n| CODES.get(n).copied());
         let text = headers.get("grpc-message").and_then(|v| v.to_str().ok());
-        let message = unescaped(text.unwrap_or_default());
+        let message = percent_decode(text.unwrap_or_default());
         Some(Status::new(code.unwrap_or(Code::Unknown), message))
     }
 }
@@ -97,7 +97,7 @@
 impl std::error::Error for Status {}
 
 /// Percent-encoding of "Responses" in the specification: all but printable ASCII, and the sign itself.
-fn escaped(text: &str) -> String {
+fn percent_encode(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for byte in text.bytes() {
         match byte {
@@ -109,7 +109,7 @@
     out
 }
 
-fn unescaped(text: &str) -> String {
+fn percent_decode(text: &str) -> String {
     let bytes = text.as_bytes();
     let mut out = Vec::with_capacity(bytes.len());
     let mut at = 0;
@@ -139,13 +139,13 @@
             for code in CODES {
                 let mut headers = HeaderMap::new();
                 let status = Status::new(code, text);
-                status.write(&mut headers);
-                assert_eq!(Status::read(&headers), Some(status));
+                status.write_to(&mut headers);
+                assert_eq!(Status::read_from(&headers), Some(status));
             }
         }
         let mut odd = HeaderMap::new();
-        assert_eq!(Status::read(&odd), None);
+        assert_eq!(Status::read_from(&odd), None);
         odd.insert("grpc-status", HeaderValue::from(99));
-        assert_eq!(Status::read(&odd).unwrap().code, Code::Unknown);
+        assert_eq!(Status::read_from(&odd).unwrap().code, Code::Unknown);
     }
 }
