--- a/crates/grpc/src/client.rs
+++ b/crates/grpc/src/client.rs
@@ -1,4 +1,4 @@
-//! The client's side of one connection.
+//! Client side of a gRPC connection: connecting, starting calls, and waiting for responses.
 
 use crate::Limits;
 use crate::codec::{Inbound, Outbound};
@@ -17,7 +17,7 @@
 use std::task::{Poll, Waker};
 use std::time::{Duration, Instant};
 
-/// A connection to a server; clones share it. It ends when the last clone and call are gone.
+/// A connection to a server. Clones share it; it is closed when the last clone and the last call are dropped.
 #[derive(Clone)]
 pub struct Connection {
     requests: SendRequest<Bytes>,
@@ -26,8 +26,9 @@
     closed: Arc<AtomicBool>,
 }
 
-/// A call under way: the answers' headers are read with the first message.
+/// A call whose response headers have not been received yet.
 pub struct PendingCall {
+    /// Sends request messages, also before the response headers arrive.
     pub outbound: Outbound,
     response: ResponseFuture,
     deadline: Option<Instant>,
@@ -35,10 +36,10 @@
 }
 
 impl Connection {
-    /// Connects; the wait ends with the limits' patience.
+    /// Connects and performs the HTTP/2 handshake, each within `peer_timeout` of the limits.
     ///
     /// # Errors
-    /// `Unavailable` with what went wrong.
+    /// `Unavailable` with the cause.
     pub fn connect(to: SocketAddr, limits: Limits) -> Result<Connection, Status> {
         let unavailable = |e: &dyn std::fmt::Display| Status::new(Code::Unavailable, e.to_string());
         let socket = dial(to, limits.peer_timeout).map_err(|e| unavailable(&e))?;
@@ -81,23 +82,24 @@
         })
     }
 
-    /// The connection has ended; calls on it fail.
+    /// Whether the connection has ended; calls on a closed connection fail.
     pub fn is_closed(&self) -> bool {
         self.closed.load(Ordering::SeqCst)
     }
 
-    /// Opens a call, with a time limit if there is one.
+    /// Starts a call of the method at `path`. A timeout is sent as `grpc-timeout` and bounds the whole call.
     ///
     /// # Errors
-    /// `Unavailable` if the connection is gone or takes no more calls.
+    /// `Unavailable` if the connection is closed or no stream becomes available in time.
     pub fn start_call(&self, path: &str, timeout: Option<Duration>) -> Result<PendingCall, Status> {
         self.start_call_with_headers(path, timeout, &[])
     }
 
-    /// Like [`Connection::start_call`], with headers of the caller's own.
+    /// Like [`Connection::start_call`], with additional request headers.
     ///
     /// # Errors
-    /// As there.
+    /// Those of [`Connection::start_call`], and `InvalidArgument` for a path or a header value that HTTP does
+    /// not allow.
     pub fn start_call_with_headers(
         &self,
         path: &str,
@@ -127,7 +129,8 @@
             Some(deadline.unwrap_or_else(|| Instant::now() + self.limits.peer_timeout));
         let mut requests = self.requests.clone();
         let ready = block_on_until(poll_fn(|c| requests.poll_ready(c)), ready_deadline);
-        let ready = ready.map_err(|Elapsed| Status::new(Code::Unavailable, "no call is free"));
+        let ready =
+            ready.map_err(|Elapsed| Status::new(Code::Unavailable, "no stream available in time"));
         ready?.map_err(|e| Status::from_h2(&e))?;
         let sent = requests.send_request(request, false);
         let (response, stream) = sent.map_err(|e| Status::from_h2(&e))?;
@@ -144,10 +147,10 @@
         })
     }
 
-    /// One message there, one back.
+    /// Sends one request message and returns the one response message.
     ///
     /// # Errors
-    /// The call's status, `DeadlineExceeded` when the time is up.
+    /// The status of the call; `DeadlineExceeded` after the timeout.
     pub fn unary_call<Q: Message, A: Message + Default>(
         &self,
         path: &str,
@@ -155,29 +158,34 @@
         timeout: Duration,
     ) -> Result<A, Status> {
         let mut call = self.start_call(path, Some(timeout))?;
-        // A server may have answered before it read everything, and takes no more then: what it
-        // answered is what counts.
+        // A server may respond before it has read the whole request and then stop reading, so that sending
+        // fails. Its response decides the result.
         let _ = call.outbound.send(request);
         call.outbound.half_close();
         let (_outbound, mut inbound) = call.wait_for_response()?;
         let response = inbound.receive()?;
-        let response = response.ok_or_else(|| Status::new(Code::Internal, "no message came"))?;
+        let response =
+            response.ok_or_else(|| Status::new(Code::Internal, "no response message"))?;
         match inbound.receive::<A>()? {
             None => Ok(response),
-            Some(_) => Err(Status::new(Code::Internal, "a message too many")),
+            Some(_) => Err(Status::new(
+                Code::Internal,
+                "more than one response message",
+            )),
         }
     }
 }
 
 impl PendingCall {
-    /// Waits for the head of the answer; then messages can be read. A server may answer only after
-    /// the first message was sent to it.
+    /// Waits for the response headers and returns the streams of messages in both directions. A server may send
+    /// its headers only after it has received the first message.
     ///
     /// # Errors
-    /// The status, if the answer is only that; `Unavailable` for an answer that is not gRPC.
+    /// The status of a response that has no messages ("Trailers-Only"); `Unavailable` for a response that is not
+    /// gRPC; `DeadlineExceeded` when none arrived in time.
     pub fn wait_for_response(self) -> Result<(Outbound, Inbound), Status> {
-        let late = |Elapsed| Status::new(Code::DeadlineExceeded, "no answer in time");
-        let head = block_on_until(self.response, self.deadline).map_err(late)?;
+        let timed_out = |Elapsed| Status::new(Code::DeadlineExceeded, "no response in time");
+        let head = block_on_until(self.response, self.deadline).map_err(timed_out)?;
         let (head, body) = head.map_err(|e| Status::from_h2(&e))?.into_parts();
         if head.status != http::StatusCode::OK {
             let message = format!("HTTP status {}", head.status);
--- a/crates/grpc/src/codec.rs
+++ b/crates/grpc/src/codec.rs
@@ -1,4 +1,4 @@
-//! Length-prefixed messages over the streams of HTTP/2, with flow control that reaches the sender.
+//! Length-prefixed messages over HTTP/2 streams. Flow control slows the sender down to the speed of the reader.
 
 use crate::status::{Code, Status};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
@@ -9,15 +9,16 @@
 use std::future::poll_fn;
 use std::time::Instant;
 
+/// Prefix of a message: a flag for compression and the length as four bytes, big-endian.
 const PREFIX_BYTES: usize = 5;
 
-/// Messages that come in.
+/// The receiving side of a call.
 pub struct Inbound {
     stream: RecvStream,
     buffer: BytesMut,
     max_message_bytes: usize,
     pub(crate) deadline: Option<Instant>,
-    /// On a client the end is a status in trailers; on a server it is the end of the request.
+    /// A client expects a status in trailers at the end of the stream; a server expects nothing more.
     is_client: bool,
 }
 
@@ -32,32 +33,34 @@
         }
     }
 
-    /// The next message; none at an orderly end.
+    /// Waits for the next message; none after the last one of a call that ended with status OK.
     ///
     /// # Errors
-    /// The status that the call ended with, or what is wrong with what came.
+    /// The status that the call ended with, or a status about data that is not a message.
     pub fn receive<M: Message + Default>(&mut self) -> Result<Option<M>, Status> {
         self.receive_until(self.deadline)
     }
 
-    /// Like [`Inbound::message`], up to a point in time.
+    /// Like [`Inbound::receive`], with a deadline for this message.
     ///
     /// # Errors
-    /// As there; `DeadlineExceeded` when nothing came by then, and the call goes on.
+    /// Those of [`Inbound::receive`]; `DeadlineExceeded` if no message arrived by the deadline. The call stays
+    /// open then, and a later call can receive the message.
     pub fn receive_until<M: Message + Default>(
         &mut self,
         deadline: Option<Instant>,
     ) -> Result<Option<M>, Status> {
         loop {
             if let Some(bytes) = self.take_message()? {
-                let wrong = |e| Status::new(Code::InvalidArgument, format!("not the message: {e}"));
-                return M::decode(bytes).map(Some).map_err(wrong);
+                let invalid =
+                    |e| Status::new(Code::InvalidArgument, format!("not the message: {e}"));
+                return M::decode(bytes).map(Some).map_err(invalid);
             }
-            let late = |Elapsed| Status::new(Code::DeadlineExceeded, "no message in time");
+            let timed_out = |Elapsed| Status::new(Code::DeadlineExceeded, "no message in time");
             let data = poll_fn(|c| self.stream.poll_data(c));
-            match block_on_until(data, deadline).map_err(late)? {
+            match block_on_until(data, deadline).map_err(timed_out)? {
                 Some(Ok(bytes)) => {
-                    // Read, so the peer may send as much again: back-pressure up to here only.
+                    // The data is read, so the window opens by as much: only unread data holds the peer up.
                     let _ = self.stream.flow_control().release_capacity(bytes.len());
                     self.buffer.extend_from_slice(&bytes);
                 }
@@ -67,7 +70,7 @@
         }
     }
 
-    /// Cuts a whole message off the buffer, if it holds one.
+    /// Removes the first message from the buffer, if it is complete.
     fn take_message(&mut self) -> Result<Option<Bytes>, Status> {
         if self.buffer.len() < PREFIX_BYTES {
             return Ok(None);
@@ -96,6 +99,7 @@
         Ok(Some(self.buffer.split_to(size).freeze()))
     }
 
+    /// Checks the end of the stream: no partial message, and on a client a status in the trailers.
     fn finish_receiving(&mut self, deadline: Option<Instant>) -> Result<(), Status> {
         if !self.buffer.is_empty() {
             return Err(Status::new(Code::Internal, "ended within a message"));
@@ -103,13 +107,13 @@
         if !self.is_client {
             return Ok(());
         }
-        let late = |Elapsed| Status::new(Code::DeadlineExceeded, "no trailers in time");
+        let timed_out = |Elapsed| Status::new(Code::DeadlineExceeded, "no trailers in time");
         let trailers = poll_fn(|c| self.stream.poll_trailers(c));
-        match block_on_until(trailers, deadline).map_err(late)? {
+        match block_on_until(trailers, deadline).map_err(timed_out)? {
             Ok(trailers) => {
-                let none = || Status::new(Code::Unknown, "ended without a status");
+                let no_status = || Status::new(Code::Unknown, "ended without a status");
                 let headers = trailers.unwrap_or_default();
-                let status = Status::read_from(&headers).ok_or_else(none)?;
+                let status = Status::read_from(&headers).ok_or_else(no_status)?;
                 if status.code == Code::Ok {
                     Ok(())
                 } else {
@@ -121,7 +125,7 @@
     }
 }
 
-/// Messages that go out.
+/// The sending side of a call.
 pub struct Outbound {
     pub(crate) stream: SendStream<Bytes>,
     pub(crate) deadline: Option<Instant>,
@@ -130,10 +134,11 @@
 }
 
 impl Outbound {
-    /// Sends a message, parked until the peer's window has taken all of it. Tells its size on the wire.
+    /// Sends a message; blocks the coroutine until the peer's flow-control window has room for all of it. Returns
+    /// its size on the wire in bytes, prefix included.
     ///
     /// # Errors
-    /// The call ended meanwhile, or its time is up.
+    /// `DeadlineExceeded` after the deadline, otherwise the status of a call that ended meanwhile.
     pub fn send<M: Message>(&mut self, message: &M) -> Result<usize, Status> {
         let size = message.encoded_len();
         let length = u32::try_from(size)
@@ -152,11 +157,11 @@
     fn write_all(&mut self, mut bytes: Bytes) -> Result<(), Status> {
         while !bytes.is_empty() {
             self.stream.reserve_capacity(bytes.len());
-            let late = |Elapsed| Status::new(Code::DeadlineExceeded, "the peer takes nothing");
-            let room = poll_fn(|c| self.stream.poll_capacity(c));
-            match block_on_until(room, self.deadline).map_err(late)? {
-                Some(Ok(room)) => {
-                    let part = bytes.split_to(room.min(bytes.len()));
+            let timed_out = |Elapsed| Status::new(Code::DeadlineExceeded, "the peer takes nothing");
+            let capacity = poll_fn(|c| self.stream.poll_capacity(c));
+            match block_on_until(capacity, self.deadline).map_err(timed_out)? {
+                Some(Ok(capacity)) => {
+                    let part = bytes.split_to(capacity.min(bytes.len()));
                     let sent = self.stream.send_data(part, false);
                     sent.map_err(|e| Status::from_h2(&e))?;
                 }
@@ -167,18 +172,19 @@
         Ok(())
     }
 
-    /// Until when messages are to be taken by the peer; one that is not is cut off, and the call with it.
+    /// Sets the deadline for sending. A message that the window has no room for by then may be sent in part, so
+    /// the caller has to cancel the call after such an error.
     pub fn set_deadline(&mut self, deadline: Option<Instant>) {
         self.deadline = deadline;
     }
 
-    /// Ends a client's sending side; the answers go on.
+    /// Ends the sending side of a client; responses are still received.
     pub fn half_close(&mut self) {
         self.finished = true;
         let _ = self.stream.send_data(Bytes::new(), true);
     }
 
-    /// Ends a call on the server's side, with its status in trailers.
+    /// Ends a call on the server with its status in trailers.
     pub fn finish(mut self, status: &Status) {
         self.finished = true;
         let mut trailers = HeaderMap::new();
@@ -186,7 +192,7 @@
         let _ = self.stream.send_trailers(trailers);
     }
 
-    /// Breaks the call off.
+    /// Resets the stream with `CANCEL`.
     pub fn cancel(mut self) {
         self.finished = true;
         self.stream.send_reset(h2::Reason::CANCEL);
@@ -195,7 +201,7 @@
 
 impl Drop for Outbound {
     fn drop(&mut self) {
-        // A call that nobody ended is broken off, never left to look complete.
+        // A call that was not ended is reset, so that the peer can't take it for complete.
         if !self.finished {
             let reason = match self.is_client {
                 true => h2::Reason::CANCEL,
--- a/crates/grpc/src/lib.rs
+++ b/crates/grpc/src/lib.rs
@@ -1,9 +1,9 @@
-//! gRPC over HTTP/2 on coroutines, after the public description "gRPC over HTTP2" (content type,
-//! length-prefixed messages, trailers, status codes, time-outs) and RFC 9113 as `h2` keeps it.
+//! gRPC over HTTP/2 on coroutines, by the public description "gRPC over HTTP2" (content type, length-prefixed
+//! messages, trailers, status codes, timeouts) and RFC 9113 as implemented by `h2`.
 //!
-//! [`Server`] gives each call a coroutine of its own; [`Connection`] is the client's side of one connection.
-//! Messages go through [`Inbound`] and [`Outbound`], which park until the peer's window has room: a
-//! slow reader slows the sender and costs no memory. The crate knows no service and decides nothing.
+//! [`Server`] runs each call in a coroutine of its own; [`Connection`] is the client side of one connection.
+//! Messages pass through [`Inbound`] and [`Outbound`], which block their coroutine until the peer's window has
+//! room: a slow reader slows its sender and costs no memory. The crate contains no services.
 
 mod client;
 mod codec;
@@ -17,22 +17,25 @@
 
 use std::time::Duration;
 
-/// The bounds of a connection. Everything that a peer could make large is in here.
+/// Limits of a connection, among them one for each thing that a peer could make large.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes of one message, both ways.
+    /// Size of one received message.
     pub max_message_bytes: usize,
-    /// Bytes of all headers of a call.
+    /// Size of all headers of a call.
     pub max_header_bytes: u32,
-    /// Calls open at one time on one connection.
+    /// Concurrent calls on one connection.
     pub max_concurrent_calls: u32,
-    /// Connections that a server holds at one time.
+    /// Concurrent connections of a server.
     pub max_connections: usize,
-    /// Bytes that a peer may send ahead of being read: by call, and by connection.
+    /// Flow-control window of a call: bytes that a peer may send before they are read.
     pub call_window_bytes: u32,
+    /// Flow-control window of a connection.
     pub connection_window_bytes: u32,
-    /// A ping goes out after this long; without its answer in `peer_timeout` the connection ends.
+    /// Time between pings. A connection is closed if the answer to one takes longer than `peer_timeout`.
     pub keepalive_interval: Duration,
+    /// Time limit for connecting, for the handshake, for the answer to a ping and, without a deadline, for a stream
+    /// to become available.
     pub peer_timeout: Duration,
 }
 
--- a/crates/grpc/src/server.rs
+++ b/crates/grpc/src/server.rs
@@ -1,4 +1,4 @@
-//! The server's side: a coroutine for each connection, and one for each call.
+//! Server side: a coroutine for each connection and one for each call.
 
 use crate::Limits;
 use crate::codec::{Inbound, Outbound};
@@ -18,24 +18,29 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, warn};
 
-/// A call that came in.
+/// A call as the server received it.
 pub struct Call {
     /// `/package.Service/Method`.
     pub path: String,
+    /// The request headers.
     pub headers: HeaderMap,
+    /// The client's address.
     pub peer: SocketAddr,
+    /// Receives the request messages.
     pub inbound: Inbound,
+    /// Sends the response messages and the status.
     pub outbound: Outbound,
     /// From the header `grpc-timeout`.
     pub deadline: Option<Instant>,
 }
 
-/// Takes calls; runs in the call's own coroutine and may park there.
+/// Implementation of the services of a server.
 pub trait Handler: Send + Sync + 'static {
+    /// Serves one call. Runs in a coroutine of the call and may block it.
     fn call(&self, call: Call);
 }
 
-/// What tells all connections that the server ends.
+/// Tells all connections that the server is shutting down, and wakes those that wait.
 #[derive(Default)]
 struct ShutdownSignal {
     triggered: AtomicBool,
@@ -57,14 +62,14 @@
     fn trigger(&self) {
         self.triggered.store(true, Ordering::SeqCst);
         let wakers = {
-            let mut held = self.wakers.lock().unwrap_or_else(|e| e.into_inner());
-            std::mem::take(&mut *held)
+            let mut wakers = self.wakers.lock().unwrap_or_else(|e| e.into_inner());
+            std::mem::take(&mut *wakers)
         };
         wakers.into_iter().for_each(Waker::wake);
     }
 }
 
-/// A listening server. Dropping it lets connections go on; [`Server::shut_down`] ends them orderly.
+/// A listening server. Dropping it leaves connections open; [`Server::shut_down`] closes them.
 pub struct Server {
     address: SocketAddr,
     shutdown: Arc<ShutdownSignal>,
@@ -72,10 +77,10 @@
 }
 
 impl Server {
-    /// Listens on an address (port 0: one that the system picks) and serves in the background.
+    /// Listens on an address (port 0: the system picks one) and serves in the background.
     ///
     /// # Errors
-    /// When the address cannot be bound.
+    /// The error of binding the address.
     pub fn start(at: SocketAddr, limits: Limits, handler: Arc<dyn Handler>) -> io::Result<Server> {
         let listener = listen(at)?;
         let address = listener.local_addr()?;
@@ -93,8 +98,8 @@
                 let socket = match socket {
                     Ok(socket) => socket,
                     Err(e) => {
-                        // Out of descriptors, say: those that are open go on, new ones wait.
-                        warn!(error = %e, "a connection could not be taken");
+                        // For example out of file descriptors: open connections are unaffected, new ones wait.
+                        warn!(error = %e, "accepting a connection failed");
                         dahliapoint_fibers::sleep(Duration::from_millis(50));
                         continue;
                     }
@@ -102,7 +107,7 @@
                 if connections.load(Ordering::SeqCst) >= limits.max_connections {
                     warn!(
                         most = limits.max_connections,
-                        "a connection too many is refused"
+                        "connection refused: too many are open"
                     );
                     continue;
                 }
@@ -123,30 +128,33 @@
         Ok(server)
     }
 
+    /// The address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Connections open now.
+    /// Number of open connections.
     pub fn connections(&self) -> usize {
         self.connections.load(Ordering::SeqCst)
     }
 
-    /// Tells every peer to go away and takes nothing new; waits until all calls have ended, or until
-    /// that time. Tells whether all had.
-    pub fn shut_down(&self, until: Instant) -> bool {
+    /// Sends GOAWAY on all connections and accepts no new ones; waits for open calls to end until `deadline`.
+    /// Returns whether all connections are closed.
+    pub fn shut_down(&self, deadline: Instant) -> bool {
         self.shutdown.trigger();
-        // Wakes the accepting coroutine, which then sees the end.
+        // Wakes the accepting coroutine, which then sees the signal.
         let _ = dial(self.address, Duration::from_secs(1));
-        while self.connections() > 0 && Instant::now() < until {
+        while self.connections() > 0 && Instant::now() < deadline {
             dahliapoint_fibers::sleep(Duration::from_millis(10));
         }
         self.connections() == 0
     }
 }
 
+/// A request accepted on a connection; none when the connection has ended.
 type Accepted = Option<Result<(Request<RecvStream>, SendResponse<Bytes>), h2::Error>>;
 
+/// Serves one connection until it ends.
 fn serve_connection(
     socket: TcpStream,
     peer: SocketAddr,
@@ -162,8 +170,8 @@
         .initial_window_size(limits.call_window_bytes)
         .initial_connection_window_size(limits.connection_window_bytes)
         .max_concurrent_reset_streams(limits.max_concurrent_calls as usize);
-    let until = Some(Instant::now() + limits.peer_timeout);
-    let mut connection: Connection<_, Bytes> = block_on_until(builder.handshake(io), until)
+    let deadline = Some(Instant::now() + limits.peer_timeout);
+    let mut connection: Connection<_, Bytes> = block_on_until(builder.handshake(io), deadline)
         .map_err(|_| "no preface in time".to_string())?
         .map_err(|e| e.to_string())?;
     let ping_failed = Arc::new(AtomicBool::new(false));
@@ -193,9 +201,9 @@
             shutdown.unregister(&waker);
         }
         match accepted {
-            Some(Ok((request, respond))) => {
+            Some(Ok((request, responder))) => {
                 let handler = handler.clone();
-                spawn(move || serve_call(request, respond, peer, limits, &handler));
+                spawn(move || serve_call(request, responder, peer, limits, &handler));
             }
             Some(Err(e)) => return Err(e.to_string()),
             None if ping_failed.load(Ordering::SeqCst) => return Err("no answer to a ping".into()),
@@ -204,7 +212,8 @@
     }
 }
 
-/// Pings while the connection stands; marks it dead when no answer comes, and wakes its coroutine.
+/// Pings the peer while the connection is open. If an answer does not arrive within `peer_timeout`, sets
+/// `ping_failed` and wakes the coroutine of the connection, which then closes it.
 pub(crate) fn keep_alive(
     mut pings: PingPong,
     limits: Limits,
@@ -213,13 +222,13 @@
 ) {
     loop {
         dahliapoint_fibers::sleep(limits.keepalive_interval);
-        let answer = {
+        let result = {
             let ping = pin!(pings.ping(h2::Ping::opaque()));
             block_on_until(ping, Some(Instant::now() + limits.peer_timeout))
         };
-        match answer {
+        match result {
             Ok(Ok(_)) => {}
-            // The connection has ended by itself.
+            // The connection has ended for another reason.
             Ok(Err(_)) => return,
             Err(_) => {
                 ping_failed.store(true, Ordering::SeqCst);
@@ -234,38 +243,43 @@
     }
 }
 
+/// Checks the request headers, sends the response headers and passes the call to the handler.
 fn serve_call(
     request: Request<RecvStream>,
-    mut respond: SendResponse<Bytes>,
+    mut responder: SendResponse<Bytes>,
     peer: SocketAddr,
     limits: Limits,
     handler: &Arc<dyn Handler>,
 ) {
     let (head, body) = request.into_parts();
-    let kind = head.headers.get("content-type");
-    let kind = kind.and_then(|v| v.to_str().ok()).unwrap_or_default();
-    let grpc = kind == "application/grpc" || kind.starts_with("application/grpc+proto");
-    if head.method != Method::POST || !grpc {
-        // "Requests": without the content type the answer is 415, so that no browser is fooled.
-        let mut answer = Response::new(());
-        *answer.status_mut() = http::StatusCode::UNSUPPORTED_MEDIA_TYPE;
-        let _ = respond.send_response(answer, true);
+    let content_type = head.headers.get("content-type");
+    let content_type = content_type
+        .and_then(|v| v.to_str().ok())
+        .unwrap_or_default();
+    let is_grpc =
+        content_type == "application/grpc" || content_type.starts_with("application/grpc+proto");
+    if head.method != Method::POST || !is_grpc {
+        // By "Requests" in the specification: other content types are answered with 415, so that a client that
+        // does not speak gRPC doesn't take the response for a success.
+        let mut response = Response::new(());
+        *response.status_mut() = http::StatusCode::UNSUPPORTED_MEDIA_TYPE;
+        let _ = responder.send_response(response, true);
         return;
     }
     let path = head.uri.path().to_string();
-    let limit = match parse_timeout(&head.headers) {
-        Ok(limit) => limit,
-        Err(status) => return reject(respond, &status),
+    let timeout = match parse_timeout(&head.headers) {
+        Ok(timeout) => timeout,
+        Err(status) => return reject(responder, &status),
     };
-    let deadline = limit.map(|time| Instant::now() + time);
-    let mut answer = Response::new(());
-    answer
+    let deadline = timeout.map(|time| Instant::now() + time);
+    let mut response = Response::new(());
+    response
         .headers_mut()
         .insert("content-type", HeaderValue::from_static("application/grpc"));
-    answer
+    response
         .headers_mut()
         .insert("grpc-accept-encoding", HeaderValue::from_static("identity"));
-    let Ok(stream) = respond.send_response(answer, false) else {
+    let Ok(stream) = responder.send_response(response, false) else {
         return;
     };
     let mut inbound = Inbound::new(body, limits.max_message_bytes, false);
@@ -286,62 +300,38 @@
     });
 }
 
-/// A response that is only a status.
-fn reject(mut respond: SendResponse<Bytes>, status: &Status) {
-    let mut answer = Response::new(());
-    let headers = answer.headers_mut();
+/// Responds with a status only ("Trailers-Only").
+fn reject(mut responder: SendResponse<Bytes>, status: &Status) {
+    let mut response = Response::new(());
+    let headers = response.headers_mut();
     headers.insert("content-type", HeaderValue::from_static("application/grpc"));
     status.write_to(headers);
-    let _ = respond.send_response(answer, true);
+    let _ = responder.send_response(response, true);
 }
 
-/// Reads `grpc-timeout`: at most eight digits and a unit.
+/// Parses the header `grpc-timeout`: at most eight digits and a unit.
 fn parse_timeout(headers: &HeaderMap) -> Result<Option<Duration>, Status> {
     let Some(value) = headers.get("grpc-timeout") else {
         return Ok(None);
     };
-    let wrong = || Status::new(Code::InvalidArgument, "grpc-timeout: digits and a unit");
-    let text = value.to_str().map_err(|_| wrong())?;
+    let invalid = || Status::new(Code::InvalidArgument, "grpc-timeout: digits and a unit");
+    let text = value.to_str().map_err(|_| invalid())?;
     let digits = text.trim_end_matches(|c: char| c.is_ascii_alphabetic());
     let unit = &text[digits.len()..];
     if digits.is_empty() || digits.len() > 8 || unit.len() != 1 {
-        return Err(wrong());
+        return Err(invalid());
     }
-    let n: u64 = digits.parse().map_err(|_| wrong())?;
+    let number: u64 = digits.parse().map_err(|_| invalid())?;
     Ok(Some(match unit {
-        "H" => Duration::from_secs(n * 3600),
-        "M" => Duration::from_secs(n * 60),
-        "S" => Duration::from_secs(n),
-        "m" => Duration::from_millis(n),
-        "u" => Duration::from_micros(n),
-        "n" => Duration::from_nanos(n),
-        _ => return Err(wrong()),
+        "H" => Duration::from_secs(number * 3600),
+        "M" => Duration::from_secs(number * 60),
+        "S" => Duration::from_secs(number),
+        "m" => Duration::from_millis(number),
+        "u" => Duration::from_micros(number),
+        "n" => Duration::from_nanos(number),
+        _ => return Err(invalid()),
     }))
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn time_limits_are_read_as_written_or_refused() {
-        let cases = [
-            ("1H", Some(Duration::from_secs(3600))),
-            ("90S", Some(Duration::from_secs(90))),
-            ("250m", Some(Duration::from_millis(250))),
-            ("99999999n", Some(Duration::from_nanos(99_999_999))),
-            ("123456789m", None),
-            ("m", None),
-            ("5", None),
-            ("5x", None),
-            ("-5S", None),
-            ("5mS", None),
-        ];
-        for (text, wanted) in cases {
-            let mut headers = HeaderMap::new();
-            headers.insert("grpc-timeout", HeaderValue::from_static(text));
-            assert_eq!(parse_timeout(&headers).ok().flatten(), wanted, "{text}");
-        }
-        assert_eq!(parse_timeout(&HeaderMap::new()), Ok(None));
-    }
-}
+mod tests;
--- a/crates/grpc/src/status.rs
+++ b/crates/grpc/src/status.rs
@@ -1,9 +1,9 @@
-//! Status codes of gRPC, and how they travel in headers.
+//! Status codes of gRPC and their encoding in headers.
 
 use http::{HeaderMap, HeaderValue};
 use std::fmt;
 
-/// The codes of the gRPC specification, "Status codes and their use in gRPC".
+/// The status codes of "Status codes and their use in gRPC".
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Code {
     Ok = 0,
@@ -25,6 +25,7 @@
     Unauthenticated = 16,
 }
 
+/// All codes, each at the index of its number.
 const CODES: [Code; 17] = [
     Code::Ok,
     Code::Cancelled,
@@ -45,19 +46,22 @@
     Code::Unauthenticated,
 ];
 
-/// How a call ended, if not well.
+/// The status that a call ended with.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
     pub code: Code,
+    /// Text for people; may be empty.
     pub message: String,
 }
 
 impl Status {
+    /// A status with a message for people.
     pub fn new(code: Code, message: impl Into<String>) -> Status {
         let message = message.into();
         Status { code, message }
     }
 
+    /// The status of a call whose stream or connection failed.
     pub(crate) fn from_h2(e: &h2::Error) -> Status {
         let code = match e.reason() {
             Some(h2::Reason::CANCEL) => Code::Cancelled,
@@ -68,7 +72,7 @@
         Status::new(code, e.to_string())
     }
 
-    /// The status headers of trailers, or of a response that is only these.
+    /// Writes the status into trailers, or into the headers of a response without messages.
     pub(crate) fn write_to(&self, headers: &mut HeaderMap) {
         headers.insert("grpc-status", HeaderValue::from(self.code as i32));
         if !self.message.is_empty()
@@ -78,7 +82,7 @@
         }
     }
 
-    /// Reads a status from trailers; none without the header.
+    /// Reads a status from trailers; none without the header `grpc-status`.
     pub(crate) fn read_from(headers: &HeaderMap) -> Option<Status> {
         let number = headers.get("grpc-status")?.to_str().ok()?.parse::<usize>();
         let code = number.ok().and_then(|n| CODES.get(n).copied());
@@ -96,7 +100,7 @@
 
 impl std::error::Error for Status {}
 
-/// Percent-encoding of "Responses" in the specification: all but printable ASCII, and the sign itself.
+/// Percent-encodes a message as in "Responses" of the specification: everything but printable ASCII, and `%`.
 fn percent_encode(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for byte in text.bytes() {
@@ -109,6 +113,7 @@
     out
 }
 
+/// Decodes [`percent_encode`]; a `%` without two hexadecimal digits stays as it is.
 fn percent_decode(text: &str) -> String {
     let bytes = text.as_bytes();
     let mut out = Vec::with_capacity(bytes.len());
@@ -130,22 +135,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_status_survives_its_headers() {
-        for text in ["", "plain", "50% of größe\n", "%zz", "ends in %"] {
-            for code in CODES {
-                let mut headers = HeaderMap::new();
-                let status = Status::new(code, text);
-                status.write_to(&mut headers);
-                assert_eq!(Status::read_from(&headers), Some(status));
-            }
-        }
-        let mut odd = HeaderMap::new();
-        assert_eq!(Status::read_from(&odd), None);
-        odd.insert("grpc-status", HeaderValue::from(99));
-        assert_eq!(Status::read_from(&odd).unwrap().code, Code::Unknown);
-    }
-}
+mod tests;
