--- a/crates/grpc/src/server/tests.rs
+++ b/crates/grpc/src/server/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn time_limits_are_read_as_written_or_refused() {
+fn timeouts_are_parsed_or_rejected() {
     let cases = [
         ("1H", Some(Duration::from_secs(3600))),
         ("90S", Some(Duration::from_secs(90))),
@@ -16,10 +16,10 @@
         ("-5S", None),
         ("5mS", None),
     ];
-    for (text, wanted) in cases {
+    for (text, expected) in cases {
         let mut headers = HeaderMap::new();
         headers.insert("grpc-timeout", HeaderValue::from_static(text));
-        assert_eq!(parse_timeout(&headers).ok().flatten(), wanted, "{text}");
+        assert_eq!(parse_timeout(&headers).ok().flatten(), expected, "{text}");
     }
     assert_eq!(parse_timeout(&HeaderMap::new()), Ok(None));
 }
--- a/crates/grpc/src/status/tests.rs
+++ b/crates/grpc/src/status/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_status_survives_its_headers() {
+fn a_status_is_read_as_it_was_written() {
     for text in ["", "plain", "50% of größe\n", "%zz", "ends in %"] {
         for code in CODES {
             let mut headers = HeaderMap::new();
@@ -12,8 +12,8 @@
             assert_eq!(Status::read_from(&headers), Some(status));
         }
     }
-    let mut odd = HeaderMap::new();
-    assert_eq!(Status::read_from(&odd), None);
-    odd.insert("grpc-status", HeaderValue::from(99));
-    assert_eq!(Status::read_from(&odd).unwrap().code, Code::Unknown);
+    let mut headers = HeaderMap::new();
+    assert_eq!(Status::read_from(&headers), None);
+    headers.insert("grpc-status", HeaderValue::from(99));
+    assert_eq!(Status::read_from(&headers).unwrap().code, Code::Unknown);
 }
--- a/crates/grpc/tests/calls.rs
+++ b/crates/grpc/tests/calls.rs
@@ -1,4 +1,5 @@
-//! Calls between our client and our server, and what broken peers do to them.
+//! Calls between the client and the server of this package: unary and streaming, flow control, deadlines,
+//! shutdown, and peers that break the protocol.
 
 use dahliapoint_fibers::spawn;
 use dahliapoint_grpc::{Call, Code, Connection, Handler, Limits, Server, Status};
@@ -39,14 +40,14 @@
                     Err(e) => break e,
                 }
             },
-            // Sends without end, to see where it is held up.
+            // Sends without end, so that flow control has to stop it.
             "/t.T/Flood" => loop {
                 if let Err(e) = call.outbound.send(&text("x".repeat(10_000))) {
                     break e;
                 }
                 self.sent.fetch_add(1, Ordering::SeqCst);
             },
-            // The same, but it gives a peer up that takes nothing.
+            // Sends without end, and cancels the call when the peer reads nothing for 100 ms.
             "/t.T/Patience" => loop {
                 let soon = Instant::now() + Duration::from_millis(100);
                 call.outbound.set_deadline(Some(soon));
@@ -73,7 +74,7 @@
     }
 }
 
-fn started() -> (Server, Arc<AtomicUsize>, Arc<AtomicUsize>) {
+fn start_server() -> (Server, Arc<AtomicUsize>, Arc<AtomicUsize>) {
     let echo = Echo::default();
     let (ended, sent) = (echo.ended.clone(), echo.sent.clone());
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
@@ -81,40 +82,43 @@
     (server, ended, sent)
 }
 
-/// Waits for a condition; the bound only turns a hang into a failure.
-fn until(what: &str, mut met: impl FnMut() -> bool) {
+/// Waits for a condition; the time limit only turns a hang into a failure.
+fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let end = Instant::now() + Duration::from_secs(20);
-    while !met() {
+    while !condition() {
         assert!(Instant::now() < end, "{what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
+/// A timeout that no call here should reach.
 const LONG: Duration = Duration::from_secs(20);
 
 #[test]
-fn unary_calls_and_their_statuses() {
-    let (server, _, _) = started();
-    let link = Connection::connect(server.address(), limits()).unwrap();
-    let said: Text = link.unary_call("/t.T/Echo", &text("hello"), LONG).unwrap();
-    assert_eq!(said.text, "hello");
-    let refused = link.unary_call::<_, Text>("/t.T/Refuse", &text(""), LONG);
-    let wanted = Status::new(Code::FailedPrecondition, "nicht heute: größe");
-    assert_eq!(refused.unwrap_err(), wanted);
-    let unknown = link.unary_call::<_, Text>("/t.T/Other", &text(""), LONG);
+fn unary_calls_return_a_message_or_a_status() {
+    let (server, _, _) = start_server();
+    let connection = Connection::connect(server.address(), limits()).unwrap();
+    let reply: Text = connection
+        .unary_call("/t.T/Echo", &text("hello"), LONG)
+        .unwrap();
+    assert_eq!(reply.text, "hello");
+    let refused = connection.unary_call::<_, Text>("/t.T/Refuse", &text(""), LONG);
+    let expected = Status::new(Code::FailedPrecondition, "nicht heute: größe");
+    assert_eq!(refused.unwrap_err(), expected);
+    let unknown = connection.unary_call::<_, Text>("/t.T/Other", &text(""), LONG);
     assert_eq!(unknown.unwrap_err().code, Code::Unimplemented);
-    let large = link.unary_call::<_, Text>("/t.T/Echo", &text("x".repeat(100_001)), LONG);
+    let large = connection.unary_call::<_, Text>("/t.T/Echo", &text("x".repeat(100_001)), LONG);
     assert_eq!(large.unwrap_err().code, Code::ResourceExhausted);
 }
 
 #[test]
-fn streams_both_ways_keep_their_order_and_their_windows() {
-    let (server, ended, _) = started();
-    let link = Connection::connect(server.address(), limits()).unwrap();
-    let mut dialed = link.start_call("/t.T/Echo", None).unwrap();
-    dialed.outbound.send(&text("0".repeat(90_000))).unwrap();
-    let (mut outbound, mut inbound) = dialed.wait_for_response().unwrap();
-    // Far more than both windows hold: goes through only if each side gives room as it reads.
+fn streams_in_both_directions_keep_order_and_reopen_their_windows() {
+    let (server, ended, _) = start_server();
+    let connection = Connection::connect(server.address(), limits()).unwrap();
+    let mut call = connection.start_call("/t.T/Echo", None).unwrap();
+    call.outbound.send(&text("0".repeat(90_000))).unwrap();
+    let (mut outbound, mut inbound) = call.wait_for_response().unwrap();
+    // Far more than both windows hold: it arrives only if each side opens its window as it reads.
     let writer = spawn(move || {
         for i in 1..40 {
             outbound.send(&text(i.to_string().repeat(40_000))).unwrap();
@@ -128,36 +132,45 @@
     }
     assert_eq!(inbound.receive::<Text>(), Ok(None));
     writer.join().unwrap();
-    until("the call ended", || ended.load(Ordering::SeqCst) == 1);
+    wait_until("the call ended", || ended.load(Ordering::SeqCst) == 1);
 }
 
 #[test]
-fn a_reader_that_stops_holds_up_its_sender_and_nobody_else() {
-    let (server, ended, sent) = started();
-    let link = Connection::connect(server.address(), limits()).unwrap();
-    let mut stuck = link.start_call("/t.T/Flood", None).unwrap();
-    stuck.outbound.send(&text("")).unwrap();
-    let most = limits().connection_window_bytes as usize / 10_000 + 1;
-    until("the flood began", || sent.load(Ordering::SeqCst) > 0);
-    // Another call on the same connection goes on meanwhile, again and again.
+fn a_reader_that_stops_blocks_only_its_own_sender() {
+    let (server, ended, sent) = start_server();
+    let connection = Connection::connect(server.address(), limits()).unwrap();
+    let mut blocked_call = connection.start_call("/t.T/Flood", None).unwrap();
+    blocked_call.outbound.send(&text("")).unwrap();
+    let max_sent = limits().connection_window_bytes as usize / 10_000 + 1;
+    wait_until("the flood began", || sent.load(Ordering::SeqCst) > 0);
+    // Other calls on the same connection still work meanwhile.
     for _ in 0..200 {
-        let said: Text = link.unary_call("/t.T/Echo", &text("on"), LONG).unwrap();
-        assert_eq!(said.text, "on");
+        let reply: Text = connection
+            .unary_call("/t.T/Echo", &text("on"), LONG)
+            .unwrap();
+        assert_eq!(reply.text, "on");
     }
-    assert!(sent.load(Ordering::SeqCst) <= most, "window bounds it");
+    assert!(
+        sent.load(Ordering::SeqCst) <= max_sent,
+        "the window bounds it"
+    );
     let before = ended.load(Ordering::SeqCst);
-    stuck.outbound.cancel();
-    until("the cancel came", || ended.load(Ordering::SeqCst) > before);
+    blocked_call.outbound.cancel();
+    wait_until("the call was cancelled", || {
+        ended.load(Ordering::SeqCst) > before
+    });
 }
 
 #[test]
-fn a_sender_with_a_limit_gives_up_a_reader_that_stopped() {
-    let (server, ended, _) = started();
-    let link = Connection::connect(server.address(), limits()).unwrap();
-    let mut stuck = link.start_call("/t.T/Patience", None).unwrap();
-    stuck.outbound.send(&text("")).unwrap();
-    until("given up", || ended.load(Ordering::SeqCst) == 1);
-    let (_outbound, mut inbound) = stuck.wait_for_response().unwrap();
+fn a_sender_with_a_deadline_cancels_the_call_of_a_stopped_reader() {
+    let (server, ended, _) = start_server();
+    let connection = Connection::connect(server.address(), limits()).unwrap();
+    let mut blocked_call = connection.start_call("/t.T/Patience", None).unwrap();
+    blocked_call.outbound.send(&text("")).unwrap();
+    wait_until("the server cancelled the call", || {
+        ended.load(Ordering::SeqCst) == 1
+    });
+    let (_outbound, mut inbound) = blocked_call.wait_for_response().unwrap();
     let end = loop {
         match inbound.receive::<Text>() {
             Ok(Some(_)) => {}
@@ -166,73 +179,74 @@
     };
     assert!(
         end.is_err(),
-        "the call is broken off, not ended as if complete: {end:?}"
+        "the call is reset, not ended as if complete: {end:?}"
     );
 }
 
 #[test]
 fn a_deadline_ends_the_call_on_both_sides() {
-    let (server, ended, _) = started();
-    let link = Connection::connect(server.address(), limits()).unwrap();
+    let (server, ended, _) = start_server();
+    let connection = Connection::connect(server.address(), limits()).unwrap();
     let limit = Duration::from_millis(100);
-    let mut dialed = link.start_call("/t.T/Echo", Some(limit)).unwrap();
-    dialed.outbound.send(&text("a")).unwrap();
-    let (_outbound, mut inbound) = dialed.wait_for_response().unwrap();
+    let mut call = connection.start_call("/t.T/Echo", Some(limit)).unwrap();
+    call.outbound.send(&text("a")).unwrap();
+    let (_outbound, mut inbound) = call.wait_for_response().unwrap();
     assert_eq!(inbound.receive(), Ok(Some(text("a"))));
     let late = inbound.receive::<Text>().unwrap_err();
     assert_eq!(late.code, Code::DeadlineExceeded);
-    until("the server's side ended", || {
+    wait_until("the server's side ended", || {
         ended.load(Ordering::SeqCst) == 1
     });
 }
 
 #[test]
-fn an_orderly_end_lets_calls_finish_and_takes_no_more() {
-    let (server, _, _) = started();
-    let link = Connection::connect(server.address(), limits()).unwrap();
-    let mut dialed = link.start_call("/t.T/Echo", None).unwrap();
-    dialed.outbound.send(&text("a")).unwrap();
-    let (mut outbound, mut inbound) = dialed.wait_for_response().unwrap();
+fn shutdown_lets_open_calls_finish_and_accepts_no_new_ones() {
+    let (server, _, _) = start_server();
+    let connection = Connection::connect(server.address(), limits()).unwrap();
+    let mut call = connection.start_call("/t.T/Echo", None).unwrap();
+    call.outbound.send(&text("a")).unwrap();
+    let (mut outbound, mut inbound) = call.wait_for_response().unwrap();
     assert_eq!(inbound.receive(), Ok(Some(text("a"))));
-    let ending = std::thread::spawn(move || server.shut_down(Instant::now() + LONG));
-    until("told to go away", || {
-        link.start_call("/t.T/Echo", Some(LONG)).is_err()
+    let shutdown = std::thread::spawn(move || server.shut_down(Instant::now() + LONG));
+    wait_until("GOAWAY was received", || {
+        connection.start_call("/t.T/Echo", Some(LONG)).is_err()
     });
     outbound.send(&text("still")).unwrap();
     assert_eq!(inbound.receive(), Ok(Some(text("still"))));
     outbound.half_close();
     assert_eq!(inbound.receive::<Text>(), Ok(None));
-    drop((outbound, inbound, link));
-    assert!(ending.join().unwrap());
+    drop((outbound, inbound, connection));
+    assert!(shutdown.join().unwrap());
 }
 
 #[test]
-fn peers_that_are_not_there_or_talk_nonsense_cost_one_connection() {
-    let (server, _, _) = started();
-    // Says hello in HTTP/2, then never reads nor answers a ping.
-    let mut mute = std::net::TcpStream::connect(server.address()).unwrap();
-    mute.write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\x04\0\0\0\0\0")
+fn silent_peers_and_other_protocols_cost_one_connection_each() {
+    let (server, _, _) = start_server();
+    // Sends the HTTP/2 preface and SETTINGS, then neither reads nor answers a ping.
+    let mut silent = std::net::TcpStream::connect(server.address()).unwrap();
+    silent
+        .write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\x04\0\0\0\0\0")
         .unwrap();
-    // Talks HTTP/1.1.
-    let mut odd = std::net::TcpStream::connect(server.address()).unwrap();
-    odd.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
+    // Speaks HTTP/1.1.
+    let mut http1 = std::net::TcpStream::connect(server.address()).unwrap();
+    http1.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
     let mut rest = Vec::new();
-    let _ = odd.read_to_end(&mut rest);
-    until("both were given up", || server.connections() == 0);
-    let link = Connection::connect(server.address(), limits()).unwrap();
-    let said: Text = link
+    let _ = http1.read_to_end(&mut rest);
+    wait_until("both connections are closed", || server.connections() == 0);
+    let connection = Connection::connect(server.address(), limits()).unwrap();
+    let reply: Text = connection
         .unary_call("/t.T/Echo", &text("still here"), LONG)
         .unwrap();
-    assert_eq!(said.text, "still here");
+    assert_eq!(reply.text, "still here");
 }
 
 #[test]
-fn a_server_that_is_gone_is_unavailable() {
-    let (server, _, _) = started();
+fn connecting_to_a_stopped_server_is_unavailable() {
+    let (server, _, _) = start_server();
     let address = server.address();
     assert!(server.shut_down(Instant::now() + LONG));
     drop(server);
-    until(
+    wait_until(
         "the port is free",
         || matches!(Connection::connect(address, limits()), Err(e) if e.code == Code::Unavailable),
     );
