--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -18,7 +18,7 @@
 pub use lrs::{ClusterLoad, EndpointLoad, read as parse_load_stats, request as load_stats_request};
 pub use resources::{ServiceConfig, WEIGHT_SCALE};
 pub use service::{DiscoveryStream, XdsService};
-pub use session::{Answer, Flavour, Session};
+pub use session::{ProtocolVariant, Session, SessionEvent};
 pub use status::{ResourceState, StatusRow, read as parse_client_status};
 
 pub use prost::Message;
--- a/crates/xds/src/lrs.rs
+++ b/crates/xds/src/lrs.rs
@@ -68,12 +68,12 @@
                 line.in_flight += e.total_requests_in_progress as f64;
                 line.success_ms += times.map(|m| m.total_metric_value).sum::<f64>();
                 for m in &e.load_metric_stats {
-                    let answers = m.num_requests_finished_with_metric as f64;
+                    let events = m.num_requests_finished_with_metric as f64;
                     match m.metric_name.as_str() {
                         OWN_QUEUE => line.queue_sum += m.total_metric_value,
                         OWN_MS => {
                             line.service_ms_sum += m.total_metric_value;
-                            line.load_samples += answers;
+                            line.load_samples += events;
                         }
                         _ => {}
                     }
--- a/crates/xds/src/service.rs
+++ b/crates/xds/src/service.rs
@@ -7,7 +7,7 @@
 use crate::pb::load_stats::{LoadStatsRequest, LoadStatsResponse};
 use crate::pb::protobuf::{Duration, value::Kind};
 use crate::resources::ServiceConfig;
-use crate::session::{Answer, Flavour, Session};
+use crate::session::{ProtocolVariant, Session, SessionEvent};
 use crate::{LEDS_FEATURE, lrs, status};
 use dahliapoint_control::{ControllerHandle, Input, Output, Session as Id};
 use dahliapoint_fibers::{Notify, spawn};
@@ -140,9 +140,9 @@
         }
         let leds = node.client_features.iter().any(|f| f == LEDS_FEATURE);
         let flavour = match way {
-            Way::Full(_) => Flavour::Full,
-            Way::Delta(_) if leds => Flavour::DeltaLeds,
-            Way::Delta(_) => Flavour::DeltaInline,
+            Way::Full(_) => ProtocolVariant::Full,
+            Way::Delta(_) if leds => ProtocolVariant::DeltaLeds,
+            Way::Delta(_) => ProtocolVariant::DeltaInline,
         };
         let id = self.next.fetch_add(1, Ordering::SeqCst);
         let stream = Arc::new(DiscoveryStream {
@@ -191,16 +191,16 @@
         let mut next = Some(first);
         while let Some(request) = next {
             let type_url = request.type_url(way);
-            let answers = {
+            let events = {
                 let mut session = stream.session();
                 let taken = match &request {
-                    Request::Delta(r) => session.asked_delta(&with_type(r, &type_url)),
-                    Request::Full(r) => session.asked_full(&with_type_full(r, &type_url)),
+                    Request::Delta(r) => session.handle_delta_request(&with_type(r, &type_url)),
+                    Request::Full(r) => session.handle_sotw_request(&with_type_full(r, &type_url)),
                 };
                 taken.map_err(|why| Status::new(Code::InvalidArgument, why))?;
-                session.answers()
+                session.take_events()
             };
-            tell(stream, &*self.owner, answers)?;
+            tell(stream, &*self.owner, events)?;
             stream.bell.notify();
             next = way.read(&mut inbound)?;
         }
@@ -364,11 +364,11 @@
 fn tell(
     stream: &DiscoveryStream,
     owner: &dyn ControllerHandle,
-    answers: Vec<Answer>,
+    events: Vec<SessionEvent>,
 ) -> Result<(), Status> {
-    for answer in answers {
+    for answer in events {
         let input = match answer {
-            Answer::Joined => {
+            SessionEvent::Joined => {
                 let node = &stream.node;
                 let zone = node.locality.as_ref().map(|l| l.zone.clone());
                 let fields = node.metadata.as_ref().map(|m| &m.fields);
@@ -384,8 +384,8 @@
                     visits_per_s: pace,
                 }
             }
-            Answer::Applied(serial) => Input::Applied(stream.id, serial),
-            Answer::Refused(serial, why) => Input::Refused(stream.id, serial, why),
+            SessionEvent::Acked(serial) => Input::Applied(stream.id, serial),
+            SessionEvent::Nacked(serial, why) => Input::Refused(stream.id, serial, why),
         };
         if !owner.send(input) {
             return Err(Status::new(Code::Unavailable, "the controller ends"));
@@ -397,15 +397,15 @@
 /// Writes what the session has, until the stream ends.
 fn write(stream: &DiscoveryStream, way: Way, mut outbound: Outbound, owner: &dyn ControllerHandle) {
     loop {
-        let (next, answers) = {
+        let (next, events) = {
             let mut session = stream.session();
             let next = match way {
-                Way::Delta(_) => session.next_delta().map(Response::Delta),
-                Way::Full(_) => session.next_full().map(Response::Full),
+                Way::Delta(_) => session.next_delta_response().map(Response::Delta),
+                Way::Full(_) => session.next_sotw_response().map(Response::Full),
             };
-            (next, session.answers())
+            (next, session.take_events())
         };
-        let failed = tell(stream, owner, answers).err();
+        let failed = tell(stream, owner, events).err();
         if let Some(response) = next {
             // A peer whose window stays full has stopped reading: what it is told elsewhere (that its
             // stream ends) would wait behind this for ever.
--- a/crates/xds/src/session.rs
+++ b/crates/xds/src/session.rs
@@ -2,9 +2,9 @@
 //! the next response. Messages of the controller are merged as they come, so a client that is slow to
 //! answer is told the newest state once, and costs no more memory than its table.
 //!
-//! How it is called: [`Session::asked_delta`] or [`Session::asked_full`] for each request,
-//! [`Session::deliver`] for each message, then [`Session::next_delta`] or [`Session::next_full`] until
-//! there is none, and [`Session::answers`] for what the controller is to be told.
+//! How it is called: [`Session::handle_delta_request`] or [`Session::handle_sotw_request`] for each request,
+//! [`Session::deliver`] for each message, then [`Session::next_delta_response`] or [`Session::next_sotw_response`] until
+//! there is none, and [`Session::events`] for what the controller is to be told.
 
 use crate::names::{self, CDS, EDS, LEDS, RDS};
 use crate::pb::discovery::{
@@ -17,13 +17,13 @@
 use std::sync::Arc;
 
 /// Responses without an answer, beyond which the rest is merged and waits.
-const UNDER_WAY: usize = 8;
+const MAX_PENDING_RESPONSES: usize = 8;
 /// Names that one client may ask for, by type.
-const MOST_NAMES: usize = 4096;
+const MAX_NAMES_PER_TYPE: usize = 4096;
 
 /// How a stream takes its resources.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flavour {
+pub enum ProtocolVariant {
     /// Delta, lines by LEDS.
     DeltaLeds,
     /// Delta, lines within the assignments.
@@ -34,60 +34,67 @@
 
 /// What the controller is to be told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum SessionEvent {
     /// It asks for lines: it has joined.
     Joined,
-    Applied(u64),
-    Refused(u64, String),
+    Acked(u64),
+    Nacked(u64, String),
 }
 
 /// In the order in which responses go out: what a later one refers to goes first.
-const KINDS: [&str; 4] = [CDS, RDS, EDS, LEDS];
-const K_CDS: usize = 0;
-const K_RDS: usize = 1;
-const K_EDS: usize = 2;
-const K_LEDS: usize = 3;
+const RESOURCE_TYPES: [&str; 4] = [CDS, RDS, EDS, LEDS];
+const CDS_INDEX: usize = 0;
+const RDS_INDEX: usize = 1;
+const EDS_INDEX: usize = 2;
+const LEDS_INDEX: usize = 3;
 
 /// What a client asked for of one type, and what it holds of it.
 #[derive(Default)]
-struct Kind {
-    asked: bool,
+struct Subscription {
+    requested: bool,
     wildcard: bool,
     names: BTreeSet<String>,
     /// Versions that it holds once what is under way is applied, and those that it has answered for.
-    sent: BTreeMap<String, String>,
-    acked: BTreeMap<String, String>,
-    dirty: BTreeSet<String>,
+    sent_versions: BTreeMap<String, String>,
+    acked_versions: BTreeMap<String, String>,
+    changed: BTreeSet<String>,
     /// Removals that are told even if it never held the resource.
-    always: BTreeSet<String>,
+    report_absent: BTreeSet<String>,
     /// An answer is owed though nothing may have changed.
-    owed: bool,
+    response_due: bool,
     nonce: String,
-    refusal: Option<String>,
+    nack_message: Option<String>,
 }
 
-impl Kind {
+impl Subscription {
     fn covers(&self, name: &str) -> bool {
         self.wildcard || self.names.contains(name) || {
-            let stem = name.rfind('/').map(|at| format!("{}/*", &name[..at]));
-            stem.is_some_and(|s| self.names.contains(&s))
+            let prefix = name.rfind('/').map(|at| format!("{}/*", &name[..at]));
+            prefix.is_some_and(|s| self.names.contains(&s))
         }
     }
 }
 
 /// A response without an answer.
-struct Flight {
+struct PendingResponse {
     nonce: String,
-    kind: usize,
+    type_index: usize,
     /// Everything up to this serial is told with it.
     serial: Option<u64>,
     /// What it told: versions now and before; none for a resource that is not there.
-    told: Vec<(String, Option<String>, Option<String>)>,
+    changes: Vec<SentChange>,
+}
+
+/// A change of one resource within a response; a version is none where the resource does not exist.
+struct SentChange {
+    name: String,
+    version: Option<String>,
+    previous_version: Option<String>,
 }
 
 /// Whether a resource is there for this client.
 enum Found {
-    There(Versioned),
+    Present(Versioned),
     Absent,
     /// It is not told yet: the client keeps what it holds.
     Withheld,
@@ -95,65 +102,65 @@
 
 /// A row for people: a resource that the client holds or was sent.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
+pub struct SentResource {
     pub type_url: &'static str,
     pub name: String,
     pub version: String,
     pub acked: bool,
-    pub refusal: Option<String>,
+    pub nack_message: Option<String>,
 }
 
 pub struct Session {
     config: Arc<ServiceConfig>,
-    flavour: Flavour,
-    kinds: [Kind; 4],
+    variant: ProtocolVariant,
+    subscriptions: [Subscription; 4],
     joined: bool,
-    bound: Option<usize>,
-    raw: BTreeMap<Arc<str>, Line>,
-    lines: BTreeMap<String, Versioned>,
-    withdrawn: BTreeMap<String, Versioned>,
-    ways: Vec<ClassPolicy>,
+    part: Option<usize>,
+    lines_by_server: BTreeMap<Arc<str>, Line>,
+    line_resources: BTreeMap<String, Versioned>,
+    withdrawn_resources: BTreeMap<String, Versioned>,
+    policies: Vec<ClassPolicy>,
     /// The newest serial merged, and the newest that a response carries.
-    newest: u64,
-    told: u64,
-    flights: VecDeque<Flight>,
+    latest_serial: u64,
+    sent_serial: u64,
+    pending: VecDeque<PendingResponse>,
     /// Why something since the last answered serial was refused.
-    refusal: Option<String>,
-    odd: VecDeque<(String, Vec<String>)>,
-    answers: Vec<Answer>,
-    nonces: u64,
+    nack_message: Option<String>,
+    unknown_types: VecDeque<(String, Vec<String>)>,
+    events: Vec<SessionEvent>,
+    last_nonce: u64,
 }
 
 impl Session {
-    pub fn new(config: Arc<ServiceConfig>, flavour: Flavour) -> Session {
-        let way = ClassPolicy {
+    pub fn new(config: Arc<ServiceConfig>, variant: ProtocolVariant) -> Session {
+        let policy = ClassPolicy {
             admitted_share: 1.0,
             retry: RetryPolicy::OnProof,
         };
-        let ways = vec![way; config.classes.len()];
+        let policies = vec![policy; config.classes.len()];
         Session {
             config,
-            flavour,
-            kinds: Default::default(),
+            variant,
+            subscriptions: Default::default(),
             joined: false,
-            bound: None,
-            raw: BTreeMap::new(),
-            lines: BTreeMap::new(),
-            withdrawn: BTreeMap::new(),
-            ways,
-            newest: 0,
-            told: 0,
-            flights: VecDeque::new(),
-            refusal: None,
-            odd: VecDeque::new(),
-            answers: Vec::new(),
-            nonces: 0,
+            part: None,
+            lines_by_server: BTreeMap::new(),
+            line_resources: BTreeMap::new(),
+            withdrawn_resources: BTreeMap::new(),
+            policies,
+            latest_serial: 0,
+            sent_serial: 0,
+            pending: VecDeque::new(),
+            nack_message: None,
+            unknown_types: VecDeque::new(),
+            events: Vec::new(),
+            last_nonce: 0,
         }
     }
 
     /// What has come to be told to the controller.
-    pub fn answers(&mut self) -> Vec<Answer> {
-        std::mem::take(&mut self.answers)
+    pub fn take_events(&mut self) -> Vec<SessionEvent> {
+        std::mem::take(&mut self.events)
     }
 
     // ---- what the client says ----
@@ -162,61 +169,70 @@
     ///
     /// # Errors
     /// A sentence about a request that no client should send.
-    pub fn asked_delta(&mut self, r: &DeltaDiscoveryRequest) -> Result<(), String> {
-        let Some(kind) = KINDS.iter().position(|k| *k == r.type_url) else {
-            self.ask_unknown(&r.type_url, &r.resource_names_subscribe);
+    pub fn handle_delta_request(&mut self, r: &DeltaDiscoveryRequest) -> Result<(), String> {
+        let Some(type_index) = RESOURCE_TYPES.iter().position(|t| *t == r.type_url) else {
+            self.handle_unknown_type(&r.type_url, &r.resource_names_subscribe);
             return Ok(());
         };
         if !r.response_nonce.is_empty() {
             let error = r.error_detail.as_ref().map(|e| e.message.clone());
-            self.answered(kind, &r.response_nonce, error);
+            self.handle_ack(type_index, &r.response_nonce, error);
         }
-        let k = &mut self.kinds[kind];
-        let first = !std::mem::replace(&mut k.asked, true);
+        let subscription = &mut self.subscriptions[type_index];
+        let first = !std::mem::replace(&mut subscription.requested, true);
         if first {
             let held = r.initial_resource_versions.iter();
-            k.sent = held.map(|(n, v)| (n.clone(), v.clone())).collect();
-            k.acked = k.sent.clone();
+            subscription.sent_versions = held.map(|(n, v)| (n.clone(), v.clone())).collect();
+            subscription.acked_versions = subscription.sent_versions.clone();
             // The older way to ask for everything, which the specification keeps for clusters.
-            k.wildcard = kind == K_CDS && r.resource_names_subscribe.is_empty();
-            k.owed = k.wildcard;
+            subscription.wildcard =
+                type_index == CDS_INDEX && r.resource_names_subscribe.is_empty();
+            subscription.response_due = subscription.wildcard;
         }
         for name in &r.resource_names_unsubscribe {
             if name == "*" {
-                k.wildcard = false;
+                subscription.wildcard = false;
             }
-            k.names.remove(name);
+            subscription.names.remove(name);
         }
-        if k.names.len() + r.resource_names_subscribe.len() > MOST_NAMES {
-            return Err(format!("more than {MOST_NAMES} names of {}", r.type_url));
+        if subscription.names.len() + r.resource_names_subscribe.len() > MAX_NAMES_PER_TYPE {
+            return Err(format!(
+                "more than {MAX_NAMES_PER_TYPE} names of {}",
+                r.type_url
+            ));
         }
-        let mut again = Vec::new();
+        let mut resubscribed = Vec::new();
         for name in &r.resource_names_subscribe {
             if name == "*" {
-                k.wildcard = true;
-                k.owed = true;
-            } else if !k.names.insert(name.clone()) {
+                subscription.wildcard = true;
+                subscription.response_due = true;
+            } else if !subscription.names.insert(name.clone()) {
                 // Asked for again: it has lost it, and is told even what it should hold.
-                again.push(name.clone());
+                resubscribed.push(name.clone());
             }
         }
         if !r.resource_names_unsubscribe.is_empty() {
-            let sent = std::mem::take(&mut k.sent).into_iter();
-            let sent: BTreeMap<_, _> = sent.filter(|(n, _)| k.covers(n)).collect();
-            k.sent = sent;
-            let acked = std::mem::take(&mut k.acked).into_iter();
-            k.acked = acked.filter(|(n, _)| k.sent.contains_key(n)).collect();
-        }
-        for name in &again {
-            let stem = name.strip_suffix('*').unwrap_or(name).to_string();
+            let sent_versions = std::mem::take(&mut subscription.sent_versions).into_iter();
+            let sent_versions: BTreeMap<_, _> = sent_versions
+                .filter(|(n, _)| subscription.covers(n))
+                .collect();
+            subscription.sent_versions = sent_versions;
+            let acked = std::mem::take(&mut subscription.acked_versions).into_iter();
+            subscription.acked_versions = acked
+                .filter(|(n, _)| subscription.sent_versions.contains_key(n))
+                .collect();
+        }
+        for name in &resubscribed {
+            let prefix = name.strip_suffix('*').unwrap_or(name).to_string();
             let glob = name.ends_with('*');
-            k.sent
-                .retain(|n, _| !(n == name || glob && n.starts_with(&stem)));
+            subscription
+                .sent_versions
+                .retain(|n, _| !(n == name || glob && n.starts_with(&prefix)));
         }
         if !r.resource_names_subscribe.is_empty() || first {
-            self.mark_asked(kind, &r.resource_names_subscribe);
+            self.mark_requested(type_index, &r.resource_names_subscribe);
         }
-        self.join_if_asked();
+        self.join_if_requested();
         Ok(())
     }
 
@@ -224,128 +240,151 @@
     ///
     /// # Errors
     /// A sentence about a request that no client should send.
-    pub fn asked_full(&mut self, r: &DiscoveryRequest) -> Result<(), String> {
-        let known = KINDS.iter().position(|k| *k == r.type_url);
-        let Some(kind) = known.filter(|k| *k != K_LEDS) else {
-            self.ask_unknown(&r.type_url, &[]);
+    pub fn handle_sotw_request(&mut self, r: &DiscoveryRequest) -> Result<(), String> {
+        let known = RESOURCE_TYPES.iter().position(|t| *t == r.type_url);
+        let Some(type_index) = known.filter(|t| *t != LEDS_INDEX) else {
+            self.handle_unknown_type(&r.type_url, &[]);
             return Ok(());
         };
-        if r.resource_names.len() > MOST_NAMES {
-            return Err(format!("more than {MOST_NAMES} names of {}", r.type_url));
+        if r.resource_names.len() > MAX_NAMES_PER_TYPE {
+            return Err(format!(
+                "more than {MAX_NAMES_PER_TYPE} names of {}",
+                r.type_url
+            ));
         }
-        let k = &self.kinds[kind];
+        let subscription = &self.subscriptions[type_index];
         if !r.response_nonce.is_empty() {
-            if r.response_nonce != k.nonce {
+            if r.response_nonce != subscription.nonce {
                 // Of an older response: a newer request is on its way.
                 return Ok(());
             }
             let error = r.error_detail.as_ref().map(|e| e.message.clone());
-            self.answered(kind, &r.response_nonce, error);
+            self.handle_ack(type_index, &r.response_nonce, error);
         }
-        let k = &mut self.kinds[kind];
-        let first = !std::mem::replace(&mut k.asked, true);
+        let subscription = &mut self.subscriptions[type_index];
+        let first = !std::mem::replace(&mut subscription.requested, true);
         let names: BTreeSet<String> = r.resource_names.iter().cloned().collect();
-        let wildcard = kind == K_CDS && (names.is_empty() || names.contains("*"));
-        if first || names != k.names || wildcard != k.wildcard {
-            k.sent.retain(|n, _| names.contains(n) || wildcard);
-            (k.names, k.wildcard) = (names, wildcard);
+        let wildcard = type_index == CDS_INDEX && (names.is_empty() || names.contains("*"));
+        if first || names != subscription.names || wildcard != subscription.wildcard {
+            subscription
+                .sent_versions
+                .retain(|n, _| names.contains(n) || wildcard);
+            (subscription.names, subscription.wildcard) = (names, wildcard);
             let names: Vec<String> = r.resource_names.clone();
-            self.mark_asked(kind, &names);
-            self.kinds[kind].owed = true;
+            self.mark_requested(type_index, &names);
+            self.subscriptions[type_index].response_due = true;
         }
-        self.join_if_asked();
+        self.join_if_requested();
         Ok(())
     }
 
     /// A type that nobody here serves: its names do not exist, which is an answer, not a fault.
-    fn ask_unknown(&mut self, type_url: &str, names: &[String]) {
-        if !names.is_empty() && self.odd.len() < UNDER_WAY && self.flavour != Flavour::Full {
+    fn handle_unknown_type(&mut self, type_url: &str, names: &[String]) {
+        if !names.is_empty()
+            && self.unknown_types.len() < MAX_PENDING_RESPONSES
+            && self.variant != ProtocolVariant::Full
+        {
             let names = names.iter().filter(|n| *n != "*").cloned().collect();
-            self.odd.push_back((type_url.to_string(), names));
+            self.unknown_types.push_back((type_url.to_string(), names));
         }
     }
 
-    fn mark_asked(&mut self, kind: usize, names: &[String]) {
-        let there = self.there(kind);
-        let bound = self
-            .bound
+    fn mark_requested(&mut self, type_index: usize, names: &[String]) {
+        let existing = self.existing_names(type_index);
+        let assigned = self
+            .part
             .map(|p| names::part_collection(&self.config.service, p));
         let withdrawn = names::withdrawn_collection(&self.config.service);
-        let k = &mut self.kinds[kind];
-        let there: Vec<_> = there.into_iter().filter(|n| k.covers(n)).collect();
-        k.dirty.extend(there);
-        let held: Vec<_> = k.sent.keys().filter(|n| k.covers(n)).cloned().collect();
-        k.dirty.extend(held);
+        let subscription = &mut self.subscriptions[type_index];
+        let existing: Vec<_> = existing
+            .into_iter()
+            .filter(|n| subscription.covers(n))
+            .collect();
+        subscription.changed.extend(existing);
+        let held: Vec<_> = subscription
+            .sent_versions
+            .keys()
+            .filter(|n| subscription.covers(n))
+            .cloned()
+            .collect();
+        subscription.changed.extend(held);
         for name in names {
             match name.ends_with("/*") {
                 // A collection: its first answer is owed even if it is empty.
-                true if kind == K_LEDS => {
-                    let given = Some(name) == bound.as_ref() || *name == withdrawn;
-                    k.owed |= given;
-                    k.always
-                        .extend((!given && !is_part(name)).then(|| name.clone()));
+                true if type_index == LEDS_INDEX => {
+                    let served = Some(name) == assigned.as_ref() || *name == withdrawn;
+                    subscription.response_due |= served;
+                    subscription
+                        .report_absent
+                        .extend((!served && !is_part_collection(name)).then(|| name.clone()));
                 }
                 _ => {
-                    k.dirty.insert(name.clone());
-                    k.always.insert(name.clone());
+                    subscription.changed.insert(name.clone());
+                    subscription.report_absent.insert(name.clone());
                 }
             }
         }
-        k.dirty.remove("*");
-        k.always.remove("*");
-        let always = k.always.clone();
-        k.dirty.extend(always);
+        subscription.changed.remove("*");
+        subscription.report_absent.remove("*");
+        let report_absent = subscription.report_absent.clone();
+        subscription.changed.extend(report_absent);
     }
 
-    fn join_if_asked(&mut self) {
-        let asks = self.kinds[K_EDS].asked || self.kinds[K_LEDS].asked;
-        if asks && !self.joined {
+    fn join_if_requested(&mut self) {
+        let requested =
+            self.subscriptions[EDS_INDEX].requested || self.subscriptions[LEDS_INDEX].requested;
+        if requested && !self.joined {
             self.joined = true;
-            self.answers.push(Answer::Joined);
+            self.events.push(SessionEvent::Joined);
         }
     }
 
     /// An answer to a response. One to a response that is not under way says nothing new.
-    fn answered(&mut self, kind: usize, nonce: &str, error: Option<String>) {
-        let same = |f: &Flight| f.nonce == nonce && f.kind == kind;
-        let Some(at) = self.flights.iter().position(same) else {
+    fn handle_ack(&mut self, type_index: usize, nonce: &str, error: Option<String>) {
+        let same = |f: &PendingResponse| f.nonce == nonce && f.type_index == type_index;
+        let Some(at) = self.pending.iter().position(same) else {
             return;
         };
-        let Some(flight) = self.flights.remove(at) else {
+        let Some(response) = self.pending.remove(at) else {
             return;
         };
-        let k = &mut self.kinds[kind];
-        for (name, now, before) in flight.told {
-            let wanted = if error.is_none() { now } else { before };
-            let newer = self.flights.iter().any(|f| {
-                let mut told = f.told.iter();
-                f.kind == kind && told.any(|(n, ..)| *n == name)
+        let subscription = &mut self.subscriptions[type_index];
+        for change in response.changes {
+            let name = change.name;
+            let held_version = if error.is_none() {
+                change.version
+            } else {
+                change.previous_version
+            };
+            let newer = self.pending.iter().any(|f| {
+                let mut changes = f.changes.iter();
+                f.type_index == type_index && changes.any(|c| c.name == name)
             });
-            match (&error, wanted) {
+            match (&error, held_version) {
                 (None, Some(version)) => {
-                    k.acked.insert(name, version);
+                    subscription.acked_versions.insert(name, version);
                 }
                 (None, None) => {
-                    k.acked.remove(&name);
+                    subscription.acked_versions.remove(&name);
                 }
                 // It keeps what it held; a newer response on its way tells the rest.
                 (Some(_), _) if newer => {}
                 (Some(_), Some(version)) => {
-                    k.sent.insert(name, version);
+                    subscription.sent_versions.insert(name, version);
                 }
                 (Some(_), None) => {
-                    k.sent.remove(&name);
+                    subscription.sent_versions.remove(&name);
                 }
             }
         }
-        k.refusal = error.clone();
+        subscription.nack_message = error.clone();
         if let Some(why) = error {
-            self.refusal.get_or_insert(why);
+            self.nack_message.get_or_insert(why);
         }
-        if let Some(serial) = flight.serial {
-            self.answers.push(match self.refusal.take() {
-                Some(why) => Answer::Refused(serial, why),
-                None => Answer::Applied(serial),
+        if let Some(serial) = response.serial {
+            self.events.push(match self.nack_message.take() {
+                Some(why) => SessionEvent::Nacked(serial, why),
+                None => SessionEvent::Acked(serial),
             });
         }
     }
@@ -354,18 +393,19 @@
 
     /// Merges a message into what the client is to hold.
     pub fn deliver(&mut self, message: &Message) {
-        self.newest = self.newest.max(message.serial);
-        let leds = self.flavour == Flavour::DeltaLeds;
-        let tries = |ways: &[ClassPolicy]| ways.iter().map(|w| w.retry).collect::<Vec<_>>();
-        let before = tries(&self.ways);
-        for (class, way) in &message.policies {
-            if let Some(there) = self.ways.get_mut(*class) {
-                *there = *way;
+        self.latest_serial = self.latest_serial.max(message.serial);
+        let leds = self.variant == ProtocolVariant::DeltaLeds;
+        let retries =
+            |policies: &[ClassPolicy]| policies.iter().map(|p| p.retry).collect::<Vec<_>>();
+        let before = retries(&self.policies);
+        for (class, policy) in &message.policies {
+            if let Some(current) = self.policies.get_mut(*class) {
+                *current = *policy;
             }
         }
-        if tries(&self.ways) != before {
+        if retries(&self.policies) != before {
             let name = names::routes(&self.config.service);
-            self.kinds[K_RDS].dirty.insert(name);
+            self.subscriptions[RDS_INDEX].changed.insert(name);
         }
         let mut assignments = !message.policies.is_empty();
         match message.scope {
@@ -374,121 +414,138 @@
                 for line in &message.lines {
                     let name = names::line(&collection, &line.server);
                     match line.state {
-                        LineState::Removed => self.withdrawn.remove(&name),
-                        _ => self.withdrawn.insert(name.clone(), resources::line(line)),
+                        LineState::Removed => self.withdrawn_resources.remove(&name),
+                        _ => self
+                            .withdrawn_resources
+                            .insert(name.clone(), resources::line(line)),
                     };
-                    self.touch_line(name);
+                    self.mark_line_changed(name);
                 }
             }
             Scope::Snapshot(part) => {
-                self.bound = Some(part);
-                self.raw.clear();
-                self.lines.clear();
+                self.part = Some(part);
+                self.lines_by_server.clear();
+                self.line_resources.clear();
                 let collection = names::part_collection(&self.config.service, part);
                 for line in &message.lines {
-                    self.put(&collection, line);
+                    self.put_line(&collection, line);
                 }
-                let stem = collection.strip_suffix('*').unwrap_or_default().to_string();
+                let prefix = collection.strip_suffix('*').unwrap_or_default().to_string();
                 // The table now says itself what is withdrawn.
-                self.withdrawn.clear();
-                let out = names::withdrawn_collection(&self.config.service);
-                let out = out.strip_suffix('*').unwrap_or_default().to_string();
-                let k = &mut self.kinds[K_LEDS];
-                let ours = |n: &&String| n.starts_with(&stem) || n.starts_with(&out);
-                let held: Vec<_> = k.sent.keys().filter(ours).cloned().collect();
-                k.dirty.extend(held);
-                k.dirty.extend(self.lines.keys().cloned());
-                k.owed |= k.names.contains(&collection);
+                self.withdrawn_resources.clear();
+                let withdrawn = names::withdrawn_collection(&self.config.service);
+                let withdrawn_prefix = withdrawn.strip_suffix('*').unwrap_or_default().to_string();
+                let subscription = &mut self.subscriptions[LEDS_INDEX];
+                let affected =
+                    |n: &&String| n.starts_with(&prefix) || n.starts_with(&withdrawn_prefix);
+                let held: Vec<_> = subscription
+                    .sent_versions
+                    .keys()
+                    .filter(affected)
+                    .cloned()
+                    .collect();
+                subscription.changed.extend(held);
+                subscription
+                    .changed
+                    .extend(self.line_resources.keys().cloned());
+                subscription.response_due |= subscription.names.contains(&collection);
                 assignments = true;
             }
-            Scope::Changes(part) if self.bound == Some(part) => {
+            Scope::Changes(part) if self.part == Some(part) => {
                 let collection = names::part_collection(&self.config.service, part);
                 for line in &message.lines {
-                    self.put(&collection, line);
-                    self.touch_line(names::line(&collection, &line.server));
+                    self.put_line(&collection, line);
+                    self.mark_line_changed(names::line(&collection, &line.server));
                 }
                 assignments |= !leds;
             }
             Scope::Changes(_) => {}
         }
         if assignments {
-            let names = self.there(K_EDS);
-            self.kinds[K_EDS].dirty.extend(names);
+            let names = self.existing_names(EDS_INDEX);
+            self.subscriptions[EDS_INDEX].changed.extend(names);
         }
     }
 
-    fn put(&mut self, collection: &str, line: &Line) {
-        let leds = self.flavour == Flavour::DeltaLeds;
+    fn put_line(&mut self, collection: &str, line: &Line) {
+        let leds = self.variant == ProtocolVariant::DeltaLeds;
         let name = names::line(collection, &line.server);
         if line.state == LineState::Removed {
-            self.raw.remove(&line.server);
-            self.lines.remove(&name);
+            self.lines_by_server.remove(&line.server);
+            self.line_resources.remove(&name);
         } else {
-            self.raw.insert(line.server.clone(), line.clone());
+            self.lines_by_server
+                .insert(line.server.clone(), line.clone());
             if leds {
-                self.lines.insert(name, resources::line(line));
+                self.line_resources.insert(name, resources::line(line));
             }
         }
     }
 
-    fn touch_line(&mut self, name: String) {
-        let k = &mut self.kinds[K_LEDS];
-        k.always.insert(name.clone());
-        k.dirty.insert(name);
+    fn mark_line_changed(&mut self, name: String) {
+        let subscription = &mut self.subscriptions[LEDS_INDEX];
+        subscription.report_absent.insert(name.clone());
+        subscription.changed.insert(name);
     }
 
     // ---- what goes out ----
 
     /// All names of a type that there are for this client now.
-    fn there(&self, kind: usize) -> Vec<String> {
+    fn existing_names(&self, type_index: usize) -> Vec<String> {
         let classes = 0..self.config.classes.len();
-        match kind {
-            K_CDS | K_EDS => classes.map(|c| self.config.cluster_name(c)).collect(),
-            K_RDS => vec![names::routes(&self.config.service)],
+        match type_index {
+            CDS_INDEX | EDS_INDEX => classes.map(|c| self.config.cluster_name(c)).collect(),
+            RDS_INDEX => vec![names::routes(&self.config.service)],
             _ => {
-                let all = self.lines.keys().chain(self.withdrawn.keys());
+                let all = self
+                    .line_resources
+                    .keys()
+                    .chain(self.withdrawn_resources.keys());
                 all.cloned().collect()
             }
         }
     }
 
-    fn find(&self, kind: usize, name: &str) -> Found {
+    fn find_resource(&self, type_index: usize, name: &str) -> Found {
         let class =
             || (0..self.config.classes.len()).find(|c| self.config.cluster_name(*c) == name);
-        let or_absent = |v: Option<Versioned>| v.map_or(Found::Absent, Found::There);
-        match kind {
-            K_CDS => or_absent(class().map(|c| resources::cluster(&self.config, c))),
-            K_RDS if name == names::routes(&self.config.service) => {
-                Found::There(resources::routes(&self.config, &self.ways))
+        let or_absent = |v: Option<Versioned>| v.map_or(Found::Absent, Found::Present);
+        match type_index {
+            CDS_INDEX => or_absent(class().map(|c| resources::cluster(&self.config, c))),
+            RDS_INDEX if name == names::routes(&self.config.service) => {
+                Found::Present(resources::routes(&self.config, &self.policies))
             }
-            K_RDS => Found::Absent,
-            K_EDS => match (class(), self.bound) {
+            RDS_INDEX => Found::Absent,
+            EDS_INDEX => match (class(), self.part) {
                 (None, _) => Found::Absent,
                 // Not bound yet: it keeps the table that it holds.
                 (Some(_), None) => Found::Withheld,
-                (Some(c), Some(part)) if self.flavour == Flavour::DeltaLeds => {
-                    let way = self.ways[c];
-                    Found::There(resources::by_collection(&self.config, c, part, way))
+                (Some(c), Some(part)) if self.variant == ProtocolVariant::DeltaLeds => {
+                    let policy = self.policies[c];
+                    Found::Present(resources::by_collection(&self.config, c, part, policy))
                 }
                 (Some(c), Some(_)) => {
-                    let lines = self.raw.values();
-                    Found::There(resources::inline(&self.config, c, lines, self.ways[c]))
+                    let lines = self.lines_by_server.values();
+                    Found::Present(resources::inline(&self.config, c, lines, self.policies[c]))
                 }
             },
             _ => {
-                let found = self.lines.get(name).or_else(|| self.withdrawn.get(name));
+                let found = self
+                    .line_resources
+                    .get(name)
+                    .or_else(|| self.withdrawn_resources.get(name));
                 if let Some(found) = found {
-                    return Found::There(found.clone());
+                    return Found::Present(found.clone());
                 }
                 let collection = names::parse_line(name).map(|(c, _)| c);
                 let service = &self.config.service;
-                let bound = self.bound.map(|p| names::part_collection(service, p));
-                let given = collection.is_some() && collection == bound
+                let assigned = self.part.map(|p| names::part_collection(service, p));
+                let served = collection.is_some() && collection == assigned
                     || collection == Some(names::withdrawn_collection(service));
                 match collection {
-                    Some(c) if !given && is_part(&c) => Found::Withheld,
+                    Some(c) if !served && is_part_collection(&c) => Found::Withheld,
                     // Lifted only with the lines that take its place, never before them.
-                    Some(_) if !self.complete() => Found::Withheld,
+                    Some(_) if !self.covers_serial() => Found::Withheld,
                     _ => Found::Absent,
                 }
             }
@@ -496,122 +553,144 @@
     }
 
     /// Everything that a serial means to this client can be told with what it has asked for.
-    fn complete(&self) -> bool {
-        match (self.flavour, self.bound) {
-            (Flavour::DeltaLeds, Some(part)) => {
+    fn covers_serial(&self) -> bool {
+        match (self.variant, self.part) {
+            (ProtocolVariant::DeltaLeds, Some(part)) => {
                 let name = names::part_collection(&self.config.service, part);
-                self.kinds[K_LEDS].names.contains(&name)
+                self.subscriptions[LEDS_INDEX].names.contains(&name)
             }
             _ => self.joined,
         }
     }
 
-    fn busy(&self, kind: usize) -> bool {
-        let k = &self.kinds[kind];
-        k.asked && (k.owed || k.dirty.iter().any(|n| k.covers(n)))
+    fn has_changes(&self, type_index: usize) -> bool {
+        let subscription = &self.subscriptions[type_index];
+        subscription.requested
+            && (subscription.response_due
+                || subscription.changed.iter().any(|n| subscription.covers(n)))
     }
 
     /// The type whose response is next, if one may go out.
-    fn next_kind(&mut self) -> Option<usize> {
-        if self.flights.len() >= UNDER_WAY {
+    fn next_type(&mut self) -> Option<usize> {
+        if self.pending.len() >= MAX_PENDING_RESPONSES {
             return None;
         }
         loop {
-            if let Some(kind) = (0..KINDS.len()).find(|k| self.busy(*k)) {
-                return Some(kind);
+            if let Some(type_index) = (0..RESOURCE_TYPES.len()).find(|t| self.has_changes(*t)) {
+                return Some(type_index);
             }
-            if self.newest <= self.told || !self.complete() {
+            if self.latest_serial <= self.sent_serial || !self.covers_serial() {
                 return None;
             }
             // All is told, but nothing carries the serial. An empty response does, so that its answer
             // shows that all before it left the channel; a client that was told nothing needs none.
-            let marker = match (self.flavour, self.bound) {
-                (Flavour::DeltaLeds, _) if self.kinds[K_LEDS].asked => K_LEDS,
-                (Flavour::Full | Flavour::DeltaInline, None) => {
-                    self.told = self.newest;
-                    self.answers.push(Answer::Applied(self.newest));
+            let carrier = match (self.variant, self.part) {
+                (ProtocolVariant::DeltaLeds, _) if self.subscriptions[LEDS_INDEX].requested => {
+                    LEDS_INDEX
+                }
+                (ProtocolVariant::Full | ProtocolVariant::DeltaInline, None) => {
+                    self.sent_serial = self.latest_serial;
+                    self.events.push(SessionEvent::Acked(self.latest_serial));
                     return None;
                 }
-                _ => K_EDS,
+                _ => EDS_INDEX,
             };
-            if !self.kinds[marker].asked {
+            if !self.subscriptions[carrier].requested {
                 return None;
             }
-            self.kinds[marker].owed = true;
+            self.subscriptions[carrier].response_due = true;
         }
     }
 
     /// Takes what is to be told of a type: resources, and names that are no more.
-    fn take(&mut self, kind: usize, all: bool) -> (Vec<(String, Versioned)>, Vec<String>, Flight) {
-        let dirty = std::mem::take(&mut self.kinds[kind].dirty);
-        let names: BTreeSet<String> = match all {
-            true => self.there(kind).into_iter().collect(),
-            false => dirty,
+    fn take_changes(
+        &mut self,
+        type_index: usize,
+        full_state: bool,
+    ) -> (Vec<(String, Versioned)>, Vec<String>, PendingResponse) {
+        let changed = std::mem::take(&mut self.subscriptions[type_index].changed);
+        let names: BTreeSet<String> = match full_state {
+            true => self.existing_names(type_index).into_iter().collect(),
+            false => changed,
         };
-        let (mut told, mut there, mut gone) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut changes, mut resources, mut removed) = (Vec::new(), Vec::new(), Vec::new());
         for name in names {
-            if !self.kinds[kind].covers(&name) {
-                self.kinds[kind].always.remove(&name);
+            if !self.subscriptions[type_index].covers(&name) {
+                self.subscriptions[type_index].report_absent.remove(&name);
                 continue;
             }
-            let found = self.find(kind, &name);
-            let k = &mut self.kinds[kind];
-            let always = k.always.remove(&name);
-            let before = k.sent.get(&name).cloned();
+            let found = self.find_resource(type_index, &name);
+            let subscription = &mut self.subscriptions[type_index];
+            let report_absent = subscription.report_absent.remove(&name);
+            let before = subscription.sent_versions.get(&name).cloned();
             match found {
-                Found::There(v) => {
-                    if all || before.as_ref() != Some(&v.version) {
-                        k.sent.insert(name.clone(), v.version.clone());
-                        told.push((name.clone(), Some(v.version.clone()), before));
-                        there.push((name, v));
+                Found::Present(v) => {
+                    if full_state || before.as_ref() != Some(&v.version) {
+                        subscription
+                            .sent_versions
+                            .insert(name.clone(), v.version.clone());
+                        changes.push(SentChange {
+                            name: name.clone(),
+                            version: Some(v.version.clone()),
+                            previous_version: before,
+                        });
+                        resources.push((name, v));
                     }
                 }
-                Found::Absent if before.is_some() || always => {
-                    k.sent.remove(&name);
-                    told.push((name.clone(), None, before));
-                    gone.push(name);
+                Found::Absent if before.is_some() || report_absent => {
+                    subscription.sent_versions.remove(&name);
+                    changes.push(SentChange {
+                        name: name.clone(),
+                        version: None,
+                        previous_version: before,
+                    });
+                    removed.push(name);
                 }
                 Found::Absent | Found::Withheld => {}
             }
         }
-        self.kinds[kind].owed = false;
-        self.nonces += 1;
-        let rest = (0..KINDS.len()).any(|k| self.busy(k));
-        let serial = (!rest && self.newest > self.told && self.complete()).then_some(self.newest);
-        self.told = serial.unwrap_or(self.told);
-        let flight = Flight {
-            nonce: self.nonces.to_string(),
-            kind,
+        self.subscriptions[type_index].response_due = false;
+        self.last_nonce += 1;
+        let more = (0..RESOURCE_TYPES.len()).any(|t| self.has_changes(t));
+        let serial = (!more && self.latest_serial > self.sent_serial && self.covers_serial())
+            .then_some(self.latest_serial);
+        self.sent_serial = serial.unwrap_or(self.sent_serial);
+        let response = PendingResponse {
+            nonce: self.last_nonce.to_string(),
+            type_index,
             serial,
-            told,
+            changes,
         };
-        (there, gone, flight)
+        (resources, removed, response)
     }
 
     /// The next response of the delta protocol, if one may go out now.
-    pub fn next_delta(&mut self) -> Option<DeltaDiscoveryResponse> {
-        if let Some((type_url, removed_resources)) = self.odd.pop_front() {
-            self.nonces += 1;
+    pub fn next_delta_response(&mut self) -> Option<DeltaDiscoveryResponse> {
+        if let Some((type_url, removed_resources)) = self.unknown_types.pop_front() {
+            self.last_nonce += 1;
             return Some(DeltaDiscoveryResponse {
                 type_url,
                 removed_resources,
-                nonce: self.nonces.to_string(),
+                nonce: self.last_nonce.to_string(),
                 ..DeltaDiscoveryResponse::default()
             });
         }
         loop {
-            let kind = self.next_kind()?;
-            let owed = self.kinds[kind].owed;
-            let (there, removed_resources, flight) = self.take(kind, false);
-            if there.is_empty() && removed_resources.is_empty() && !owed && flight.serial.is_none()
+            let type_index = self.next_type()?;
+            let response_due = self.subscriptions[type_index].response_due;
+            let (resources, removed_resources, pending) = self.take_changes(type_index, false);
+            if resources.is_empty()
+                && removed_resources.is_empty()
+                && !response_due
+                && pending.serial.is_none()
             {
                 // All that was touched is as the client holds it.
                 continue;
             }
             let response = DeltaDiscoveryResponse {
-                system_version_info: self.newest.to_string(),
-                type_url: KINDS[kind].to_string(),
-                resources: there
+                system_version_info: self.latest_serial.to_string(),
+                type_url: RESOURCE_TYPES[type_index].to_string(),
+                resources: resources
                     .into_iter()
                     .map(|(name, v)| Resource {
                         name,
@@ -621,70 +700,75 @@
                     })
                     .collect(),
                 removed_resources,
-                nonce: flight.nonce.clone(),
+                nonce: pending.nonce.clone(),
                 ..DeltaDiscoveryResponse::default()
             };
-            self.flights.push_back(flight);
+            self.pending.push_back(pending);
             return Some(response);
         }
     }
 
     /// The next response of the state-of-the-world protocol, if one may go out now.
-    pub fn next_full(&mut self) -> Option<DiscoveryResponse> {
+    pub fn next_sotw_response(&mut self) -> Option<DiscoveryResponse> {
         loop {
-            let kind = self.next_kind()?;
-            if kind == K_EDS && self.bound.is_none() {
+            let type_index = self.next_type()?;
+            if type_index == EDS_INDEX && self.part.is_none() {
                 // Withheld until it is bound: it keeps the table that it holds.
-                let k = &mut self.kinds[kind];
-                k.dirty.clear();
-                k.owed = false;
+                let subscription = &mut self.subscriptions[type_index];
+                subscription.changed.clear();
+                subscription.response_due = false;
                 continue;
             }
-            let (there, _, flight) = self.take(kind, true);
-            let mut sum = Sha256::new();
-            there.iter().for_each(|(name, v)| {
-                sum.update(name);
-                sum.update(&v.version);
+            let (resources, _, pending) = self.take_changes(type_index, true);
+            let mut hasher = Sha256::new();
+            resources.iter().for_each(|(name, v)| {
+                hasher.update(name);
+                hasher.update(&v.version);
             });
-            let sum = sum.finalize();
-            let version = sum.iter().take(8).map(|b| format!("{b:02x}")).collect();
-            self.kinds[kind].nonce.clone_from(&flight.nonce);
+            let digest = hasher.finalize();
+            let version = digest.iter().take(8).map(|b| format!("{b:02x}")).collect();
+            self.subscriptions[type_index]
+                .nonce
+                .clone_from(&pending.nonce);
             let response = DiscoveryResponse {
                 version_info: version,
-                type_url: KINDS[kind].to_string(),
-                resources: there.into_iter().map(|(_, v)| v.any).collect(),
-                nonce: flight.nonce.clone(),
+                type_url: RESOURCE_TYPES[type_index].to_string(),
+                resources: resources.into_iter().map(|(_, v)| v.any).collect(),
+                nonce: pending.nonce.clone(),
                 ..DiscoveryResponse::default()
             };
-            self.flights.push_back(flight);
+            self.pending.push_back(pending);
             return Some(response);
         }
     }
 
     /// What the client holds or was sent, for people.
-    pub fn rows(&self) -> Vec<Row> {
-        let kinds = self.kinds.iter().zip(KINDS);
-        let rows = kinds.flat_map(|(k, type_url)| {
-            k.sent.iter().map(move |(name, version)| Row {
-                type_url,
-                name: name.clone(),
-                version: version.clone(),
-                acked: k.acked.get(name) == Some(version),
-                refusal: k.refusal.clone(),
-            })
+    pub fn sent_resources(&self) -> Vec<SentResource> {
+        let subscriptions = self.subscriptions.iter().zip(RESOURCE_TYPES);
+        let resources = subscriptions.flat_map(|(subscription, type_url)| {
+            subscription
+                .sent_versions
+                .iter()
+                .map(move |(name, version)| SentResource {
+                    type_url,
+                    name: name.clone(),
+                    version: version.clone(),
+                    acked: subscription.acked_versions.get(name) == Some(version),
+                    nack_message: subscription.nack_message.clone(),
+                })
         });
-        rows.collect()
+        resources.collect()
     }
 
     /// Responses without an answer.
-    pub fn under_way(&self) -> usize {
-        self.flights.len()
+    pub fn pending_responses(&self) -> usize {
+        self.pending.len()
     }
 }
 
-fn is_part(collection: &str) -> bool {
-    let stem = collection.strip_suffix("/*").unwrap_or(collection);
-    let last = stem.rsplit('/').next().unwrap_or_default();
+fn is_part_collection(collection: &str) -> bool {
+    let prefix = collection.strip_suffix("/*").unwrap_or(collection);
+    let last = prefix.rsplit('/').next().unwrap_or_default();
     last.strip_prefix("part-")
         .is_some_and(|n| n.parse::<usize>().is_ok())
 }
--- a/crates/xds/src/status.rs
+++ b/crates/xds/src/status.rs
@@ -61,9 +61,9 @@
         ..ClientConfig::default()
     };
     let client = |stream: std::sync::Arc<crate::service::DiscoveryStream>| {
-        let rows = stream.session().rows();
+        let rows = stream.session().sent_resources();
         let configs = rows.into_iter().map(|row| {
-            let (status, told) = match (&row.refusal, row.acked) {
+            let (status, told) = match (&row.nack_message, row.acked) {
                 (_, true) => (ClientResourceStatus::Acked, ConfigStatus::Synced),
                 (Some(_), _) => (ClientResourceStatus::Nacked, ConfigStatus::Error),
                 (None, _) => (ClientResourceStatus::Requested, ConfigStatus::Stale),
@@ -74,7 +74,7 @@
                 version_info: row.version,
                 config_status: told.into(),
                 client_status: status.into(),
-                error_state: row.refusal.map(|details| UpdateFailureState {
+                error_state: row.nack_message.map(|details| UpdateFailureState {
                     details,
                     ..UpdateFailureState::default()
                 }),
--- a/crates/xds/tests/protocol.rs
+++ b/crates/xds/tests/protocol.rs
@@ -9,7 +9,7 @@
 use dahliapoint_xds::pb::discovery::{DeltaDiscoveryRequest, DiscoveryRequest};
 use dahliapoint_xds::pb::endpoint::ClusterLoadAssignment;
 use dahliapoint_xds::pb::rpc::Status;
-use dahliapoint_xds::{Answer, Flavour, ServiceConfig, Session, XdsClient};
+use dahliapoint_xds::{ProtocolVariant, ServiceConfig, Session, SessionEvent, XdsClient};
 use prost::Message as _;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -58,16 +58,16 @@
     session: Session,
     holder: XdsClient,
     responses: Vec<(String, usize, usize)>,
-    answers: Vec<Answer>,
+    events: Vec<SessionEvent>,
 }
 
 impl Pair {
     fn new() -> Pair {
         let mut pair = Pair {
-            session: Session::new(config(), Flavour::DeltaLeds),
+            session: Session::new(config(), ProtocolVariant::DeltaLeds),
             holder: XdsClient::new("portal", "p1", "east", 10.0),
             responses: vec![],
-            answers: vec![],
+            events: vec![],
         };
         pair.begin();
         pair
@@ -75,19 +75,19 @@
 
     fn begin(&mut self) {
         for r in self.holder.initial_requests() {
-            self.session.asked_delta(&r).unwrap();
+            self.session.handle_delta_request(&r).unwrap();
         }
         self.rest("");
     }
 
     fn again(&mut self) {
-        self.session = Session::new(config(), Flavour::DeltaLeds);
+        self.session = Session::new(config(), ProtocolVariant::DeltaLeds);
         self.begin();
     }
 
     /// Carries all there is; a line of the server `unknown` is refused.
     fn rest(&mut self, unknown: &str) {
-        while let Some(response) = self.session.next_delta() {
+        while let Some(response) = self.session.next_delta_response() {
             let short = response.type_url.rsplit('.').next().unwrap_or_default();
             let counts = (response.resources.len(), response.removed_resources.len());
             self.responses.push((short.to_string(), counts.0, counts.1));
@@ -95,10 +95,10 @@
                 .holder
                 .apply(&response, |s| unknown.is_empty() || s != unknown)
             {
-                self.session.asked_delta(&r).unwrap();
+                self.session.handle_delta_request(&r).unwrap();
             }
         }
-        self.answers.extend(self.session.answers());
+        self.events.extend(self.session.take_events());
     }
 
     fn tell(&mut self, message: &Message) {
@@ -116,7 +116,7 @@
 #[test]
 fn a_binding_then_changed_lines_only() {
     let mut p = Pair::new();
-    assert_eq!(p.answers, [Answer::Joined]);
+    assert_eq!(p.events, [SessionEvent::Joined]);
     assert_eq!(p.holder.table(), None, "withheld until it is bound");
     p.tell(&message(
         1,
@@ -125,7 +125,7 @@
     ));
     let both = [("a".into(), 10_000, true), ("b".into(), 5_000, true)];
     assert_eq!(p.held(), both);
-    assert_eq!(p.answers, [Answer::Joined, Answer::Applied(1)]);
+    assert_eq!(p.events, [SessionEvent::Joined, SessionEvent::Acked(1)]);
     p.responses.clear();
     p.tell(&message(2, Scope::Changes(0), &[("b", 0.6, Open)]));
     p.tell(&message(3, Scope::Changes(0), &[("a", 1.0, Withdrawn)]));
@@ -139,7 +139,7 @@
         ]
     );
     assert_eq!(p.held(), [("b".into(), 6_000, true)]);
-    assert_eq!(p.answers[2..], [2, 3, 4].map(Answer::Applied));
+    assert_eq!(p.events[2..], [2, 3, 4].map(SessionEvent::Acked));
 }
 
 #[test]
@@ -153,7 +153,7 @@
     let bad = [("a", 1.0, Withdrawn), ("ghost", 1.0, Open)];
     p.session.deliver(&message(2, Scope::Changes(0), &bad));
     p.rest("ghost");
-    assert!(matches!(&p.answers[..], [.., Answer::Refused(2, why)] if why.contains("ghost")));
+    assert!(matches!(&p.events[..], [.., SessionEvent::Nacked(2, why)] if why.contains("ghost")));
     assert!(
         p.held()[0].2,
         "the whole response was refused, the old table stands"
@@ -162,7 +162,7 @@
     p.session
         .deliver(&message(3, Scope::Changes(0), &[("a", 1.0, Withdrawn)]));
     p.rest("ghost");
-    assert_eq!(p.answers.last(), Some(&Answer::Applied(3)));
+    assert_eq!(p.events.last(), Some(&SessionEvent::Acked(3)));
     assert!(!p.held()[0].2);
     // The whole table again: only the line that is missing is sent, and refused again.
     p.responses.clear();
@@ -177,7 +177,7 @@
     p.session.deliver(&message(5, Scope::Snapshot(0), &whole));
     p.rest("");
     assert_eq!(p.held().len(), 3);
-    assert_eq!(p.answers.last(), Some(&Answer::Applied(5)));
+    assert_eq!(p.events.last(), Some(&SessionEvent::Acked(5)));
 }
 
 #[test]
@@ -191,7 +191,7 @@
     p.tell(&message(7, Scope::Snapshot(2), &whole));
     let lines: usize = p.responses.iter().map(|r| r.1 + r.2).sum();
     assert_eq!(lines, 0, "{:?}", p.responses);
-    assert_eq!(p.answers.last(), Some(&Answer::Applied(7)));
+    assert_eq!(p.events.last(), Some(&SessionEvent::Acked(7)));
     // One line differs, one is gone, one is new: three names are told.
     p.again();
     p.responses.clear();
@@ -216,7 +216,7 @@
     ));
     p.again();
     p.tell(&message(2, Scope::Unbound, &[("a", 1.0, Withdrawn)]));
-    assert_eq!(p.answers.last(), Some(&Answer::Applied(2)));
+    assert_eq!(p.events.last(), Some(&SessionEvent::Acked(2)));
     assert_eq!(
         p.held(),
         [("a".into(), 10_000, false), ("b".into(), 10_000, true)]
@@ -237,16 +237,16 @@
     p.session
         .deliver(&message(2, Scope::Snapshot(1), &[("b", 1.0, Open)]));
     let mut seen = Vec::new();
-    while let Some(response) = p.session.next_delta() {
+    while let Some(response) = p.session.next_delta_response() {
         for r in p.holder.apply(&response, |_| true) {
-            p.session.asked_delta(&r).unwrap();
+            p.session.handle_delta_request(&r).unwrap();
         }
         seen.push(p.held().into_iter().map(|l| l.0).collect::<Vec<_>>());
     }
     p.rest("");
     assert!(seen.iter().all(|t| t == &["a"] || t == &["b"]), "{seen:?}");
     assert_eq!(seen.last().unwrap(), &["b"]);
-    assert_eq!(p.answers.last(), Some(&Answer::Applied(2)));
+    assert_eq!(p.events.last(), Some(&SessionEvent::Acked(2)));
 }
 
 #[test]
@@ -258,19 +258,19 @@
         let weight = f64::from(serial as u32) / 100.0;
         p.session
             .deliver(&message(serial, Scope::Changes(0), &[("a", weight, Open)]));
-        while let Some(r) = p.session.next_delta() {
+        while let Some(r) = p.session.next_delta_response() {
             held_back.push(r);
         }
     }
     assert!(held_back.len() <= 8, "bounded: {}", held_back.len());
     for response in held_back {
         for r in p.holder.apply(&response, |_| true) {
-            p.session.asked_delta(&r).unwrap();
+            p.session.handle_delta_request(&r).unwrap();
         }
     }
     p.rest("");
     assert_eq!(p.held(), [("a".into(), 49_900, true)]);
-    assert_eq!(p.answers.last(), Some(&Answer::Applied(499)));
+    assert_eq!(p.events.last(), Some(&SessionEvent::Acked(499)));
 }
 
 #[test]
@@ -284,19 +284,23 @@
     };
     // A type that nobody serves, and a name that does not exist: told as not there.
     p.session
-        .asked_delta(&ask("type.googleapis.com/x.Y", &["n"]))
+        .handle_delta_request(&ask("type.googleapis.com/x.Y", &["n"]))
         .unwrap();
-    let r = p.session.next_delta().unwrap();
+    let r = p.session.next_delta_response().unwrap();
     assert_eq!(r.removed_resources, ["n"]);
-    p.session.asked_delta(&ask(EDS, &["portal/none"])).unwrap();
-    let r = p.session.next_delta().unwrap();
+    p.session
+        .handle_delta_request(&ask(EDS, &["portal/none"]))
+        .unwrap();
+    let r = p.session.next_delta_response().unwrap();
     assert_eq!(
         (r.resources.len(), r.removed_resources),
         (0, vec!["portal/none".to_string()])
     );
     // Asked for again: told again.
-    p.session.asked_delta(&ask(EDS, &["portal/view"])).unwrap();
-    let r = p.session.next_delta().unwrap();
+    p.session
+        .handle_delta_request(&ask(EDS, &["portal/view"]))
+        .unwrap();
+    let r = p.session.next_delta_response().unwrap();
     assert_eq!(r.resources.len(), 1);
     // Stale and unknown nonces answer nothing.
     for nonce in ["0", "99999", "x"] {
@@ -305,23 +309,23 @@
             error_detail: Some(Status::default()),
             ..ask(EDS, &[])
         };
-        p.session.asked_delta(&stale).unwrap();
+        p.session.handle_delta_request(&stale).unwrap();
     }
     assert!(
         !p.session
-            .answers()
+            .take_events()
             .iter()
-            .any(|a| matches!(a, Answer::Refused(..)))
+            .any(|a| matches!(a, SessionEvent::Nacked(..)))
     );
     // Too many names end the stream.
     let many: Vec<String> = (0..5000).map(|i| i.to_string()).collect();
     let many: Vec<&str> = many.iter().map(String::as_str).collect();
-    assert!(p.session.asked_delta(&ask(LEDS, &many)).is_err());
+    assert!(p.session.handle_delta_request(&ask(LEDS, &many)).is_err());
 }
 
 #[test]
 fn a_plain_client_gets_whole_assignments_by_the_state_of_the_world() {
-    let mut s = Session::new(config(), Flavour::Full);
+    let mut s = Session::new(config(), ProtocolVariant::Full);
     let ask = |type_url: &str, names: &[&str], nonce: &str, error: bool| DiscoveryRequest {
         type_url: type_url.into(),
         resource_names: names.iter().map(|n| n.to_string()).collect(),
@@ -332,22 +336,22 @@
         }),
         ..DiscoveryRequest::default()
     };
-    s.asked_full(&ask(CDS, &[], "", false)).unwrap();
-    let clusters = s.next_full().unwrap();
+    s.handle_sotw_request(&ask(CDS, &[], "", false)).unwrap();
+    let clusters = s.next_sotw_response().unwrap();
     assert_eq!(clusters.resources.len(), 2);
-    s.asked_full(&ask(CDS, &[], &clusters.nonce, false))
+    s.handle_sotw_request(&ask(CDS, &[], &clusters.nonce, false))
         .unwrap();
-    assert_eq!(s.next_full(), None);
+    assert_eq!(s.next_sotw_response(), None);
     let names = ["portal/view"];
-    s.asked_full(&ask(EDS, &names, "", false)).unwrap();
-    assert_eq!(s.next_full(), None, "nothing until it is bound");
-    assert_eq!(s.answers(), [Answer::Joined]);
+    s.handle_sotw_request(&ask(EDS, &names, "", false)).unwrap();
+    assert_eq!(s.next_sotw_response(), None, "nothing until it is bound");
+    assert_eq!(s.take_events(), [SessionEvent::Joined]);
     s.deliver(&message(
         1,
         Scope::Snapshot(0),
         &[("a", 1.0, Open), ("b", 1.0, Withdrawn)],
     ));
-    let given = s.next_full().unwrap();
+    let given = s.next_sotw_response().unwrap();
     let read = |any: &[u8]| ClusterLoadAssignment::decode(any).unwrap();
     let cla = read(&given.resources[0].value);
     assert_eq!(
@@ -355,30 +359,36 @@
         (1, "portal/view")
     );
     assert_eq!(cla.endpoints[0].lb_endpoints.len(), 2);
-    assert_eq!(s.next_full(), None);
-    s.asked_full(&ask(EDS, &names, &given.nonce, false))
+    assert_eq!(s.next_sotw_response(), None);
+    s.handle_sotw_request(&ask(EDS, &names, &given.nonce, false))
         .unwrap();
-    assert_eq!(s.answers(), [Answer::Applied(1)]);
+    assert_eq!(s.take_events(), [SessionEvent::Acked(1)]);
     // A change: the assignment again, whole; refused, then the next one taken.
     s.deliver(&message(2, Scope::Changes(0), &[("b", 0.0, Removed)]));
-    let next = s.next_full().unwrap();
+    let next = s.next_sotw_response().unwrap();
     assert_eq!(
         read(&next.resources[0].value).endpoints[0]
             .lb_endpoints
             .len(),
         1
     );
-    s.asked_full(&ask(EDS, &names, &given.nonce, false))
+    s.handle_sotw_request(&ask(EDS, &names, &given.nonce, false))
+        .unwrap();
+    assert_eq!(s.take_events(), [], "an answer to the older one is stale");
+    s.handle_sotw_request(&ask(EDS, &names, &next.nonce, true))
         .unwrap();
-    assert_eq!(s.answers(), [], "an answer to the older one is stale");
-    s.asked_full(&ask(EDS, &names, &next.nonce, true)).unwrap();
-    assert_eq!(s.answers(), [Answer::Refused(2, "will not".into())]);
+    assert_eq!(
+        s.take_events(),
+        [SessionEvent::Nacked(2, "will not".into())]
+    );
     // The other class is asked for too.
     let both = ["portal/view", "portal/set"];
-    s.asked_full(&ask(EDS, &both, &next.nonce, false)).unwrap();
-    assert_eq!(s.next_full().unwrap().resources.len(), 2);
-    s.asked_full(&ask(RDS, &["portal"], "", false)).unwrap();
-    assert_eq!(s.next_full().unwrap().resources.len(), 1);
+    s.handle_sotw_request(&ask(EDS, &both, &next.nonce, false))
+        .unwrap();
+    assert_eq!(s.next_sotw_response().unwrap().resources.len(), 2);
+    s.handle_sotw_request(&ask(RDS, &["portal"], "", false))
+        .unwrap();
+    assert_eq!(s.next_sotw_response().unwrap().resources.len(), 1);
 }
 
 fn terms() -> ControllerSettings {
@@ -467,11 +477,11 @@
                         inputs.push(Input::Left(id));
                     }
                     None if draw(2) == 0 || calm => {
-                        let mut session = Session::new(config(), Flavour::DeltaLeds);
+                        let mut session = Session::new(config(), ProtocolVariant::DeltaLeds);
                         for r in holder.initial_requests() {
-                            session.asked_delta(&r).unwrap();
+                            session.handle_delta_request(&r).unwrap();
                         }
-                        assert_eq!(session.answers(), [Answer::Joined]);
+                        assert_eq!(session.take_events(), [SessionEvent::Joined]);
                         inputs.push(Input::Joined {
                             session: next,
                             proxy: format!("p{i}"),
@@ -487,18 +497,18 @@
             for (id, (i, session)) in &mut streams {
                 // Some are slow at times.
                 while draw(4) > 0 || calm {
-                    let Some(response) = session.next_delta() else {
+                    let Some(response) = session.next_delta_response() else {
                         break;
                     };
                     let picky = draw(12) == 0 && !calm;
                     for r in holders[*i].apply(&response, |_| !picky) {
-                        session.asked_delta(&r).unwrap();
+                        session.handle_delta_request(&r).unwrap();
                     }
                 }
-                inputs.extend(session.answers().into_iter().map(|a| match a {
-                    Answer::Applied(n) => Input::Applied(*id, n),
-                    Answer::Refused(n, why) => Input::Refused(*id, n, why),
-                    Answer::Joined => unreachable!("joined once"),
+                inputs.extend(session.take_events().into_iter().map(|a| match a {
+                    SessionEvent::Acked(n) => Input::Applied(*id, n),
+                    SessionEvent::Nacked(n, why) => Input::Refused(*id, n, why),
+                    SessionEvent::Joined => unreachable!("joined once"),
                 }));
             }
             for output in controller.handle(now, inputs) {
@@ -521,7 +531,7 @@
                 p.unacknowledged,
                 0,
                 "seed {seed}: {p:?}, under way {}",
-                session.under_way()
+                session.pending_responses()
             );
             let there = view
                 .servers
@@ -557,7 +567,7 @@
         ("", 4.0, Open),
     ];
     p.tell(&message(1, Scope::Snapshot(1), &odd));
-    assert_eq!(p.held().len(), 4, "{:?}", p.answers);
+    assert_eq!(p.held().len(), 4, "{:?}", p.events);
     p.tell(&message(2, Scope::Changes(1), &[("*", 3.0, Removed)]));
     let names: Vec<_> = p.held().into_iter().map(|l| l.0).collect();
     assert_eq!(names, ["", "a%2Fb", "a/b"]);
