--- a/crates/xds/src/service.rs
+++ b/crates/xds/src/service.rs
@@ -19,15 +19,15 @@
 use tracing::{debug, info, warn};
 
 /// A stream ends when its peer has taken nothing for so long while something waits for it.
-const UNREAD: std::time::Duration = std::time::Duration::from_secs(10);
+const UNREAD_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(10);
 
 /// A discovery stream.
 pub struct DiscoveryStream {
     pub id: Id,
     pub node: Node,
-    state: Mutex<Session>,
-    bell: Notify,
-    closing: Mutex<Option<Status>>,
+    session: Mutex<Session>,
+    output_ready: Notify,
+    end_status: Mutex<Option<Status>>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -36,12 +36,12 @@
 
 impl DiscoveryStream {
     pub(crate) fn session(&self) -> MutexGuard<'_, Session> {
-        lock(&self.state)
+        lock(&self.session)
     }
 
     fn end(&self, status: Status) {
-        lock(&self.closing).get_or_insert(status);
-        self.bell.notify();
+        lock(&self.end_status).get_or_insert(status);
+        self.output_ready.notify();
     }
 }
 
@@ -54,23 +54,23 @@
 /// The front; give it to a gRPC server as its handler.
 pub struct XdsService {
     config: Arc<ServiceConfig>,
-    owner: Arc<dyn ControllerHandle>,
-    streams: Mutex<Registry>,
-    next: AtomicU64,
+    controller: Arc<dyn ControllerHandle>,
+    registry: Mutex<Registry>,
+    next_id: AtomicU64,
 }
 
 impl XdsService {
     /// `first` is the first number of a stream, so that fronts of one controller do not use each other's.
     pub fn new(
         config: ServiceConfig,
-        owner: Arc<dyn ControllerHandle>,
-        first: Id,
+        controller: Arc<dyn ControllerHandle>,
+        first_id: Id,
     ) -> Arc<XdsService> {
         Arc::new(XdsService {
             config: Arc::new(config),
-            owner,
-            streams: Mutex::default(),
-            next: AtomicU64::new(first),
+            controller,
+            registry: Mutex::default(),
+            next_id: AtomicU64::new(first_id),
         })
     }
 
@@ -83,7 +83,7 @@
                     match self.stream(id) {
                         Some(stream) => {
                             stream.session().deliver(&message);
-                            stream.bell.notify();
+                            stream.output_ready.notify();
                         }
                         None => others.push(id),
                     }
@@ -102,12 +102,12 @@
     }
 
     fn stream(&self, id: Id) -> Option<Arc<DiscoveryStream>> {
-        lock(&self.streams).by_id.get(&id).cloned()
+        lock(&self.registry).by_id.get(&id).cloned()
     }
 
     /// The streams open now, in the order in which they came.
     pub fn streams(&self) -> Vec<Arc<DiscoveryStream>> {
-        lock(&self.streams).by_id.values().cloned().collect()
+        lock(&self.registry).by_id.values().cloned().collect()
     }
 
     /// Ends all streams, orderly: proxies dial again, elsewhere or here.
@@ -118,17 +118,17 @@
     }
 
     pub(crate) fn overview(&self) -> serde_json::Value {
-        self.owner.overview()
+        self.controller.overview()
     }
 
-    fn discover(&self, call: Call, way: Way) {
+    fn serve_discovery(&self, call: Call, method: DiscoveryMethod) {
         let Call {
             mut inbound,
             outbound,
             peer,
             ..
         } = call;
-        let first = match way.read(&mut inbound) {
+        let first = match method.receive(&mut inbound) {
             Ok(Some(first)) => first,
             Ok(None) => return outbound.finish(&Status::new(Code::Ok, "")),
             Err(status) => return outbound.finish(&status),
@@ -139,41 +139,41 @@
             return outbound.finish(&Status::new(Code::InvalidArgument, why));
         }
         let leds = node.client_features.iter().any(|f| f == LEDS_FEATURE);
-        let flavour = match way {
-            Way::Full(_) => ProtocolVariant::Full,
-            Way::Delta(_) if leds => ProtocolVariant::DeltaLeds,
-            Way::Delta(_) => ProtocolVariant::DeltaInline,
+        let variant = match method {
+            DiscoveryMethod::StateOfTheWorld(_) => ProtocolVariant::Full,
+            DiscoveryMethod::Delta(_) if leds => ProtocolVariant::DeltaLeds,
+            DiscoveryMethod::Delta(_) => ProtocolVariant::DeltaInline,
         };
-        let id = self.next.fetch_add(1, Ordering::SeqCst);
+        let id = self.next_id.fetch_add(1, Ordering::SeqCst);
         let stream = Arc::new(DiscoveryStream {
             id,
             node,
-            state: Mutex::new(Session::new(self.config.clone(), flavour)),
-            bell: Notify::default(),
-            closing: Mutex::default(),
+            session: Mutex::new(Session::new(self.config.clone(), variant)),
+            output_ready: Notify::default(),
+            end_status: Mutex::default(),
         });
         {
-            let mut streams = lock(&self.streams);
-            streams.by_id.insert(id, stream.clone());
-            streams.by_node.insert(stream.node.id.clone(), id);
+            let mut registry = lock(&self.registry);
+            registry.by_id.insert(id, stream.clone());
+            registry.by_node.insert(stream.node.id.clone(), id);
         }
-        info!(stream = id, node = %stream.node.id, %peer, ?flavour, "a proxy's stream begins");
-        let writing = {
-            let (stream, owner) = (stream.clone(), self.owner.clone());
-            spawn(move || write(&stream, way, outbound, &*owner))
+        info!(stream = id, node = %stream.node.id, %peer, flavour = ?variant, "a proxy's stream begins");
+        let writer = {
+            let (stream, controller) = (stream.clone(), self.controller.clone());
+            spawn(move || write_responses(&stream, method, outbound, &*controller))
         };
-        let ended = self.read(&stream, way, first, inbound);
-        stream.end(ended.clone().err().unwrap_or(Status::new(Code::Ok, "")));
+        let result = self.read_requests(&stream, method, first, inbound);
+        stream.end(result.clone().err().unwrap_or(Status::new(Code::Ok, "")));
         {
-            let mut streams = lock(&self.streams);
-            streams.by_id.remove(&id);
-            if streams.by_node.get(&stream.node.id) == Some(&id) {
-                streams.by_node.remove(&stream.node.id);
+            let mut registry = lock(&self.registry);
+            registry.by_id.remove(&id);
+            if registry.by_node.get(&stream.node.id) == Some(&id) {
+                registry.by_node.remove(&stream.node.id);
             }
         }
-        self.owner.send(Input::Left(id));
-        let _ = writing.join();
-        match ended {
+        self.controller.send(Input::Left(id));
+        let _ = writer.join();
+        match result {
             Ok(()) => info!(stream = id, node = %stream.node.id, "a proxy's stream ends"),
             Err(e) => {
                 info!(stream = id, node = %stream.node.id, status = %e, "a proxy's stream ends")
@@ -181,58 +181,63 @@
         }
     }
 
-    fn read(
+    fn read_requests(
         &self,
         stream: &DiscoveryStream,
-        way: Way,
+        method: DiscoveryMethod,
         first: Request,
         mut inbound: Inbound,
     ) -> Result<(), Status> {
         let mut next = Some(first);
         while let Some(request) = next {
-            let type_url = request.type_url(way);
+            let type_url = request.type_url(method);
             let events = {
                 let mut session = stream.session();
-                let taken = match &request {
-                    Request::Delta(r) => session.handle_delta_request(&with_type(r, &type_url)),
-                    Request::Full(r) => session.handle_sotw_request(&with_type_full(r, &type_url)),
+                let handled = match &request {
+                    Request::Delta(r) => {
+                        session.handle_delta_request(&delta_with_type(r, &type_url))
+                    }
+                    Request::StateOfTheWorld(r) => {
+                        session.handle_sotw_request(&sotw_with_type(r, &type_url))
+                    }
                 };
-                taken.map_err(|why| Status::new(Code::InvalidArgument, why))?;
+                handled.map_err(|why| Status::new(Code::InvalidArgument, why))?;
                 session.take_events()
             };
-            tell(stream, &*self.owner, events)?;
-            stream.bell.notify();
-            next = way.read(&mut inbound)?;
+            forward_events(stream, &*self.controller, events)?;
+            stream.output_ready.notify();
+            next = method.receive(&mut inbound)?;
         }
         Ok(())
     }
 
-    fn loads(&self, call: Call) {
+    fn serve_load_reports(&self, call: Call) {
         let Call {
             mut inbound,
             mut outbound,
             ..
         } = call;
-        let stream = self.next.fetch_add(1, Ordering::SeqCst);
+        let stream = self.next_id.fetch_add(1, Ordering::SeqCst);
         let mut node = String::new();
-        let status = match self.take_loads(&mut inbound, &mut outbound, stream, &mut node) {
+        let status = match self.receive_load_reports(&mut inbound, &mut outbound, stream, &mut node)
+        {
             Ok(()) => Status::new(Code::Ok, ""),
             Err(status) => status,
         };
         if !node.is_empty() {
-            self.owner.report_stream(&node, stream, false);
+            self.controller.report_stream(&node, stream, false);
         }
         outbound.finish(&status);
     }
 
-    fn take_loads(
+    fn receive_load_reports(
         &self,
         inbound: &mut Inbound,
         outbound: &mut Outbound,
         stream: Id,
         node: &mut String,
     ) -> Result<(), Status> {
-        let mut told = f64::NAN;
+        let mut announced_ms = f64::NAN;
         while let Some(request) = inbound.receive::<LoadStatsRequest>()? {
             if node.is_empty() {
                 let named = request.node.as_ref().map(|n| n.id.clone());
@@ -241,19 +246,19 @@
                     let why = "the first report of a stream names its node";
                     return Err(Status::new(Code::InvalidArgument, why));
                 }
-                self.owner.report_stream(node, stream, true);
+                self.controller.report_stream(node, stream, true);
             }
-            let wanted = self.owner.report_interval_ms();
-            if told != wanted {
-                told = wanted;
-                outbound.send(&interval(wanted))?;
+            let interval_ms = self.controller.report_interval_ms();
+            if announced_ms != interval_ms {
+                announced_ms = interval_ms;
+                outbound.send(&load_stats_response(interval_ms))?;
             }
-            let taken = match lrs::read(&self.config, &request) {
+            let accepted = match lrs::read(&self.config, &request) {
                 Ok(None) => continue,
-                Ok(Some(report)) => self.owner.report(node, stream, report),
+                Ok(Some(report)) => self.controller.report(node, stream, report),
                 Err(why) => Err(why),
             };
-            if let Err(why) = taken {
+            if let Err(why) = accepted {
                 warn!(node, why, "a load report is refused");
                 return Err(Status::new(Code::InvalidArgument, why));
             }
@@ -263,13 +268,13 @@
 }
 
 /// What proxies are told of reporting.
-fn interval(every_ms: f64) -> LoadStatsResponse {
-    let every = every_ms as i64;
+fn load_stats_response(interval_ms: f64) -> LoadStatsResponse {
+    let interval_ms = interval_ms as i64;
     LoadStatsResponse {
         send_all_clusters: true,
         load_reporting_interval: Some(Duration {
-            seconds: every / 1000,
-            nanos: (every % 1000) as i32 * 1_000_000,
+            seconds: interval_ms / 1000,
+            nanos: (interval_ms % 1000) as i32 * 1_000_000,
         }),
         report_endpoint_granularity: true,
         ..LoadStatsResponse::default()
@@ -283,17 +288,25 @@
         const LOCALITY: &str = "/envoy.service.endpoint.v3.LocalityEndpointDiscoveryService/";
         const LOADS: &str = "/envoy.service.load_stats.v3.LoadReportingService/";
         const STATUS: &str = "/envoy.service.status.v3.ClientStatusDiscoveryService/";
-        let at = call.path.rfind('/').map_or(0, |at| at + 1);
-        let (service, method) = call.path.split_at(at);
+        let method_start = call.path.rfind('/').map_or(0, |slash| slash + 1);
+        let (service, method) = call.path.split_at(method_start);
         match (service, method) {
-            (DISCOVERY, "DeltaAggregatedResources") => self.discover(call, Way::Delta(None)),
-            (DISCOVERY, "StreamAggregatedResources") => self.discover(call, Way::Full(None)),
-            (ENDPOINTS, "DeltaEndpoints") => self.discover(call, Way::Delta(Some(EDS))),
-            (ENDPOINTS, "StreamEndpoints") => self.discover(call, Way::Full(Some(EDS))),
+            (DISCOVERY, "DeltaAggregatedResources") => {
+                self.serve_discovery(call, DiscoveryMethod::Delta(None))
+            }
+            (DISCOVERY, "StreamAggregatedResources") => {
+                self.serve_discovery(call, DiscoveryMethod::StateOfTheWorld(None))
+            }
+            (ENDPOINTS, "DeltaEndpoints") => {
+                self.serve_discovery(call, DiscoveryMethod::Delta(Some(EDS)))
+            }
+            (ENDPOINTS, "StreamEndpoints") => {
+                self.serve_discovery(call, DiscoveryMethod::StateOfTheWorld(Some(EDS)))
+            }
             (LOCALITY, "DeltaLocalityEndpoints") => {
-                self.discover(call, Way::Delta(Some(crate::names::LEDS)));
+                self.serve_discovery(call, DiscoveryMethod::Delta(Some(crate::names::LEDS)));
             }
-            (LOADS, "StreamLoadStats") => self.loads(call),
+            (LOADS, "StreamLoadStats") => self.serve_load_reports(call),
             (STATUS, "FetchClientStatus") => status::serve(self, call, true),
             (STATUS, "StreamClientStatus") => status::serve(self, call, false),
             _ => {
@@ -307,21 +320,23 @@
 
 /// The protocol of a stream, and the one type it is for, if it is not aggregated.
 #[derive(Clone, Copy)]
-enum Way {
+enum DiscoveryMethod {
     Delta(Option<&'static str>),
-    Full(Option<&'static str>),
+    StateOfTheWorld(Option<&'static str>),
 }
 
 enum Request {
     Delta(Box<DeltaDiscoveryRequest>),
-    Full(Box<DiscoveryRequest>),
+    StateOfTheWorld(Box<DiscoveryRequest>),
 }
 
-impl Way {
-    fn read(self, inbound: &mut Inbound) -> Result<Option<Request>, Status> {
+impl DiscoveryMethod {
+    fn receive(self, inbound: &mut Inbound) -> Result<Option<Request>, Status> {
         Ok(match self {
-            Way::Delta(_) => inbound.receive()?.map(|r| Request::Delta(Box::new(r))),
-            Way::Full(_) => inbound.receive()?.map(|r| Request::Full(Box::new(r))),
+            DiscoveryMethod::Delta(_) => inbound.receive()?.map(|r| Request::Delta(Box::new(r))),
+            DiscoveryMethod::StateOfTheWorld(_) => inbound
+                .receive()?
+                .map(|r| Request::StateOfTheWorld(Box::new(r))),
         })
     }
 }
@@ -330,44 +345,47 @@
     fn node(&self) -> Option<&Node> {
         match self {
             Request::Delta(r) => r.node.as_ref(),
-            Request::Full(r) => r.node.as_ref(),
+            Request::StateOfTheWorld(r) => r.node.as_ref(),
         }
     }
 
     /// On a stream for one type the type may be left out.
-    fn type_url(&self, way: Way) -> String {
-        let (said, Way::Delta(only) | Way::Full(only)) = match self {
-            Request::Delta(r) => (&r.type_url, way),
-            Request::Full(r) => (&r.type_url, way),
+    fn type_url(&self, method: DiscoveryMethod) -> String {
+        let (
+            given,
+            DiscoveryMethod::Delta(only_type) | DiscoveryMethod::StateOfTheWorld(only_type),
+        ) = match self {
+            Request::Delta(r) => (&r.type_url, method),
+            Request::StateOfTheWorld(r) => (&r.type_url, method),
         };
-        match only {
-            Some(only) if said.is_empty() => only.to_string(),
-            _ => said.clone(),
+        match only_type {
+            Some(only_type) if given.is_empty() => only_type.to_string(),
+            _ => given.clone(),
         }
     }
 }
 
-fn with_type(r: &DeltaDiscoveryRequest, type_url: &str) -> DeltaDiscoveryRequest {
+fn delta_with_type(r: &DeltaDiscoveryRequest, type_url: &str) -> DeltaDiscoveryRequest {
     DeltaDiscoveryRequest {
         type_url: type_url.to_string(),
         ..r.clone()
     }
 }
 
-fn with_type_full(r: &DiscoveryRequest, type_url: &str) -> DiscoveryRequest {
+fn sotw_with_type(r: &DiscoveryRequest, type_url: &str) -> DiscoveryRequest {
     DiscoveryRequest {
         type_url: type_url.to_string(),
         ..r.clone()
     }
 }
 
-fn tell(
+fn forward_events(
     stream: &DiscoveryStream,
-    owner: &dyn ControllerHandle,
+    controller: &dyn ControllerHandle,
     events: Vec<SessionEvent>,
 ) -> Result<(), Status> {
-    for answer in events {
-        let input = match answer {
+    for event in events {
+        let input = match event {
             SessionEvent::Joined => {
                 let node = &stream.node;
                 let zone = node.locality.as_ref().map(|l| l.zone.clone());
@@ -387,7 +405,7 @@
             SessionEvent::Acked(serial) => Input::Applied(stream.id, serial),
             SessionEvent::Nacked(serial, why) => Input::Refused(stream.id, serial, why),
         };
-        if !owner.send(input) {
+        if !controller.send(input) {
             return Err(Status::new(Code::Unavailable, "the controller ends"));
         }
     }
@@ -395,24 +413,31 @@
 }
 
 /// Writes what the session has, until the stream ends.
-fn write(stream: &DiscoveryStream, way: Way, mut outbound: Outbound, owner: &dyn ControllerHandle) {
+fn write_responses(
+    stream: &DiscoveryStream,
+    method: DiscoveryMethod,
+    mut outbound: Outbound,
+    controller: &dyn ControllerHandle,
+) {
     loop {
         let (next, events) = {
             let mut session = stream.session();
-            let next = match way {
-                Way::Delta(_) => session.next_delta_response().map(Response::Delta),
-                Way::Full(_) => session.next_sotw_response().map(Response::Full),
+            let next = match method {
+                DiscoveryMethod::Delta(_) => session.next_delta_response().map(Response::Delta),
+                DiscoveryMethod::StateOfTheWorld(_) => {
+                    session.next_sotw_response().map(Response::StateOfTheWorld)
+                }
             };
             (next, session.take_events())
         };
-        let failed = tell(stream, owner, events).err();
+        let failed = forward_events(stream, controller, events).err();
         if let Some(response) = next {
             // A peer whose window stays full has stopped reading: what it is told elsewhere (that its
             // stream ends) would wait behind this for ever.
-            outbound.set_deadline(Some(Instant::now() + UNREAD));
+            outbound.set_deadline(Some(Instant::now() + UNREAD_TIMEOUT));
             let sent = match &response {
                 Response::Delta(r) => outbound.send(r),
-                Response::Full(r) => outbound.send(r),
+                Response::StateOfTheWorld(r) => outbound.send(r),
             };
             match sent {
                 Ok(_) => continue,
@@ -423,15 +448,15 @@
             }
         }
         outbound.set_deadline(None);
-        let closing = lock(&stream.closing).clone();
-        if let Some(status) = failed.or(closing) {
+        let end_status = lock(&stream.end_status).clone();
+        if let Some(status) = failed.or(end_status) {
             return outbound.finish(&status);
         }
-        stream.bell.wait(None);
+        stream.output_ready.wait(None);
     }
 }
 
 enum Response {
     Delta(crate::pb::discovery::DeltaDiscoveryResponse),
-    Full(crate::pb::discovery::DiscoveryResponse),
+    StateOfTheWorld(crate::pb::discovery::DiscoveryResponse),
 }
