--- a/crates/xds/src/client.rs
+++ b/crates/xds/src/client.rs
@@ -12,7 +12,7 @@
 use crate::pb::protobuf::{Struct, Value, value::Kind};
 use crate::pb::route::{RouteConfiguration, route};
 use crate::pb::rpc::Status;
-use crate::resources::{healthy, text_of, weight_of};
+use crate::resources::{endpoint_weight, format_address, is_healthy};
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 struct Assignment {
     collection: Option<String>,
-    share: f64,
+    admitted_share: f64,
 }
 
 /// See the module's head.
@@ -50,9 +50,9 @@
     lines: BTreeMap<String, ReceivedLine>,
     subscribed: BTreeSet<String>,
     /// The collection whose lines are in use.
-    active: Option<String>,
+    active_collection: Option<String>,
     /// Withdrawn, whatever the table: told while the proxy is on tables that this stream has not given.
-    shut: BTreeSet<String>,
+    withdrawn: BTreeSet<String>,
     /// Responses applied, and refused.
     pub acked: u64,
     pub nacked: u64,
@@ -60,9 +60,9 @@
 
 impl XdsClient {
     /// For a proxy of that name in a zone, to which so many visits a second usually come.
-    pub fn new(service: &str, id: &str, zone: &str, pace: f64) -> XdsClient {
-        let pace = Value {
-            kind: Some(Kind::NumberValue(pace)),
+    pub fn new(service: &str, id: &str, zone: &str, visits_per_s: f64) -> XdsClient {
+        let visits_per_s = Value {
+            kind: Some(Kind::NumberValue(visits_per_s)),
         };
         XdsClient {
             node: Node {
@@ -73,7 +73,7 @@
                     ..Locality::default()
                 }),
                 metadata: Some(Struct {
-                    fields: [("pace_per_s".to_string(), pace)].into(),
+                    fields: [("pace_per_s".to_string(), visits_per_s)].into(),
                 }),
                 user_agent_name: "dahliapoint".into(),
                 client_features: vec![LEDS_FEATURE.into()],
@@ -85,8 +85,8 @@
             retry_on: BTreeMap::new(),
             lines: BTreeMap::new(),
             subscribed: BTreeSet::new(),
-            active: None,
-            shut: BTreeSet::new(),
+            active_collection: None,
+            withdrawn: BTreeSet::new(),
             acked: 0,
             nacked: 0,
         }
@@ -101,8 +101,8 @@
         let held = |t: &'static str| self.versions[t].clone().into_iter().collect();
         let classes: Vec<String> = self.versions[CDS].keys().cloned().collect();
         let mut collections = vec![names::withdrawn_collection(&self.service)];
-        let given = [self.active.clone(), self.wanted()];
-        collections.extend(given.into_iter().flatten());
+        let collections_in_use = [self.active_collection.clone(), self.assigned_collection()];
+        collections.extend(collections_in_use.into_iter().flatten());
         collections.dedup();
         let request = |t: &'static str, subscribe: Vec<String>| DeltaDiscoveryRequest {
             type_url: t.into(),
@@ -123,72 +123,75 @@
         requests
     }
 
-    /// Takes a response whole, or refuses it whole; `known` tells whether a server exists. Returns what
+    /// Takes a response whole, or refuses it whole; `server_exists` tells whether a server exists. Returns what
     /// to ask next, the answer first.
     pub fn apply(
         &mut self,
         response: &DeltaDiscoveryResponse,
-        known: impl Fn(&str) -> bool,
+        server_exists: impl Fn(&str) -> bool,
     ) -> Vec<DeltaDiscoveryRequest> {
-        let kind = [CDS, RDS, EDS, LEDS];
-        let kind = kind.into_iter().find(|k| *k == response.type_url);
-        let mut answer = DeltaDiscoveryRequest {
+        let type_url = [CDS, RDS, EDS, LEDS];
+        let type_url = type_url.into_iter().find(|k| *k == response.type_url);
+        let mut reply = DeltaDiscoveryRequest {
             type_url: response.type_url.clone(),
             response_nonce: response.nonce.clone(),
             ..DeltaDiscoveryRequest::default()
         };
-        let checked = match kind {
+        let result = match type_url {
             None => Err(format!("type {} was not asked for", response.type_url)),
-            Some(kind) => self.check(kind, response, known).map(|()| kind),
+            Some(type_url) => self
+                .validate(type_url, response, server_exists)
+                .map(|()| type_url),
         };
-        let kind = match checked {
-            Ok(kind) => kind,
+        let type_url = match result {
+            Ok(type_url) => type_url,
             Err(why) => {
                 self.nacked += 1;
-                answer.error_detail = Some(Status {
+                reply.error_detail = Some(Status {
                     code: 3,
                     message: why,
                     ..Status::default()
                 });
-                return vec![answer];
+                return vec![reply];
             }
         };
         self.acked += 1;
-        let versions = self.versions.entry(kind).or_default();
+        let versions = self.versions.entry(type_url).or_default();
         for r in &response.resources {
             versions.insert(r.name.clone(), r.version.clone());
         }
         for name in &response.removed_resources {
             versions.remove(name);
         }
-        let mut requests = vec![answer];
-        match kind {
-            CDS => requests.extend(self.take_clusters(response)),
-            RDS => self.take_routes(response),
-            EDS => requests.extend(self.take_assignments(response)),
-            _ => requests.extend(self.take_lines(response)),
+        let mut requests = vec![reply];
+        match type_url {
+            CDS => requests.extend(self.apply_clusters(response)),
+            RDS => self.apply_routes(response),
+            EDS => requests.extend(self.apply_assignments(response)),
+            _ => requests.extend(self.apply_lines(response)),
         }
         requests
     }
 
     /// All of a response can be read, and names only what exists.
-    fn check(
+    fn validate(
         &self,
-        kind: &str,
+        type_url: &str,
         response: &DeltaDiscoveryResponse,
-        known: impl Fn(&str) -> bool,
+        server_exists: impl Fn(&str) -> bool,
     ) -> Result<(), String> {
         for r in &response.resources {
             let bytes = r.resource.as_ref().map(|any| any.value.as_slice());
             let bytes = bytes.ok_or_else(|| format!("{}: no resource", r.name))?;
-            let unread = |e| format!("{}: {e}", r.name);
-            match kind {
-                CDS => drop(Cluster::decode(bytes).map_err(unread)?),
-                RDS => drop(RouteConfiguration::decode(bytes).map_err(unread)?),
-                EDS => drop(ClusterLoadAssignment::decode(bytes).map_err(unread)?),
+            let decode_error = |e| format!("{}: {e}", r.name);
+            match type_url {
+                CDS => drop(Cluster::decode(bytes).map_err(decode_error)?),
+                RDS => drop(RouteConfiguration::decode(bytes).map_err(decode_error)?),
+                EDS => drop(ClusterLoadAssignment::decode(bytes).map_err(decode_error)?),
                 _ => {
-                    let line = line_of(r).ok_or_else(|| format!("{}: not a line", r.name))?;
-                    if !known(&line.server) {
+                    let line =
+                        parse_endpoint(r).ok_or_else(|| format!("{}: not a line", r.name))?;
+                    if !server_exists(&line.server) {
                         return Err(format!("no server {:?} is known", line.server));
                     }
                 }
@@ -197,10 +200,10 @@
         Ok(())
     }
 
-    fn take_clusters(&self, response: &DeltaDiscoveryResponse) -> Option<DeltaDiscoveryRequest> {
-        let asked = &self.assignments;
+    fn apply_clusters(&self, response: &DeltaDiscoveryResponse) -> Option<DeltaDiscoveryRequest> {
+        let known = &self.assignments;
         let names = response.resources.iter().map(|r| r.name.clone());
-        let names: Vec<_> = names.filter(|n| !asked.contains_key(n)).collect();
+        let names: Vec<_> = names.filter(|n| !known.contains_key(n)).collect();
         (!names.is_empty()).then(|| DeltaDiscoveryRequest {
             type_url: EDS.into(),
             resource_names_subscribe: names,
@@ -208,9 +211,9 @@
         })
     }
 
-    fn take_routes(&mut self, response: &DeltaDiscoveryResponse) {
+    fn apply_routes(&mut self, response: &DeltaDiscoveryResponse) {
         for r in &response.resources {
-            let Some(routes) = read::<RouteConfiguration>(r) else {
+            let Some(routes) = decode::<RouteConfiguration>(r) else {
                 continue;
             };
             for route in routes.virtual_hosts.into_iter().flat_map(|v| v.routes) {
@@ -223,54 +226,66 @@
         }
     }
 
-    fn take_assignments(
+    fn apply_assignments(
         &mut self,
         response: &DeltaDiscoveryResponse,
     ) -> Option<DeltaDiscoveryRequest> {
         for r in &response.resources {
-            let Some(cla) = read::<ClusterLoadAssignment>(r) else {
+            let Some(assignment) = decode::<ClusterLoadAssignment>(r) else {
                 continue;
             };
-            let collection = cla.endpoints.iter().find_map(|l| match &l.lb_config {
-                Some(LbConfig::LedsClusterLocalityConfig(c)) => {
-                    Some(c.leds_collection_name.clone())
-                }
-                _ => None,
-            });
-            let drops = cla.policy.map(|p| p.drop_overloads).unwrap_or_default();
-            let refused = drops.iter().filter_map(|d| d.drop_percentage);
-            let refused: f64 = refused.map(|p| f64::from(p.numerator) / 1e6).sum();
-            let share = (1.0 - refused).max(0.0);
-            self.assignments
-                .insert(r.name.clone(), Assignment { collection, share });
+            let collection = assignment
+                .endpoints
+                .iter()
+                .find_map(|l| match &l.lb_config {
+                    Some(LbConfig::LedsClusterLocalityConfig(c)) => {
+                        Some(c.leds_collection_name.clone())
+                    }
+                    _ => None,
+                });
+            let drops = assignment
+                .policy
+                .map(|p| p.drop_overloads)
+                .unwrap_or_default();
+            let dropped = drops.iter().filter_map(|d| d.drop_percentage);
+            let dropped: f64 = dropped.map(|p| f64::from(p.numerator) / 1e6).sum();
+            let admitted_share = (1.0 - dropped).max(0.0);
+            self.assignments.insert(
+                r.name.clone(),
+                Assignment {
+                    collection,
+                    admitted_share,
+                },
+            );
         }
-        let wanted = self.wanted()?;
+        let assigned = self.assigned_collection()?;
         self.subscribed
-            .insert(wanted.clone())
+            .insert(assigned.clone())
             .then(|| DeltaDiscoveryRequest {
                 type_url: LEDS.into(),
-                resource_names_subscribe: vec![wanted],
+                resource_names_subscribe: vec![assigned],
                 ..DeltaDiscoveryRequest::default()
             })
     }
 
     /// The collection that the assignments name.
-    fn wanted(&self) -> Option<String> {
+    fn assigned_collection(&self) -> Option<String> {
         let mut named = self.assignments.values();
         named.find_map(|a| a.collection.clone())
     }
 
-    fn take_lines(&mut self, response: &DeltaDiscoveryResponse) -> Option<DeltaDiscoveryRequest> {
+    fn apply_lines(&mut self, response: &DeltaDiscoveryResponse) -> Option<DeltaDiscoveryRequest> {
         let withdrawn = names::withdrawn_collection(&self.service);
-        let mut came = false;
-        let wanted = self.wanted();
+        let mut new_lines_arrived = false;
+        let assigned = self.assigned_collection();
         for r in &response.resources {
-            let Some((line, (collection, _))) = line_of(r).zip(names::parse_line(&r.name)) else {
+            let Some((line, (collection, _))) = parse_endpoint(r).zip(names::parse_line(&r.name))
+            else {
                 continue;
             };
-            came |= Some(&collection) == wanted.as_ref();
+            new_lines_arrived |= Some(&collection) == assigned.as_ref();
             if collection == withdrawn {
-                self.shut.insert(line.server);
+                self.withdrawn.insert(line.server);
             } else {
                 self.lines.insert(r.name.clone(), line);
             }
@@ -278,40 +293,45 @@
         for name in &response.removed_resources {
             match names::parse_line(name) {
                 Some((collection, server)) if collection == withdrawn => {
-                    self.shut.remove(&server);
+                    self.withdrawn.remove(&server);
                 }
                 _ => drop(self.lines.remove(name)),
             }
         }
         // The old table is used until the first lines of the new one are there.
-        if !came || self.active == wanted {
+        if !new_lines_arrived || self.active_collection == assigned {
             return None;
         }
-        let old = std::mem::replace(&mut self.active, wanted)?;
-        let stem = old.strip_suffix('*').unwrap_or(&old).to_string();
-        self.lines.retain(|name, _| !name.starts_with(&stem));
+        let previous = std::mem::replace(&mut self.active_collection, assigned)?;
+        let prefix = previous.strip_suffix('*').unwrap_or(&previous).to_string();
+        self.lines.retain(|name, _| !name.starts_with(&prefix));
         if let Some(versions) = self.versions.get_mut(LEDS) {
-            versions.retain(|name, _| !name.starts_with(&stem));
+            versions.retain(|name, _| !name.starts_with(&prefix));
         }
-        self.subscribed.remove(&old);
+        self.subscribed.remove(&previous);
         Some(DeltaDiscoveryRequest {
             type_url: LEDS.into(),
-            resource_names_unsubscribe: vec![old],
+            resource_names_unsubscribe: vec![previous],
             ..DeltaDiscoveryRequest::default()
         })
     }
 
     /// The table that was given; none yet: the proxy is on a table of its own.
     pub fn table(&self) -> Option<ReceivedTable> {
-        let active = self.active.as_ref()?;
-        let stem = active.strip_suffix('*').unwrap_or(active);
-        let there = self.lines.iter().filter(|(n, _)| n.starts_with(stem));
-        let lines = there.map(|(_, l)| ReceivedLine {
+        let active_collection = self.active_collection.as_ref()?;
+        let prefix = active_collection
+            .strip_suffix('*')
+            .unwrap_or(active_collection);
+        let active_lines = self.lines.iter().filter(|(n, _)| n.starts_with(prefix));
+        let lines = active_lines.map(|(_, l)| ReceivedLine {
             open: l.open && !self.is_withdrawn(&l.server),
             ..l.clone()
         });
         let class = |name: &String| names::class_of(&self.service, name).unwrap_or_default();
-        let admitted_shares = self.assignments.iter().map(|(n, a)| (class(n), a.share));
+        let admitted_shares = self
+            .assignments
+            .iter()
+            .map(|(n, a)| (class(n), a.admitted_share));
         Some(ReceivedTable {
             lines: lines.collect(),
             admitted_shares: admitted_shares.collect(),
@@ -321,24 +341,24 @@
 
     /// Withdrawn, whatever table names it.
     pub fn is_withdrawn(&self, server: &str) -> bool {
-        self.shut.contains(server)
+        self.withdrawn.contains(server)
     }
 }
 
-fn read<M: Message + Default>(resource: &Resource) -> Option<M> {
+fn decode<M: Message + Default>(resource: &Resource) -> Option<M> {
     let any = resource.resource.as_ref()?;
     M::decode(any.value.as_slice()).ok()
 }
 
-fn line_of(resource: &Resource) -> Option<ReceivedLine> {
-    let line: LbEndpoint = read(resource)?;
+fn parse_endpoint(resource: &Resource) -> Option<ReceivedLine> {
+    let line: LbEndpoint = decode(resource)?;
     let Some(HostIdentifier::Endpoint(endpoint)) = &line.host_identifier else {
         return None;
     };
     Some(ReceivedLine {
         server: endpoint.hostname.clone(),
-        address: text_of(endpoint.address.as_ref())?,
-        weight: weight_of(&line),
-        open: healthy(&line),
+        address: format_address(endpoint.address.as_ref())?,
+        weight: endpoint_weight(&line),
+        open: is_healthy(&line),
     })
 }
--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -15,11 +15,11 @@
 
 pub use client::{ReceivedLine, ReceivedTable, XdsClient};
 pub use dahliapoint_control::ControllerHandle;
-pub use lrs::{ClusterLoad, EndpointLoad, read as parse_load_stats, request as load_stats_request};
+pub use lrs::{ClusterLoad, EndpointLoad, load_stats_request, parse_load_stats};
 pub use resources::{ServiceConfig, WEIGHT_SCALE};
 pub use service::{DiscoveryStream, XdsService};
 pub use session::{ProtocolVariant, Session, SessionEvent};
-pub use status::{ResourceState, StatusRow, read as parse_client_status};
+pub use status::{ResourceState, StatusRow, parse_client_status};
 
 pub use prost::Message;
 
--- a/crates/xds/src/lrs.rs
+++ b/crates/xds/src/lrs.rs
@@ -8,31 +8,31 @@
 };
 use crate::pb::load_stats::LoadStatsRequest;
 use crate::pb::protobuf::Duration;
-use crate::resources::{ServiceConfig, address_of, text_of};
+use crate::resources::{ServiceConfig, format_address, parse_address};
 use dahliapoint_control::{LoadReport, ReportLine};
 use std::collections::BTreeMap;
 
 /// The metric that carries the summed time of tries that did not fail, in milliseconds. Servers' own
 /// words, by their ORCA names, stand beside it.
-pub const VISIT_MS: &str = "visit_ms";
+pub const VISIT_MS_METRIC: &str = "visit_ms";
 
 /// A server's own words, by their ORCA names: visits waiting, and its recent time without waiting.
-const OWN_QUEUE: &str = "queue";
-const OWN_MS: &str = "latency_ms";
+const QUEUE_METRIC: &str = "queue";
+const LATENCY_MS_METRIC: &str = "latency_ms";
 
 /// Lines that one report may hold; more is a fault of the reporter.
-const MOST_LINES: usize = 20_000;
+const MAX_REPORT_LINES: usize = 20_000;
 
 /// Reads a report.
 ///
 /// # Errors
 /// A sentence about what no proxy can have met.
-pub fn read(
+pub fn parse_load_stats(
     config: &ServiceConfig,
     request: &LoadStatsRequest,
 ) -> Result<Option<LoadReport>, String> {
     let mut report = LoadReport::default();
-    let mut met: BTreeMap<(String, usize), ReportLine> = BTreeMap::new();
+    let mut lines_by_endpoint: BTreeMap<(String, usize), ReportLine> = BTreeMap::new();
     let mut lines = 0;
     for cluster in &request.cluster_stats {
         let interval = cluster.load_report_interval.as_ref();
@@ -47,22 +47,24 @@
         for locality in &cluster.upstream_locality_stats {
             for e in &locality.upstream_endpoint_stats {
                 lines += 1;
-                if lines > MOST_LINES {
-                    return Err(format!("more than {MOST_LINES} lines in one report"));
+                if lines > MAX_REPORT_LINES {
+                    return Err(format!("more than {MAX_REPORT_LINES} lines in one report"));
                 }
-                let Some(server) = text_of(e.address.as_ref()) else {
+                let Some(server) = format_address(e.address.as_ref()) else {
                     return Err("an endpoint without an address".into());
                 };
                 let succeeded = e.total_successful_requests as f64;
                 let failed = e.total_error_requests as f64;
                 let times = e.load_metric_stats.iter();
-                let times = times.filter(|m| m.metric_name == VISIT_MS);
+                let times = times.filter(|m| m.metric_name == VISIT_MS_METRIC);
                 let place = (server.clone(), class);
-                let line = met.entry(place).or_insert_with(|| ReportLine {
-                    server,
-                    class,
-                    ..ReportLine::default()
-                });
+                let line = lines_by_endpoint
+                    .entry(place)
+                    .or_insert_with(|| ReportLine {
+                        server,
+                        class,
+                        ..ReportLine::default()
+                    });
                 line.tries += succeeded + failed;
                 line.failed += failed;
                 line.in_flight += e.total_requests_in_progress as f64;
@@ -70,8 +72,8 @@
                 for m in &e.load_metric_stats {
                     let events = m.num_requests_finished_with_metric as f64;
                     match m.metric_name.as_str() {
-                        OWN_QUEUE => line.queue_sum += m.total_metric_value,
-                        OWN_MS => {
+                        QUEUE_METRIC => line.queue_sum += m.total_metric_value,
+                        LATENCY_MS_METRIC => {
                             line.service_ms_sum += m.total_metric_value;
                             line.load_samples += events;
                         }
@@ -85,7 +87,7 @@
             .arrivals
             .push((config.classes[class].clone(), visits));
     }
-    report.lines = met.into_values().collect();
+    report.lines = lines_by_endpoint.into_values().collect();
     if request.cluster_stats.is_empty() {
         return Ok(None);
     }
@@ -118,14 +120,18 @@
 }
 
 /// A report of what was counted over a stretch of time.
-pub fn request(node: Option<Node>, window_ms: f64, tallies: &[ClusterLoad]) -> LoadStatsRequest {
+pub fn load_stats_request(
+    node: Option<Node>,
+    window_ms: f64,
+    clusters: &[ClusterLoad],
+) -> LoadStatsRequest {
     let interval = Duration {
         seconds: (window_ms / 1e3) as i64,
         nanos: ((window_ms % 1e3) * 1e6) as i32,
     };
     let endpoint = |e: &EndpointLoad| {
         let time = EndpointLoadMetricStats {
-            metric_name: VISIT_MS.into(),
+            metric_name: VISIT_MS_METRIC.into(),
             num_requests_finished_with_metric: e.succeeded,
             total_metric_value: e.success_ms,
         };
@@ -138,7 +144,7 @@
                 total_metric_value: *sum,
             });
         UpstreamEndpointStats {
-            address: Some(address_of(&e.address)),
+            address: Some(parse_address(&e.address)),
             total_successful_requests: e.succeeded,
             total_requests_in_progress: e.in_progress,
             total_error_requests: e.failed,
@@ -167,6 +173,6 @@
     };
     LoadStatsRequest {
         node,
-        cluster_stats: tallies.iter().map(cluster).collect(),
+        cluster_stats: clusters.iter().map(cluster).collect(),
     }
 }
--- a/crates/xds/src/resources.rs
+++ b/crates/xds/src/resources.rs
@@ -31,7 +31,7 @@
 /// line is in the table: a weight of 0.01 is off by half a hundredth at most.
 pub const WEIGHT_SCALE: f64 = 10_000.0;
 /// The heaviest line: forty of them stay below the specification's limit on a locality's sum.
-const HEAVIEST: f64 = 1e8;
+const MAX_SCALED_WEIGHT: f64 = 1e8;
 
 /// What of the service is seen on the wire.
 #[derive(Clone, Debug)]
@@ -45,13 +45,13 @@
 }
 
 impl ServiceConfig {
-    pub fn from_settings(terms: &ControllerSettings, connect_timeout_ms: f64) -> ServiceConfig {
+    pub fn from_settings(settings: &ControllerSettings, connect_timeout_ms: f64) -> ServiceConfig {
         ServiceConfig {
-            service: terms.service.clone(),
-            classes: terms.classes.iter().map(|c| c.name.clone()).collect(),
-            zones: terms.zones.clone(),
+            service: settings.service.clone(),
+            classes: settings.classes.iter().map(|c| c.name.clone()).collect(),
+            zones: settings.zones.clone(),
             connect_timeout_ms,
-            admission_control: terms.admission_control,
+            admission_control: settings.admission_control,
         }
     }
 
@@ -67,18 +67,18 @@
 
 /// A resource with its version.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Versioned {
+pub struct VersionedResource {
     pub version: String,
     pub any: Any,
 }
 
-fn packed<M: Message + Name>(message: &M, version: Option<String>) -> Versioned {
+fn pack<M: Message + Name>(message: &M, version: Option<String>) -> VersionedResource {
     let value = message.encode_to_vec();
     let digest = || {
         let sum = Sha256::digest(&value);
         sum.iter().take(8).map(|b| format!("{b:02x}")).collect()
     };
-    Versioned {
+    VersionedResource {
         version: version.unwrap_or_else(digest),
         any: Any {
             type_url: M::type_url(),
@@ -88,11 +88,13 @@
 }
 
 /// A weight as it goes over the wire.
-pub fn scaled(weight: f64) -> u32 {
-    (weight * WEIGHT_SCALE).round().clamp(1.0, HEAVIEST) as u32
+pub fn scaled_weight(weight: f64) -> u32 {
+    (weight * WEIGHT_SCALE)
+        .round()
+        .clamp(1.0, MAX_SCALED_WEIGHT) as u32
 }
 
-pub fn address_of(text: &str) -> Address {
+pub fn parse_address(text: &str) -> Address {
     let (host, port) = text.rsplit_once(':').unwrap_or((text, "0"));
     let host = host.trim_start_matches('[').trim_end_matches(']');
     Address {
@@ -107,7 +109,7 @@
 }
 
 /// An address back as text; none if it is not one of a socket.
-pub fn text_of(address: Option<&Address>) -> Option<String> {
+pub fn format_address(address: Option<&Address>) -> Option<String> {
     let Some(address::Address::SocketAddress(socket)) = &address?.address else {
         return None;
     };
@@ -128,10 +130,10 @@
     LbEndpoint {
         health_status: health.into(),
         load_balancing_weight: Some(UInt32Value {
-            value: scaled(line.weight),
+            value: scaled_weight(line.weight),
         }),
         host_identifier: Some(HostIdentifier::Endpoint(Endpoint {
-            address: Some(address_of(&line.address)),
+            address: Some(parse_address(&line.address)),
             hostname: line.server.to_string(),
             ..Endpoint::default()
         })),
@@ -140,23 +142,23 @@
 }
 
 /// A line as a resource of its own. Its version is its content, for people to read.
-pub fn line(line: &Line) -> Versioned {
-    let mark = match line.state {
+pub fn line_resource(line: &Line) -> VersionedResource {
+    let state = match line.state {
         LineState::Open => 'o',
         LineState::Withdrawn | LineState::Removed => 'd',
     };
-    let version = format!("{}{mark}@{}", scaled(line.weight), line.address);
-    packed(&endpoint(line), Some(version))
+    let version = format!("{}{state}@{}", scaled_weight(line.weight), line.address);
+    pack(&endpoint(line), Some(version))
 }
 
-fn zone(name: &str) -> Locality {
+fn locality(name: &str) -> Locality {
     Locality {
         zone: name.to_string(),
         ..Locality::default()
     }
 }
 
-fn source(specifier: ConfigSourceSpecifier) -> ConfigSource {
+fn config_source(specifier: ConfigSourceSpecifier) -> ConfigSource {
     ConfigSource {
         resource_api_version: ApiVersion::V3.into(),
         config_source_specifier: Some(specifier),
@@ -164,16 +166,16 @@
     }
 }
 
-fn millis(ms: f64) -> Duration {
-    let whole = ms.max(0.0) as i64;
+fn duration(ms: f64) -> Duration {
+    let ms = ms.max(0.0) as i64;
     Duration {
-        seconds: whole / 1000,
-        nanos: (whole % 1000) as i32 * 1_000_000,
+        seconds: ms / 1000,
+        nanos: (ms % 1000) as i32 * 1_000_000,
     }
 }
 
-fn policy(config: &ServiceConfig, class: usize, way: ClassPolicy) -> Policy {
-    let refused = (1.0 - way.admitted_share.clamp(0.0, 1.0)) * 1e6;
+fn assignment_policy(config: &ServiceConfig, class: usize, policy: ClassPolicy) -> Policy {
+    let refused = (1.0 - policy.admitted_share.clamp(0.0, 1.0)) * 1e6;
     let drop = DropOverload {
         category: config.classes[class].clone(),
         drop_percentage: Some(FractionalPercent {
@@ -182,7 +184,7 @@
         }),
     };
     Policy {
-        drop_overloads: if way.admitted_share < 1.0 {
+        drop_overloads: if policy.admitted_share < 1.0 {
             vec![drop]
         } else {
             vec![]
@@ -192,13 +194,13 @@
 }
 
 /// The assignment of a class whose lines are a collection.
-pub fn by_collection(
+pub fn collection_assignment(
     config: &ServiceConfig,
     class: usize,
     part: usize,
-    way: ClassPolicy,
-) -> Versioned {
-    let policy = policy(config, class, way);
+    policy: ClassPolicy,
+) -> VersionedResource {
+    let policy = assignment_policy(config, class, policy);
     let refused = policy
         .drop_overloads
         .first()
@@ -209,7 +211,7 @@
         endpoints: vec![LocalityLbEndpoints {
             lb_config: Some(LbConfig::LedsClusterLocalityConfig(
                 LedsClusterLocalityConfig {
-                    leds_config: Some(source(ConfigSourceSpecifier::Ads(
+                    leds_config: Some(config_source(ConfigSourceSpecifier::Ads(
                         AggregatedConfigSource::default(),
                     ))),
                     leds_collection_name: names::part_collection(&config.service, part),
@@ -220,23 +222,26 @@
         policy: Some(policy),
         ..ClusterLoadAssignment::default()
     };
-    packed(&message, Some(format!("part-{part} refused-{refused}")))
+    pack(&message, Some(format!("part-{part} refused-{refused}")))
 }
 
 /// The assignment of a class with its lines in it, for clients without LEDS: a locality a zone.
-pub fn inline<'a>(
+pub fn inline_assignment<'a>(
     config: &ServiceConfig,
     class: usize,
     lines: impl Iterator<Item = &'a Line> + Clone,
-    way: ClassPolicy,
-) -> Versioned {
-    let locality = |(index, name): (usize, &String)| {
-        let there = lines.clone().filter(|l| l.zone == index);
-        let lb_endpoints: Vec<_> = there.map(endpoint).collect();
-        let weight = lb_endpoints.iter().filter(|e| healthy(e)).map(weight_of);
+    policy: ClassPolicy,
+) -> VersionedResource {
+    let zone_endpoints = |(index, name): (usize, &String)| {
+        let zone_lines = lines.clone().filter(|l| l.zone == index);
+        let lb_endpoints: Vec<_> = zone_lines.map(endpoint).collect();
+        let weight = lb_endpoints
+            .iter()
+            .filter(|e| is_healthy(e))
+            .map(endpoint_weight);
         let weight: u64 = weight.map(u64::from).sum();
         (!lb_endpoints.is_empty()).then(|| LocalityLbEndpoints {
-            locality: Some(zone(name)),
+            locality: Some(locality(name)),
             lb_endpoints,
             load_balancing_weight: Some(UInt32Value {
                 value: u32::try_from(weight.max(1)).unwrap_or(u32::MAX),
@@ -250,55 +255,55 @@
             .zones
             .iter()
             .enumerate()
-            .filter_map(locality)
+            .filter_map(zone_endpoints)
             .collect(),
-        policy: Some(policy(config, class, way)),
+        policy: Some(assignment_policy(config, class, policy)),
         ..ClusterLoadAssignment::default()
     };
-    packed(&message, None)
+    pack(&message, None)
 }
 
-pub fn healthy(endpoint: &LbEndpoint) -> bool {
+pub fn is_healthy(endpoint: &LbEndpoint) -> bool {
     endpoint.health_status == i32::from(HealthStatus::Healthy)
         || endpoint.health_status == i32::from(HealthStatus::Unknown)
 }
 
 /// The weight of an endpoint; 1 where none is said.
-pub fn weight_of(endpoint: &LbEndpoint) -> u32 {
+pub fn endpoint_weight(endpoint: &LbEndpoint) -> u32 {
     let weight = endpoint.load_balancing_weight.as_ref();
     weight.map_or(1, |w| w.value)
 }
 
-pub fn cluster(config: &ServiceConfig, class: usize) -> Versioned {
+pub fn cluster(config: &ServiceConfig, class: usize) -> VersionedResource {
     let name = config.cluster_name(class);
     let message = Cluster {
         name: name.clone(),
         eds_cluster_config: Some(EdsClusterConfig {
-            eds_config: Some(source(ConfigSourceSpecifier::Ads(
+            eds_config: Some(config_source(ConfigSourceSpecifier::Ads(
                 AggregatedConfigSource::default(),
             ))),
             service_name: name,
         }),
         cluster_discovery_type: Some(ClusterDiscoveryType::Type(DiscoveryType::Eds.into())),
         lb_policy: LbPolicy::RoundRobin.into(),
-        connect_timeout: Some(millis(config.connect_timeout_ms)),
-        lrs_server: Some(source(ConfigSourceSpecifier::Self_(
+        connect_timeout: Some(duration(config.connect_timeout_ms)),
+        lrs_server: Some(config_source(ConfigSourceSpecifier::Self_(
             SelfConfigSource::default(),
         ))),
         ..Cluster::default()
     };
-    packed(&message, None)
+    pack(&message, None)
 }
 
 /// A route a class, by the first segment of the path, with when its visits may be tried again.
-pub fn routes(config: &ServiceConfig, ways: &[ClassPolicy]) -> Versioned {
-    let route = |(class, way): (usize, &ClassPolicy)| {
+pub fn routes(config: &ServiceConfig, policies: &[ClassPolicy]) -> VersionedResource {
+    let route = |(class, policy): (usize, &ClassPolicy)| {
         let retry = |on: &str| RetryPolicy {
             retry_on: on.to_string(),
             num_retries: Some(UInt32Value { value: 1 }),
             ..RetryPolicy::default()
         };
-        let retry_policy = match way.retry {
+        let retry_policy = match policy.retry {
             control::RetryPolicy::Never => None,
             // Proof that the first try never ran.
             control::RetryPolicy::OnProof => Some(retry("connect-failure,refused-stream")),
@@ -330,12 +335,12 @@
         virtual_hosts: vec![VirtualHost {
             name: names::routes(&config.service),
             domains: vec!["*".into()],
-            routes: ways.iter().enumerate().map(route).collect(),
+            routes: policies.iter().enumerate().map(route).collect(),
             ..VirtualHost::default()
         }],
         ..RouteConfiguration::default()
     };
-    packed(&message, None)
+    pack(&message, None)
 }
 
 #[cfg(test)]
@@ -353,15 +358,18 @@
             (1e9, 100_000_000),
         ];
         for (weight, wanted) in cases {
-            assert_eq!(scaled(weight), wanted, "{weight}");
+            assert_eq!(scaled_weight(weight), wanted, "{weight}");
         }
     }
 
     #[test]
     fn addresses_survive_the_wire() {
         for text in ["127.0.0.1:80", "[::1]:9000", "host.example:1"] {
-            assert_eq!(text_of(Some(&address_of(text))).as_deref(), Some(text));
+            assert_eq!(
+                format_address(Some(&parse_address(text))).as_deref(),
+                Some(text)
+            );
         }
-        assert_eq!(text_of(None), None);
+        assert_eq!(format_address(None), None);
     }
 }
--- a/crates/xds/src/service.rs
+++ b/crates/xds/src/service.rs
@@ -253,7 +253,7 @@
                 announced_ms = interval_ms;
                 outbound.send(&load_stats_response(interval_ms))?;
             }
-            let accepted = match lrs::read(&self.config, &request) {
+            let accepted = match lrs::parse_load_stats(&self.config, &request) {
                 Ok(None) => continue,
                 Ok(Some(report)) => self.controller.report(node, stream, report),
                 Err(why) => Err(why),
@@ -307,8 +307,8 @@
                 self.serve_discovery(call, DiscoveryMethod::Delta(Some(crate::names::LEDS)));
             }
             (LOADS, "StreamLoadStats") => self.serve_load_reports(call),
-            (STATUS, "FetchClientStatus") => status::serve(self, call, true),
-            (STATUS, "StreamClientStatus") => status::serve(self, call, false),
+            (STATUS, "FetchClientStatus") => status::serve_client_status(self, call, true),
+            (STATUS, "StreamClientStatus") => status::serve_client_status(self, call, false),
             _ => {
                 let why = format!("no method {}", call.path);
                 debug!(path = call.path, "an unknown method is called");
--- a/crates/xds/src/session.rs
+++ b/crates/xds/src/session.rs
@@ -10,7 +10,7 @@
 use crate::pb::discovery::{
     DeltaDiscoveryRequest, DeltaDiscoveryResponse, DiscoveryRequest, DiscoveryResponse, Resource,
 };
-use crate::resources::{self, ServiceConfig, Versioned};
+use crate::resources::{self, ServiceConfig, VersionedResource};
 use dahliapoint_control::{ClassPolicy, Line, LineState, Message, RetryPolicy, Scope};
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -94,7 +94,7 @@
 
 /// Whether a resource is there for this client.
 enum Found {
-    Present(Versioned),
+    Present(VersionedResource),
     Absent,
     /// It is not told yet: the client keeps what it holds.
     Withheld,
@@ -117,8 +117,8 @@
     joined: bool,
     part: Option<usize>,
     lines_by_server: BTreeMap<Arc<str>, Line>,
-    line_resources: BTreeMap<String, Versioned>,
-    withdrawn_resources: BTreeMap<String, Versioned>,
+    line_resources: BTreeMap<String, VersionedResource>,
+    withdrawn_resources: BTreeMap<String, VersionedResource>,
     policies: Vec<ClassPolicy>,
     /// The newest serial merged, and the newest that a response carries.
     latest_serial: u64,
@@ -417,7 +417,7 @@
                         LineState::Removed => self.withdrawn_resources.remove(&name),
                         _ => self
                             .withdrawn_resources
-                            .insert(name.clone(), resources::line(line)),
+                            .insert(name.clone(), resources::line_resource(line)),
                     };
                     self.mark_line_changed(name);
                 }
@@ -477,7 +477,8 @@
             self.lines_by_server
                 .insert(line.server.clone(), line.clone());
             if leds {
-                self.line_resources.insert(name, resources::line(line));
+                self.line_resources
+                    .insert(name, resources::line_resource(line));
             }
         }
     }
@@ -509,7 +510,7 @@
     fn find_resource(&self, type_index: usize, name: &str) -> Found {
         let class =
             || (0..self.config.classes.len()).find(|c| self.config.cluster_name(*c) == name);
-        let or_absent = |v: Option<Versioned>| v.map_or(Found::Absent, Found::Present);
+        let or_absent = |v: Option<VersionedResource>| v.map_or(Found::Absent, Found::Present);
         match type_index {
             CDS_INDEX => or_absent(class().map(|c| resources::cluster(&self.config, c))),
             RDS_INDEX if name == names::routes(&self.config.service) => {
@@ -522,11 +523,21 @@
                 (Some(_), None) => Found::Withheld,
                 (Some(c), Some(part)) if self.variant == ProtocolVariant::DeltaLeds => {
                     let policy = self.policies[c];
-                    Found::Present(resources::by_collection(&self.config, c, part, policy))
+                    Found::Present(resources::collection_assignment(
+                        &self.config,
+                        c,
+                        part,
+                        policy,
+                    ))
                 }
                 (Some(c), Some(_)) => {
                     let lines = self.lines_by_server.values();
-                    Found::Present(resources::inline(&self.config, c, lines, self.policies[c]))
+                    Found::Present(resources::inline_assignment(
+                        &self.config,
+                        c,
+                        lines,
+                        self.policies[c],
+                    ))
                 }
             },
             _ => {
@@ -607,7 +618,11 @@
         &mut self,
         type_index: usize,
         full_state: bool,
-    ) -> (Vec<(String, Versioned)>, Vec<String>, PendingResponse) {
+    ) -> (
+        Vec<(String, VersionedResource)>,
+        Vec<String>,
+        PendingResponse,
+    ) {
         let changed = std::mem::take(&mut self.subscriptions[type_index].changed);
         let names: BTreeSet<String> = match full_state {
             true => self.existing_names(type_index).into_iter().collect(),
--- a/crates/xds/src/status.rs
+++ b/crates/xds/src/status.rs
@@ -12,11 +12,11 @@
 use serde::Serialize;
 
 /// The node under which the controller tells of itself.
-const ITSELF: &str = "dahliapoint/controller";
-const OVERVIEW: &str = "overview";
-const STRUCT_URL: &str = "type.googleapis.com/google.protobuf.Struct";
+const CONTROLLER_NODE: &str = "dahliapoint/controller";
+const OVERVIEW_RESOURCE: &str = "overview";
+const STRUCT_TYPE_URL: &str = "type.googleapis.com/google.protobuf.Struct";
 
-pub(crate) fn serve(service: &XdsService, call: Call, once: bool) {
+pub(crate) fn serve_client_status(service: &XdsService, call: Call, unary: bool) {
     let Call {
         mut inbound,
         mut outbound,
@@ -29,31 +29,31 @@
                     let why = "all nodes are told; matchers are not served";
                     break Status::new(Code::Unimplemented, why);
                 }
-                if let Err(status) = outbound.send(&answer(service)) {
+                if let Err(status) = outbound.send(&client_status_response(service)) {
                     break status;
                 }
             }
             Ok(None) => break Status::new(Code::Ok, ""),
             Err(status) => break status,
         }
-        if once {
+        if unary {
             break Status::new(Code::Ok, "");
         }
     };
     outbound.finish(&status);
 }
 
-fn answer(service: &XdsService) -> ClientStatusResponse {
-    let itself = ClientConfig {
+fn client_status_response(service: &XdsService) -> ClientStatusResponse {
+    let controller = ClientConfig {
         node: Some(Node {
-            id: ITSELF.into(),
+            id: CONTROLLER_NODE.into(),
             ..Node::default()
         }),
         generic_xds_configs: vec![GenericXdsConfig {
-            type_url: STRUCT_URL.into(),
-            name: OVERVIEW.into(),
+            type_url: STRUCT_TYPE_URL.into(),
+            name: OVERVIEW_RESOURCE.into(),
             xds_config: Some(Any {
-                type_url: STRUCT_URL.into(),
+                type_url: STRUCT_TYPE_URL.into(),
                 value: to_struct(&service.overview()).encode_to_vec(),
             }),
             ..GenericXdsConfig::default()
@@ -63,7 +63,7 @@
     let client = |stream: std::sync::Arc<crate::service::DiscoveryStream>| {
         let rows = stream.session().sent_resources();
         let configs = rows.into_iter().map(|row| {
-            let (status, told) = match (&row.nack_message, row.acked) {
+            let (status, config_status) = match (&row.nack_message, row.acked) {
                 (_, true) => (ClientResourceStatus::Acked, ConfigStatus::Synced),
                 (Some(_), _) => (ClientResourceStatus::Nacked, ConfigStatus::Error),
                 (None, _) => (ClientResourceStatus::Requested, ConfigStatus::Stale),
@@ -72,7 +72,7 @@
                 type_url: row.type_url.into(),
                 name: row.name,
                 version_info: row.version,
-                config_status: told.into(),
+                config_status: config_status.into(),
                 client_status: status.into(),
                 error_state: row.nack_message.map(|details| UpdateFailureState {
                     details,
@@ -90,7 +90,7 @@
     };
     let clients = service.streams().into_iter().map(client);
     ClientStatusResponse {
-        config: std::iter::once(itself).chain(clients).collect(),
+        config: std::iter::once(controller).chain(clients).collect(),
     }
 }
 
@@ -159,17 +159,17 @@
 }
 
 /// Reads an answer: the controller's own state, and what each proxy holds.
-pub fn read(answer: &ClientStatusResponse) -> (serde_json::Value, Vec<StatusRow>) {
+pub fn parse_client_status(response: &ClientStatusResponse) -> (serde_json::Value, Vec<StatusRow>) {
     let mut overview = serde_json::Value::Null;
     let mut rows = Vec::new();
-    for client in &answer.config {
+    for client in &response.config {
         let proxy = client
             .node
             .as_ref()
             .map(|n| n.id.clone())
             .unwrap_or_default();
         for c in &client.generic_xds_configs {
-            if proxy == ITSELF && c.name == OVERVIEW {
+            if proxy == CONTROLLER_NODE && c.name == OVERVIEW_RESOURCE {
                 let bytes = c.xds_config.as_ref().map(|any| any.value.as_slice());
                 let read = Struct::decode(bytes.unwrap_or_default()).unwrap_or_default();
                 overview = from_value(&Value {
