--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -1,9 +1,10 @@
-//! The first front: xDS v3 over gRPC. It turns what proxies say into calls on `dahliapoint-control` and
-//! what that orders into discovery responses; it decides nothing about tables.
+//! The xDS v3 front of the controller. It translates requests and reports of proxies into inputs of
+//! `dahliapoint-control`, and the controller's messages into discovery responses; tables are decided there.
+//! It also has the client side of a delta stream, for proxies.
 //!
-//! Served: aggregated discovery (state of the world and delta), endpoint discovery (both), locality
-//! endpoint discovery (delta), load reporting, client status. docs/design/controller.md has the mapping,
-//! and what a plain client sees that knows no LEDS.
+//! Served are aggregated discovery (state of the world and delta), endpoint discovery (both), locality endpoint
+//! discovery (delta), load reporting and client status. docs/design/controller.md describes the mapping, and what
+//! a client without LEDS receives.
 
 mod client;
 mod lrs;
@@ -23,7 +24,7 @@
 
 pub use prost::Message;
 
-/// The messages of the specification.
+/// Messages of the xDS specification, by package.
 pub mod pb {
     pub use envoy_types::pb::envoy::admin::v3 as admin;
     pub use envoy_types::pb::envoy::config::cluster::v3 as cluster;
@@ -33,15 +34,15 @@
     pub use envoy_types::pb::envoy::service::discovery::v3 as discovery;
     pub use envoy_types::pb::envoy::service::load_stats::v3 as load_stats;
     pub use envoy_types::pb::envoy::service::status::v3 as status;
-    pub use envoy_types::pb::envoy::r#type::v3 as kinds;
+    pub use envoy_types::pb::envoy::r#type::v3 as types;
     pub use envoy_types::pb::google::protobuf;
     pub use envoy_types::pb::google::rpc;
 }
 
-/// A feature that a client names in `Node.client_features` if it takes lines by LEDS.
+/// The feature that a client lists in `Node.client_features` if it takes lines by LEDS.
 pub const LEDS_FEATURE: &str = "xds.config.leds";
 
-/// Responses that one message of the controller becomes at most, and those of a joining: clusters,
-/// routes, assignments, lines, withdrawals.
+/// Most responses that one message of the controller results in.
 pub const MAX_RESPONSES_PER_MESSAGE: f64 = 3.0;
+/// Most responses that a joining proxy receives: clusters, routes, assignments, lines, withdrawals.
 pub const MAX_RESPONSES_PER_JOIN: f64 = 6.0;
--- a/crates/xds/src/lrs.rs
+++ b/crates/xds/src/lrs.rs
@@ -1,5 +1,5 @@
-//! Load reports: `StreamLoadStats` with endpoint granularity, read into what the controller is told, and
-//! written from what a proxy counted.
+//! Load reports (LRS): requests of `StreamLoadStats` with endpoint granularity, parsed into a report for the
+//! controller, and built from the counts of a proxy.
 
 use crate::pb::core::Node;
 use crate::pb::endpoint::cluster_stats::DroppedRequests;
@@ -12,21 +12,23 @@
 use dahliapoint_control::{LoadReport, ReportLine};
 use std::collections::BTreeMap;
 
-/// The metric that carries the summed time of tries that did not fail, in milliseconds. Servers' own
-/// words, by their ORCA names, stand beside it.
+/// Metric with the summed time of the successful tries, in milliseconds. The metrics that servers report about
+/// themselves are sent under their ORCA names in the same list.
 pub const VISIT_MS_METRIC: &str = "visit_ms";
 
-/// A server's own words, by their ORCA names: visits waiting, and its recent time without waiting.
+/// Metric of a server (ORCA name): visits that wait in its queue.
 const QUEUE_METRIC: &str = "queue";
+/// Metric of a server (ORCA name): its recent time for a visit without waiting, in milliseconds.
 const LATENCY_MS_METRIC: &str = "latency_ms";
 
-/// Lines that one report may hold; more is a fault of the reporter.
+/// Largest number of endpoints in one report; a report with more is rejected.
 const MAX_REPORT_LINES: usize = 20_000;
 
-/// Reads a report.
+/// Parses a report; none for a request without cluster stats, such as the first one of a stream.
 ///
 /// # Errors
-/// A sentence about what no proxy can have met.
+/// Returns why the report is rejected: too many endpoints, an endpoint without an address, or counts that are
+/// impossible.
 pub fn parse_load_stats(
     config: &ServiceConfig,
     request: &LoadStatsRequest,
@@ -39,7 +41,7 @@
         let window = interval.map_or(0.0, |d| d.seconds as f64 * 1e3 + f64::from(d.nanos) / 1e6);
         report.window_ms = report.window_ms.max(window);
         let Some(class) = config.class_of(&cluster.cluster_name) else {
-            // Of a cluster that is not this service's; counted by the controller as unknown.
+            // A cluster of another service: the controller counts it as unknown.
             report.arrivals.push((cluster.cluster_name.clone(), 0.0));
             continue;
         };
@@ -97,29 +99,37 @@
     }
 }
 
-/// What a proxy counted at one endpoint.
+/// Counts of a proxy for one endpoint of a class.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointLoad {
+    /// Address of the server.
     pub address: String,
+    /// Tries that were started.
     pub issued: u64,
+    /// Tries that succeeded.
     pub succeeded: u64,
+    /// Tries that failed.
     pub failed: u64,
+    /// Tries that have not ended yet.
     pub in_progress: u64,
-    /// Summed time of the good ones.
+    /// Summed time of the tries that succeeded.
     pub success_ms: f64,
-    /// The server's own words, by name: how many answers carried one, and their sum.
+    /// Metrics that the server reports about itself, by ORCA name: number of responses that had it, and sum.
     pub metrics: BTreeMap<String, (u64, f64)>,
 }
 
-/// What a proxy counted of one class.
+/// Counts of a proxy for one class.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClusterLoad {
+    /// Name of the cluster of the class.
     pub cluster: String,
+    /// Visits that were not admitted, by category.
     pub dropped: BTreeMap<String, u64>,
+    /// Counts by endpoint.
     pub endpoints: Vec<EndpointLoad>,
 }
 
-/// A report of what was counted over a stretch of time.
+/// Builds a report of counts over a window of time. The first request of a stream names the node.
 pub fn load_stats_request(
     node: Option<Node>,
     window_ms: f64,
--- a/crates/xds/src/names.rs
+++ b/crates/xds/src/names.rs
@@ -1,15 +1,19 @@
-//! Names of resources. Anything that comes from outside is escaped, so that a server may be called
-//! anything and a name still has one meaning.
+//! Names of resources. Names of services, classes and servers are escaped in them, so that any name is allowed and
+//! two servers never share a resource name.
 
-/// Type URLs of the specification.
+/// Type URL of a cluster.
 pub const CDS: &str = "type.googleapis.com/envoy.config.cluster.v3.Cluster";
+/// Type URL of the endpoints (assignment) of a cluster.
 pub const EDS: &str = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
+/// Type URL of the routes of a service.
 pub const RDS: &str = "type.googleapis.com/envoy.config.route.v3.RouteConfiguration";
+/// Type URL of one endpoint, which carries a line of a table.
 pub const LEDS: &str = "type.googleapis.com/envoy.config.endpoint.v3.LbEndpoint";
 
+/// Common prefix of the collections of lines.
 const LINES: &str = "xdstp:///envoy.config.endpoint.v3.LbEndpoint";
 
-/// Percent-encoding of all that is not unreserved in RFC 3986.
+/// Percent-encodes everything except the unreserved characters of RFC 3986.
 pub fn escape(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for byte in text.bytes() {
@@ -23,7 +27,7 @@
     out
 }
 
-/// The way back; none if it was not written by [`escape`].
+/// Reverses [`escape`]; none for a `%` without two hexadecimal digits or for text that is not UTF-8.
 pub fn unescape(text: &str) -> Option<String> {
     let mut out = Vec::with_capacity(text.len());
     let mut bytes = text.bytes();
@@ -39,74 +43,44 @@
     String::from_utf8(out).ok()
 }
 
-/// A cluster, and the assignment of it: one for each class.
+/// Name of the cluster of a class, and of its assignment.
 pub fn cluster(service: &str, class: &str) -> String {
     format!("{}/{}", escape(service), escape(class))
 }
 
-/// The routes of a service.
+/// Name of the routes of a service.
 pub fn routes(service: &str) -> String {
     escape(service)
 }
 
-/// The collection of a part's lines.
+/// Name of the collection of the lines of a part.
 pub fn part_collection(service: &str, part: usize) -> String {
     format!("{LINES}/{}/part-{part}/*", escape(service))
 }
 
-/// The collection of servers withdrawn for proxies on tables of their own.
+/// Name of the collection of withdrawn servers, for proxies that are not bound to a part.
 pub fn withdrawn_collection(service: &str) -> String {
     format!("{LINES}/{}/withdrawn/*", escape(service))
 }
 
-/// A line in a collection.
+/// Name of a server's line in a collection.
 pub fn line(collection: &str, server: &str) -> String {
     let stem = collection.strip_suffix('*').unwrap_or(collection);
     format!("{stem}{}", escape(server))
 }
 
-/// The collection that a line is in, and its server.
+/// Splits the name of a line into the name of its collection and the server.
 pub fn parse_line(name: &str) -> Option<(String, String)> {
     let at = name.rfind('/')?;
     let server = unescape(&name[at + 1..])?;
     Some((format!("{}/*", &name[..at]), server))
 }
 
-/// The class that a cluster is of.
+/// The class whose cluster has this name; none for a cluster of another service.
 pub fn class_of(service: &str, cluster: &str) -> Option<String> {
     let (head, class) = cluster.split_once('/')?;
     (head == escape(service)).then(|| unescape(class))?
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn any_server_has_a_name_of_its_own_and_back() {
-        let collection = part_collection("plan portal/ü", 3);
-        let odd = [
-            "a",
-            "",
-            "a/b",
-            "*",
-            "%2F",
-            "größe \n\0",
-            "..",
-            "xdstp://x/*",
-        ];
-        let mut seen = std::collections::BTreeSet::new();
-        for server in odd {
-            let name = line(&collection, server);
-            assert_eq!(parse_line(&name), Some((collection.clone(), server.into())));
-            assert!(seen.insert(name));
-        }
-        assert_eq!(
-            class_of("s/1", &cluster("s/1", "pay/in")),
-            Some("pay/in".into())
-        );
-        assert_eq!(class_of("s", &cluster("t", "pay")), None);
-        assert_eq!(unescape("%zz"), None);
-        assert_eq!(unescape("%2"), None);
-    }
-}
+mod tests;
--- a/crates/xds/src/resources.rs
+++ b/crates/xds/src/resources.rs
@@ -1,5 +1,5 @@
-//! What the controller orders, as resources of the specification, each with a version that says what is
-//! in it: the same content has the same version in every run, so a proxy that returns with what it holds
+//! Resources of the specification, built from the controller's tables and policies. Versions are derived from the
+//! content: equal content has the same version in every run, so a proxy that reconnects with the versions it holds
 //! is sent only what differs.
 
 use crate::names;
@@ -17,34 +17,39 @@
     ClusterLoadAssignment, Endpoint, LbEndpoint, LedsClusterLocalityConfig, LocalityLbEndpoints,
     lb_endpoint::HostIdentifier,
 };
-use crate::pb::kinds::{FractionalPercent, fractional_percent::DenominatorType};
 use crate::pb::protobuf::{Any, Duration, UInt32Value};
 use crate::pb::route::{
     RetryPolicy, Route, RouteAction, RouteConfiguration, RouteMatch, VirtualHost, route,
     route_action, route_match::PathSpecifier,
 };
+use crate::pb::types::{FractionalPercent, fractional_percent::DenominatorType};
 use dahliapoint_control::{self as control, ClassPolicy, ControllerSettings, Line, LineState};
 use prost::{Message, Name};
 use sha2::{Digest, Sha256};
 
-/// Whole weights on the wire for a weight of 1. Rounding is to the nearest, to no less than 1 while a
-/// line is in the table: a weight of 0.01 is off by half a hundredth at most.
+/// Integer weight on the wire for a weight of 1. Weights are rounded to the nearest integer, and a line of a table
+/// has at least 1: a weight of 0.01 is off by half a hundredth of itself at most.
 pub const WEIGHT_SCALE: f64 = 10_000.0;
-/// The heaviest line: forty of them stay below the specification's limit on a locality's sum.
+/// Largest weight of a line on the wire; 40 of them stay below the specification's limit for the sum of a locality.
 const MAX_SCALED_WEIGHT: f64 = 1e8;
 
-/// What of the service is seen on the wire.
+/// Settings of the service that determine its resources.
 #[derive(Clone, Debug)]
 pub struct ServiceConfig {
+    /// Name of the service.
     pub service: String,
+    /// Names of the classes; the controller refers to them by index.
     pub classes: Vec<String>,
+    /// Names of the zones; the controller refers to them by index.
     pub zones: Vec<String>,
-    /// How long proxies wait for a connection.
+    /// Time limit of proxies for connecting to a server.
     pub connect_timeout_ms: f64,
+    /// Whether the controller limits the admitted share of classes.
     pub admission_control: bool,
 }
 
 impl ServiceConfig {
+    /// Takes the settings from those of the controller.
     pub fn from_settings(settings: &ControllerSettings, connect_timeout_ms: f64) -> ServiceConfig {
         ServiceConfig {
             service: settings.service.clone(),
@@ -55,23 +60,28 @@
         }
     }
 
+    /// Name of the cluster of a class.
     pub fn cluster_name(&self, class: usize) -> String {
         names::cluster(&self.service, &self.classes[class])
     }
 
+    /// Index of the class whose cluster has this name.
     pub fn class_of(&self, cluster: &str) -> Option<usize> {
         let class = names::class_of(&self.service, cluster)?;
         self.classes.iter().position(|c| *c == class)
     }
 }
 
-/// A resource with its version.
+/// An encoded resource with its version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VersionedResource {
+    /// The version that clients acknowledge.
     pub version: String,
+    /// The encoded message with its type URL.
     pub any: Any,
 }
 
+/// Encodes a message; without a version given, a digest of the encoding is the version.
 fn pack<M: Message + Name>(message: &M, version: Option<String>) -> VersionedResource {
     let value = message.encode_to_vec();
     let digest = || {
@@ -87,13 +97,14 @@
     }
 }
 
-/// A weight as it goes over the wire.
+/// A weight as an integer for the wire; see [`WEIGHT_SCALE`].
 pub fn scaled_weight(weight: f64) -> u32 {
     (weight * WEIGHT_SCALE)
         .round()
         .clamp(1.0, MAX_SCALED_WEIGHT) as u32
 }
 
+/// Builds a socket address from `host:port`, with an IPv6 host in brackets. A missing or invalid port becomes 0.
 pub fn parse_address(text: &str) -> Address {
     let (host, port) = text.rsplit_once(':').unwrap_or((text, "0"));
     let host = host.trim_start_matches('[').trim_end_matches(']');
@@ -108,7 +119,7 @@
     }
 }
 
-/// An address back as text; none if it is not one of a socket.
+/// Formats an address as `host:port`; none if it is not a socket address with a port number.
 pub fn format_address(address: Option<&Address>) -> Option<String> {
     let Some(address::Address::SocketAddress(socket)) = &address?.address else {
         return None;
@@ -122,6 +133,7 @@
     })
 }
 
+/// A line as an endpoint. The server's name is the hostname; withdrawn lines are draining.
 fn endpoint(line: &Line) -> LbEndpoint {
     let health = match line.state {
         LineState::Open => HealthStatus::Healthy,
@@ -141,7 +153,7 @@
     }
 }
 
-/// A line as a resource of its own. Its version is its content, for people to read.
+/// A line as a resource of its own (LEDS). The version is its content in readable form.
 pub fn line_resource(line: &Line) -> VersionedResource {
     let state = match line.state {
         LineState::Open => 'o',
@@ -174,6 +186,7 @@
     }
 }
 
+/// The policy of an assignment: drops the share of visits that the class does not admit.
 fn assignment_policy(config: &ServiceConfig, class: usize, policy: ClassPolicy) -> Policy {
     let refused = (1.0 - policy.admitted_share.clamp(0.0, 1.0)) * 1e6;
     let drop = DropOverload {
@@ -193,7 +206,7 @@
     }
 }
 
-/// The assignment of a class whose lines are a collection.
+/// The assignment of a class that refers to the collection of a part's lines (LEDS).
 pub fn collection_assignment(
     config: &ServiceConfig,
     class: usize,
@@ -225,7 +238,7 @@
     pack(&message, Some(format!("part-{part} refused-{refused}")))
 }
 
-/// The assignment of a class with its lines in it, for clients without LEDS: a locality a zone.
+/// The assignment of a class with all lines in it, for clients without LEDS. Each zone is a locality.
 pub fn inline_assignment<'a>(
     config: &ServiceConfig,
     class: usize,
@@ -263,17 +276,19 @@
     pack(&message, None)
 }
 
+/// Whether clients may send visits to the endpoint; an unknown health status counts as healthy.
 pub fn is_healthy(endpoint: &LbEndpoint) -> bool {
     endpoint.health_status == i32::from(HealthStatus::Healthy)
         || endpoint.health_status == i32::from(HealthStatus::Unknown)
 }
 
-/// The weight of an endpoint; 1 where none is said.
+/// The weight of an endpoint; 1 if it has none.
 pub fn endpoint_weight(endpoint: &LbEndpoint) -> u32 {
     let weight = endpoint.load_balancing_weight.as_ref();
     weight.map_or(1, |w| w.value)
 }
 
+/// The cluster of a class.
 pub fn cluster(config: &ServiceConfig, class: usize) -> VersionedResource {
     let name = config.cluster_name(class);
     let message = Cluster {
@@ -295,7 +310,7 @@
     pack(&message, None)
 }
 
-/// A route a class, by the first segment of the path, with when its visits may be tried again.
+/// The routes of the service: one for each class, matched by the first segment of the path, with its retry policy.
 pub fn routes(config: &ServiceConfig, policies: &[ClassPolicy]) -> VersionedResource {
     let route = |(class, policy): (usize, &ClassPolicy)| {
         let retry = |on: &str| RetryPolicy {
@@ -305,7 +320,7 @@
         };
         let retry_policy = match policy.retry {
             control::RetryPolicy::Never => None,
-            // Proof that the first try never ran.
+            // Only failures that prove that the server did not run the first try.
             control::RetryPolicy::OnProof => Some(retry("connect-failure,refused-stream")),
             control::RetryPolicy::OnFailure => Some(retry(
                 "connect-failure,refused-stream,reset,gateway-error,5xx",
@@ -344,32 +359,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn weights_are_whole_on_the_wire_and_never_nothing() {
-        let cases = [
-            (1.0, 10_000),
-            (0.1, 1_000),
-            (0.000_001, 1),
-            (0.000_06, 1),
-            (2.000_04, 20_000),
-            (1e9, 100_000_000),
-        ];
-        for (weight, wanted) in cases {
-            assert_eq!(scaled_weight(weight), wanted, "{weight}");
-        }
-    }
-
-    #[test]
-    fn addresses_survive_the_wire() {
-        for text in ["127.0.0.1:80", "[::1]:9000", "host.example:1"] {
-            assert_eq!(
-                format_address(Some(&parse_address(text))).as_deref(),
-                Some(text)
-            );
-        }
-        assert_eq!(format_address(None), None);
-    }
-}
+mod tests;
--- a/crates/xds/src/status.rs
+++ b/crates/xds/src/status.rs
@@ -1,5 +1,5 @@
-//! Client status (CSDS): what each proxy was sent and has acknowledged, and the controller's own state
-//! as a resource of a node of its own. Written here by the server, read here by `dahliapoint status`.
+//! Client status (CSDS): the resources that each proxy was sent and has acknowledged, and the state of the controller
+//! as a resource of a separate node. The server builds the response, `dahliapoint status` parses it.
 
 use crate::pb::admin::{ClientResourceStatus, UpdateFailureState};
 use crate::pb::core::Node;
@@ -11,11 +11,13 @@
 use prost::Message;
 use serde::Serialize;
 
-/// The node under which the controller tells of itself.
+/// Node that carries the state of the controller.
 const CONTROLLER_NODE: &str = "dahliapoint/controller";
+/// Name of the resource with the state of the controller.
 const OVERVIEW_RESOURCE: &str = "overview";
 const STRUCT_TYPE_URL: &str = "type.googleapis.com/google.protobuf.Struct";
 
+/// Serves a call of client status: one response to each request, and only one if `unary`.
 pub(crate) fn serve_client_status(service: &XdsService, call: Call, unary: bool) {
     let Call {
         mut inbound,
@@ -43,6 +45,7 @@
     outbound.finish(&status);
 }
 
+/// The response with the controller's node first and then one node for each open stream.
 fn client_status_response(service: &XdsService) -> ClientStatusResponse {
     let controller = ClientConfig {
         node: Some(Node {
@@ -123,7 +126,8 @@
     match &value.kind {
         None | Some(Kind::NullValue(_)) => V::Null,
         Some(Kind::BoolValue(b)) => V::Bool(*b),
-        // Counts go over the wire as doubles, and are whole again here.
+        // All numbers are doubles on the wire; integers become integers again, up to the size that a double
+        // holds exactly.
         Some(Kind::NumberValue(n)) if n.fract() == 0.0 && n.abs() < 9e15 => {
             serde_json::json!(*n as i64)
         }
@@ -139,26 +143,34 @@
     }
 }
 
-/// How a resource stands at a proxy.
+/// State of a resource at a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ResourceState {
+    /// The proxy has acknowledged this version.
     Acknowledged,
+    /// The proxy has rejected the last response of this type (NACK).
     Refused,
+    /// Sent, without an answer yet.
     Sent,
 }
 
-/// A resource at a proxy, as status tells it.
+/// A resource at a proxy, for the status page.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct StatusRow {
+    /// Name of the proxy.
     pub proxy: String,
+    /// Name of the resource.
     pub resource: String,
+    /// Version that was sent last.
     pub version: String,
+    /// State of this version at the proxy.
     pub state: ResourceState,
+    /// Why the proxy rejected the last response of this type.
     pub refusal: Option<String>,
 }
 
-/// Reads an answer: the controller's own state, and what each proxy holds.
+/// Parses a response into the state of the controller and the resources of each proxy.
 pub fn parse_client_status(response: &ClientStatusResponse) -> (serde_json::Value, Vec<StatusRow>) {
     let mut overview = serde_json::Value::Null;
     let mut rows = Vec::new();
