--- a/crates/xds/src/client.rs
+++ b/crates/xds/src/client.rs
@@ -1,6 +1,6 @@
-//! The client's side of a delta stream with LEDS, free of I/O: what a proxy was given and holds, and the
-//! requests that follow from a response. A response is taken whole or refused whole; what is held stays
-//! when the stream breaks, and is told to the next one.
+//! Client side of a delta stream with LEDS, without I/O: the resources that a proxy received, and the requests that
+//! follow from a response. A response is applied completely (ACK) or not at all (NACK). The resources are kept when
+//! the stream breaks, and their versions are sent on the next one.
 
 use crate::LEDS_FEATURE;
 use crate::names::{self, CDS, EDS, LEDS, RDS};
@@ -16,50 +16,65 @@
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A line as held.
+/// A line of a received table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedLine {
+    /// Name of the server.
     pub server: String,
+    /// Its address as `host:port`.
     pub address: String,
+    /// Its weight in units of 1 / [`crate::WEIGHT_SCALE`].
     pub weight: u32,
+    /// Whether it may receive visits; false if it is withdrawn.
     pub open: bool,
 }
 
-/// A table as held: the lines, by class the share let in, and by class when to try again.
+/// A received table with the policies of the classes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReceivedTable {
+    /// One line for each server.
     pub lines: Vec<ReceivedLine>,
+    /// Admitted share of visits by class.
     pub admitted_shares: BTreeMap<String, f64>,
+    /// Conditions for a retry by class, as in `RetryPolicy.retry_on`; empty for none.
     pub retry_on: BTreeMap<String, String>,
 }
 
+/// The assignment of a class.
 #[derive(Clone, Debug)]
 struct Assignment {
+    /// The collection with its lines.
     collection: Option<String>,
     admitted_share: f64,
 }
 
-/// See the module's head.
+/// State of the client side of a delta stream; see the documentation of the module.
 #[derive(Debug)]
 pub struct XdsClient {
     node: Node,
     service: String,
+    /// Versions of the applied resources, by type and name.
     versions: BTreeMap<&'static str, BTreeMap<String, String>>,
+    /// Assignments by name of the cluster.
     assignments: BTreeMap<String, Assignment>,
+    /// Conditions for a retry by class.
     retry_on: BTreeMap<String, String>,
+    /// Lines by name of the resource.
     lines: BTreeMap<String, ReceivedLine>,
+    /// Collections that the current stream is subscribed to.
     subscribed: BTreeSet<String>,
-    /// The collection whose lines are in use.
+    /// The collection whose lines make up the table in use.
     active_collection: Option<String>,
-    /// Withdrawn, whatever the table: told while the proxy is on tables that this stream has not given.
+    /// Servers that are withdrawn in any table. The controller sends them while the proxy is not bound to a part.
     withdrawn: BTreeSet<String>,
-    /// Responses applied, and refused.
+    /// Number of responses applied.
     pub acked: u64,
+    /// Number of responses rejected.
     pub nacked: u64,
 }
 
 impl XdsClient {
-    /// For a proxy of that name in a zone, to which so many visits a second usually come.
+    /// A client for the proxy `id` in a zone, which usually receives `visits_per_s` visits a second.
     pub fn new(service: &str, id: &str, zone: &str, visits_per_s: f64) -> XdsClient {
         let visits_per_s = Value {
             kind: Some(Kind::NumberValue(visits_per_s)),
@@ -92,11 +107,12 @@
         }
     }
 
+    /// The node that the first request of a stream names.
     pub fn node(&self) -> &Node {
         &self.node
     }
 
-    /// The requests that begin a stream, with what is held.
+    /// The first requests of a new stream, with the versions that the client holds.
     pub fn initial_requests(&mut self) -> Vec<DeltaDiscoveryRequest> {
         let held = |t: &'static str| self.versions[t].clone().into_iter().collect();
         let classes: Vec<String> = self.versions[CDS].keys().cloned().collect();
@@ -123,8 +139,8 @@
         requests
     }
 
-    /// Takes a response whole, or refuses it whole; `server_exists` tells whether a server exists. Returns what
-    /// to ask next, the answer first.
+    /// Applies a response, or rejects all of it if a resource is invalid or `server_exists` is false for a server.
+    /// Returns the requests to send: ACK or NACK first, then new subscriptions.
     pub fn apply(
         &mut self,
         response: &DeltaDiscoveryResponse,
@@ -173,7 +189,7 @@
         requests
     }
 
-    /// All of a response can be read, and names only what exists.
+    /// Checks that all resources can be decoded and that all servers exist.
     fn validate(
         &self,
         type_url: &str,
@@ -200,6 +216,7 @@
         Ok(())
     }
 
+    /// Subscribes to the assignments of new clusters.
     fn apply_clusters(&self, response: &DeltaDiscoveryResponse) -> Option<DeltaDiscoveryRequest> {
         let known = &self.assignments;
         let names = response.resources.iter().map(|r| r.name.clone());
@@ -211,6 +228,7 @@
         })
     }
 
+    /// Stores the retry conditions of the classes.
     fn apply_routes(&mut self, response: &DeltaDiscoveryResponse) {
         for r in &response.resources {
             let Some(routes) = decode::<RouteConfiguration>(r) else {
@@ -226,6 +244,7 @@
         }
     }
 
+    /// Stores assignments; subscribes to their collection of lines if it is a new one.
     fn apply_assignments(
         &mut self,
         response: &DeltaDiscoveryResponse,
@@ -268,12 +287,13 @@
             })
     }
 
-    /// The collection that the assignments name.
+    /// The collection of lines that the assignments refer to.
     fn assigned_collection(&self) -> Option<String> {
         let mut named = self.assignments.values();
         named.find_map(|a| a.collection.clone())
     }
 
+    /// Stores lines and withdrawals; unsubscribes from the previous collection once the new one is in use.
     fn apply_lines(&mut self, response: &DeltaDiscoveryResponse) -> Option<DeltaDiscoveryRequest> {
         let withdrawn = names::withdrawn_collection(&self.service);
         let mut new_lines_arrived = false;
@@ -298,7 +318,7 @@
                 _ => drop(self.lines.remove(name)),
             }
         }
-        // The old table is used until the first lines of the new one are there.
+        // The previous table stays in use until the first lines of the new one arrive.
         if !new_lines_arrived || self.active_collection == assigned {
             return None;
         }
@@ -316,7 +336,7 @@
         })
     }
 
-    /// The table that was given; none yet: the proxy is on a table of its own.
+    /// The received table; none before the first one, while the proxy uses a table of its own.
     pub fn table(&self) -> Option<ReceivedTable> {
         let active_collection = self.active_collection.as_ref()?;
         let prefix = active_collection
@@ -339,17 +359,19 @@
         })
     }
 
-    /// Withdrawn, whatever table names it.
+    /// Whether the server is withdrawn in any table.
     pub fn is_withdrawn(&self, server: &str) -> bool {
         self.withdrawn.contains(server)
     }
 }
 
+/// Decodes the message of a resource.
 fn decode<M: Message + Default>(resource: &Resource) -> Option<M> {
     let any = resource.resource.as_ref()?;
     M::decode(any.value.as_slice()).ok()
 }
 
+/// Decodes an endpoint as a line; none if it has no socket address.
 fn parse_endpoint(resource: &Resource) -> Option<ReceivedLine> {
     let line: LbEndpoint = decode(resource)?;
     let Some(HostIdentifier::Endpoint(endpoint)) = &line.host_identifier else {
--- a/crates/xds/src/service.rs
+++ b/crates/xds/src/service.rs
@@ -1,5 +1,5 @@
-//! The gRPC side: streams of proxies, each with a coroutine that reads and one that writes, and the way
-//! to the one owner of the controller.
+//! The gRPC service: discovery streams of proxies, each with one coroutine that reads and one that writes, load
+//! reports, and their connection to the controller.
 
 use crate::names::EDS;
 use crate::pb::core::Node;
@@ -18,15 +18,19 @@
 use std::time::Instant;
 use tracing::{debug, info, warn};
 
-/// A stream ends when its peer has taken nothing for so long while something waits for it.
+/// A stream ends when a response has waited this long for room in the peer's flow-control window.
 const UNREAD_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(10);
 
-/// A discovery stream.
+/// An open discovery stream.
 pub struct DiscoveryStream {
+    /// Number of the stream, by which the controller knows it.
     pub id: Id,
+    /// The node as the client's first request described it.
     pub node: Node,
     session: Mutex<Session>,
+    /// Wakes the writing coroutine: there may be responses, or the stream is to end.
     output_ready: Notify,
+    /// The status to end the stream with, once it is to end.
     end_status: Mutex<Option<Status>>,
 }
 
@@ -39,19 +43,21 @@
         lock(&self.session)
     }
 
+    /// Has the writing coroutine end the stream; the first status given counts.
     fn end(&self, status: Status) {
         lock(&self.end_status).get_or_insert(status);
         self.output_ready.notify();
     }
 }
 
+/// The open discovery streams.
 #[derive(Default)]
 struct Registry {
     by_id: BTreeMap<Id, Arc<DiscoveryStream>>,
     by_node: HashMap<String, Id>,
 }
 
-/// The front; give it to a gRPC server as its handler.
+/// The xDS service, a handler for a gRPC server.
 pub struct XdsService {
     config: Arc<ServiceConfig>,
     controller: Arc<dyn ControllerHandle>,
@@ -60,7 +66,7 @@
 }
 
 impl XdsService {
-    /// `first` is the first number of a stream, so that fronts of one controller do not use each other's.
+    /// `first_id` is the number of the first stream; several services of one controller need separate ranges.
     pub fn new(
         config: ServiceConfig,
         controller: Arc<dyn ControllerHandle>,
@@ -74,7 +80,7 @@
         })
     }
 
-    /// Carries out what concerns streams of this front; gives back what does not.
+    /// Carries out an output of the controller as far as it concerns streams of this service, and returns the rest.
     pub fn handle_output(&self, output: Output) -> Option<Output> {
         match output {
             Output::Write(ids, message) => {
@@ -105,12 +111,12 @@
         lock(&self.registry).by_id.get(&id).cloned()
     }
 
-    /// The streams open now, in the order in which they came.
+    /// The open discovery streams in the order in which they were opened.
     pub fn streams(&self) -> Vec<Arc<DiscoveryStream>> {
         lock(&self.registry).by_id.values().cloned().collect()
     }
 
-    /// Ends all streams, orderly: proxies dial again, elsewhere or here.
+    /// Ends all discovery streams with status `Unavailable`, on which proxies connect again, to any controller.
     pub fn shut_down(&self) {
         for stream in self.streams() {
             stream.end(Status::new(Code::Unavailable, "the controller ends"));
@@ -121,6 +127,7 @@
         self.controller.overview()
     }
 
+    /// Serves a discovery stream until the client or the controller ends it.
     fn serve_discovery(&self, call: Call, method: DiscoveryMethod) {
         let Call {
             mut inbound,
@@ -157,7 +164,7 @@
             registry.by_id.insert(id, stream.clone());
             registry.by_node.insert(stream.node.id.clone(), id);
         }
-        info!(stream = id, node = %stream.node.id, %peer, flavour = ?variant, "a proxy's stream begins");
+        info!(stream = id, node = %stream.node.id, %peer, flavour = ?variant, "discovery stream opened");
         let writer = {
             let (stream, controller) = (stream.clone(), self.controller.clone());
             spawn(move || write_responses(&stream, method, outbound, &*controller))
@@ -174,13 +181,14 @@
         self.controller.send(Input::Left(id));
         let _ = writer.join();
         match result {
-            Ok(()) => info!(stream = id, node = %stream.node.id, "a proxy's stream ends"),
+            Ok(()) => info!(stream = id, node = %stream.node.id, "discovery stream closed"),
             Err(e) => {
-                info!(stream = id, node = %stream.node.id, status = %e, "a proxy's stream ends")
+                info!(stream = id, node = %stream.node.id, status = %e, "discovery stream closed")
             }
         }
     }
 
+    /// Passes requests to the session, starting with `first`, until the client ends its side.
     fn read_requests(
         &self,
         stream: &DiscoveryStream,
@@ -211,6 +219,7 @@
         Ok(())
     }
 
+    /// Serves a stream of load reports.
     fn serve_load_reports(&self, call: Call) {
         let Call {
             mut inbound,
@@ -230,6 +239,8 @@
         outbound.finish(&status);
     }
 
+    /// Passes load reports to the controller, and tells the proxy the reporting interval whenever it changes. Sets
+    /// `node` to the proxy's name from the first request.
     fn receive_load_reports(
         &self,
         inbound: &mut Inbound,
@@ -259,7 +270,7 @@
                 Err(why) => Err(why),
             };
             if let Err(why) = accepted {
-                warn!(node, why, "a load report is refused");
+                warn!(node, why, "load report rejected");
                 return Err(Status::new(Code::InvalidArgument, why));
             }
         }
@@ -267,7 +278,7 @@
     }
 }
 
-/// What proxies are told of reporting.
+/// Asks a proxy to report all clusters with counts by endpoint, at this interval.
 fn load_stats_response(interval_ms: f64) -> LoadStatsResponse {
     let interval_ms = interval_ms as i64;
     LoadStatsResponse {
@@ -311,26 +322,28 @@
             (STATUS, "StreamClientStatus") => status::serve_client_status(self, call, false),
             _ => {
                 let why = format!("no method {}", call.path);
-                debug!(path = call.path, "an unknown method is called");
+                debug!(path = call.path, "unknown method called");
                 call.outbound.finish(&Status::new(Code::Unimplemented, why));
             }
         }
     }
 }
 
-/// The protocol of a stream, and the one type it is for, if it is not aggregated.
+/// Method of a discovery stream: the protocol, and the only type of a stream that is not aggregated.
 #[derive(Clone, Copy)]
 enum DiscoveryMethod {
     Delta(Option<&'static str>),
     StateOfTheWorld(Option<&'static str>),
 }
 
+/// A discovery request of either protocol.
 enum Request {
     Delta(Box<DeltaDiscoveryRequest>),
     StateOfTheWorld(Box<DiscoveryRequest>),
 }
 
 impl DiscoveryMethod {
+    /// Receives the next request.
     fn receive(self, inbound: &mut Inbound) -> Result<Option<Request>, Status> {
         Ok(match self {
             DiscoveryMethod::Delta(_) => inbound.receive()?.map(|r| Request::Delta(Box::new(r))),
@@ -349,7 +362,7 @@
         }
     }
 
-    /// On a stream for one type the type may be left out.
+    /// The type URL, which requests may leave out on a stream for only one type.
     fn type_url(&self, method: DiscoveryMethod) -> String {
         let (
             given,
@@ -379,6 +392,7 @@
     }
 }
 
+/// Reports events of a session to the controller; fails once the controller has ended.
 fn forward_events(
     stream: &DiscoveryStream,
     controller: &dyn ControllerHandle,
@@ -412,7 +426,7 @@
     Ok(())
 }
 
-/// Writes what the session has, until the stream ends.
+/// Sends the responses of the session until the stream ends, and ends it with its status.
 fn write_responses(
     stream: &DiscoveryStream,
     method: DiscoveryMethod,
@@ -432,8 +446,8 @@
         };
         let failed = forward_events(stream, controller, events).err();
         if let Some(response) = next {
-            // A peer whose window stays full has stopped reading: what it is told elsewhere (that its
-            // stream ends) would wait behind this for ever.
+            // A peer whose window stays full has stopped reading. Without a deadline this would block for ever,
+            // and with it the end of the stream.
             outbound.set_deadline(Some(Instant::now() + UNREAD_TIMEOUT));
             let sent = match &response {
                 Response::Delta(r) => outbound.send(r),
@@ -442,7 +456,7 @@
             match sent {
                 Ok(_) => continue,
                 Err(_) => {
-                    // Cut within a message: the call cannot end well any more.
+                    // The message may be sent in part, so the call cannot end with a status any more.
                     return outbound.cancel();
                 }
             }
@@ -456,6 +470,7 @@
     }
 }
 
+/// A discovery response of either protocol.
 enum Response {
     Delta(crate::pb::discovery::DeltaDiscoveryResponse),
     StateOfTheWorld(crate::pb::discovery::DiscoveryResponse),
--- a/crates/xds/src/session.rs
+++ b/crates/xds/src/session.rs
@@ -1,10 +1,10 @@
-//! One discovery stream, free of I/O: what the client asked for, what it holds, what is under way, and
-//! the next response. Messages of the controller are merged as they come, so a client that is slow to
-//! answer is told the newest state once, and costs no more memory than its table.
+//! State of one discovery stream, without I/O: the client's subscriptions, the versions it holds, the responses that
+//! it has not answered yet, and the next response. Messages of the controller are merged as they arrive, so a client
+//! that is slow to answer is sent only the newest state, and needs no more memory than its table.
 //!
-//! How it is called: [`Session::handle_delta_request`] or [`Session::handle_sotw_request`] for each request,
-//! [`Session::deliver`] for each message, then [`Session::next_delta_response`] or [`Session::next_sotw_response`] until
-//! there is none, and [`Session::events`] for what the controller is to be told.
+//! Usage: [`Session::handle_delta_request`] or [`Session::handle_sotw_request`] for each request,
+//! [`Session::deliver`] for each message; then [`Session::next_delta_response`] or [`Session::next_sotw_response`]
+//! until there is none, and [`Session::take_events`] for the events to report to the controller.
 
 use crate::names::{self, CDS, EDS, LEDS, RDS};
 use crate::pb::discovery::{
@@ -16,57 +16,67 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// Responses without an answer, beyond which the rest is merged and waits.
+/// Responses that may wait for ACK or NACK at a time; beyond them, changes are merged and wait.
 const MAX_PENDING_RESPONSES: usize = 8;
-/// Names that one client may ask for, by type.
+/// Names that one client may subscribe to, for each type.
 const MAX_NAMES_PER_TYPE: usize = 4096;
 
-/// How a stream takes its resources.
+/// Variant of the xDS protocol on a stream. The names of the variants appear in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolVariant {
-    /// Delta, lines by LEDS.
+    /// Delta; lines are resources of their own (LEDS).
     DeltaLeds,
-    /// Delta, lines within the assignments.
+    /// Delta; lines are within the assignments.
     DeltaInline,
-    /// State of the world, lines within the assignments.
+    /// State of the world; lines are within the assignments.
     Full,
 }
 
-/// What the controller is to be told.
+/// An event to report to the controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SessionEvent {
-    /// It asks for lines: it has joined.
+    /// The client subscribed to assignments or lines for the first time: the proxy has joined.
     Joined,
+    /// The client acknowledged everything up to this serial.
     Acked(u64),
+    /// The client rejected something up to this serial, with its error message.
     Nacked(u64, String),
 }
 
-/// In the order in which responses go out: what a later one refers to goes first.
+/// The types in the order in which their responses are sent: a resource goes before those that depend on it.
 const RESOURCE_TYPES: [&str; 4] = [CDS, RDS, EDS, LEDS];
 const CDS_INDEX: usize = 0;
 const RDS_INDEX: usize = 1;
 const EDS_INDEX: usize = 2;
 const LEDS_INDEX: usize = 3;
 
-/// What a client asked for of one type, and what it holds of it.
+/// A client's subscription to one type, and the versions that it holds.
 #[derive(Default)]
 struct Subscription {
+    /// Whether the client has sent a request of this type.
     requested: bool,
+    /// Whether it subscribes to all resources.
     wildcard: bool,
+    /// Names and collections (ending in `/*`) that it subscribes to.
     names: BTreeSet<String>,
-    /// Versions that it holds once what is under way is applied, and those that it has answered for.
+    /// Versions that the client holds once it has applied all responses sent to it.
     sent_versions: BTreeMap<String, String>,
+    /// Versions that it has acknowledged.
     acked_versions: BTreeMap<String, String>,
+    /// Names to compare with `sent_versions` for the next response.
     changed: BTreeSet<String>,
-    /// Removals that are told even if it never held the resource.
+    /// Names that are reported as removed if they do not exist, even if the client never held them.
     report_absent: BTreeSet<String>,
-    /// An answer is owed though nothing may have changed.
+    /// Whether a response is due even if it is empty.
     response_due: bool,
+    /// Nonce of the last response (state of the world).
     nonce: String,
+    /// Error message of the last NACK; none after an ACK.
     nack_message: Option<String>,
 }
 
 impl Subscription {
+    /// Whether the name is subscribed to, by itself, by its collection or by the wildcard.
     fn covers(&self, name: &str) -> bool {
         self.wildcard || self.names.contains(name) || {
             let prefix = name.rfind('/').map(|at| format!("{}/*", &name[..at]));
@@ -75,63 +85,79 @@
     }
 }
 
-/// A response without an answer.
+/// A response that was not answered with ACK or NACK yet.
 struct PendingResponse {
     nonce: String,
     type_index: usize,
-    /// Everything up to this serial is told with it.
+    /// The serial up to which the client has everything with this response; none if more responses are needed.
     serial: Option<u64>,
-    /// What it told: versions now and before; none for a resource that is not there.
+    /// The changes that it contains.
     changes: Vec<SentChange>,
 }
 
-/// A change of one resource within a response; a version is none where the resource does not exist.
+/// A change of one resource within a response; no version means that the resource does not exist.
 struct SentChange {
     name: String,
     version: Option<String>,
     previous_version: Option<String>,
 }
 
-/// Whether a resource is there for this client.
+/// Result of looking up a resource for this client.
 enum Found {
     Present(VersionedResource),
     Absent,
-    /// It is not told yet: the client keeps what it holds.
+    /// Not to be sent yet: the client keeps what it holds.
     Withheld,
 }
 
-/// A row for people: a resource that the client holds or was sent.
+/// A resource that the client holds or was sent, for client status.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SentResource {
+    /// Its type URL.
     pub type_url: &'static str,
+    /// Its name.
     pub name: String,
+    /// The version that was sent last.
     pub version: String,
+    /// Whether the client has acknowledged this version.
     pub acked: bool,
+    /// Error message of the last NACK of this type.
     pub nack_message: Option<String>,
 }
 
+/// State of one discovery stream; see the documentation of the module.
 pub struct Session {
     config: Arc<ServiceConfig>,
     variant: ProtocolVariant,
+    /// By the index of the type in `RESOURCE_TYPES`.
     subscriptions: [Subscription; 4],
     joined: bool,
+    /// The part that the proxy is bound to.
     part: Option<usize>,
+    /// Lines of the part.
     lines_by_server: BTreeMap<Arc<str>, Line>,
+    /// The same lines as resources by name, with LEDS only.
     line_resources: BTreeMap<String, VersionedResource>,
+    /// Withdrawn servers as resources by name, while the proxy is not bound.
     withdrawn_resources: BTreeMap<String, VersionedResource>,
+    /// Policies by class.
     policies: Vec<ClassPolicy>,
-    /// The newest serial merged, and the newest that a response carries.
+    /// The newest serial merged.
     latest_serial: u64,
+    /// The newest serial that a response carries.
     sent_serial: u64,
+    /// Responses without ACK or NACK, oldest first.
     pending: VecDeque<PendingResponse>,
-    /// Why something since the last answered serial was refused.
+    /// Error message of the first NACK since the last event with a serial.
     nack_message: Option<String>,
+    /// Subscriptions to types that are not served: type URL and names.
     unknown_types: VecDeque<(String, Vec<String>)>,
     events: Vec<SessionEvent>,
     last_nonce: u64,
 }
 
 impl Session {
+    /// A stream without requests yet. All classes are fully admitted until the controller's first message.
     pub fn new(config: Arc<ServiceConfig>, variant: ProtocolVariant) -> Session {
         let policy = ClassPolicy {
             admitted_share: 1.0,
@@ -158,17 +184,17 @@
         }
     }
 
-    /// What has come to be told to the controller.
+    /// Removes and returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<SessionEvent> {
         std::mem::take(&mut self.events)
     }
 
-    // ---- what the client says ----
+    // ---- requests of the client ----
 
-    /// Takes a request of the delta protocol.
+    /// Handles a request of the delta protocol.
     ///
     /// # Errors
-    /// A sentence about a request that no client should send.
+    /// Returns why the request is invalid; the stream has to end then.
     pub fn handle_delta_request(&mut self, r: &DeltaDiscoveryRequest) -> Result<(), String> {
         let Some(type_index) = RESOURCE_TYPES.iter().position(|t| *t == r.type_url) else {
             self.handle_unknown_type(&r.type_url, &r.resource_names_subscribe);
@@ -184,7 +210,7 @@
             let held = r.initial_resource_versions.iter();
             subscription.sent_versions = held.map(|(n, v)| (n.clone(), v.clone())).collect();
             subscription.acked_versions = subscription.sent_versions.clone();
-            // The older way to ask for everything, which the specification keeps for clusters.
+            // Legacy wildcard: a first request without names, which the specification keeps for clusters.
             subscription.wildcard =
                 type_index == CDS_INDEX && r.resource_names_subscribe.is_empty();
             subscription.response_due = subscription.wildcard;
@@ -207,7 +233,7 @@
                 subscription.wildcard = true;
                 subscription.response_due = true;
             } else if !subscription.names.insert(name.clone()) {
-                // Asked for again: it has lost it, and is told even what it should hold.
+                // Subscribed to again: the client has lost the resource, so it is sent even if unchanged.
                 resubscribed.push(name.clone());
             }
         }
@@ -236,10 +262,10 @@
         Ok(())
     }
 
-    /// Takes a request of the state-of-the-world protocol.
+    /// Handles a request of the state-of-the-world protocol.
     ///
     /// # Errors
-    /// A sentence about a request that no client should send.
+    /// Returns why the request is invalid; the stream has to end then.
     pub fn handle_sotw_request(&mut self, r: &DiscoveryRequest) -> Result<(), String> {
         let known = RESOURCE_TYPES.iter().position(|t| *t == r.type_url);
         let Some(type_index) = known.filter(|t| *t != LEDS_INDEX) else {
@@ -255,7 +281,7 @@
         let subscription = &self.subscriptions[type_index];
         if !r.response_nonce.is_empty() {
             if r.response_nonce != subscription.nonce {
-                // Of an older response: a newer request is on its way.
+                // The nonce of an older response is stale: the client has yet to answer the newer one.
                 return Ok(());
             }
             let error = r.error_detail.as_ref().map(|e| e.message.clone());
@@ -278,7 +304,7 @@
         Ok(())
     }
 
-    /// A type that nobody here serves: its names do not exist, which is an answer, not a fault.
+    /// Handles a subscription to a type that is not served: its names are reported as removed, the stream goes on.
     fn handle_unknown_type(&mut self, type_url: &str, names: &[String]) {
         if !names.is_empty()
             && self.unknown_types.len() < MAX_PENDING_RESPONSES
@@ -289,6 +315,7 @@
         }
     }
 
+    /// Marks what a request needs in the next response: covered resources, and the requested names that may not exist.
     fn mark_requested(&mut self, type_index: usize, names: &[String]) {
         let existing = self.existing_names(type_index);
         let assigned = self
@@ -310,7 +337,7 @@
         subscription.changed.extend(held);
         for name in names {
             match name.ends_with("/*") {
-                // A collection: its first answer is owed even if it is empty.
+                // The first response for a collection is due even if the collection is empty.
                 true if type_index == LEDS_INDEX => {
                     let served = Some(name) == assigned.as_ref() || *name == withdrawn;
                     subscription.response_due |= served;
@@ -330,6 +357,7 @@
         subscription.changed.extend(report_absent);
     }
 
+    /// Reports the proxy as joined with its first request for assignments or lines.
     fn join_if_requested(&mut self) {
         let requested =
             self.subscriptions[EDS_INDEX].requested || self.subscriptions[LEDS_INDEX].requested;
@@ -339,7 +367,7 @@
         }
     }
 
-    /// An answer to a response. One to a response that is not under way says nothing new.
+    /// Handles ACK (no error) or NACK of a response; ignored if no such response is pending.
     fn handle_ack(&mut self, type_index: usize, nonce: &str, error: Option<String>) {
         let same = |f: &PendingResponse| f.nonce == nonce && f.type_index == type_index;
         let Some(at) = self.pending.iter().position(same) else {
@@ -367,7 +395,8 @@
                 (None, None) => {
                     subscription.acked_versions.remove(&name);
                 }
-                // It keeps what it held; a newer response on its way tells the rest.
+                // After a NACK the client keeps what it held. A newer pending response with this resource
+                // decides what it holds in the end.
                 (Some(_), _) if newer => {}
                 (Some(_), Some(version)) => {
                     subscription.sent_versions.insert(name, version);
@@ -389,9 +418,9 @@
         }
     }
 
-    // ---- what the controller says ----
+    // ---- messages of the controller ----
 
-    /// Merges a message into what the client is to hold.
+    /// Merges a message into the state that the client is to hold.
     pub fn deliver(&mut self, message: &Message) {
         self.latest_serial = self.latest_serial.max(message.serial);
         let leds = self.variant == ProtocolVariant::DeltaLeds;
@@ -431,7 +460,7 @@
                     self.put_line(&collection, line);
                 }
                 let prefix = collection.strip_suffix('*').unwrap_or_default().to_string();
-                // The table now says itself what is withdrawn.
+                // From now on the lines of the table say which servers are withdrawn.
                 self.withdrawn_resources.clear();
                 let withdrawn = names::withdrawn_collection(&self.config.service);
                 let withdrawn_prefix = withdrawn.strip_suffix('*').unwrap_or_default().to_string();
@@ -467,6 +496,7 @@
         }
     }
 
+    /// Stores a line of the part, or removes it.
     fn put_line(&mut self, collection: &str, line: &Line) {
         let leds = self.variant == ProtocolVariant::DeltaLeds;
         let name = names::line(collection, &line.server);
@@ -483,15 +513,16 @@
         }
     }
 
+    /// Marks a line for the next response, as removed if it no longer exists.
     fn mark_line_changed(&mut self, name: String) {
         let subscription = &mut self.subscriptions[LEDS_INDEX];
         subscription.report_absent.insert(name.clone());
         subscription.changed.insert(name);
     }
 
-    // ---- what goes out ----
+    // ---- responses ----
 
-    /// All names of a type that there are for this client now.
+    /// Names of all resources of a type that exist for this client now.
     fn existing_names(&self, type_index: usize) -> Vec<String> {
         let classes = 0..self.config.classes.len();
         match type_index {
@@ -507,6 +538,7 @@
         }
     }
 
+    /// Looks up a resource by name.
     fn find_resource(&self, type_index: usize, name: &str) -> Found {
         let class =
             || (0..self.config.classes.len()).find(|c| self.config.cluster_name(*c) == name);
@@ -519,7 +551,7 @@
             RDS_INDEX => Found::Absent,
             EDS_INDEX => match (class(), self.part) {
                 (None, _) => Found::Absent,
-                // Not bound yet: it keeps the table that it holds.
+                // Not bound to a part yet: the client keeps the table that it holds.
                 (Some(_), None) => Found::Withheld,
                 (Some(c), Some(part)) if self.variant == ProtocolVariant::DeltaLeds => {
                     let policy = self.policies[c];
@@ -555,7 +587,7 @@
                     || collection == Some(names::withdrawn_collection(service));
                 match collection {
                     Some(c) if !served && is_part_collection(&c) => Found::Withheld,
-                    // Lifted only with the lines that take its place, never before them.
+                    // A withdrawal is lifted only together with the lines of the new table, never before them.
                     Some(_) if !self.covers_serial() => Found::Withheld,
                     _ => Found::Absent,
                 }
@@ -563,7 +595,7 @@
         }
     }
 
-    /// Everything that a serial means to this client can be told with what it has asked for.
+    /// Whether the client's subscriptions cover everything that the controller's messages contain for it.
     fn covers_serial(&self) -> bool {
         match (self.variant, self.part) {
             (ProtocolVariant::DeltaLeds, Some(part)) => {
@@ -574,6 +606,7 @@
         }
     }
 
+    /// Whether a response of this type is due.
     fn has_changes(&self, type_index: usize) -> bool {
         let subscription = &self.subscriptions[type_index];
         subscription.requested
@@ -581,7 +614,7 @@
                 || subscription.changed.iter().any(|n| subscription.covers(n)))
     }
 
-    /// The type whose response is next, if one may go out.
+    /// The type of the next response; none if nothing is due or too many responses are pending.
     fn next_type(&mut self) -> Option<usize> {
         if self.pending.len() >= MAX_PENDING_RESPONSES {
             return None;
@@ -593,8 +626,9 @@
             if self.latest_serial <= self.sent_serial || !self.covers_serial() {
                 return None;
             }
-            // All is told, but nothing carries the serial. An empty response does, so that its answer
-            // shows that all before it left the channel; a client that was told nothing needs none.
+            // Everything is sent, but no response carries the latest serial. An empty response carries it, so that
+            // its ACK shows that the client has received everything before it. A client that is not sent any table
+            // needs none: the serial counts as acknowledged.
             let carrier = match (self.variant, self.part) {
                 (ProtocolVariant::DeltaLeds, _) if self.subscriptions[LEDS_INDEX].requested => {
                     LEDS_INDEX
@@ -613,7 +647,8 @@
         }
     }
 
-    /// Takes what is to be told of a type: resources, and names that are no more.
+    /// Takes the changes of a type for a response: resources, names that are removed, and the record of the response.
+    /// With `full_state`, all resources of the type are included, changed or not.
     fn take_changes(
         &mut self,
         type_index: usize,
@@ -679,7 +714,7 @@
         (resources, removed, response)
     }
 
-    /// The next response of the delta protocol, if one may go out now.
+    /// The next response of the delta protocol; none if nothing is due or too many responses are pending.
     pub fn next_delta_response(&mut self) -> Option<DeltaDiscoveryResponse> {
         if let Some((type_url, removed_resources)) = self.unknown_types.pop_front() {
             self.last_nonce += 1;
@@ -699,7 +734,7 @@
                 && !response_due
                 && pending.serial.is_none()
             {
-                // All that was touched is as the client holds it.
+                // The client already holds everything that was marked.
                 continue;
             }
             let response = DeltaDiscoveryResponse {
@@ -723,12 +758,12 @@
         }
     }
 
-    /// The next response of the state-of-the-world protocol, if one may go out now.
+    /// The next response of the state-of-the-world protocol; none if nothing is due or too many are pending.
     pub fn next_sotw_response(&mut self) -> Option<DiscoveryResponse> {
         loop {
             let type_index = self.next_type()?;
             if type_index == EDS_INDEX && self.part.is_none() {
-                // Withheld until it is bound: it keeps the table that it holds.
+                // Not bound to a part yet: the client keeps the table that it holds.
                 let subscription = &mut self.subscriptions[type_index];
                 subscription.changed.clear();
                 subscription.response_due = false;
@@ -757,7 +792,7 @@
         }
     }
 
-    /// What the client holds or was sent, for people.
+    /// The resources that the client holds or was sent.
     pub fn sent_resources(&self) -> Vec<SentResource> {
         let subscriptions = self.subscriptions.iter().zip(RESOURCE_TYPES);
         let resources = subscriptions.flat_map(|(subscription, type_url)| {
@@ -775,12 +810,13 @@
         resources.collect()
     }
 
-    /// Responses without an answer.
+    /// Number of responses without ACK or NACK.
     pub fn pending_responses(&self) -> usize {
         self.pending.len()
     }
 }
 
+/// Whether the collection is that of a part, by its name.
 fn is_part_collection(collection: &str) -> bool {
     let prefix = collection.strip_suffix("/*").unwrap_or(collection);
     let last = prefix.rsplit('/').next().unwrap_or_default();
