--- a/crates/proxy/src/steering.rs
+++ b/crates/proxy/src/steering.rs
@@ -10,7 +10,7 @@
 use dahliapoint_xds::names::LEDS;
 use dahliapoint_xds::pb::discovery::DeltaDiscoveryResponse;
 use dahliapoint_xds::pb::load_stats::LoadStatsResponse;
-use dahliapoint_xds::{XdsClient, load_stats_request};
+use dahliapoint_xds::{ClientState, load_stats_request};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -42,7 +42,7 @@
 /// Steers a plane until it is ended.
 pub struct Steering {
     plane: Arc<Plane>,
-    holder: Mutex<XdsClient>,
+    holder: Mutex<ClientState>,
     /// The stream to a controller is up; messages applied and refused so far.
     joined: AtomicBool,
     pub applied: AtomicU64,
@@ -53,7 +53,7 @@
 impl Steering {
     pub fn start(plane: Arc<Plane>) -> Arc<Steering> {
         let d = &plane.described;
-        let holder = XdsClient::new(&d.service, &d.name, &d.zone, d.pace);
+        let holder = ClientState::new(&d.service, &d.name, &d.zone, d.pace);
         let steering = Arc::new(Steering {
             holder: Mutex::new(holder),
             joined: AtomicBool::new(false),
--- a/crates/proxy/tests/matrix.rs
+++ b/crates/proxy/tests/matrix.rs
@@ -5,7 +5,7 @@
 use dahliapoint_proxy::plane::Plane;
 use dahliapoint_xds::pb::discovery::{DeltaDiscoveryResponse, Resource};
 use dahliapoint_xds::pb::protobuf::Any;
-use dahliapoint_xds::{ReceivedLine, ReceivedTable, XdsClient, names};
+use dahliapoint_xds::{ClientState, ReceivedLine, ReceivedTable, names};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -271,7 +271,7 @@
 #[test]
 fn mangled_assignments_are_taken_whole_or_refused_whole() {
     let mut chance = Chance::from(11);
-    let mut holder = XdsClient::new("s", "p", "z", 1.0);
+    let mut holder = ClientState::new("s", "p", "z", 1.0);
     let types = [names::CDS, names::EDS, names::RDS, names::LEDS];
     let (mut applied, mut refused) = (0, 0);
     for i in 0..20_000 {
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -13,7 +13,7 @@
 use dahliapoint_xds::names::LEDS;
 use dahliapoint_xds::pb::discovery::DeltaDiscoveryResponse;
 use dahliapoint_xds::pb::load_stats::LoadStatsResponse;
-use dahliapoint_xds::{ClusterLoad, EndpointLoad, XdsClient, load_stats_request, names};
+use dahliapoint_xds::{ClientState, ClusterLoad, EndpointLoad, load_stats_request, names};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, HashMap};
@@ -168,7 +168,7 @@
     layer: Arc<Layer>,
     table: Mutex<Arc<Table>>,
     standing: Mutex<Vec<usize>>,
-    holder: Mutex<XdsClient>,
+    holder: Mutex<ClientState>,
     joined: Mutex<Option<f64>>,
     bare_since: Mutex<Look>,
     last_message: Mutex<f64>,
@@ -195,7 +195,7 @@
         let name = format!("proxy-{index}");
         let zone_name = &layer.world.zones[zone];
         Arc::new(Proxy {
-            holder: Mutex::new(XdsClient::new(&layer.service, &name, zone_name, pace)),
+            holder: Mutex::new(ClientState::new(&layer.service, &name, zone_name, pace)),
             name,
             zone,
             pace,
@@ -850,7 +850,8 @@
         spawn(move || {
             sleep(Duration::from_secs_f64(down_ms / 1e3));
             let zone = &self.layer.world.zones[self.zone];
-            *lock(&self.holder) = XdsClient::new(&self.layer.service, &self.name, zone, self.pace);
+            *lock(&self.holder) =
+                ClientState::new(&self.layer.service, &self.name, zone, self.pace);
             self.draw_standing();
             self.dead.store(false, Ordering::SeqCst);
         });
--- a/crates/xds/src/client.rs
+++ b/crates/xds/src/client.rs
@@ -50,7 +50,7 @@
 
 /// State of the client side of a delta stream; see the documentation of the module.
 #[derive(Debug)]
-pub struct XdsClient {
+pub struct ClientState {
     node: Node,
     service: String,
     /// Versions of the applied resources, by type and name.
@@ -73,13 +73,13 @@
     pub nacked: u64,
 }
 
-impl XdsClient {
+impl ClientState {
     /// A client for the proxy `id` in a zone, which usually receives `visits_per_s` visits a second.
-    pub fn new(service: &str, id: &str, zone: &str, visits_per_s: f64) -> XdsClient {
+    pub fn new(service: &str, id: &str, zone: &str, visits_per_s: f64) -> ClientState {
         let visits_per_s = Value {
             kind: Some(Kind::NumberValue(visits_per_s)),
         };
-        XdsClient {
+        ClientState {
             node: Node {
                 id: id.into(),
                 cluster: service.into(),
--- a/crates/xds/src/lib.rs
+++ b/crates/xds/src/lib.rs
@@ -14,7 +14,7 @@
 mod session;
 mod status;
 
-pub use client::{ReceivedLine, ReceivedTable, XdsClient};
+pub use client::{ClientState, ReceivedLine, ReceivedTable};
 pub use dahliapoint_control::ControllerHandle;
 pub use lrs::{ClusterLoad, EndpointLoad, load_stats_request, parse_load_stats};
 pub use resources::{ServiceConfig, WEIGHT_SCALE};
--- a/crates/xds/tests/protocol.rs
+++ b/crates/xds/tests/protocol.rs
@@ -9,7 +9,7 @@
 use dahliapoint_xds::pb::discovery::{DeltaDiscoveryRequest, DiscoveryRequest};
 use dahliapoint_xds::pb::endpoint::ClusterLoadAssignment;
 use dahliapoint_xds::pb::rpc::Status;
-use dahliapoint_xds::{ProtocolVariant, ServiceConfig, Session, SessionEvent, XdsClient};
+use dahliapoint_xds::{ClientState, ProtocolVariant, ServiceConfig, Session, SessionEvent};
 use prost::Message as _;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -56,7 +56,7 @@
 /// A client and the session of its stream.
 struct Pair {
     session: Session,
-    client: XdsClient,
+    client: ClientState,
     responses: Vec<(String, usize, usize)>,
     events: Vec<SessionEvent>,
 }
@@ -65,7 +65,7 @@
     fn new() -> Pair {
         let mut pair = Pair {
             session: Session::new(config(), ProtocolVariant::DeltaLeds),
-            client: XdsClient::new("portal", "p1", "east", 10.0),
+            client: ClientState::new("portal", "p1", "east", 10.0),
             responses: vec![],
             events: vec![],
         };
@@ -460,8 +460,8 @@
         let mut now = 1e6;
         let mut controller = Controller::new(now, seed, settings());
         let mut streams: BTreeMap<u64, (usize, Session)> = BTreeMap::new();
-        let mut clients: Vec<XdsClient> = (0..5)
-            .map(|i| XdsClient::new("portal", &format!("p{i}"), "east", 0.3))
+        let mut clients: Vec<ClientState> = (0..5)
+            .map(|i| ClientState::new("portal", &format!("p{i}"), "east", 0.3))
             .collect();
         let mut next = 1;
         let servers: Vec<String> = (0..14).map(|i| format!("s{i}")).collect();
