--- a/crates/node/src/failover.rs
+++ b/crates/node/src/failover.rs
@@ -56,7 +56,7 @@
 
     /// Whether the configuration changed the addresses since the stream started.
     pub fn address_changed(&self, shared: &SharedState) -> bool {
-        shared.addresses().generation != self.addresses.generation
+        shared.addresses().version != self.addresses.version
     }
 
     /// Whether a successor was started.
@@ -82,7 +82,7 @@
     /// Decides what to do with the stream now; `ready` is its own ready flag.
     pub fn next_action(&mut self, shared: &SharedState, ready: bool) -> Action {
         let reason = match (self.address_changed(shared), self.is_silent()) {
-            (true, _) => "address changed",
+            (true, _) => "other address",
             (false, true) => "silent",
             (false, false) => return Action::Continue,
         };
--- a/crates/standins/src/obedient.rs
+++ b/crates/standins/src/obedient.rs
@@ -5,12 +5,12 @@
 use crate::world::lock;
 use dahliapoint_daemon::deployment::Repeat;
 use dahliapoint_fibers::{TcpStream, dial, shutdown_at, sleep, spawn};
-use dahliapoint_proxy::around::{Around, Crossed};
-use dahliapoint_proxy::described::{Class, Described, Listed, Spooled};
-use dahliapoint_proxy::filed::{Filed, Over};
-use dahliapoint_proxy::plane::Plane;
-use dahliapoint_proxy::steering::Steering;
-use dahliapoint_proxy::trying::Effect;
+use dahliapoint_proxy::data_plane::DataPlane;
+use dahliapoint_proxy::environment::{Environment, TableMessage};
+use dahliapoint_proxy::file_client::{FileClient, ShutdownMode};
+use dahliapoint_proxy::retry::Idempotency;
+use dahliapoint_proxy::settings::{Class, FileSettings, RosterServer, Settings};
+use dahliapoint_proxy::xds_client::XdsClient;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::io::{self, Read, Write};
@@ -25,24 +25,24 @@
 
 /// One life of a proxy's process.
 struct Life {
-    plane: Arc<Plane>,
+    plane: Arc<DataPlane>,
     steered: Steered,
     address: SocketAddr,
 }
 
 enum Steered {
-    Stream(Arc<Steering>),
-    Files(Arc<Filed>),
+    Stream(Arc<XdsClient>),
+    Files(Arc<FileClient>),
 }
 
 impl Life {
     /// As when the process is killed.
     fn end(&self) {
         match &self.steered {
-            Steered::Stream(steering) => steering.end(),
-            Steered::Files(filed) => filed.end(Over::Silent),
+            Steered::Stream(xds_client) => xds_client.stop(),
+            Steered::Files(file_client) => file_client.stop(ShutdownMode::Silent),
         }
-        self.plane.end(self.address, Instant::now());
+        self.plane.shut_down(self.address, Instant::now());
     }
 }
 
@@ -51,7 +51,7 @@
     index: usize,
     zone: usize,
     layer: Arc<Layer>,
-    described: Described,
+    settings: Settings,
     life: Mutex<Option<Arc<Life>>>,
     /// The table before the last message, to see what left it.
     before: Mutex<Vec<SocketAddr>>,
@@ -68,42 +68,42 @@
         index: usize,
         zone: usize,
         pace: f64,
-        files: Option<Spooled>,
+        files: Option<FileSettings>,
     ) -> Arc<Obedient> {
         let name = format!("proxy-{index}");
         let classes = layer.classes.iter().zip(&layer.repeats);
         let classes = classes.map(|(c, repeat)| Class {
             name: c.name.clone(),
             hard_limit_ms: c.hard_ms,
-            effect: match repeat {
-                Repeat::Safe => Effect::Pure,
-                Repeat::Keyed => Effect::Keyed,
-                Repeat::Never => Effect::Effect,
+            idempotency: match repeat {
+                Repeat::Safe => Idempotency::Safe,
+                Repeat::Keyed => Idempotency::Keyed,
+                Repeat::Never => Idempotency::Never,
             },
         });
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let described = Described {
+        let settings = Settings {
             name: name.clone(),
             service: layer.service.clone(),
             zone: layer.world.zones[zone].clone(),
-            pace,
+            visits_per_s: pace,
             controllers: vec![layer.relays[zone].address],
             files,
             listen: any,
             roster: PathBuf::new(),
             classes: classes.collect(),
-            way: layer.way,
-            standing: layer.standing,
-            strikes: layer.strikes,
-            shun_ms: layer.shun_ms,
-            redial_ms: (100.0, 600.0),
-            home_after_ms: 0.0,
-            idle_ms: layer.idle_ms,
-            connect_ms: layer.connect_ms,
-            stall_us: layer.apply_us,
-            further_share: 1.0,
+            balancing: layer.way,
+            initial_servers: layer.standing,
+            ejection_failures: layer.strikes,
+            ejection_ms: layer.shun_ms,
+            reconnect_delay_ms: (100.0, 600.0),
+            failback_after_ms: 0.0,
+            idle_timeout_ms: layer.idle_ms,
+            connect_timeout_ms: layer.connect_ms,
+            stall_per_line_us: layer.apply_us,
+            retry_budget_share: 1.0,
             proof_header: "x-unseen".into(),
-            most_clients: 4096,
+            max_clients: 4096,
             seed: layer.seed ^ (index as u64 + 1).wrapping_mul(0x9E37_79B9),
             log_level: "error".into(),
         };
@@ -112,7 +112,7 @@
             index,
             zone,
             layer: layer.clone(),
-            described,
+            settings,
             life: Mutex::default(),
             before: Mutex::default(),
             look: Mutex::default(),
@@ -126,14 +126,14 @@
     /// A fresh process: a standing table of what the roster lists now.
     fn rise(self: &Arc<Self>) {
         let told = lock(&self.layer.world.told).clone();
-        let roster = self.layer.backends.iter().map(|b| Listed {
+        let roster = self.layer.backends.iter().map(|b| RosterServer {
             name: b.name.clone(),
             address: b.address,
             zone: self.layer.world.zones[b.zone].clone(),
             ready: told[b.index].state == "ready",
         });
-        let roster: Vec<Listed> = roster.collect();
-        let plane = Plane::within(self.described.clone(), &roster, self.clone());
+        let roster: Vec<RosterServer> = roster.collect();
+        let plane = DataPlane::with_environment(self.settings.clone(), &roster, self.clone());
         let address = match plane.serve() {
             Ok(address) => address,
             Err(e) => {
@@ -142,10 +142,10 @@
             }
         };
         *lock(&self.before) = plane.servers();
-        let steered = match self.described.files.clone() {
-            None => Steered::Stream(Steering::start(plane.clone())),
-            Some(files) => match Filed::start(plane.clone(), files) {
-                Ok((filed, _)) => Steered::Files(filed),
+        let steered = match self.settings.files.clone() {
+            None => Steered::Stream(XdsClient::start(plane.clone())),
+            Some(files) => match FileClient::start(plane.clone(), files) {
+                Ok((file_client, _)) => Steered::Files(file_client),
                 Err(e) => {
                     eprintln!("{}: {e}; it stays down", self.name);
                     return;
@@ -165,8 +165,8 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let world = self.layer.world.clone();
         let mut next = world.now_ms();
-        while !world.is_over() && self.described.pace > 0.0 {
-            next += -f64::ln(1.0 - rng.random::<f64>()) / self.described.pace * 1e3;
+        while !world.is_over() && self.settings.visits_per_s > 0.0 {
+            next += -f64::ln(1.0 - rng.random::<f64>()) / self.settings.visits_per_s * 1e3;
             world.wait_until(next);
             let Some(life) = lock(&self.life).clone() else {
                 next = world.now_ms() + 50.0;
@@ -269,7 +269,7 @@
             if let Some(life) = life {
                 life.end();
                 lock(&self.kept).clear();
-                self.joined(false);
+                self.connection_changed(false);
             }
             sleep(Duration::from_secs_f64(down_ms / 1e3));
             if !self.layer.world.is_over() {
@@ -279,7 +279,9 @@
     }
 
     fn look(&self, now: f64, warm_ready: bool) {
-        let lines = lock(&self.life).as_ref().map(|life| life.plane.lines());
+        let lines = lock(&self.life)
+            .as_ref()
+            .map(|life| life.plane.server_count());
         let joined = lock(&self.layer.world.heard)[self.index].joined.is_some();
         let bare = joined && lines == Some(0) && warm_ready;
         lock(&self.look).see(&self.layer.world.ledger, now, &self.name, joined, bare);
@@ -307,7 +309,7 @@
     }
 }
 
-impl Around for Obedient {
+impl Environment for Obedient {
     fn dial(&self, to: SocketAddr, patience: Duration) -> io::Result<TcpStream> {
         let server = self.layer.by_address.get(&to.to_string());
         let cut = |s: &usize| {
@@ -321,12 +323,12 @@
         dial(to, patience)
     }
 
-    fn knows(&self, server: &str) -> bool {
+    fn knows_server(&self, server: &str) -> bool {
         let refuses = self.refuses.load(Ordering::SeqCst);
         !refuses && self.layer.backends.iter().any(|b| b.name == server)
     }
 
-    fn joined(&self, is_up: bool) {
+    fn connection_changed(&self, is_up: bool) {
         let world = &self.layer.world;
         if is_up {
             world.ledger.rejoined(&self.name);
@@ -334,7 +336,7 @@
         lock(&world.heard)[self.index].joined = is_up.then(|| world.now_ms());
     }
 
-    fn reads(&self) {
+    fn before_read(&self) {
         let world = &self.layer.world;
         let dead = || lock(&self.life).is_none();
         while self.deaf.load(Ordering::SeqCst) && !world.is_over() && !dead() {
@@ -343,7 +345,7 @@
         }
     }
 
-    fn came(&self, message: &Crossed<'_>) -> Instant {
+    fn message_received(&self, message: &TableMessage<'_>) -> Instant {
         let (world, channel) = (&self.layer.world, &self.layer.channel);
         let now = world.now_ms();
         let lines = self.lines(message);
@@ -351,7 +353,7 @@
         world.at(channel.leaves(now, lines) + channel.way_ms)
     }
 
-    fn took(&self, message: &Crossed<'_>, came: Instant, is_refused: bool) {
+    fn message_processed(&self, message: &TableMessage<'_>, came: Instant, is_refused: bool) {
         let (world, ledger) = (&self.layer.world, &self.layer.world.ledger);
         let now = world.now_ms();
         let came = now - came.elapsed().as_secs_f64() * 1e3;
@@ -387,14 +389,14 @@
         }
     }
 
-    fn dropped(&self, message: &Crossed<'_>) {
+    fn message_dropped(&self, message: &TableMessage<'_>) {
         let ledger = &self.layer.world.ledger;
         ledger.message_done(self.lines(message), 0.0);
     }
 }
 
 impl Obedient {
-    fn lines(&self, message: &Crossed<'_>) -> f64 {
+    fn lines(&self, message: &TableMessage<'_>) -> f64 {
         message.lines as f64 + self.layer.message_lines
     }
 }
