--- a/crates/daemon/tests/interop.rs
+++ b/crates/daemon/tests/interop.rs
@@ -5,7 +5,7 @@
 use dahliapoint_daemon::deployment;
 use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_fibers::spawn;
-use dahliapoint_grpc::{Code, Limits, Link};
+use dahliapoint_grpc::{Code, Connection, Limits};
 use dahliapoint_xds::names::{CDS, EDS, LEDS};
 use dahliapoint_xds::pb::core::{Locality, Node};
 use dahliapoint_xds::pb::discovery::{
@@ -13,7 +13,9 @@
 };
 use dahliapoint_xds::pb::endpoint::ClusterLoadAssignment;
 use dahliapoint_xds::pb::status::ClientStatusRequest;
-use dahliapoint_xds::{ClusterTally, EndpointTally, LEDS_FEATURE, Message, load_request, names};
+use dahliapoint_xds::{
+    ClusterLoad, EndpointLoad, LEDS_FEATURE, Message, load_stats_request, names,
+};
 use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_client::AggregatedDiscoveryServiceClient;
 use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_server::{
     AggregatedDiscoveryService, AggregatedDiscoveryServiceServer,
@@ -109,7 +111,7 @@
     let given = next(&mut stream).await.unwrap();
     assert_eq!((given.type_url.as_str(), given.resources.len()), (EDS, 1));
     say.send(ack(&given)).await.unwrap();
-    let part = names::part("portal", 0);
+    let part = names::part_collection("portal", 0);
     say.send(ask(LEDS, &[&part])).await.unwrap();
     let lines = next(&mut stream).await.unwrap();
     let versions: Vec<_> = lines.resources.iter().map(|r| r.version.as_str()).collect();
@@ -128,7 +130,7 @@
             let answer = status
                 .fetch_client_status(ClientStatusRequest::default())
                 .await;
-            let (_, rows) = dahliapoint_xds::read_status(&answer.unwrap().into_inner());
+            let (_, rows) = dahliapoint_xds::parse_client_status(&answer.unwrap().into_inner());
             let acked = |r: &&dahliapoint_xds::StatusRow| {
                 r.resource.starts_with("xdstp:")
                     && r.state == dahliapoint_xds::ResourceState::Acknowledged
@@ -228,7 +230,7 @@
 
     let mut client = LoadReportingServiceClient::new(channel(&daemon).await);
     let (report, said) = mpsc::channel(16);
-    let hello = load_request(Some(node("reporter", &[])), 0.0, &[]);
+    let hello = load_stats_request(Some(node("reporter", &[])), 0.0, &[]);
     report.send(hello).await.unwrap();
     let answers = client.stream_load_stats(ReceiverStream::new(said)).await;
     let mut answers = answers.unwrap().into_inner();
@@ -236,21 +238,21 @@
     let every = told.load_reporting_interval.unwrap();
     assert_eq!((every.seconds, every.nanos), (0, 200_000_000));
     assert!(told.report_endpoint_granularity && told.send_all_clusters);
-    let tally = |address: &str, good, failed| ClusterTally {
+    let tally = |address: &str, good, failed| ClusterLoad {
         cluster: "portal/view".into(),
-        endpoints: vec![EndpointTally {
+        endpoints: vec![EndpointLoad {
             address: address.into(),
             issued: good + failed,
-            good,
+            succeeded: good,
             failed,
-            good_ms: good as f64 * 12.0,
-            ..EndpointTally::default()
+            success_ms: good as f64 * 12.0,
+            ..EndpointLoad::default()
         }],
-        ..ClusterTally::default()
+        ..ClusterLoad::default()
     };
     for address in ["127.0.0.1:7000", "127.0.0.1:7001", "127.0.0.1:9"] {
         report
-            .send(load_request(None, 200.0, &[tally(address, 9, 1)]))
+            .send(load_stats_request(None, 200.0, &[tally(address, 9, 1)]))
             .await
             .unwrap();
     }
@@ -260,7 +262,7 @@
             let answer = status
                 .fetch_client_status(ClientStatusRequest::default())
                 .await;
-            let (view, _) = dahliapoint_xds::read_status(&answer.unwrap().into_inner());
+            let (view, _) = dahliapoint_xds::parse_client_status(&answer.unwrap().into_inner());
             let accounts = &view["accounts"];
             if accounts["report_lines"] == 2 && accounts["unknown_lines"] == 1 {
                 return;
@@ -273,7 +275,7 @@
         .await
         .expect("two lines taken, one of no known server");
     // More than any proxy can have met: the stream ends, nothing else is disturbed.
-    let absurd = load_request(None, 200.0, &[tally("127.0.0.1:7000", u64::MAX / 2, 0)]);
+    let absurd = load_stats_request(None, 200.0, &[tally("127.0.0.1:7000", u64::MAX / 2, 0)]);
     report.send(absurd).await.unwrap();
     let ended = next(&mut answers).await.unwrap_err();
     assert_eq!(ended.code(), tonic::Code::InvalidArgument, "{ended}");
@@ -326,30 +328,30 @@
     let server = tokio::spawn(server);
     const ADS: &str = "/envoy.service.discovery.v3.AggregatedDiscoveryService/";
     let ours = spawn(move || {
-        let link = Link::dial(address, Limits::default()).unwrap();
+        let link = Connection::connect(address, Limits::default()).unwrap();
         let limit = Some(Duration::from_secs(20));
         let mut dialed = link
-            .open(&format!("{ADS}DeltaAggregatedResources"), limit)
+            .start_call(&format!("{ADS}DeltaAggregatedResources"), limit)
             .unwrap();
         dialed.outbound.send(&ask("0", &[])).unwrap();
-        let (mut outbound, mut inbound) = dialed.answered().unwrap();
+        let (mut outbound, mut inbound) = dialed.wait_for_response().unwrap();
         for i in 1..50 {
-            let got: DeltaDiscoveryResponse = inbound.message().unwrap().unwrap();
+            let got: DeltaDiscoveryResponse = inbound.receive().unwrap().unwrap();
             assert_eq!(got.nonce, format!("to {}", i - 1));
             outbound.send(&ask(&i.to_string(), &[])).unwrap();
         }
         inbound
-            .message::<DeltaDiscoveryResponse>()
+            .receive::<DeltaDiscoveryResponse>()
             .unwrap()
             .unwrap();
         outbound.send(&ask("end", &[])).unwrap();
-        let ended = inbound.message::<DeltaDiscoveryResponse>().unwrap_err();
+        let ended = inbound.receive::<DeltaDiscoveryResponse>().unwrap_err();
         assert_eq!(
             (ended.code, ended.message.as_str()),
             (Code::Aborted, "as asked")
         );
         let path = format!("{ADS}StreamAggregatedResources");
-        let refused = link.ask::<_, DiscoveryResponse>(
+        let refused = link.unary_call::<_, DiscoveryResponse>(
             &path,
             &DiscoveryRequest::default(),
             Duration::from_secs(20),
@@ -359,7 +361,7 @@
             (refused.code, refused.message.as_str()),
             (Code::FailedPrecondition, "nicht heute: größe")
         );
-        let none = link.ask::<_, DiscoveryResponse>(
+        let none = link.unary_call::<_, DiscoveryResponse>(
             "/no.Such/Method",
             &DiscoveryRequest::default(),
             Duration::from_secs(20),
--- a/crates/proxy/examples/cost.rs
+++ b/crates/proxy/examples/cost.rs
@@ -4,7 +4,7 @@
 
 use dahliapoint_proxy::data_plane::DataPlane;
 use dahliapoint_proxy::settings;
-use dahliapoint_xds::{Held, HeldLine};
+use dahliapoint_xds::{ReceivedLine, ReceivedTable};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -58,16 +58,16 @@
 }
 
 /// A table of `lines` servers, with other weights in each round.
-fn table(servers: &[SocketAddr], lines: usize, round: usize) -> Held {
-    let line = |i: usize| HeldLine {
+fn table(servers: &[SocketAddr], lines: usize, round: usize) -> ReceivedTable {
+    let line = |i: usize| ReceivedLine {
         server: format!("s{i}"),
         address: servers[i].to_string(),
         weight: 5_000 + ((i * 7 + round * 13) % 10_000) as u32,
         open: true,
     };
-    Held {
+    ReceivedTable {
         lines: (0..lines).map(line).collect(),
-        ..Held::default()
+        ..ReceivedTable::default()
     }
 }
 
--- a/crates/proxy/src/data_plane.rs
+++ b/crates/proxy/src/data_plane.rs
@@ -11,7 +11,7 @@
 use crate::retry::{self, FailedTry, Failure, RetryBudget, RetryPolicy};
 use crate::settings::{RosterServer, Settings};
 use dahliapoint_fibers::{Notify, TcpStream, Timer, dial, listen, shutdown_at, sleep, spawn};
-use dahliapoint_xds::{ClusterTally, EndpointTally, Held, names};
+use dahliapoint_xds::{ClusterLoad, EndpointLoad, ReceivedTable, names};
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, Write};
 use std::net::{Shutdown, SocketAddr};
@@ -73,7 +73,7 @@
 /// Counts for load reports, by class or by class and server.
 #[derive(Default)]
 struct Counts {
-    endpoints: BTreeMap<(usize, usize), EndpointTally>,
+    endpoints: BTreeMap<(usize, usize), EndpointLoad>,
     /// Visits that were not admitted.
     dropped: BTreeMap<usize, u64>,
     /// Tries in flight.
@@ -209,7 +209,7 @@
     /// stall for each of them as the settings say.
     pub fn swap_table(
         &self,
-        held: Option<&Held>,
+        held: Option<&ReceivedTable>,
         is_withdrawn: &dyn Fn(&str) -> bool,
         lines: usize,
     ) {
@@ -242,7 +242,7 @@
         table.ejector.retain(|s| in_table.contains(&s));
         for (i, class) in self.settings.classes.iter().enumerate() {
             let from_table = held.map(|h| {
-                let share = h.shares.get(&class.name).copied().unwrap_or(1.0);
+                let share = h.admitted_shares.get(&class.name).copied().unwrap_or(1.0);
                 let retry_on = h.retry_on.get(&class.name).map_or("", String::as_str);
                 let policy = match retry_on {
                     "" => RetryPolicy::Never,
@@ -558,8 +558,8 @@
         let elapsed_ms = started.elapsed().as_secs_f64() * 1e3;
         self.count(class, server, |t| match is_success {
             true => {
-                t.good += 1;
-                t.good_ms += elapsed_ms;
+                t.succeeded += 1;
+                t.success_ms += elapsed_ms;
             }
             false => t.failed += 1,
         });
@@ -780,7 +780,7 @@
     }
 
     /// Updates the counts of a class at a server.
-    fn count(&self, class: usize, server: usize, update: impl FnOnce(&mut EndpointTally)) {
+    fn count(&self, class: usize, server: usize, update: impl FnOnce(&mut EndpointLoad)) {
         let address = self.address(server);
         let mut counts = lock(&self.counts);
         let tally = counts.endpoints.entry((class, server)).or_default();
@@ -807,7 +807,7 @@
                     .ok()
                     .filter(|v| v.is_finite() && *v >= 0.0);
                 if let (Some(name), Some(value)) = (name, value) {
-                    let sample = t.words.entry(name.to_string()).or_default();
+                    let sample = t.metrics.entry(name.to_string()).or_default();
                     (sample.0, sample.1) = (sample.0 + 1, sample.1 + value);
                 }
             }
@@ -816,7 +816,7 @@
 
     /// Returns the counts since the last call and resets them. If they could not be sent, give them back by
     /// [`DataPlane::restore_tallies`].
-    pub fn take_tallies(&self) -> Vec<ClusterTally> {
+    pub fn take_tallies(&self) -> Vec<ClusterLoad> {
         let mut counts = lock(&self.counts);
         let endpoints = std::mem::take(&mut counts.endpoints);
         let dropped = std::mem::take(&mut counts.dropped);
@@ -824,12 +824,12 @@
         classes
             .map(|(i, class)| {
                 let of_class = endpoints.iter().filter(|((c, _), _)| *c == i);
-                let of_class = of_class.map(|(key, e)| EndpointTally {
+                let of_class = of_class.map(|(key, e)| EndpointLoad {
                     in_progress: counts.in_progress.get(key).copied().unwrap_or(0),
                     ..e.clone()
                 });
                 let dropped = dropped.get(&i).map(|n| (class.name.clone(), *n));
-                ClusterTally {
+                ClusterLoad {
                     cluster: names::cluster(&self.settings.service, &class.name),
                     endpoints: of_class.collect(),
                     dropped: dropped.into_iter().collect(),
@@ -839,7 +839,7 @@
     }
 
     /// Adds counts that could not be sent to those of the next report, so that they are reported exactly once.
-    pub fn restore_tallies(&self, tallies: Vec<ClusterTally>) {
+    pub fn restore_tallies(&self, tallies: Vec<ClusterLoad>) {
         for (class, tally) in tallies.into_iter().enumerate() {
             let dropped: u64 = tally.dropped.values().sum();
             if dropped > 0 {
@@ -849,11 +849,11 @@
                 let server = lock(&self.servers).index_of(&e.address);
                 self.count(class, server, |t| {
                     t.issued += e.issued;
-                    t.good += e.good;
+                    t.succeeded += e.succeeded;
                     t.failed += e.failed;
-                    t.good_ms += e.good_ms;
-                    for (name, (n, sum)) in &e.words {
-                        let sample = t.words.entry(name.clone()).or_default();
+                    t.success_ms += e.success_ms;
+                    for (name, (n, sum)) in &e.metrics {
+                        let sample = t.metrics.entry(name.clone()).or_default();
                         (sample.0, sample.1) = (sample.0 + n, sample.1 + sum);
                     }
                 });
--- a/crates/proxy/src/file_client.rs
+++ b/crates/proxy/src/file_client.rs
@@ -11,7 +11,7 @@
 use dahliapoint_files::reader::{ReadResult, Reader};
 use dahliapoint_files::spool::SpoolWriter;
 use dahliapoint_files::transport::{ALIVE_FILE, read_keys};
-use dahliapoint_xds::{ClusterTally, Held, HeldLine, SCALE, names};
+use dahliapoint_xds::{ClusterLoad, ReceivedLine, ReceivedTable, WEIGHT_SCALE, names};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
@@ -334,17 +334,17 @@
     }
 
     /// The part of a load report about one class.
-    fn class_report(&self, tally: &ClusterTally) -> ClassReport {
+    fn class_report(&self, tally: &ClusterLoad) -> ClassReport {
         let service = &self.client.plane.settings.service;
         let issued: u64 = tally.endpoints.iter().map(|e| e.issued).sum();
         let dropped: u64 = tally.dropped.values().sum();
         let servers = tally.endpoints.iter().map(|e| {
-            let metric = |name: &str| e.words.get(name).copied().unwrap_or_default();
+            let metric = |name: &str| e.metrics.get(name).copied().unwrap_or_default();
             ServerStats {
                 server: e.address.clone(),
-                successes: e.good,
+                successes: e.succeeded,
                 failures: e.failed,
-                success_ms_sum: e.good_ms,
+                success_ms_sum: e.success_ms,
                 in_flight: e.in_progress,
                 load_samples: metric(LATENCY_METRIC).0,
                 queue_sum: metric(QUEUE_METRIC).1,
@@ -360,11 +360,11 @@
 }
 
 /// Converts a table to the form that the data plane takes.
-fn to_held(table: &Table) -> Held {
-    let lines = table.lines.values().map(|l| HeldLine {
+fn to_held(table: &Table) -> ReceivedTable {
+    let lines = table.lines.values().map(|l| ReceivedLine {
         server: l.server.clone(),
         address: l.address.clone(),
-        weight: (l.weight * SCALE).round().max(1.0) as u32,
+        weight: (l.weight * WEIGHT_SCALE).round().max(1.0) as u32,
         open: table.is_open(l),
     });
     let classes = table.classes.iter();
@@ -376,9 +376,9 @@
         };
         (class.clone(), retry_on.to_string())
     });
-    Held {
+    ReceivedTable {
         lines: lines.collect(),
-        shares: classes
+        admitted_shares: classes
             .map(|(class, policy)| (class.clone(), policy.admitted_share))
             .collect(),
         retry_on: retry_on.collect(),
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::load_balancing::BalancingPolicy;
 use crate::retry::Idempotency;
-use dahliapoint_yaml::{At, Faults, read};
+use dahliapoint_yaml::{Faults, FieldReader, read};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
@@ -78,30 +78,34 @@
     read(file, text, |at| read_settings(at, &folder))
 }
 
-fn parse_address(at: &At) -> SocketAddr {
+fn parse_address(at: &FieldReader) -> SocketAddr {
     let expected = "an address such as 127.0.0.1:8080";
     let address = at.parsed(expected, None, |t| t.parse().ok());
     address.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)))
 }
 
-fn read_settings(at: &At, folder: &Path) -> Settings {
+fn read_settings(at: &FieldReader, folder: &Path) -> Settings {
     let controllers = at.field("controllers");
     let addresses: Vec<SocketAddr> = controllers.list().iter().map(parse_address).collect();
     let files = at.field("files");
-    let files = files.is_there().then(|| {
+    let files = files.is_present().then(|| {
         let keys = files.field("keys");
         let file_settings = FileSettings {
-            dir: folder.join(files.field("dir").text(None)),
-            keys: keys.is_there().then(|| folder.join(keys.text(None))),
-            poll_interval_ms: files.field("every").time(10.0..=600_000.0, Some(500.0)),
-            heartbeat_interval_ms: files.field("beat").time(50.0..=600_000.0, Some(1_000.0)),
+            dir: folder.join(files.field("dir").string(None)),
+            keys: keys.is_present().then(|| folder.join(keys.string(None))),
+            poll_interval_ms: files
+                .field("every")
+                .duration_ms(10.0..=600_000.0, Some(500.0)),
+            heartbeat_interval_ms: files
+                .field("beat")
+                .duration_ms(50.0..=600_000.0, Some(1_000.0)),
         };
-        files.close();
+        files.deny_unknown_fields();
         file_settings
     });
     match (addresses.is_empty(), &files) {
-        (true, None) => controllers.wrong("at least one controller is wanted, or files"),
-        (false, Some(_)) => controllers.wrong("controllers or files are wanted, not both"),
+        (true, None) => controllers.add_fault("at least one controller is wanted, or files"),
+        (false, Some(_)) => controllers.add_fault("controllers or files are wanted, not both"),
         _ => {}
     }
     let list = at.field("classes");
@@ -115,18 +119,18 @@
                 ("never", Idempotency::Never),
             ];
             let class = Class {
-                name: c.field("name").text(None),
-                hard_limit_ms: c.field("hard_limit").time(1.0..=3.6e6, None),
+                name: c.field("name").string(None),
+                hard_limit_ms: c.field("hard_limit").duration_ms(1.0..=3.6e6, None),
                 idempotency: c
                     .field("repeat")
                     .choice(&idempotencies, Some(Idempotency::Never)),
             };
-            c.close();
+            c.deny_unknown_fields();
             class
         })
         .collect();
     if classes.is_empty() {
-        list.wrong("at least one class is wanted");
+        list.add_fault("at least one class is wanted");
     }
     let policies = [
         ("rotate", BalancingPolicy::WeightedRoundRobin),
@@ -135,27 +139,33 @@
     ];
     let ejection = at.field("shun");
     let ejection_failures = ejection.field("after").number(0.0..=1e6, Some(0.0)) as u32;
-    let ejection_ms = ejection.field("for").time(0.0..=3.6e6, Some(3_000.0));
-    ejection.close();
+    let ejection_ms = ejection
+        .field("for")
+        .duration_ms(0.0..=3.6e6, Some(3_000.0));
+    ejection.deny_unknown_fields();
     let reconnect = at.field("redial");
-    let min_delay = reconnect.field("from").time(1.0..=3.6e6, Some(200.0));
-    let max_delay = reconnect.field("to").time(1.0..=3.6e6, Some(1_000.0));
+    let min_delay = reconnect
+        .field("from")
+        .duration_ms(1.0..=3.6e6, Some(200.0));
+    let max_delay = reconnect
+        .field("to")
+        .duration_ms(1.0..=3.6e6, Some(1_000.0));
     if max_delay < min_delay {
         reconnect
             .field("to")
-            .wrong("a time no shorter than from is wanted");
+            .add_fault("a time no shorter than from is wanted");
     }
-    reconnect.close();
+    reconnect.deny_unknown_fields();
     let levels = ["error", "warn", "info", "debug", "trace"].map(|level| (level, level));
     let settings = Settings {
-        name: at.field("name").text(None),
-        service: at.field("service").text(None),
-        zone: at.field("zone").text(None),
+        name: at.field("name").string(None),
+        service: at.field("service").string(None),
+        zone: at.field("zone").string(None),
         visits_per_s: at.field("pace").number(0.0..=1e6, Some(0.0)),
         controllers: addresses,
         files,
         listen: parse_address(&at.field("listen")),
-        roster: folder.join(at.field("roster").text(None)),
+        roster: folder.join(at.field("roster").string(None)),
         classes,
         balancing: at
             .field("picks")
@@ -164,17 +174,20 @@
         ejection_failures,
         ejection_ms,
         reconnect_delay_ms: (min_delay, max_delay),
-        failback_after_ms: at.field("home_after").time(0.0..=3.6e6, Some(0.0)),
-        idle_timeout_ms: at.field("idle").time(1.0..=3.6e6, Some(15_000.0)),
-        connect_timeout_ms: at.field("connect").time(1.0..=60_000.0, Some(250.0)),
-        stall_per_line_us: at.field("stall_by_line").time(0.0..=100.0, Some(0.0)) * 1e3,
+        failback_after_ms: at.field("home_after").duration_ms(0.0..=3.6e6, Some(0.0)),
+        idle_timeout_ms: at.field("idle").duration_ms(1.0..=3.6e6, Some(15_000.0)),
+        connect_timeout_ms: at.field("connect").duration_ms(1.0..=60_000.0, Some(250.0)),
+        stall_per_line_us: at
+            .field("stall_by_line")
+            .duration_ms(0.0..=100.0, Some(0.0))
+            * 1e3,
         retry_budget_share: at.field("further_tries").number(0.0..=1.0, Some(0.1)),
-        proof_header: at.field("proof_header").text(Some("x-unseen")),
+        proof_header: at.field("proof_header").string(Some("x-unseen")),
         max_clients: at.field("most_clients").number(1.0..=1e6, Some(4096.0)) as usize,
         seed: at.field("seed").number(0.0..=9e15, Some(1.0)) as u64,
         log_level: at.field("log").choice(&levels, Some("info")).to_string(),
     };
-    at.close();
+    at.deny_unknown_fields();
     settings
 }
 
@@ -202,16 +215,16 @@
             }
             let states = [("ready", true), ("draining", false), ("gone", false)];
             let roster_server = RosterServer {
-                name: server.field("name").text(None),
+                name: server.field("name").string(None),
                 address: parse_address(&server.field("address")),
-                zone: server.field("zone").text(None),
+                zone: server.field("zone").string(None),
                 ready: server.field("state").choice(&states, Some(true)),
             };
-            server.close();
+            server.deny_unknown_fields();
             roster_server
         });
         let roster_servers = roster_servers.collect();
-        at.close();
+        at.deny_unknown_fields();
         roster_servers
     })
 }
--- a/crates/proxy/src/xds_client.rs
+++ b/crates/proxy/src/xds_client.rs
@@ -5,12 +5,12 @@
 use crate::data_plane::{DataPlane, lock};
 use crate::environment::TableMessage;
 use dahliapoint_fibers::{Notify, Queue, Received, sleep, spawn};
-use dahliapoint_grpc::{Code, Inbound, Limits, Link, Outbound, Status};
+use dahliapoint_grpc::{Code, Connection, Inbound, Limits, Outbound, Status};
 use dahliapoint_xds::Message as _;
 use dahliapoint_xds::names::LEDS;
 use dahliapoint_xds::pb::discovery::DeltaDiscoveryResponse;
 use dahliapoint_xds::pb::load_stats::LoadStatsResponse;
-use dahliapoint_xds::{Holder, load_request};
+use dahliapoint_xds::{ClientState, load_stats_request};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -54,7 +54,7 @@
 /// Applies tables from controllers to a data plane, and reports its load, until it is stopped.
 pub struct XdsClient {
     plane: Arc<DataPlane>,
-    holder: Mutex<Holder>,
+    holder: Mutex<ClientState>,
     connected: AtomicBool,
     /// Messages applied so far.
     pub applied: AtomicU64,
@@ -67,7 +67,7 @@
     /// Starts the client in a coroutine of its own.
     pub fn start(plane: Arc<DataPlane>) -> Arc<XdsClient> {
         let s = &plane.settings;
-        let holder = Holder::new(&s.service, &s.name, &s.zone, s.visits_per_s);
+        let holder = ClientState::new(&s.service, &s.name, &s.zone, s.visits_per_s);
         let xds_client = Arc::new(XdsClient {
             holder: Mutex::new(holder),
             connected: AtomicBool::new(false),
@@ -131,13 +131,13 @@
         to: SocketAddr,
         failback_after: Option<Duration>,
     ) -> Result<StreamEnd, Status> {
-        let link = Link::dial(to, Limits::default())?;
-        let mut dialed = link.open(ADS, None)?;
-        let initial_requests = lock(&self.holder).begin();
+        let link = Connection::connect(to, Limits::default())?;
+        let mut dialed = link.start_call(ADS, None)?;
+        let initial_requests = lock(&self.holder).initial_requests();
         for request in &initial_requests {
             dialed.outbound.send(request)?;
         }
-        let (mut outbound, inbound) = dialed.answered()?;
+        let (mut outbound, inbound) = dialed.wait_for_response()?;
         info!(controller = %to, "joined");
         self.connected.store(true, Ordering::SeqCst);
         self.plane.environment().connection_changed(true);
@@ -178,7 +178,7 @@
         let ended = loop {
             environment.before_read();
             match inbound
-                .message_until::<DeltaDiscoveryResponse>(Some(Instant::now() + STOP_CHECK_INTERVAL))
+                .receive_until::<DeltaDiscoveryResponse>(Some(Instant::now() + STOP_CHECK_INTERVAL))
             {
                 Err(e) if e.code == Code::DeadlineExceeded && !queue.is_closed() => {}
                 Err(e) if e.code == Code::DeadlineExceeded => break Ok(()),
@@ -252,12 +252,12 @@
     ) -> Vec<dahliapoint_xds::pb::discovery::DeltaDiscoveryRequest> {
         let response = &message.response;
         let mut holder = lock(&self.holder);
-        let refused_before = holder.refused;
+        let refused_before = holder.nacked;
         // The proxy only needs the address of a line; which names exist is known to the controller.
         let requests = holder.apply(response, |server| {
             self.plane.environment().knows_server(server)
         });
-        let is_refused = holder.refused > refused_before;
+        let is_refused = holder.nacked > refused_before;
         match is_refused {
             true => {
                 self.refused.fetch_add(1, Ordering::SeqCst);
@@ -274,7 +274,7 @@
                 };
                 let held = holder.table();
                 self.plane
-                    .swap_table(held.as_ref(), &|s| holder.is_shut(s), lines);
+                    .swap_table(held.as_ref(), &|s| holder.is_withdrawn(s), lines);
             }
         }
         drop(holder);
@@ -288,22 +288,24 @@
 
     /// Sends load reports at the interval that the controller sets, until the stream ends. Counts that could not be
     /// sent go into the next report, to this controller or another.
-    fn report(&self, link: &Link, stream_ended: &Notify) {
+    fn report(&self, link: &Connection, stream_ended: &Notify) {
         let _ = self.send_reports(link, stream_ended);
     }
 
-    fn send_reports(&self, link: &Link, stream_ended: &Notify) -> Result<(), Status> {
-        let mut dialed = link.open(LRS, None)?;
+    fn send_reports(&self, link: &Connection, stream_ended: &Notify) -> Result<(), Status> {
+        let mut dialed = link.start_call(LRS, None)?;
         let node = lock(&self.holder).node().clone();
-        dialed.outbound.send(&load_request(Some(node), 0.0, &[]))?;
-        let (mut outbound, mut inbound) = dialed.answered()?;
+        dialed
+            .outbound
+            .send(&load_stats_request(Some(node), 0.0, &[]))?;
+        let (mut outbound, mut inbound) = dialed.wait_for_response()?;
         let mut interval = DEFAULT_REPORT_INTERVAL;
         let mut since = Instant::now();
         loop {
             // The controller may change the interval at any time; it is read between two reports.
             let due = since + interval;
             match inbound
-                .message_until::<LoadStatsResponse>(Some(Instant::now() + Duration::from_millis(1)))
+                .receive_until::<LoadStatsResponse>(Some(Instant::now() + Duration::from_millis(1)))
             {
                 Ok(Some(response)) => {
                     let wanted = response.load_reporting_interval;
@@ -322,7 +324,7 @@
             let now = Instant::now();
             let window_ms = now.saturating_duration_since(since).as_secs_f64() * 1e3;
             let tallies = self.plane.take_tallies();
-            if let Err(e) = outbound.send(&load_request(None, window_ms.max(1.0), &tallies)) {
+            if let Err(e) = outbound.send(&load_stats_request(None, window_ms.max(1.0), &tallies)) {
                 self.plane.restore_tallies(tallies);
                 return Err(e);
             }
--- a/crates/proxy/tests/matrix.rs
+++ b/crates/proxy/tests/matrix.rs
@@ -5,7 +5,7 @@
 use dahliapoint_proxy::settings;
 use dahliapoint_xds::pb::discovery::{DeltaDiscoveryResponse, Resource};
 use dahliapoint_xds::pb::protobuf::Any;
-use dahliapoint_xds::{Held, HeldLine, Holder, names};
+use dahliapoint_xds::{ClientState, ReceivedLine, ReceivedTable, names};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -110,7 +110,7 @@
          - {{name: never, hard_limit: {hard_limit_ms}ms, repeat: never}}\n"
     );
     let plane = DataPlane::new(settings::parse("p", &text).unwrap(), &[]);
-    let line = |(i, address): (usize, &SocketAddr)| HeldLine {
+    let line = |(i, address): (usize, &SocketAddr)| ReceivedLine {
         server: format!("s{i}"),
         address: address.to_string(),
         // The server with the largest weight is picked first.
@@ -118,9 +118,9 @@
         open: true,
     };
     let retry_on = |class: &str| (class.to_string(), retry_on.to_string());
-    let held = Held {
+    let held = ReceivedTable {
         lines: servers.iter().enumerate().map(line).collect(),
-        shares: BTreeMap::new(),
+        admitted_shares: BTreeMap::new(),
         retry_on: ["safe", "keyed", "never"].map(retry_on).into(),
     };
     plane.swap_table(Some(&held), &|_| false, 0);
@@ -197,14 +197,14 @@
     let text = "name: p\nservice: s\nzone: z\ncontrollers: ['127.0.0.1:1']\nlisten: 127.0.0.1:0\n\
                 roster: none\nmost_clients: 3\nclasses: [{name: safe, hard_limit: 5s}]\n";
     let plane = DataPlane::new(settings::parse("p", text).unwrap(), &[]);
-    let held = Held {
-        lines: vec![HeldLine {
+    let held = ReceivedTable {
+        lines: vec![ReceivedLine {
             server: "s".into(),
             address: good.0.to_string(),
             weight: 1,
             open: true,
         }],
-        ..Held::default()
+        ..ReceivedTable::default()
     };
     plane.swap_table(Some(&held), &|_| false, 0);
     let address = plane.serve().unwrap();
@@ -279,7 +279,7 @@
 #[test]
 fn mutated_assignments_are_applied_or_refused_as_a_whole() {
     let mut rng = Rng::from_seed(11);
-    let mut holder = Holder::new("s", "p", "z", 1.0);
+    let mut holder = ClientState::new("s", "p", "z", 1.0);
     let types = [names::CDS, names::EDS, names::RDS, names::LEDS];
     let (mut applied, mut refused) = (0, 0);
     for i in 0..20_000 {
@@ -290,7 +290,7 @@
             .collect();
         let kind = types[(rng.next_f64() * 4.0) as usize % 4];
         let resource = Resource {
-            name: names::part("s", i % 3).replace('*', "x"),
+            name: names::part_collection("s", i % 3).replace('*', "x"),
             resource: Some(Any {
                 type_url: kind.into(),
                 value: mutated(&[&value[..], b"\x0a\x03abc"].concat(), &mut rng),
@@ -303,10 +303,10 @@
             nonce: i.to_string(),
             ..DeltaDiscoveryResponse::default()
         };
-        let refused_before = holder.refused;
+        let refused_before = holder.nacked;
         let answers = holder.apply(&response, |s| !s.is_empty());
         assert_eq!(answers[0].response_nonce, response.nonce);
-        if holder.refused > refused_before {
+        if holder.nacked > refused_before {
             refused += 1;
             assert!(answers[0].error_detail.is_some());
             assert_eq!(holder.table(), table_before, "{i}");
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -488,14 +488,14 @@
 fn visits_that_are_not_admitted_are_refused_at_once_with_retry_after() {
     let s = echo_server();
     let p = proxy(unused_address(), &[s.address], "");
-    let held = dahliapoint_xds::Held {
-        lines: vec![dahliapoint_xds::HeldLine {
+    let held = dahliapoint_xds::ReceivedTable {
+        lines: vec![dahliapoint_xds::ReceivedLine {
             server: "s0".into(),
             address: s.address.to_string(),
             weight: 1,
             open: true,
         }],
-        shares: [("view".to_string(), 0.25)].into(),
+        admitted_shares: [("view".to_string(), 0.25)].into(),
         retry_on: BTreeMap::new(),
     };
     p.plane.swap_table(Some(&held), &|_| false, 0);
@@ -512,8 +512,11 @@
         "the other class is admitted"
     );
     // With an empty table visits are refused at once.
-    p.plane
-        .swap_table(Some(&dahliapoint_xds::Held::default()), &|_| false, 0);
+    p.plane.swap_table(
+        Some(&dahliapoint_xds::ReceivedTable::default()),
+        &|_| false,
+        0,
+    );
     assert_eq!(Client::of(&p).visit("pay"), 503);
 }
 
@@ -522,14 +525,14 @@
     // Two tables without a common server are swapped as fast as possible during visits.
     let servers: Vec<Server> = (0..2).map(|_| echo_server()).collect();
     let p = proxy(unused_address(), &[servers[0].address], "");
-    let held = |i: usize| dahliapoint_xds::Held {
-        lines: vec![dahliapoint_xds::HeldLine {
+    let held = |i: usize| dahliapoint_xds::ReceivedTable {
+        lines: vec![dahliapoint_xds::ReceivedLine {
             server: format!("s{i}"),
             address: servers[i].address.to_string(),
             weight: 10_000,
             open: true,
         }],
-        ..dahliapoint_xds::Held::default()
+        ..dahliapoint_xds::ReceivedTable::default()
     };
     let tables = [held(0), held(1)];
     let is_done = Arc::new(AtomicBool::new(false));
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -7,13 +7,13 @@
 use crate::world::{World, lock};
 use dahliapoint_daemon::deployment::Repeat;
 use dahliapoint_fibers::{Queue, Received, TcpStream, dial, shutdown_at, sleep, spawn};
-use dahliapoint_grpc::{Inbound, Limits, Link, Outbound, Status};
+use dahliapoint_grpc::{Connection, Inbound, Limits, Outbound, Status};
 use dahliapoint_proxy::load_balancing::BalancingPolicy;
 use dahliapoint_xds::Message as _;
 use dahliapoint_xds::names::LEDS;
 use dahliapoint_xds::pb::discovery::DeltaDiscoveryResponse;
 use dahliapoint_xds::pb::load_stats::LoadStatsResponse;
-use dahliapoint_xds::{ClusterTally, EndpointTally, Holder, load_request, names};
+use dahliapoint_xds::{ClientState, ClusterLoad, EndpointLoad, load_stats_request, names};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, HashMap};
@@ -156,7 +156,7 @@
 
 #[derive(Default)]
 struct Counts {
-    endpoints: BTreeMap<(usize, usize), EndpointTally>,
+    endpoints: BTreeMap<(usize, usize), EndpointLoad>,
     dropped: BTreeMap<usize, u64>,
     since_ms: f64,
 }
@@ -168,7 +168,7 @@
     layer: Arc<Layer>,
     table: Mutex<Arc<Table>>,
     standing: Mutex<Vec<usize>>,
-    holder: Mutex<Holder>,
+    holder: Mutex<ClientState>,
     joined: Mutex<Option<f64>>,
     bare_since: Mutex<Look>,
     last_message: Mutex<f64>,
@@ -195,7 +195,7 @@
         let name = format!("proxy-{index}");
         let zone_name = &layer.world.zones[zone];
         Arc::new(Proxy {
-            holder: Mutex::new(Holder::new(&layer.service, &name, zone_name, pace)),
+            holder: Mutex::new(ClientState::new(&layer.service, &name, zone_name, pace)),
             name,
             zone,
             pace,
@@ -273,7 +273,11 @@
                     })
                     .collect();
                 for (i, class) in layer.classes.iter().enumerate() {
-                    table.shares[i] = held.shares.get(&class.name).copied().unwrap_or(1.0);
+                    table.shares[i] = held
+                        .admitted_shares
+                        .get(&class.name)
+                        .copied()
+                        .unwrap_or(1.0);
                     let on = held.retry_on.get(&class.name);
                     table.on_failure[i] = on.is_some_and(|on| on.contains("5xx"));
                 }
@@ -282,7 +286,7 @@
                 let standing = lock(&self.standing);
                 let open = standing
                     .iter()
-                    .filter(|s| !holder.is_shut(&layer.backends[**s].name));
+                    .filter(|s| !holder.is_withdrawn(&layer.backends[**s].name));
                 table.picks = open
                     .map(|s| Pick {
                         server: *s,
@@ -335,19 +339,19 @@
         let layer = &self.layer;
         self.dials.fetch_add(1, Ordering::SeqCst);
         let limits = Limits {
-            keepalive: Duration::from_secs(1),
-            patience: Duration::from_secs(2),
+            keepalive_interval: Duration::from_secs(1),
+            peer_timeout: Duration::from_secs(2),
             ..Limits::default()
         };
-        let link = Link::dial(layer.relays[self.zone].address, limits)?;
+        let link = Connection::connect(layer.relays[self.zone].address, limits)?;
         const ADS: &str =
             "/envoy.service.discovery.v3.AggregatedDiscoveryService/DeltaAggregatedResources";
-        let mut dialed = link.open(ADS, None)?;
-        let begin = lock(&self.holder).begin();
+        let mut dialed = link.start_call(ADS, None)?;
+        let begin = lock(&self.holder).initial_requests();
         for request in &begin {
             dialed.outbound.send(request)?;
         }
-        let (outbound, inbound) = dialed.answered()?;
+        let (outbound, inbound) = dialed.wait_for_response()?;
         layer.world.ledger.rejoined(&self.name);
         *lock(&self.joined) = Some(layer.world.now_ms());
         let queue = Queue::bounded(256);
@@ -386,7 +390,7 @@
                 *lock(&self.reads_since) = layer.world.now_ms();
             }
             let soon = layer.world.at(layer.world.now_ms() + 500.0);
-            match inbound.message_until::<DeltaDiscoveryResponse>(Some(soon)) {
+            match inbound.receive_until::<DeltaDiscoveryResponse>(Some(soon)) {
                 Ok(Some(response)) => {
                     let now = layer.world.now_ms();
                     let lines = response.resources.len() + response.removed_resources.len();
@@ -483,14 +487,16 @@
 
     // ---- reports ----
 
-    fn report<T>(&self, link: &Link, alive: &Queue<T>) -> Result<(), Status> {
+    fn report<T>(&self, link: &Connection, alive: &Queue<T>) -> Result<(), Status> {
         const LRS: &str = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats";
         let world = &self.layer.world;
-        let mut dialed = link.open(LRS, None)?;
+        let mut dialed = link.start_call(LRS, None)?;
         let node = lock(&self.holder).node().clone();
-        dialed.outbound.send(&load_request(Some(node), 0.0, &[]))?;
-        let (mut outbound, mut inbound) = dialed.answered()?;
-        let first = inbound.message::<LoadStatsResponse>()?;
+        dialed
+            .outbound
+            .send(&load_stats_request(Some(node), 0.0, &[]))?;
+        let (mut outbound, mut inbound) = dialed.wait_for_response()?;
+        let first = inbound.receive::<LoadStatsResponse>()?;
         let every = first.and_then(|r| r.load_reporting_interval);
         let every = every.map_or(1.0, |d| d.seconds as f64 + f64::from(d.nanos) / 1e9);
         lock(&self.counts).since_ms = world.now_ms();
@@ -509,23 +515,23 @@
             };
             let tallies = self.tallies(&counts);
             let window = (now - counts.since_ms).max(1.0);
-            outbound.send(&load_request(None, window, &tallies))?;
+            outbound.send(&load_stats_request(None, window, &tallies))?;
         }
         Ok(())
     }
 
-    fn tallies(&self, counts: &Counts) -> Vec<ClusterTally> {
+    fn tallies(&self, counts: &Counts) -> Vec<ClusterLoad> {
         let classes = self.layer.classes.iter().enumerate();
         classes
             .map(|(i, class)| {
                 let met = counts.endpoints.iter().filter(|((c, _), _)| *c == i);
                 let under_way = lock(&self.under_way);
-                let now = |place, e: &EndpointTally| EndpointTally {
+                let now = |place, e: &EndpointLoad| EndpointLoad {
                     in_progress: under_way.get(place).copied().unwrap_or(0),
                     ..e.clone()
                 };
                 let dropped = counts.dropped.get(&i).map(|n| (class.name.clone(), *n));
-                ClusterTally {
+                ClusterLoad {
                     cluster: names::cluster(&self.layer.service, &class.name),
                     endpoints: met.map(|(place, e)| now(place, e)).collect(),
                     dropped: dropped.into_iter().collect(),
@@ -534,7 +540,7 @@
             .collect()
     }
 
-    fn count(&self, class: usize, server: usize, note: impl FnOnce(&mut EndpointTally)) {
+    fn count(&self, class: usize, server: usize, note: impl FnOnce(&mut EndpointLoad)) {
         let mut counts = lock(&self.counts);
         let tally = counts.endpoints.entry((class, server)).or_default();
         if tally.address.is_empty() {
@@ -705,8 +711,8 @@
         }
         self.count(class, server, |t| {
             if good {
-                t.good += 1;
-                t.good_ms += took;
+                t.succeeded += 1;
+                t.success_ms += took;
             } else {
                 t.failed += 1;
             }
@@ -820,7 +826,7 @@
                 };
                 let name = name.trim().strip_prefix("named_metrics.");
                 if let (Some(name), Ok(value)) = (name, value.parse::<f64>()) {
-                    let word = t.words.entry(name.to_string()).or_default();
+                    let word = t.metrics.entry(name.to_string()).or_default();
                     word.0 += 1;
                     word.1 += value;
                 }
@@ -844,7 +850,8 @@
         spawn(move || {
             sleep(Duration::from_secs_f64(down_ms / 1e3));
             let zone = &self.layer.world.zones[self.zone];
-            *lock(&self.holder) = Holder::new(&self.layer.service, &self.name, zone, self.pace);
+            *lock(&self.holder) =
+                ClientState::new(&self.layer.service, &self.name, zone, self.pace);
             self.draw_standing();
             self.dead.store(false, Ordering::SeqCst);
         });
--- a/crates/xds/src/lrs.rs
+++ b/crates/xds/src/lrs.rs
@@ -1,5 +1,5 @@
-//! Load reports: `StreamLoadStats` with endpoint granularity, read into what the controller is told, and
-//! written from what a proxy counted.
+//! Load reports (LRS): requests of `StreamLoadStats` with endpoint granularity, parsed into a report for the
+//! controller, and built from the counts of a proxy.
 
 use crate::pb::core::Node;
 use crate::pb::endpoint::cluster_stats::DroppedRequests;
@@ -8,35 +8,40 @@
 };
 use crate::pb::load_stats::LoadStatsRequest;
 use crate::pb::protobuf::Duration;
-use crate::resources::{Shape, address_of, text_of};
+use crate::resources::{ServiceConfig, format_address, parse_address};
 use dahliapoint_control::{LoadReport, ReportLine};
 use std::collections::BTreeMap;
 
-/// The metric that carries the summed time of tries that did not fail, in milliseconds. Servers' own
-/// words, by their ORCA names, stand beside it.
-pub const VISIT_MS: &str = "visit_ms";
+/// Metric with the summed time of the successful tries, in milliseconds. The metrics that servers report about
+/// themselves are sent under their ORCA names in the same list.
+pub const VISIT_MS_METRIC: &str = "visit_ms";
 
-/// A server's own words, by their ORCA names: visits waiting, and its recent time without waiting.
-const OWN_QUEUE: &str = "queue";
-const OWN_MS: &str = "latency_ms";
+/// Metric of a server (ORCA name): visits that wait in its queue.
+const QUEUE_METRIC: &str = "queue";
+/// Metric of a server (ORCA name): its recent time for a visit without waiting, in milliseconds.
+const LATENCY_MS_METRIC: &str = "latency_ms";
 
-/// Lines that one report may hold; more is a fault of the reporter.
-const MOST_LINES: usize = 20_000;
+/// Largest number of endpoints in one report; a report with more is rejected.
+const MAX_REPORT_LINES: usize = 20_000;
 
-/// Reads a report.
+/// Parses a report; none for a request without cluster stats, such as the first one of a stream.
 ///
 /// # Errors
-/// A sentence about what no proxy can have met.
-pub fn read(shape: &Shape, request: &LoadStatsRequest) -> Result<Option<LoadReport>, String> {
+/// Returns why the report is rejected: too many endpoints, an endpoint without an address, or counts that are
+/// impossible.
+pub fn parse_load_stats(
+    config: &ServiceConfig,
+    request: &LoadStatsRequest,
+) -> Result<Option<LoadReport>, String> {
     let mut report = LoadReport::default();
-    let mut met: BTreeMap<(String, usize), ReportLine> = BTreeMap::new();
+    let mut lines_by_endpoint: BTreeMap<(String, usize), ReportLine> = BTreeMap::new();
     let mut lines = 0;
     for cluster in &request.cluster_stats {
         let interval = cluster.load_report_interval.as_ref();
         let window = interval.map_or(0.0, |d| d.seconds as f64 * 1e3 + f64::from(d.nanos) / 1e6);
         report.window_ms = report.window_ms.max(window);
-        let Some(class) = shape.class_of(&cluster.cluster_name) else {
-            // Of a cluster that is not this service's; counted by the controller as unknown.
+        let Some(class) = config.class_of(&cluster.cluster_name) else {
+            // A cluster of another service: the controller counts it as unknown.
             report.arrivals.push((cluster.cluster_name.clone(), 0.0));
             continue;
         };
@@ -44,33 +49,35 @@
         for locality in &cluster.upstream_locality_stats {
             for e in &locality.upstream_endpoint_stats {
                 lines += 1;
-                if lines > MOST_LINES {
-                    return Err(format!("more than {MOST_LINES} lines in one report"));
+                if lines > MAX_REPORT_LINES {
+                    return Err(format!("more than {MAX_REPORT_LINES} lines in one report"));
                 }
-                let Some(server) = text_of(e.address.as_ref()) else {
+                let Some(server) = format_address(e.address.as_ref()) else {
                     return Err("an endpoint without an address".into());
                 };
-                let good = e.total_successful_requests as f64;
+                let succeeded = e.total_successful_requests as f64;
                 let failed = e.total_error_requests as f64;
                 let times = e.load_metric_stats.iter();
-                let times = times.filter(|m| m.metric_name == VISIT_MS);
+                let times = times.filter(|m| m.metric_name == VISIT_MS_METRIC);
                 let place = (server.clone(), class);
-                let line = met.entry(place).or_insert_with(|| ReportLine {
-                    server,
-                    class,
-                    ..ReportLine::default()
-                });
-                line.tries += good + failed;
+                let line = lines_by_endpoint
+                    .entry(place)
+                    .or_insert_with(|| ReportLine {
+                        server,
+                        class,
+                        ..ReportLine::default()
+                    });
+                line.tries += succeeded + failed;
                 line.failed += failed;
                 line.in_flight += e.total_requests_in_progress as f64;
                 line.success_ms += times.map(|m| m.total_metric_value).sum::<f64>();
                 for m in &e.load_metric_stats {
-                    let answers = m.num_requests_finished_with_metric as f64;
+                    let events = m.num_requests_finished_with_metric as f64;
                     match m.metric_name.as_str() {
-                        OWN_QUEUE => line.queue_sum += m.total_metric_value,
-                        OWN_MS => {
+                        QUEUE_METRIC => line.queue_sum += m.total_metric_value,
+                        LATENCY_MS_METRIC => {
                             line.service_ms_sum += m.total_metric_value;
-                            line.load_samples += answers;
+                            line.load_samples += events;
                         }
                         _ => {}
                     }
@@ -78,9 +85,11 @@
                 visits += e.total_issued_requests as f64;
             }
         }
-        report.arrivals.push((shape.classes[class].clone(), visits));
+        report
+            .arrivals
+            .push((config.classes[class].clone(), visits));
     }
-    report.lines = met.into_values().collect();
+    report.lines = lines_by_endpoint.into_values().collect();
     if request.cluster_stats.is_empty() {
         return Ok(None);
     }
@@ -90,42 +99,54 @@
     }
 }
 
-/// What a proxy counted at one endpoint.
+/// Counts of a proxy for one endpoint of a class.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct EndpointTally {
+pub struct EndpointLoad {
+    /// Address of the server.
     pub address: String,
+    /// Tries that were started.
     pub issued: u64,
-    pub good: u64,
+    /// Tries that succeeded.
+    pub succeeded: u64,
+    /// Tries that failed.
     pub failed: u64,
+    /// Tries that have not ended yet.
     pub in_progress: u64,
-    /// Summed time of the good ones.
-    pub good_ms: f64,
-    /// The server's own words, by name: how many answers carried one, and their sum.
-    pub words: BTreeMap<String, (u64, f64)>,
+    /// Summed time of the tries that succeeded.
+    pub success_ms: f64,
+    /// Metrics that the server reports about itself, by ORCA name: number of responses that had it, and sum.
+    pub metrics: BTreeMap<String, (u64, f64)>,
 }
 
-/// What a proxy counted of one class.
+/// Counts of a proxy for one class.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ClusterTally {
+pub struct ClusterLoad {
+    /// Name of the cluster of the class.
     pub cluster: String,
+    /// Visits that were not admitted, by category.
     pub dropped: BTreeMap<String, u64>,
-    pub endpoints: Vec<EndpointTally>,
+    /// Counts by endpoint.
+    pub endpoints: Vec<EndpointLoad>,
 }
 
-/// A report of what was counted over a stretch of time.
-pub fn request(node: Option<Node>, window_ms: f64, tallies: &[ClusterTally]) -> LoadStatsRequest {
+/// Builds a report of counts over a window of time. The first request of a stream names the node.
+pub fn load_stats_request(
+    node: Option<Node>,
+    window_ms: f64,
+    clusters: &[ClusterLoad],
+) -> LoadStatsRequest {
     let interval = Duration {
         seconds: (window_ms / 1e3) as i64,
         nanos: ((window_ms % 1e3) * 1e6) as i32,
     };
-    let endpoint = |e: &EndpointTally| {
+    let endpoint = |e: &EndpointLoad| {
         let time = EndpointLoadMetricStats {
-            metric_name: VISIT_MS.into(),
-            num_requests_finished_with_metric: e.good,
-            total_metric_value: e.good_ms,
+            metric_name: VISIT_MS_METRIC.into(),
+            num_requests_finished_with_metric: e.succeeded,
+            total_metric_value: e.success_ms,
         };
-        let words = e
-            .words
+        let metrics = e
+            .metrics
             .iter()
             .map(|(name, (n, sum))| EndpointLoadMetricStats {
                 metric_name: name.clone(),
@@ -133,16 +154,16 @@
                 total_metric_value: *sum,
             });
         UpstreamEndpointStats {
-            address: Some(address_of(&e.address)),
-            total_successful_requests: e.good,
+            address: Some(parse_address(&e.address)),
+            total_successful_requests: e.succeeded,
             total_requests_in_progress: e.in_progress,
             total_error_requests: e.failed,
             total_issued_requests: e.issued,
-            load_metric_stats: std::iter::once(time).chain(words).collect(),
+            load_metric_stats: std::iter::once(time).chain(metrics).collect(),
             ..UpstreamEndpointStats::default()
         }
     };
-    let cluster = |t: &ClusterTally| ClusterStats {
+    let cluster = |t: &ClusterLoad| ClusterStats {
         cluster_name: t.cluster.clone(),
         upstream_locality_stats: vec![UpstreamLocalityStats {
             upstream_endpoint_stats: t.endpoints.iter().map(endpoint).collect(),
@@ -162,6 +183,6 @@
     };
     LoadStatsRequest {
         node,
-        cluster_stats: tallies.iter().map(cluster).collect(),
+        cluster_stats: clusters.iter().map(cluster).collect(),
     }
 }
--- a/crates/xds/src/status.rs
+++ b/crates/xds/src/status.rs
@@ -1,69 +1,72 @@
-//! Client status (CSDS): what each proxy was sent and has acknowledged, and the controller's own state
-//! as a resource of a node of its own. Written here by the server, read here by `dahliapoint status`.
+//! Client status (CSDS): the resources that each proxy was sent and has acknowledged, and the state of the controller
+//! as a resource of a separate node. The server builds the response, `dahliapoint status` parses it.
 
-use crate::front::Front;
 use crate::pb::admin::{ClientResourceStatus, UpdateFailureState};
 use crate::pb::core::Node;
 use crate::pb::protobuf::{Any, ListValue, Struct, Value, value::Kind};
 use crate::pb::status::client_config::GenericXdsConfig;
 use crate::pb::status::{ClientConfig, ClientStatusRequest, ClientStatusResponse, ConfigStatus};
+use crate::service::XdsService;
 use dahliapoint_grpc::{Call, Code, Status};
 use prost::Message;
 use serde::Serialize;
 
-/// The node under which the controller tells of itself.
-const ITSELF: &str = "dahliapoint/controller";
-const OVERVIEW: &str = "overview";
-const STRUCT_URL: &str = "type.googleapis.com/google.protobuf.Struct";
+/// Node that carries the state of the controller.
+const CONTROLLER_NODE: &str = "dahliapoint/controller";
+/// Name of the resource with the state of the controller.
+const OVERVIEW_RESOURCE: &str = "overview";
+const STRUCT_TYPE_URL: &str = "type.googleapis.com/google.protobuf.Struct";
 
-pub(crate) fn serve(front: &Front, call: Call, once: bool) {
+/// Serves a call of client status: one response to each request, and only one if `unary`.
+pub(crate) fn serve_client_status(service: &XdsService, call: Call, unary: bool) {
     let Call {
         mut inbound,
         mut outbound,
         ..
     } = call;
     let status = loop {
-        match inbound.message::<ClientStatusRequest>() {
+        match inbound.receive::<ClientStatusRequest>() {
             Ok(Some(request)) => {
                 if !request.node_matchers.is_empty() {
                     let why = "all nodes are told; matchers are not served";
                     break Status::new(Code::Unimplemented, why);
                 }
-                if let Err(status) = outbound.send(&answer(front)) {
+                if let Err(status) = outbound.send(&client_status_response(service)) {
                     break status;
                 }
             }
             Ok(None) => break Status::new(Code::Ok, ""),
             Err(status) => break status,
         }
-        if once {
+        if unary {
             break Status::new(Code::Ok, "");
         }
     };
     outbound.finish(&status);
 }
 
-fn answer(front: &Front) -> ClientStatusResponse {
-    let itself = ClientConfig {
+/// The response with the controller's node first and then one node for each open stream.
+fn client_status_response(service: &XdsService) -> ClientStatusResponse {
+    let controller = ClientConfig {
         node: Some(Node {
-            id: ITSELF.into(),
+            id: CONTROLLER_NODE.into(),
             ..Node::default()
         }),
         generic_xds_configs: vec![GenericXdsConfig {
-            type_url: STRUCT_URL.into(),
-            name: OVERVIEW.into(),
+            type_url: STRUCT_TYPE_URL.into(),
+            name: OVERVIEW_RESOURCE.into(),
             xds_config: Some(Any {
-                type_url: STRUCT_URL.into(),
-                value: to_struct(&front.overview()).encode_to_vec(),
+                type_url: STRUCT_TYPE_URL.into(),
+                value: to_struct(&service.overview()).encode_to_vec(),
             }),
             ..GenericXdsConfig::default()
         }],
         ..ClientConfig::default()
     };
-    let client = |stream: std::sync::Arc<crate::front::Stream>| {
-        let rows = stream.session().rows();
+    let client = |stream: std::sync::Arc<crate::service::DiscoveryStream>| {
+        let rows = stream.session().sent_resources();
         let configs = rows.into_iter().map(|row| {
-            let (status, told) = match (&row.refusal, row.acked) {
+            let (status, config_status) = match (&row.nack_message, row.acked) {
                 (_, true) => (ClientResourceStatus::Acked, ConfigStatus::Synced),
                 (Some(_), _) => (ClientResourceStatus::Nacked, ConfigStatus::Error),
                 (None, _) => (ClientResourceStatus::Requested, ConfigStatus::Stale),
@@ -72,9 +75,9 @@
                 type_url: row.type_url.into(),
                 name: row.name,
                 version_info: row.version,
-                config_status: told.into(),
+                config_status: config_status.into(),
                 client_status: status.into(),
-                error_state: row.refusal.map(|details| UpdateFailureState {
+                error_state: row.nack_message.map(|details| UpdateFailureState {
                     details,
                     ..UpdateFailureState::default()
                 }),
@@ -88,9 +91,9 @@
             ..ClientConfig::default()
         }
     };
-    let clients = front.streams().into_iter().map(client);
+    let clients = service.streams().into_iter().map(client);
     ClientStatusResponse {
-        config: std::iter::once(itself).chain(clients).collect(),
+        config: std::iter::once(controller).chain(clients).collect(),
     }
 }
 
@@ -123,7 +126,8 @@
     match &value.kind {
         None | Some(Kind::NullValue(_)) => V::Null,
         Some(Kind::BoolValue(b)) => V::Bool(*b),
-        // Counts go over the wire as doubles, and are whole again here.
+        // All numbers are doubles on the wire; integers become integers again, up to the size that a double
+        // holds exactly.
         Some(Kind::NumberValue(n)) if n.fract() == 0.0 && n.abs() < 9e15 => {
             serde_json::json!(*n as i64)
         }
@@ -139,37 +143,45 @@
     }
 }
 
-/// How a resource stands at a proxy.
+/// State of a resource at a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ResourceState {
+    /// The proxy has acknowledged this version.
     Acknowledged,
+    /// The proxy has rejected the last response of this type (NACK).
     Refused,
+    /// Sent, without an answer yet.
     Sent,
 }
 
-/// A resource at a proxy, as status tells it.
+/// A resource at a proxy, for the status page.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct StatusRow {
+    /// Name of the proxy.
     pub proxy: String,
+    /// Name of the resource.
     pub resource: String,
+    /// Version that was sent last.
     pub version: String,
+    /// State of this version at the proxy.
     pub state: ResourceState,
+    /// Why the proxy rejected the last response of this type.
     pub refusal: Option<String>,
 }
 
-/// Reads an answer: the controller's own state, and what each proxy holds.
-pub fn read(answer: &ClientStatusResponse) -> (serde_json::Value, Vec<StatusRow>) {
+/// Parses a response into the state of the controller and the resources of each proxy.
+pub fn parse_client_status(response: &ClientStatusResponse) -> (serde_json::Value, Vec<StatusRow>) {
     let mut overview = serde_json::Value::Null;
     let mut rows = Vec::new();
-    for client in &answer.config {
+    for client in &response.config {
         let proxy = client
             .node
             .as_ref()
             .map(|n| n.id.clone())
             .unwrap_or_default();
         for c in &client.generic_xds_configs {
-            if proxy == ITSELF && c.name == OVERVIEW {
+            if proxy == CONTROLLER_NODE && c.name == OVERVIEW_RESOURCE {
                 let bytes = c.xds_config.as_ref().map(|any| any.value.as_slice());
                 let read = Struct::decode(bytes.unwrap_or_default()).unwrap_or_default();
                 overview = from_value(&Value {
