--- a/crates/import/src/apache.rs
+++ b/crates/import/src/apache.rs
@@ -346,7 +346,7 @@
                     .filter(|n| matches_glob(&last, n))
                     .collect();
                 if found.is_empty() && !optional {
-                    self.report(at, format!("{path}: no file matches"));
+                    self.report(at, format!("{path}: no file fits"));
                 }
                 found
                     .iter()
@@ -517,7 +517,7 @@
         if let (Some(worker), Some(setting)) = (&worker, settings.iter().find(concerns_us)) {
             self.report(
                 at,
-                format!("{setting} of {worker} must be set at its BalancerMember"),
+                format!("{setting} of {worker} is to stand at its BalancerMember"),
             );
         }
     }
@@ -593,11 +593,12 @@
             }
             'H' | 'R' if sign != Some('-') => {
                 return Err(
-                    "spares (H, R) are not supported; give the member a weight or remove it".into(),
+                    "a spare is nothing that a controller has; give it a weight or take it out"
+                        .into(),
                 );
             }
             'E' if sign != Some('-') => {
-                return Err("E is set by a running httpd and is no setting".into());
+                return Err("an error is of a running httpd, no setting".into());
             }
             c if GONE.contains(&c) => {
                 if sign != Some('-') {
