--- a/crates/files/src/integrity.rs
+++ b/crates/files/src/integrity.rs
@@ -117,11 +117,11 @@
             (["hmac", name, received], false) => {
                 let key = self.0.iter().find(|(n, _)| n == name);
                 let (_, key) = key.ok_or_else(|| format!("no key {name:?} is known"))?;
-                let received = unhex(received).ok_or("the signature is not hexadecimal")?;
+                let received = unhex(received).ok_or("the signature is no hexadecimal text")?;
                 let verified = Keys::mac(key, text).verify_slice(&received);
-                verified.map_err(|_| "the signature does not match".to_string())
+                verified.map_err(|_| "the signature is not ours".to_string())
             }
-            _ => Err("no integrity tag".into()),
+            _ => Err("no seal".into()),
         }
     }
 
@@ -135,11 +135,11 @@
     /// # Errors
     /// What is wrong with it.
     pub fn verified_text<'a>(&self, bytes: &'a [u8]) -> Result<&'a str, String> {
-        let text = std::str::from_utf8(bytes).map_err(|_| "not UTF-8")?;
+        let text = std::str::from_utf8(bytes).map_err(|_| "no text")?;
         let complete = text
             .strip_suffix('\n')
             .ok_or("truncated: no newline at the end")?;
-        let (text, tag) = complete.rsplit_once('\n').ok_or("no integrity tag")?;
+        let (text, tag) = complete.rsplit_once('\n').ok_or("no seal")?;
         self.verify_tag(text.as_bytes(), tag).map(|()| text)
     }
 }
--- a/crates/files/src/reader.rs
+++ b/crates/files/src/reader.rs
@@ -41,7 +41,7 @@
     let file = File::open(path)?;
     let metadata = file.metadata()?;
     if !metadata.is_file() || metadata.len() > MAX_FILE_BYTES {
-        return Err(io::Error::other("not a regular file, or too large"));
+        return Err(io::Error::other("no plain file of a fitting size"));
     }
     let mut bytes = Vec::with_capacity(metadata.len() as usize);
     file.take(MAX_FILE_BYTES).read_to_end(&mut bytes)?;
@@ -84,7 +84,7 @@
                     (self.applied, self.examined) = (Some(generation), Some(generation));
                     return ReadResult::Updated(Box::new(table));
                 }
-                Err(LoadError::NotFound) => why = "it was removed while it was read".into(),
+                Err(LoadError::NotFound) => why = "it is gone while it is read".into(),
                 Err(LoadError::Invalid(why)) => return self.invalid(generation, why),
             }
         }
@@ -113,10 +113,7 @@
             .map_err(LoadError::Invalid)?;
         let manifest: Manifest = parse_json(text.as_bytes(), MANIFEST)?;
         if manifest.format_version != TABLE_FORMAT_VERSION {
-            return invalid(format!(
-                "format version {} is not supported",
-                manifest.format_version
-            ));
+            return invalid(format!("form {} is not known", manifest.format_version));
         }
         if manifest.proxy != self.proxy || manifest.generation != generation {
             return invalid("the manifest is of another proxy or generation".into());
