--- a/crates/standins/src/sabotage.rs
+++ b/crates/standins/src/faulty_controller.rs
@@ -1,6 +1,7 @@
-//! Controllers that break a rule on purpose, so that the checkers can be checked: the true engine and front,
-//! with a hand in between that spoils what is ordered. Or the hand is between planner and guard, as if the
-//! module itself were wrong: then the guard is what keeps the rules.
+//! Controllers with an injected fault that breaks one rule, to test the checkers. The real engine and xDS
+//! front run with the fault injected between them, into what the engine puts out. With `in_module` the fault
+//! is injected between planner and guard instead, as if the planner were wrong; the guard must then keep the
+//! rules.
 
 use dahliapoint::{self as planner, Orders};
 use dahliapoint_control::{Input, LineState, Message, Output, RetryPolicy, Scope};
@@ -15,24 +16,34 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What it does wrong.
+/// The fault to inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Wrong {
-    /// Nothing: the same parts must pass.
-    Nothing,
+pub enum ControllerFault {
+    /// Injects nothing: the same setup must keep all rules.
+    #[value(name = "nothing")]
+    NoFault,
+    /// Withdrawals are never sent.
     IgnoresDrains,
-    FloodsTheCold,
-    RetriesAll,
+    /// Servers that have just started get very large weights.
+    #[value(name = "floods-the-cold")]
+    OverloadsColdServers,
+    /// Every class is retried after failures, also those that are not idempotent.
+    #[value(name = "retries-all")]
+    RetriesEverything,
+    /// After 2 s every line is removed from the tables.
     EmptiesTables,
-    FloodsTheChannel,
+    /// The same lines are written again and again with changed weights.
+    #[value(name = "floods-the-channel")]
+    FloodsChannel,
 }
 
-/// Runs it until it is killed; `module`: it is the module that is wrong.
+/// Runs a faulty controller until the process is killed. With `in_module` the fault is in the planner's
+/// orders, before the guard checks them.
 ///
 /// # Errors
-/// Why it cannot run.
+/// If the deployment or the roster cannot be read, or the server cannot start.
 pub fn run(
-    (wrong, module): (Wrong, bool),
+    (fault, in_module): (ControllerFault, bool),
     file: &Path,
     listen: SocketAddr,
     address_file: &Path,
@@ -41,31 +52,37 @@
     let name = file.display().to_string();
     let deployment = deployment::parse(&name, &text).map_err(|f| f.to_string())?;
     dahliapoint_daemon::cli::log(&deployment);
-    let terms = deployment.terms.clone();
+    let settings = deployment.terms.clone();
     let seed = deployment.seed.unwrap_or(1);
-    let engine = Engine::new(Clock::start(), seed, terms.report_interval_ms);
+    let engine = Engine::new(Clock::start(), seed, settings.report_interval_ms);
     let owner: Arc<dyn ControllerHandle> = Arc::new(engine.clone());
-    let shape = Shape::of(&terms, deployment.connect_ms);
+    let shape = Shape::of(&settings, deployment.connect_ms);
     let front = Front::new(shape, owner.clone(), 1);
     let server =
         Server::start(listen, Limits::default(), front.clone()).map_err(|e| e.to_string())?;
-    let begun = Instant::now();
-    if module {
-        let mut spoiled = Spoiled::new(wrong, terms.classes.len());
-        engine.spoiled_by(Box::new(move |now, orders| spoiled.spoil(now, orders)));
+    let started_at = Instant::now();
+    if in_module {
+        let mut planner_faults = PlannerFaults::new(fault, settings.classes.len());
+        engine.spoiled_by(Box::new(move |now, orders| {
+            planner_faults.apply(now, orders)
+        }));
     }
-    let wrong = if module { Wrong::Nothing } else { wrong };
-    let spoiler = Mutex::new(Spoiler {
-        wrong,
-        begun,
+    let fault = if in_module {
+        ControllerFault::NoFault
+    } else {
+        fault
+    };
+    let output_faults = Mutex::new(OutputFaults {
+        fault,
+        started_at,
         serial: 1 << 40,
         seen: BTreeMap::new(),
     });
-    let spoil_front = front.clone();
-    let hand = Box::new(move |output: Output| {
-        let mut spoiler = spoiler.lock().unwrap_or_else(|e| e.into_inner());
+    let output_front = front.clone();
+    let output_handler = Box::new(move |output: Output| {
+        let mut output_faults = output_faults.lock().unwrap_or_else(|e| e.into_inner());
         if let Output::Probe { server, .. } = output {
-            // Every probe is fine, which is a lie too.
+            // Reports every probe as successful without sending one.
             let owner = owner.clone();
             dahliapoint_fibers::spawn(move || {
                 owner.send(Input::Probed {
@@ -76,25 +93,25 @@
             });
             return None;
         }
-        for output in spoiler.spoil(output) {
-            spoil_front.carry_out(output);
+        for output in output_faults.apply(output) {
+            output_front.carry_out(output);
         }
         None
     });
-    let mut watch = Watch::new(&deployment.roster, &deployment.roster_form, &terms.zones);
+    let mut watch = Watch::new(&deployment.roster, &deployment.roster_form, &settings.zones);
     let Look::New(entries) = watch.look() else {
         return Err("no roster".into());
     };
     let first = vec![Input::Roster(entries)];
-    let running = engine.run(seed, terms, None, first, hand, None);
+    let running = engine.run(seed, settings, None, first, output_handler, None);
     running.map_err(|e| e.to_string())?;
     std::fs::write(address_file, server.address().to_string()).map_err(|e| e.to_string())?;
     loop {
         std::thread::sleep(Duration::from_millis(50));
         if let Look::New(mut entries) = watch.look() {
-            if wrong == Wrong::FloodsTheCold {
+            if fault == ControllerFault::OverloadsColdServers {
                 entries.iter_mut().for_each(|e| e.started = None);
-                // So late that no proxy can be excused for not having known.
+                // Long enough that every proxy must know of the start.
                 std::thread::sleep(Duration::from_millis(250));
             }
             engine.send(Input::Roster(entries));
@@ -102,43 +119,44 @@
     }
 }
 
-/// The module's orders, spoiled before the guard sees them.
-struct Spoiled {
-    wrong: Wrong,
+/// Injects the fault into the planner's orders before the guard checks them.
+struct PlannerFaults {
+    fault: ControllerFault,
     classes: usize,
-    begun: Option<f64>,
+    start_ms: Option<f64>,
+    /// Part and server of every line ordered so far.
     seen: BTreeSet<(usize, usize)>,
-    /// Servers that were withdrawn and have come back, since when.
-    back: BTreeMap<usize, f64>,
-    turn: u32,
+    /// When each server that had been withdrawn came back.
+    returned_ms: BTreeMap<usize, f64>,
+    iteration: u32,
 }
 
-impl Spoiled {
-    fn new(wrong: Wrong, classes: usize) -> Spoiled {
-        Spoiled {
-            wrong,
+impl PlannerFaults {
+    fn new(fault: ControllerFault, classes: usize) -> PlannerFaults {
+        PlannerFaults {
+            fault,
             classes,
-            begun: None,
+            start_ms: None,
             seen: BTreeSet::new(),
-            back: BTreeMap::new(),
-            turn: 0,
+            returned_ms: BTreeMap::new(),
+            iteration: 0,
         }
     }
 
-    fn spoil(&mut self, now: f64, orders: &mut Orders) {
-        let begun = *self.begun.get_or_insert(now);
+    fn apply(&mut self, now: f64, orders: &mut Orders) {
+        let start_ms = *self.start_ms.get_or_insert(now);
         self.seen.extend(orders.lines.iter().map(|l| (l.0, l.1)));
-        match self.wrong {
-            Wrong::Nothing => {}
-            Wrong::IgnoresDrains => {
+        match self.fault {
+            ControllerFault::NoFault => {}
+            ControllerFault::IgnoresDrains => {
                 orders.withdrawals.retain(|(_, shut)| !shut);
                 orders.lines.retain(|l| l.2 > 0.0);
             }
-            Wrong::FloodsTheCold => {
-                let back = orders.withdrawals.iter().filter(|(_, shut)| !shut);
-                self.back.extend(back.map(|(s, _)| (*s, now)));
-                // So late that no proxy can be excused for not having known.
-                let late = |s: usize| self.back.get(&s).is_some_and(|at| now - at > 500.0);
+            ControllerFault::OverloadsColdServers => {
+                let returned = orders.withdrawals.iter().filter(|(_, shut)| !shut);
+                self.returned_ms.extend(returned.map(|(s, _)| (*s, now)));
+                // Long enough that every proxy must know of the start.
+                let late = |s: usize| self.returned_ms.get(&s).is_some_and(|at| now - at > 500.0);
                 let lines = orders.lines.iter_mut();
                 let flood = lines.filter(|l| l.2 > 0.0 && late(l.1));
                 flood.for_each(|l| l.2 = 300.0);
@@ -149,7 +167,7 @@
                     .filter(|(_, s)| late(*s) && !ordered.contains(s));
                 orders.lines.extend(more.map(|(p, s)| (*p, *s, 300.0)));
             }
-            Wrong::RetriesAll => {
+            ControllerFault::RetriesEverything => {
                 let parts: BTreeSet<usize> = orders.bindings.iter().map(|b| b.1).collect();
                 for part in parts {
                     let all =
@@ -161,15 +179,15 @@
                     .iter_mut()
                     .for_each(|l| l.3 = planner::RetryPolicy::OnFailure);
             }
-            Wrong::EmptiesTables => {
-                if now - begun > 2_000.0 {
+            ControllerFault::EmptiesTables => {
+                if now - start_ms > 2_000.0 {
                     orders.lines = self.seen.iter().map(|(p, s)| (*p, *s, 0.0)).collect();
                 }
             }
-            Wrong::FloodsTheChannel => {
-                if now - begun > 1_000.0 {
-                    self.turn += 1;
-                    let weight = 1.0 + f64::from(self.turn % 7) / 10.0;
+            ControllerFault::FloodsChannel => {
+                if now - start_ms > 1_000.0 {
+                    self.iteration += 1;
+                    let weight = 1.0 + f64::from(self.iteration % 7) / 10.0;
                     orders.lines = self.seen.iter().map(|(p, s)| (*p, *s, weight)).collect();
                     orders.wake_at = Some(now + 2.0);
                 }
@@ -178,35 +196,36 @@
     }
 }
 
-struct Spoiler {
-    wrong: Wrong,
-    begun: Instant,
+/// Injects the fault into what the engine puts out.
+struct OutputFaults {
+    fault: ControllerFault,
+    started_at: Instant,
     serial: u64,
-    /// Lines written to each session.
+    /// All lines written so far, by session.
     seen: BTreeMap<u64, Vec<dahliapoint_control::Line>>,
 }
 
-impl Spoiler {
-    fn spoil(&mut self, output: Output) -> Vec<Output> {
+impl OutputFaults {
+    fn apply(&mut self, output: Output) -> Vec<Output> {
         let Output::Write(sessions, message) = output else {
             return vec![output];
         };
         let mut m = (*message).clone();
-        match self.wrong {
-            Wrong::Nothing => {}
-            Wrong::IgnoresDrains => m.lines.retain(|l| l.state == LineState::Open),
-            Wrong::FloodsTheCold => {
+        match self.fault {
+            ControllerFault::NoFault => {}
+            ControllerFault::IgnoresDrains => m.lines.retain(|l| l.state == LineState::Open),
+            ControllerFault::OverloadsColdServers => {
                 for l in &mut m.lines {
                     l.weight = if l.weight < 0.9 { 300.0 } else { 1.0 };
                 }
             }
-            Wrong::RetriesAll => {
+            ControllerFault::RetriesEverything => {
                 m.policies
                     .iter_mut()
                     .for_each(|w| w.1.retry = RetryPolicy::OnFailure);
             }
-            Wrong::EmptiesTables => {
-                let late = self.begun.elapsed() > Duration::from_secs(2);
+            ControllerFault::EmptiesTables => {
+                let late = self.started_at.elapsed() > Duration::from_secs(2);
                 for s in &sessions {
                     let seen = self.seen.entry(*s).or_default();
                     seen.extend(m.lines.iter().cloned());
@@ -218,11 +237,11 @@
                     }
                 }
             }
-            Wrong::FloodsTheChannel => {
+            ControllerFault::FloodsChannel => {
                 if m.scope == Scope::Unbound {
                     return vec![Output::Write(sessions, message)];
                 }
-                // The same lines again and again, each time a little different.
+                // Repeats the same lines with slightly different weights.
                 let again = (0..300).map(|i| {
                     self.serial += 1;
                     let mut m = Message {
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -1,15 +1,16 @@
-//! `dahliapoint-standins`: plays a scripted bad day against the controller and checks the five rules.
+//! `dahliapoint-standins`: runs fault scenarios ("bad days") against the controller, with test servers,
+//! proxies, links and a roster, and checks the five rules.
 
-mod backend;
-mod day;
-mod hunt;
-mod obedient;
-mod play;
-mod proxy;
-mod relay;
-mod rules;
-mod sabotage;
-mod world;
+mod faulty_controller;
+mod faulty_link;
+mod random_search;
+mod real_proxy;
+mod rule_checker;
+mod run_state;
+mod runner;
+mod scenario;
+mod scripted_proxy;
+mod test_server;
 
 use clap::{Parser, Subcommand, ValueEnum};
 use dahliapoint_control::AdminState;
@@ -29,95 +30,101 @@
 
 #[derive(Parser)]
 #[command(name = "dahliapoint-standins", version)]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Command,
 }
 
-/// What carries a day's visits.
+/// Which proxies carry the visits.
 #[derive(Clone, Copy, PartialEq, ValueEnum)]
-enum Kind {
-    /// The obedient proxy, by HTTP.
-    Obedient,
-    /// The stand-ins' own.
+enum ProxyKind {
+    /// The proxy of the package `dahliapoint-proxy`, over HTTP.
+    #[value(name = "obedient")]
+    Real,
+    /// The simple proxy of this package.
     Scripted,
 }
 
+/// Where real proxies get their tables from.
 #[derive(Clone, Copy, PartialEq, ValueEnum)]
-enum Front {
+enum TableSourceArg {
+    /// All from xDS streams.
     Streams,
+    /// All from files.
     Files,
+    /// Every second proxy from files.
     Both,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a day; exit code 1 if a rule broke, 3 if it could not be played.
+    /// Play a scenario; exit code 1 if a rule is broken, 3 if it could not be played.
     BadDay {
         file: PathBuf,
-        /// The report as JSON.
+        /// Print the report as JSON.
         #[arg(long)]
         json: bool,
-        /// A controller that breaks a rule on purpose.
-        #[arg(long, value_enum)]
-        wrong: Option<sabotage::Wrong>,
-        /// It is the module that is wrong, before the guard sees what it orders.
-        #[arg(long, requires = "wrong")]
+        /// Inject a fault into the controller that breaks a rule.
+        #[arg(long = "wrong", value_name = "WRONG", value_enum)]
+        fault: Option<faulty_controller::ControllerFault>,
+        /// Inject the fault into the planner's orders, before the guard checks them.
+        #[arg(long, requires = "fault")]
         in_module: bool,
-        /// What the guard does, instead of what the day's deployment says.
+        /// The guard's mode, in place of the deployment's.
         #[arg(long, value_parser = ["hold", "tell", "off"])]
         guard: Option<String>,
-        /// Other proxies than the day names.
+        /// The kind of proxies, in place of the scenario's.
         #[arg(long, value_enum)]
-        proxies: Option<Kind>,
-        /// Other ways for tables to come than the day names; for obedient proxies.
+        proxies: Option<ProxyKind>,
+        /// Where real proxies get their tables from, in place of the scenario's.
         #[arg(long, value_enum)]
-        front: Option<Front>,
-        /// The controller keeps what it knows over its restarts.
+        front: Option<TableSourceArg>,
+        /// Give the controller a memory on disk, which survives restarts.
         #[arg(long)]
         memory: bool,
-        /// The controller runs the hooks of this folder.
+        /// Run the hooks of this folder in the controller.
         #[arg(long)]
         hooks: Option<PathBuf>,
-        /// Keep the day's folder (the controller's logs, its roster) here.
+        /// Use this folder for the controller's logs and the roster, and keep it.
         #[arg(long)]
         keep: Option<PathBuf>,
     },
-    /// Draw days by chance and play them; exit code 1 if a rule broke on one, whose file is kept.
+    /// Draw random scenarios and play them; exit code 1 if one does not pass, and its file is kept.
     Hunt {
         #[arg(long, default_value_t = 1)]
         seed: u64,
         #[arg(long, default_value_t = 20)]
         days: u64,
-        /// Days that are played side by side.
+        /// Scenarios played in parallel.
         #[arg(long, default_value_t = 4)]
         at_once: usize,
-        /// Where files of days are written; those on which nothing broke are removed.
+        /// Where the scenario files are written; those that pass are removed.
         #[arg(long, default_value = "found")]
         keep: PathBuf,
     },
-    /// The controller itself, as a process of its own.
+    /// Run the controller itself, with its own command line.
     #[command(hide = true, disable_help_flag = true)]
     Controller {
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
         line: Vec<OsString>,
     },
-    /// Publishes tables of so many lines into a directory until it is killed, or so many.
+    /// Publish tables into a directory until killed, or a number of them.
     #[command(hide = true)]
     Publish {
         dir: PathBuf,
         #[arg(long, default_value_t = 100)]
         lines: usize,
-        #[arg(long, default_value_t = u64::MAX)]
-        many: u64,
+        #[arg(long = "many", value_name = "MANY", default_value_t = u64::MAX)]
+        max_tables: u64,
     },
-    /// Remembers one number after the other, with snapshots in between, until it is killed.
+    /// Commit one number after the other to the memory, with snapshots in between, until killed.
     #[command(hide = true)]
     Remember { dir: PathBuf },
-    #[command(hide = true)]
-    Sabotaged {
-        #[arg(value_enum)]
-        wrong: sabotage::Wrong,
+    /// Run a controller with an injected fault.
+    #[command(hide = true, name = "sabotaged")]
+    FaultyController {
+        #[arg(value_enum, value_name = "WRONG")]
+        fault: faulty_controller::ControllerFault,
         #[arg(long)]
         in_module: bool,
         file: PathBuf,
@@ -128,11 +135,13 @@
     },
 }
 
+/// Exit code: a rule is broken.
 const BROKEN: u8 = 1;
+/// Exit code: the scenario could not be played.
 const UNPLAYED: u8 = 3;
 
 fn main() -> ExitCode {
-    match Line::parse().command {
+    match CommandLine::parse().command {
         Command::Controller { line } => {
             let line = std::iter::once(OsString::from("dahliapoint")).chain(line);
             dahliapoint_daemon::cli::main(line)
@@ -142,7 +151,7 @@
             days,
             at_once,
             keep,
-        } => match hunt::hunt(seed, days, at_once, &keep) {
+        } => match random_search::search(seed, days, at_once, &keep) {
             Ok(broken) if broken.is_empty() => ExitCode::SUCCESS,
             Ok(broken) => {
                 broken
@@ -161,21 +170,27 @@
             }
             ExitCode::from(UNPLAYED)
         }
-        Command::Publish { dir, lines, many } => match publish(dir, lines, many) {
+        Command::Publish {
+            dir,
+            lines,
+            max_tables,
+        } => match publish(dir, lines, max_tables) {
             Ok(()) => ExitCode::SUCCESS,
             Err(why) => {
                 eprintln!("{why}");
                 ExitCode::from(UNPLAYED)
             }
         },
-        Command::Sabotaged {
-            wrong,
+        Command::FaultyController {
+            fault,
             in_module,
             file,
             listen,
             address_file,
         } => {
-            if let Err(why) = sabotage::run((wrong, in_module), &file, listen, &address_file) {
+            if let Err(why) =
+                faulty_controller::run((fault, in_module), &file, listen, &address_file)
+            {
                 eprintln!("{why}");
             }
             ExitCode::from(UNPLAYED)
@@ -183,7 +198,7 @@
         Command::BadDay {
             file,
             json,
-            wrong,
+            fault,
             in_module,
             guard,
             proxies,
@@ -193,7 +208,7 @@
             keep,
         } => match bad_day(
             &file,
-            (wrong, in_module),
+            (fault, in_module),
             (guard, hooks),
             (proxies, front, memory),
             keep,
@@ -201,7 +216,7 @@
             Ok(report) => {
                 let text = match json {
                     true => format!("{report:#}\n"),
-                    false => play::as_text(&report),
+                    false => runner::as_text(&report),
                 };
                 let _ = std::io::stdout().write_all(text.as_bytes());
                 match report["kept"] == serde_json::json!(true) {
@@ -217,37 +232,39 @@
     }
 }
 
+/// Runs a scenario with the overrides of the command line; the report.
 fn bad_day(
     file: &std::path::Path,
-    (wrong, in_module): (Option<sabotage::Wrong>, bool),
+    (fault, in_module): (Option<faulty_controller::ControllerFault>, bool),
     (guard, hooks): (Option<String>, Option<PathBuf>),
-    (proxies, front, memory): (Option<Kind>, Option<Front>, bool),
+    (proxies, front, memory): (Option<ProxyKind>, Option<TableSourceArg>, bool),
     keep: Option<PathBuf>,
 ) -> Result<serde_json::Value, String> {
-    let mut day = day::load(file)?;
-    day.obedient = proxies.map_or(day.obedient, |kind| kind == Kind::Obedient);
-    day.memory |= memory;
+    let mut scenario = scenario::load(file)?;
+    scenario.uses_real_proxy =
+        proxies.map_or(scenario.uses_real_proxy, |kind| kind == ProxyKind::Real);
+    scenario.memory |= memory;
     if let Some(guard) = guard {
-        day.deployment_text += &format!("\nguard: {guard}\n");
+        scenario.deployment_text += &format!("\nguard: {guard}\n");
     }
     if let Some(dir) = hooks {
         let dir = dir
             .canonicalize()
             .map_err(|e| format!("{}: {e}", dir.display()))?;
-        day.deployment_text += &format!("\nhooks: {{dir: {:?}}}\n", dir.display().to_string());
+        scenario.deployment_text += &format!("\nhooks: {{dir: {:?}}}\n", dir.display().to_string());
     }
-    day.front = front.map_or(day.front, |front| match front {
-        Front::Streams => day::Fronts::Streams,
-        Front::Files => day::Fronts::Files,
-        Front::Both => day::Fronts::Both,
+    scenario.table_source = front.map_or(scenario.table_source, |front| match front {
+        TableSourceArg::Streams => scenario::TableSource::Streams,
+        TableSourceArg::Files => scenario::TableSource::Files,
+        TableSourceArg::Both => scenario::TableSource::Both,
     });
     let own = std::env::temp_dir().join(format!("dahliapoint-day-{}", std::process::id()));
     let folder = keep.clone().unwrap_or(own);
     std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-    let arguments = match wrong {
+    let arguments = match fault {
         None => vec!["controller".to_string(), "run".to_string()],
-        Some(wrong) => {
-            let name = wrong.to_possible_value().map(|v| v.get_name().to_string());
+        Some(fault) => {
+            let name = fault.to_possible_value().map(|v| v.get_name().to_string());
             let mut arguments = vec!["sabotaged".to_string(), name.unwrap_or_default()];
             if in_module {
                 arguments.push("--in-module".into());
@@ -255,8 +272,8 @@
             arguments
         }
     };
-    let mut process = play::Process::new(&folder, arguments);
-    let report = play::play(&day, &mut process, &folder);
+    let mut process = runner::ControllerProcess::new(&folder, arguments);
+    let report = runner::run(&scenario, &mut process, &folder);
     drop(process);
     if keep.is_none() && report.is_ok() {
         let _ = std::fs::remove_dir_all(&folder);
@@ -264,11 +281,11 @@
     report
 }
 
-/// Tables whose lines all tell the same mark: a reader sees whether one is mixed.
-fn publish(dir: PathBuf, lines: usize, many: u64) -> std::io::Result<()> {
+/// Publishes tables whose weights all follow from their serial, so that a reader detects a mix of two tables.
+fn publish(dir: PathBuf, lines: usize, max_tables: u64) -> std::io::Result<()> {
     let mut publisher = Publisher::new(dir, "p", Keys::default(), &[Form::Workers], 0);
     let mut disk = Plain::default();
-    for mark in 0..many {
+    for mark in 0..max_tables {
         let line = |i: usize| TableLine {
             server: format!("s{i:03}"),
             address: format!("127.0.0.1:{}", 1000 + i),
@@ -294,7 +311,7 @@
     Ok(())
 }
 
-/// Each number is told on standard output once it is committed.
+/// Commits numbers to the memory and prints each once it is committed.
 fn remember(dir: &std::path::Path) -> std::io::Result<()> {
     let (mut store, mut facts, _) = Store::open(FsDirectory::open(dir)?, Key::default())?;
     let mut out = std::io::stdout().lock();
--- a/crates/standins/src/hunt.rs
+++ b/crates/standins/src/random_search.rs
@@ -1,7 +1,7 @@
-//! Days that nobody wrote: events drawn by chance from all kinds, played side by side through the real
-//! controller. A day on which a rule breaks is kept as a file, to be played again.
+//! A random search for broken rules: draws scenarios from seeds and plays them in parallel against the real
+//! controller. The file of a scenario that breaks a rule is kept, so that it can be played again.
 
-use crate::day::WORDS;
+use crate::scenario::ACTIONS;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::Value;
@@ -9,19 +9,19 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-/// The deployment that drawn days are of.
-const BASE: &str = include_str!("../days/base.yaml");
+/// The deployment of drawn scenarios.
+const BASE_DEPLOYMENT: &str = include_str!("../days/base.yaml");
 
-/// A day from a seed, as the text of its file.
-pub fn drawn(seed: u64) -> String {
+/// Draws a scenario from a seed; the text of its file.
+pub fn draw_scenario(seed: u64) -> String {
     let mut rng = StdRng::seed_from_u64(seed);
     let servers = rng.random_range(6..=14);
     let proxies = rng.random_range(4..=12);
-    let pace = rng.random_range(8..=20);
+    let visits_per_s = rng.random_range(8..=20);
     let mut text = format!(
         "name: drawn from {seed}\ndeployment: base.yaml\nlasts: 20s\nseed: {seed}\n\
          servers: {{count: {servers}, cores: 2, slowest: {:.2}, fastest: 1.3}}\n\
-         proxies: {{count: {proxies}, pace: {pace}}}\n\
+         proxies: {{count: {proxies}, pace: {visits_per_s}}}\n\
          work: {{plan-view: 20ms, date-set: 20ms, make-payment: 30ms}}\n\
          shares: {{plan-view: 0.5, date-set: 0.3, make-payment: 0.2}}\n\
          roster: {{late: {}ms}}\nevents:\n",
@@ -29,20 +29,20 @@
         rng.random_range(50..800),
     );
     for _ in 0..rng.random_range(3..=9) {
-        let (word, _) = WORDS[rng.random_range(0..WORDS.len())];
+        let (action, _) = ACTIONS[rng.random_range(0..ACTIONS.len())];
         let at = rng.random_range(500..15_000);
         let lasts = rng.random_range(300..5_000);
-        let many = match word {
+        let target_limit = match action {
             "refuse" | "deaf" | "flood" | "crash_proxy" => proxies,
             _ => servers,
         };
-        // At most a third are struck at one time: the rules hold while a warm server is there.
-        let struck = rng.random_range(1..=many / 3);
-        let first = rng.random_range(0..many);
-        let whom: Vec<String> = (0..struck)
-            .map(|i| ((first + i * 2) % many).to_string())
+        // At most a third at a time: the rules apply only while some server is warm.
+        let target_count = rng.random_range(1..=target_limit / 3);
+        let first = rng.random_range(0..target_limit);
+        let targets: Vec<String> = (0..target_count)
+            .map(|i| ((first + i * 2) % target_limit).to_string())
             .collect();
-        let size = match word {
+        let size = match action {
             "fail" => rng.random_range(0.3..1.0),
             "slow" | "stale_load" => rng.random_range(2.0..10.0),
             "slow_channel" => rng.random_range(2.0..6.0),
@@ -58,40 +58,41 @@
         };
         let _ = writeln!(
             text,
-            "- {{at: {at}ms, do: {word}, whom: [{}], for: {lasts}ms, size: {size}}}",
-            whom.join(", ")
+            "- {{at: {at}ms, do: {action}, whom: [{}], for: {lasts}ms, size: {size}}}",
+            targets.join(", ")
         );
     }
     text
 }
 
-/// What a drawn day came to.
-struct Played {
+/// The result of a drawn scenario.
+struct PlayedScenario {
     seed: u64,
     code: i32,
     report: Value,
 }
 
-/// Plays so many days, some at one time; tells the files of those on which a rule broke.
+/// Plays `count` scenarios, `at_once` in parallel; returns the files of those that did not pass.
 ///
 /// # Errors
-/// When nothing can be written or started.
-pub fn hunt(first: u64, days: u64, at_once: usize, keep: &Path) -> Result<Vec<PathBuf>, String> {
+/// If a file cannot be written or a process cannot be started.
+pub fn search(first: u64, count: u64, at_once: usize, keep: &Path) -> Result<Vec<PathBuf>, String> {
     std::fs::create_dir_all(keep).map_err(|e| format!("{}: {e}", keep.display()))?;
-    let put = |name: &str, text: &str| {
+    let write_file = |name: &str, text: &str| {
         let path = keep.join(name);
-        let put = std::fs::write(&path, text);
-        put.map(|()| path)
+        let written = std::fs::write(&path, text);
+        written
+            .map(|()| path)
             .map_err(|e| format!("{}: {e}", keep.display()))
     };
-    put("base.yaml", BASE)?;
+    write_file("base.yaml", BASE_DEPLOYMENT)?;
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
-    let mut broken = Vec::new();
-    let seeds: Vec<u64> = (first..first + days).collect();
-    for together in seeds.chunks(at_once.max(1)) {
+    let mut failed = Vec::new();
+    let seeds: Vec<u64> = (first..first + count).collect();
+    for batch in seeds.chunks(at_once.max(1)) {
         let mut children = Vec::new();
-        for seed in together {
-            let file = put(&format!("drawn-{seed}.yaml"), &drawn(*seed))?;
+        for seed in batch {
+            let file = write_file(&format!("drawn-{seed}.yaml"), &draw_scenario(*seed))?;
             let child = Command::new(&program)
                 .arg("bad-day")
                 .arg(&file)
@@ -103,25 +104,29 @@
         }
         for (seed, file, child) in children {
             let out = child.wait_with_output().map_err(|e| e.to_string())?;
-            let played = Played {
+            let played = PlayedScenario {
                 seed,
                 code: out.status.code().unwrap_or(-1),
                 report: serde_json::from_slice(&out.stdout).unwrap_or_default(),
             };
-            tell(&played);
+            print_result(&played);
             match played.code {
                 0 => drop(std::fs::remove_file(&file)),
-                _ => broken.push(file),
+                _ => failed.push(file),
             }
         }
     }
-    Ok(broken)
+    Ok(failed)
 }
 
-fn tell(day: &Played) {
-    let share = day.report["earnings"]["share"].as_f64().unwrap_or(0.0);
-    let rules = day.report["rules"].as_array().cloned().unwrap_or_default();
-    let broke: Vec<String> = rules
+/// Prints one line for a result.
+fn print_result(result: &PlayedScenario) {
+    let share = result.report["earnings"]["share"].as_f64().unwrap_or(0.0);
+    let rules = result.report["rules"]
+        .as_array()
+        .cloned()
+        .unwrap_or_default();
+    let broken_rules: Vec<String> = rules
         .iter()
         .filter(|r| r["broken"] != 0)
         .map(|r| {
@@ -132,12 +137,16 @@
             )
         })
         .collect();
-    let word = match (day.code, broke.is_empty()) {
+    let verdict = match (result.code, broken_rules.is_empty()) {
         (0, _) => "kept".to_string(),
-        (_, false) => format!("BROKEN: {}", broke.join(", ")),
+        (_, false) => format!("BROKEN: {}", broken_rules.join(", ")),
         (code, true) => format!("not played: exit code {code}"),
     };
-    println!("day {}: {word}; earnings {:.1}%", day.seed, share * 100.0);
+    println!(
+        "day {}: {verdict}; earnings {:.1}%",
+        result.seed,
+        share * 100.0
+    );
 }
 
 #[cfg(test)]
@@ -145,22 +154,31 @@
     use super::*;
 
     #[test]
-    fn every_drawn_day_can_be_read_and_is_the_same_each_time() {
+    fn drawn_scenarios_parse_and_depend_on_the_seed_only() {
         let folder = std::env::temp_dir().join(format!("dahliapoint-hunt-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        std::fs::write(folder.join("base.yaml"), BASE).unwrap();
+        std::fs::write(folder.join("base.yaml"), BASE_DEPLOYMENT).unwrap();
         let file = folder.join("day.yaml");
         let mut kinds = std::collections::BTreeSet::new();
         for seed in 0..200 {
-            let text = drawn(seed);
-            assert_eq!(text, drawn(seed));
+            let text = draw_scenario(seed);
+            assert_eq!(text, draw_scenario(seed));
             std::fs::write(&file, &text).unwrap();
-            let day = crate::day::load(&file).unwrap_or_else(|why| panic!("{why}\n{text}"));
-            let struck = day.events.iter().map(|e| e.whom.len()).max().unwrap_or(0);
-            assert!(struck * 3 <= day.servers.max(day.proxies), "{text}");
-            kinds.extend(day.events.iter().map(|e| format!("{:?}", e.what)));
+            let scenario =
+                crate::scenario::load(&file).unwrap_or_else(|why| panic!("{why}\n{text}"));
+            let target_count = scenario
+                .events
+                .iter()
+                .map(|e| e.targets.len())
+                .max()
+                .unwrap_or(0);
+            assert!(
+                target_count * 3 <= scenario.servers.max(scenario.proxies),
+                "{text}"
+            );
+            kinds.extend(scenario.events.iter().map(|e| format!("{:?}", e.action)));
         }
-        assert_eq!(kinds.len(), WORDS.len(), "all kinds are drawn: {kinds:?}");
+        assert_eq!(kinds.len(), ACTIONS.len(), "all kinds are drawn: {kinds:?}");
         std::fs::remove_dir_all(&folder).unwrap();
     }
 }
--- a/crates/standins/tests/days.rs
+++ b/crates/standins/tests/days.rs
@@ -1,54 +1,57 @@
-//! The small bad days against the real controller, and the checkers against controllers that break a
-//! rule on purpose. Each day is a process of its own; days play side by side.
+//! Plays the small scenarios against the real controller, and tests the checkers with controllers that have
+//! an injected fault. Each scenario runs in a process of its own, in parallel with others.
 
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-fn day(name: &str) -> PathBuf {
+fn scenario_file(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("days")
         .join(format!("{name}.yaml"))
 }
 
-/// Plays a day; its exit code and its report.
-fn play(name: &str, wrong: Option<&str>) -> (i32, Value) {
-    play_with(name, wrong, &[])
+/// Plays a scenario; returns its exit code and its report.
+fn play(name: &str, fault: Option<&str>) -> (i32, Value) {
+    play_with(name, fault, &[])
 }
 
-fn play_with(name: &str, wrong: Option<&str>, more: &[&str]) -> (i32, Value) {
+fn play_with(name: &str, fault: Option<&str>, arguments: &[&str]) -> (i32, Value) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_dahliapoint-standins"));
-    command.arg("bad-day").arg(day(name)).arg("--json");
-    if let Some(wrong) = wrong {
-        command.args(["--wrong", wrong]);
+    command
+        .arg("bad-day")
+        .arg(scenario_file(name))
+        .arg("--json");
+    if let Some(fault) = fault {
+        command.args(["--wrong", fault]);
     }
-    command.args(more);
+    command.args(arguments);
     let out = command.output().unwrap();
     let code = out.status.code().unwrap_or(-1);
-    let said = String::from_utf8_lossy(&out.stderr).to_string();
+    let errors = String::from_utf8_lossy(&out.stderr).to_string();
     let report = serde_json::from_slice(&out.stdout);
     (
         code,
-        report.unwrap_or_else(|e| panic!("{name}: exit {code}, {e}: {said}")),
+        report.unwrap_or_else(|e| panic!("{name}: exit {code}, {e}: {errors}")),
     )
 }
 
-fn count(report: &Value, rule: usize, what: &str) -> u64 {
-    report["rules"][rule][what].as_u64().unwrap()
+fn count(report: &Value, rule: usize, field: &str) -> u64 {
+    report["rules"][rule][field].as_u64().unwrap()
 }
 
-/// All rules are kept, and none of them because nothing was looked at.
-fn keeps(name: &str, checked: &[usize]) -> Value {
-    keeps_with(name, checked, &[])
+/// Asserts that all rules are kept, and that those in `checked` were checked at least once.
+fn assert_kept(name: &str, checked: &[usize]) -> Value {
+    assert_kept_with(name, checked, &[])
 }
 
-fn keeps_with(name: &str, checked: &[usize], more: &[&str]) -> Value {
-    let (code, report) = play_with(name, None, more);
+fn assert_kept_with(name: &str, checked: &[usize], arguments: &[&str]) -> Value {
+    let (code, report) = play_with(name, None, arguments);
     assert_eq!(code, 0, "{report:#}");
     for rule in checked {
         assert!(
             count(&report, *rule, "checked") > 0,
-            "rule {} was not looked at",
+            "rule {} was not checked",
             rule + 1
         );
     }
@@ -56,50 +59,50 @@
     report
 }
 
-const ALL: [usize; 5] = [0, 1, 2, 3, 4];
-const NO_COLD: [usize; 4] = [0, 1, 2, 4];
+const ALL_RULES: [usize; 5] = [0, 1, 2, 3, 4];
+const ALL_BUT_COLD: [usize; 4] = [0, 1, 2, 4];
 
 #[test]
-fn a_pod_restarts_during_a_drain() {
-    keeps("restart-during-drain", &ALL);
+fn a_server_restarts_during_a_drain() {
+    assert_kept("restart-during-drain", &ALL_RULES);
 }
 
 #[test]
 fn the_controller_is_killed_within_a_tick_with_a_stale_roster() {
-    let report = keeps("killed-mid-tick", &ALL);
+    let report = assert_kept("killed-mid-tick", &ALL_RULES);
     assert_eq!(report["controller"]["starts"], 3);
 }
 
 #[test]
 fn the_channel_is_slow_while_servers_fail_fast() {
-    keeps("slow-channel-fast-failures", &NO_COLD);
+    assert_kept("slow-channel-fast-failures", &ALL_BUT_COLD);
 }
 
 #[test]
 fn a_zone_is_cut_off() {
-    keeps("zone-cut", &NO_COLD);
+    assert_kept("zone-cut", &ALL_BUT_COLD);
 }
 
 #[test]
 fn many_servers_fail_one_class() {
-    keeps("class-fails", &NO_COLD);
+    assert_kept("class-fails", &ALL_BUT_COLD);
 }
 
 #[test]
 fn proxies_refuse_stop_reading_and_flood() {
-    keeps("odd-proxies", &NO_COLD);
+    assert_kept("odd-proxies", &ALL_BUT_COLD);
 }
 
-/// Found by hunt.
+/// A scenario that the random search found.
 #[test]
 fn proxies_read_nothing_while_servers_are_gone() {
-    keeps("deaf-while-gone", &NO_COLD);
+    assert_kept("deaf-while-gone", &ALL_BUT_COLD);
 }
 
-/// Whatever the storm, drains are heard, and estimates stay near what was tried.
+/// Under a flood of reports drains are still applied, and estimates stay close to the tries counted.
 #[test]
 fn a_storm_of_reports() {
-    let report = keeps("report-storm", &NO_COLD);
+    let report = assert_kept("report-storm", &ALL_BUT_COLD);
     let estimates = &report["estimates"];
     assert!(estimates["checked"].as_u64().unwrap() > 0, "{estimates}");
     assert!(
@@ -111,31 +114,31 @@
 
 #[test]
 fn everything_in_one_day() {
-    keeps("everything", &ALL);
+    assert_kept("everything", &ALL_RULES);
 }
 
-/// The same days over files, and over both fronts at once.
+/// Scenarios with tables from files.
 #[test]
 fn tables_come_as_files() {
     let files = ["--front", "files"];
-    let report = keeps_with("restart-during-drain", &ALL, &files);
+    let report = assert_kept_with("restart-during-drain", &ALL_RULES, &files);
     assert!(
         report["controller"]["files"]["published"].as_u64() > Some(8),
         "{report:#}"
     );
-    let report = keeps_with("killed-mid-tick", &ALL, &files);
+    let report = assert_kept_with("killed-mid-tick", &ALL_RULES, &files);
     assert_eq!(report["controller"]["starts"], 3);
 }
 
 #[test]
 fn tables_come_by_both_fronts() {
-    keeps_with("everything", &ALL, &["--front", "both"]);
+    assert_kept_with("everything", &ALL_RULES, &["--front", "both"]);
 }
 
-/// Killed twice, without and with what it knew.
+/// The controller is killed twice, without and with a memory on disk.
 #[test]
-fn a_controller_that_remembers_is_killed_again_and_again() {
-    let report = keeps("killed-mid-tick", &ALL);
+fn a_controller_with_a_memory_is_killed_repeatedly() {
+    let report = assert_kept("killed-mid-tick", &ALL_RULES);
     let (code, remembered) = play_with("killed-mid-tick", None, &["--memory"]);
     assert_eq!(code, 0, "{remembered:#}");
     let starts = |r: &Value| r["controller"]["starts"].clone();
@@ -147,9 +150,9 @@
     );
 }
 
-/// Each checker catches its saboteur; the same parts without sabotage pass.
+/// Each checker detects the controller that breaks its rule; the same setup without a fault passes.
 #[test]
-fn the_checkers_catch_who_breaks_their_rule() {
+fn each_checker_detects_the_controller_that_breaks_its_rule() {
     let cases = [
         ("empties-tables", 0),
         ("retries-all", 1),
@@ -159,21 +162,21 @@
     ];
     let playing: Vec<_> = cases
         .into_iter()
-        .map(|(wrong, rule)| {
-            std::thread::spawn(move || (wrong, rule, play("sabotage", Some(wrong))))
+        .map(|(fault, rule)| {
+            std::thread::spawn(move || (fault, rule, play("sabotage", Some(fault))))
         })
         .collect();
-    let (code, honest) = play("sabotage", Some("nothing"));
-    assert_eq!(code, 0, "{honest:#}");
+    let (code, faultless) = play("sabotage", Some("nothing"));
+    assert_eq!(code, 0, "{faultless:#}");
     for thread in playing {
-        let (wrong, rule, (code, report)) = thread.join().unwrap();
-        assert_eq!(code, 1, "{wrong} was not caught: {report:#}");
-        assert!(count(&report, rule, "broken") > 0, "{wrong}: {report:#}");
+        let (fault, rule, (code, report)) = thread.join().unwrap();
+        assert_eq!(code, 1, "{fault} was not detected: {report:#}");
+        assert!(count(&report, rule, "broken") > 0, "{fault}: {report:#}");
     }
 }
 
-/// With a module that is wrong itself, the guard keeps the rules at the sockets; without it the same orders break
-/// them.
+/// If the planner itself is faulty, the guard keeps the rules as seen at the sockets; without the guard the same
+/// orders break them.
 #[test]
 fn the_guard_keeps_the_rules_when_the_module_breaks_them() {
     let cases = [
@@ -185,55 +188,59 @@
     ];
     let playing: Vec<_> = cases
         .into_iter()
-        .map(|(wrong, rule, reason)| {
+        .map(|(fault, rule, reason)| {
             std::thread::spawn(move || {
-                let bare = ["--in-module", "--guard", "off"];
-                let bare = play_with("sabotage", Some(wrong), &bare);
-                let held = play_with("sabotage", Some(wrong), &["--in-module"]);
-                (wrong, rule, reason, bare, held)
+                let unguarded = ["--in-module", "--guard", "off"];
+                let unguarded = play_with("sabotage", Some(fault), &unguarded);
+                let guarded = play_with("sabotage", Some(fault), &["--in-module"]);
+                (fault, rule, reason, unguarded, guarded)
             })
         })
         .collect();
     for thread in playing {
-        let (wrong, rule, reason, (code, bare), (held, report)) = thread.join().unwrap();
-        assert_eq!(code, 1, "{wrong} does nothing: {bare:#}");
-        assert!(count(&bare, rule, "broken") > 0, "{wrong}: {bare:#}");
-        assert_eq!(held, 0, "{wrong} was not held: {report:#}");
+        let (fault, rule, reason, (code, unguarded), (guarded_code, report)) =
+            thread.join().unwrap();
+        assert_eq!(code, 1, "{fault} has no effect: {unguarded:#}");
+        assert!(
+            count(&unguarded, rule, "broken") > 0,
+            "{fault}: {unguarded:#}"
+        );
+        assert_eq!(guarded_code, 0, "{fault} got past the guard: {report:#}");
         let guard = &report["controller"]["guard"];
         match reason {
-            "" => assert!(guard["withdrawn"].as_u64() > Some(0), "{wrong}: {guard}"),
+            "" => assert!(guard["withdrawn"].as_u64() > Some(0), "{fault}: {guard}"),
             code => assert!(
                 guard["dangerous"][code].as_u64() > Some(0),
-                "{wrong}: {guard}"
+                "{fault}: {guard}"
             ),
         }
     }
 }
 
-/// Hooks that loop, throw or eat memory at every hook point at once, over both fronts: all rules are kept, each is
-/// cut off, and nothing that they wished is in force.
+/// Hooks that loop, fail or use up memory at every hook point, with tables from streams and from files: all rules
+/// are kept, the hooks are cut off, and none of their wishes is in force.
 #[test]
 fn runaway_hooks_break_no_rule() {
     let hooks = Path::new(env!("CARGO_MANIFEST_DIR")).join("hooks/runaway");
     let hooks = hooks.to_str().unwrap();
-    for more in [
+    for arguments in [
         ["--hooks", hooks, "--front", "streams"],
         ["--hooks", hooks, "--front", "files"],
     ] {
-        let report = keeps_with("restart-during-drain", &ALL, &more);
-        let told = &report["controller"]["hooks"];
-        let all = told["hooks"].as_array().unwrap();
+        let report = assert_kept_with("restart-during-drain", &ALL_RULES, &arguments);
+        let hooks = &report["controller"]["hooks"];
+        let all = hooks["hooks"].as_array().unwrap();
         let sum = |what: &str| -> u64 { all.iter().filter_map(|h| h[what].as_u64()).sum() };
-        assert!(sum("cut_off") > 3 && sum("failed") > 2, "{told:#}");
-        assert_eq!(told["wishes"], serde_json::json!([]));
-        assert_eq!(told["publications_held"], 0);
+        assert!(sum("cut_off") > 3 && sum("failed") > 2, "{hooks:#}");
+        assert_eq!(hooks["wishes"], serde_json::json!([]));
+        assert_eq!(hooks["publications_held"], 0);
     }
 }
 
-/// An order that would run an effect twice is not obeyed by the obedient proxy; orders that its rules do
-/// not concern are, and the checkers at the servers' sockets see them.
+/// The real proxy refuses an order that would run an effect twice. It follows other wrong orders, which the
+/// checkers at the servers' sockets detect.
 #[test]
-fn the_obedient_proxy_keeps_effects_from_running_twice_whatever_it_is_told() {
+fn the_real_proxy_never_runs_an_effect_twice_whatever_the_controller_orders() {
     let cases = [
         ("retries-all", 0),
         ("ignores-drains", 1),
@@ -241,28 +248,28 @@
     ];
     let playing: Vec<_> = cases
         .into_iter()
-        .map(|(wrong, wanted)| {
+        .map(|(fault, expected)| {
             std::thread::spawn(move || {
                 (
-                    wrong,
-                    wanted,
-                    play_with("sabotage", Some(wrong), &["--proxies", "obedient"]),
+                    fault,
+                    expected,
+                    play_with("sabotage", Some(fault), &["--proxies", "obedient"]),
                 )
             })
         })
         .collect();
     for thread in playing {
-        let (wrong, wanted, (code, report)) = thread.join().unwrap();
-        assert_eq!(code, wanted, "{wrong}: {report:#}");
+        let (fault, expected, (code, report)) = thread.join().unwrap();
+        assert_eq!(code, expected, "{fault}: {report:#}");
         assert!(
             count(&report, 1, "checked") > 0,
-            "{wrong}: no effect was seen"
+            "{fault}: no effect was checked"
         );
     }
 }
 
 #[test]
-fn a_day_that_cannot_be_played_is_no_day_that_was_kept() {
+fn a_scenario_that_cannot_be_played_does_not_pass() {
     let out = Command::new(env!("CARGO_BIN_EXE_dahliapoint-standins"))
         .args(["bad-day", "no-such-day.yaml"])
         .output()
--- a/crates/standins/tests/kills.rs
+++ b/crates/standins/tests/kills.rs
@@ -1,4 +1,5 @@
-//! A publisher that is killed outright, two hundred times, while readers run flat out.
+//! A publisher is killed with SIGKILL 200 times while readers read without pause: no reader may ever get a
+//! mixed or damaged table.
 
 use dahliapoint_files::read::{Look, Reader};
 use dahliapoint_files::seal::Keys;
@@ -10,15 +11,15 @@
 
 const KILLS: u64 = 200;
 const LINES: usize = 100;
-const LONG: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Reads all of the table in force, by a reader that knows nothing; its generation.
+/// Reads the current table with a new reader and checks it; returns its generation.
 fn read(dir: &std::path::Path) -> Option<u64> {
     match Reader::new(dir.join("p"), "p", Keys::default()).look(None) {
         Look::Same => None,
         Look::New(table) => {
-            let whole = table.lines.len() == LINES;
-            let same = table.lines.values().enumerate().all(|(i, l)| {
+            let is_complete = table.lines.len() == LINES;
+            let is_consistent = table.lines.values().enumerate().all(|(i, l)| {
                 let mark = table.serial;
                 l.weight
                     == if i.is_multiple_of(8) {
@@ -27,7 +28,7 @@
                         (mark / 10 * 10) as f64
                     }
             });
-            assert!(whole && same, "a mixed table: {table:?}");
+            assert!(is_complete && is_consistent, "a mixed table: {table:?}");
             Some(table.generation)
         }
         Look::Bad(generation, why) => panic!("generation {generation}: {why}"),
@@ -38,16 +39,16 @@
 fn two_hundred_kills_leave_no_reader_with_a_bad_table() {
     let dir = std::env::temp_dir().join(format!("dahliapoint-kills-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
-    let (over, reads) = (
+    let (ended, reads) = (
         Arc::new(AtomicBool::new(false)),
         Arc::new(AtomicU64::new(0)),
     );
     let readers: Vec<_> = (0..2)
         .map(|_| {
-            let (dir, over, reads): (PathBuf, _, _) = (dir.clone(), over.clone(), reads.clone());
+            let (dir, ended, reads): (PathBuf, _, _) = (dir.clone(), ended.clone(), reads.clone());
             std::thread::spawn(move || {
                 let mut last = 0;
-                while !over.load(Ordering::SeqCst) {
+                while !ended.load(Ordering::SeqCst) {
                     let found = read(&dir).unwrap_or(last);
                     assert!(found >= last, "{found} after {last}");
                     last = found;
@@ -65,15 +66,15 @@
             .stderr(Stdio::inherit())
             .spawn()
             .unwrap();
-        // Killed at another place each time: somewhere within the publication after some.
-        let wanted = last + 1 + kill % 3;
-        let until = Instant::now() + LONG;
-        while read(&dir).unwrap_or(0) <= wanted {
+        // Kills at a different point each time: during one of the next publications.
+        let target = last + 1 + kill % 3;
+        let until = Instant::now() + TIMEOUT;
+        while read(&dir).unwrap_or(0) <= target {
             assert!(Instant::now() < until, "nothing is published");
             std::hint::spin_loop();
         }
-        let begun = Instant::now();
-        while begun.elapsed() < Duration::from_micros(kill * 17 % 1_500) {
+        let start = Instant::now();
+        while start.elapsed() < Duration::from_micros(kill * 17 % 1_500) {
             std::hint::spin_loop();
         }
         child.kill().unwrap();
@@ -82,7 +83,7 @@
         assert!(found > last, "{found} after {last}");
         last = found;
     }
-    over.store(true, Ordering::SeqCst);
+    ended.store(true, Ordering::SeqCst);
     readers.into_iter().for_each(|r| r.join().unwrap());
     let reads = reads.load(Ordering::SeqCst);
     assert!(reads > KILLS, "{reads} reads");
--- a/crates/standins/tests/memory.rs
+++ b/crates/standins/tests/memory.rs
@@ -1,4 +1,5 @@
-//! A process that remembers is killed outright, at any moment of its writing.
+//! A process that writes to the memory is killed with SIGKILL at arbitrary points: every recovery must find all
+//! that was committed, and no part of a group of changes.
 
 use dahliapoint_memory::directory::FsDirectory;
 use dahliapoint_memory::frames::Key;
@@ -7,13 +8,13 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Kills in an ordinary run; the full number is 500 (`DAHLIAPOINT_KILLS=500`).
+/// Kills in an ordinary run; a full run has 500 (`DAHLIAPOINT_KILLS=500`).
 const KILLS: u64 = 60;
 
 #[test]
-fn every_restart_loads_what_was_committed() {
-    let told = std::env::var("DAHLIAPOINT_KILLS").ok();
-    let kills: u64 = told.and_then(|n| n.parse().ok()).unwrap_or(KILLS);
+fn every_restart_recovers_what_was_committed() {
+    let count = std::env::var("DAHLIAPOINT_KILLS").ok();
+    let kills: u64 = count.and_then(|n| n.parse().ok()).unwrap_or(KILLS);
     let dir = std::env::temp_dir().join(format!("dahliapoint-remember-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
     let (mut committed, mut torn) = (0, 0);
@@ -24,29 +25,29 @@
             .stdout(Stdio::piped())
             .spawn()
             .unwrap();
-        // It tells each number once that is committed; it is killed somewhere behind one of them.
+        // The process prints each number once it is committed; it is killed some time after one of them.
         let mut lines = BufReader::new(child.stdout.take().unwrap()).lines();
         for _ in 0..=(kill * 7 % 40) {
             committed = lines.next().unwrap().unwrap().parse().unwrap();
         }
-        let begun = Instant::now();
-        while begun.elapsed() < Duration::from_micros(kill * 37 % 900) {
+        let start = Instant::now();
+        while start.elapsed() < Duration::from_micros(kill * 37 % 900) {
             std::hint::spin_loop();
         }
         child.kill().unwrap();
         child.wait().unwrap();
-        // What was told meanwhile is committed too.
+        // Numbers printed before the kill are committed too.
         for line in lines.map_while(Result::ok) {
             committed = line.parse().unwrap_or(committed);
         }
-        let mut layer = FsDirectory::open_read_only(&dir).unwrap();
-        let (facts, found) = recover(&mut layer, &Key::default()).unwrap();
+        let mut directory = FsDirectory::open_read_only(&dir).unwrap();
+        let (facts, found) = recover(&mut directory, &Key::default()).unwrap();
         let last = facts.alive.wall_ms as u64;
         assert!(
             last >= committed,
             "kill {kill}: {last}, and {committed} was committed: {found:?}"
         );
-        // All of one number, or of the next: each server tells the last one that was its turn.
+        // Groups are applied as a whole: each server has the last number of its own.
         for n in last.saturating_sub(6)..=last {
             let fact = facts.servers.get(&format!("s{}", n % 7));
             assert!(
