--- a/crates/standins/src/real_proxy.rs
+++ b/crates/standins/src/real_proxy.rs
@@ -241,7 +241,7 @@
             let mut headers = [httparse::EMPTY_HEADER; 32];
             let mut response = httparse::Response::new(&mut headers);
             let parsed = response.parse(&bytes).map_err(io::Error::other)?;
-            let httparse::Status::Complete(begins) = parsed else {
+            let httparse::Status::Complete(head_length) = parsed else {
                 continue;
             };
             let header = |name: &str| {
@@ -250,13 +250,13 @@
                 found.next().and_then(|h| std::str::from_utf8(h.value).ok())
             };
             let length = header("content-length").and_then(|v| v.parse::<usize>().ok());
-            if bytes.len() < begins + length.unwrap_or(0) {
+            if bytes.len() < head_length + length.unwrap_or(0) {
                 continue;
             }
             let status = response.code.unwrap_or(0);
-            let closes = header("connection") == Some("close");
-            let is_admitted = !bytes[begins..].starts_with(b"not let in");
-            if !closes && !end.has_fired() {
+            let is_closing = header("connection") == Some("close");
+            let is_admitted = !bytes[head_length..].starts_with(b"not let in");
+            if !is_closing && !end.has_fired() {
                 let mut kept = lock(&self.idle_connections);
                 if kept.len() < MAX_IDLE_CONNECTIONS {
                     kept.push(socket);
@@ -317,8 +317,8 @@
         lock(&self.process).is_some() && !self.stops_reading.load(Ordering::SeqCst)
     }
 
-    fn set_fault(&self, what: ProxyFault, on: bool) {
-        match what {
+    fn set_fault(&self, fault: ProxyFault, on: bool) {
+        match fault {
             ProxyFault::RejectsMessages => self.rejects_messages.store(on, Ordering::SeqCst),
             ProxyFault::StopsReading => {
                 self.stops_reading.store(on, Ordering::SeqCst);
@@ -397,8 +397,8 @@
             *lock(&self.last_update_ms) = now;
             let lines = message.lines as u64;
             if lines > 0 && message.bytes > 0 {
-                let whole = message.bytes / lines * (servers.len() as u64).max(lines);
-                checker.record_bytes(message.bytes, whole);
+                let whole_table_bytes = message.bytes / lines * (servers.len() as u64).max(lines);
+                checker.record_bytes(message.bytes, whole_table_bytes);
             }
         }
         let controller_run = run_state.controller_run.load(Ordering::SeqCst);
--- a/crates/standins/src/rule_checker.rs
+++ b/crates/standins/src/rule_checker.rs
@@ -56,6 +56,21 @@
     try_number: u32,
 }
 
+/// Lines that wait in the channel.
+#[derive(Default)]
+struct QueuedLines {
+    now: f64,
+    peak: f64,
+}
+
+/// How a message reached the proxies.
+struct Rollout {
+    first_received_ms: f64,
+    last_applied_ms: f64,
+    /// How many proxies applied it.
+    proxies: u64,
+}
+
 /// The visits of one class, by result.
 #[derive(Clone, Debug, Default)]
 pub struct VisitCounts {
@@ -72,16 +87,15 @@
     rules: Mutex<[RuleRecord; 5]>,
     effects: Mutex<HashMap<u64, Effect>>,
     messages: Mutex<BTreeMap<String, VecDeque<f64>>>,
-    /// Lines that wait in the channel: now, and the peak.
-    queued_lines: Mutex<(f64, f64)>,
+    queued_lines: Mutex<QueuedLines>,
     pub visit_counts: Mutex<Vec<VisitCounts>>,
     message_delays: Mutex<Histogram<u64>>,
     /// Times from a drain in the roster until a visit that still came.
     pub drained_visit_delays: Mutex<Histogram<u64>>,
     /// Times from a drain in the roster until a proxy applied it.
     pub drain_apply_delays: Mutex<Histogram<u64>>,
-    /// By the controller's serial: when it was first received, when last applied, and by how many proxies.
-    rollouts: Mutex<BTreeMap<String, (f64, f64, u64)>>,
+    /// By the controller's serial.
+    rollouts: Mutex<BTreeMap<String, Rollout>>,
     /// Times from a kill of the controller until every proxy was bound again.
     pub rebind_ms: Mutex<Vec<f64>>,
     /// Cold servers that failed: the name, the time, and the share of load from proxies that must have known.
@@ -220,9 +234,9 @@
         let limits = &self.limits;
         let queued_lines = {
             let mut queued_lines = lock(&self.queued_lines);
-            queued_lines.0 += lines;
-            queued_lines.1 = queued_lines.1.max(queued_lines.0);
-            queued_lines.0
+            queued_lines.now += lines;
+            queued_lines.peak = queued_lines.peak.max(queued_lines.now);
+            queued_lines.now
         };
         if queued_lines > limits.max_queued_lines {
             let description = format!(
@@ -250,7 +264,7 @@
 
     /// A message has left the channel.
     pub fn message_delivered(&self, lines: f64, took_ms: f64) {
-        lock(&self.queued_lines).0 -= lines;
+        lock(&self.queued_lines).now -= lines;
         let _ = lock(&self.message_delays).record(((took_ms * 1e3) as u64).max(1));
     }
 
@@ -269,12 +283,14 @@
     /// Records that a proxy applied the message of a serial.
     pub fn record_applied(&self, serial: &str, received_ms: f64, now: f64) {
         let mut rollouts = lock(&self.rollouts);
-        let seen = rollouts
-            .entry(serial.to_string())
-            .or_insert((received_ms, now, 0));
-        seen.0 = seen.0.min(received_ms);
-        seen.1 = seen.1.max(now);
-        seen.2 += 1;
+        let rollout = rollouts.entry(serial.to_string()).or_insert(Rollout {
+            first_received_ms: received_ms,
+            last_applied_ms: now,
+            proxies: 0,
+        });
+        rollout.first_received_ms = rollout.first_received_ms.min(received_ms);
+        rollout.last_applied_ms = rollout.last_applied_ms.max(now);
+        rollout.proxies += 1;
     }
 
     /// Records how long after its listing a drain was applied.
@@ -322,8 +338,9 @@
         let mut rounds: Vec<f64> = {
             let rollouts = lock(&self.rollouts);
             // Only serials that went to more than one proxy: the lines of a tick, a withdrawal.
-            let many = rollouts.values().filter(|s| s.2 > 1);
-            many.map(|s| s.1 - s.0).collect()
+            let many = rollouts.values().filter(|r| r.proxies > 1);
+            many.map(|r| r.last_applied_ms - r.first_received_ms)
+                .collect()
         };
         rounds.sort_by(f64::total_cmp);
         let round = |q: f64| {
@@ -336,7 +353,7 @@
             "rules": rules,
             "earnings": {"asked": asked, "fulfilled": served, "share": served / f64::max(asked, 1e-9)},
             "visits": visits,
-            "channel": {"most_waiting": lock(&self.queued_lines).1, "way": times(&lock(&self.message_delays)),
+            "channel": {"most_waiting": lock(&self.queued_lines).peak, "way": times(&lock(&self.message_delays)),
                         "bytes": bytes.0, "bytes_if_whole": bytes.1},
             "first_to_last_applied": rounds,
             "drain_to_applied": times(&lock(&self.drain_apply_delays)),
--- a/crates/standins/src/run_state.rs
+++ b/crates/standins/src/run_state.rs
@@ -7,6 +7,9 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
+/// The length of the slots in which tries are counted.
+const TRY_SLOT_MS: f64 = 250.0;
+
 /// Locks a mutex, also after a panic of another holder.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
@@ -40,7 +43,7 @@
     started_at: Instant,
     pub zones: Vec<String>,
     pub checker: RuleChecker,
-    /// Tries that ended, by server and slot of 250 ms.
+    /// Tries that ended, by server and slot of [`TRY_SLOT_MS`].
     tries_by_slot: Mutex<HashMap<(usize, u64), f64>>,
     /// When each server with the `stale_load` fault got it.
     pub stale_since: Mutex<HashMap<usize, f64>>,
@@ -121,14 +124,14 @@
 
     /// Counts a try at a server that has ended.
     pub fn record_try(&self, server: usize) {
-        let slot = (self.now_ms() / 250.0) as u64;
+        let slot = (self.now_ms() / TRY_SLOT_MS) as u64;
         *lock(&self.tries_by_slot).entry((server, slot)).or_default() += 1.0;
     }
 
     /// The tries at a server that ended in a period.
     pub fn tries_between(&self, server: usize, from: f64, to: f64) -> f64 {
         let tries_by_slot = lock(&self.tries_by_slot);
-        let slots = (from / 250.0) as u64..(to / 250.0) as u64;
+        let slots = (from / TRY_SLOT_MS) as u64..(to / TRY_SLOT_MS) as u64;
         slots
             .filter_map(|slot| tries_by_slot.get(&(server, slot)))
             .sum()
--- a/crates/standins/src/runner.rs
+++ b/crates/standins/src/runner.rs
@@ -114,7 +114,7 @@
     }
 
     /// CPU time and peak memory since the last start.
-    fn resource_usage(&self) -> Option<(f64, f64)> {
+    fn resource_usage(&self) -> Option<ResourceUsage> {
         resource_usage_of(self.child.as_ref()?.id())
     }
 
@@ -140,15 +140,24 @@
     }
 }
 
-/// CPU time of a process in milliseconds, and its peak memory in MiB.
-fn resource_usage_of(pid: u32) -> Option<(f64, f64)> {
+/// What a process has used.
+struct ResourceUsage {
+    cpu_ms: f64,
+    peak_memory_mib: f64,
+}
+
+/// The resource usage of a process, from `/proc`.
+fn resource_usage_of(pid: u32) -> Option<ResourceUsage> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let fields: Vec<&str> = stat.rsplit(") ").next()?.split(' ').collect();
     let ticks = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:"))?;
-    let peak = peak.trim().trim_end_matches(" kB").parse::<f64>().ok()?;
-    Some((ticks * 10.0, peak / 1024.0))
+    let peak_kib = peak.trim().trim_end_matches(" kB").parse::<f64>().ok()?;
+    Some(ResourceUsage {
+        cpu_ms: ticks * 10.0,
+        peak_memory_mib: peak_kib / 1024.0,
+    })
 }
 
 impl Drop for ControllerProcess {
@@ -291,11 +300,11 @@
             let to = asked - REPORT_DELAY_MS;
             let true_tries = run_state.tries_between(index, to - ESTIMATE_WINDOW_MS, to);
             if true_tries >= MIN_TRIES {
-                let said = number("tries_per_s") * ESTIMATE_WINDOW_MS / 1e3;
-                self.errors.push((said / true_tries - 1.0).abs());
+                let estimated = number("tries_per_s") * ESTIMATE_WINDOW_MS / 1e3;
+                self.errors.push((estimated / true_tries - 1.0).abs());
                 let bound =
                     number("error_per_s") * ESTIMATE_WINDOW_MS / 1e3 + 2.0 * true_tries.sqrt();
-                self.bounded += usize::from((said - true_tries).abs() <= bound);
+                self.bounded += usize::from((estimated - true_tries).abs() <= bound);
             }
             let flagged = estimate["stale"] == json!(true);
             let since = lock(&run_state.stale_since).get(&index).copied();
@@ -499,16 +508,16 @@
     // The usage of this process: all servers, proxies, clients and links.
     report["standins"] = json!({
         "proxies": if scenario.uses_real_proxy { "obedient" } else { "scripted" },
-        "cpu_ms": resource_usage_of(std::process::id()).map(|u| u.0),
-        "peak_memory_mib": resource_usage_of(std::process::id()).map(|u| u.1),
+        "cpu_ms": resource_usage_of(std::process::id()).map(|u| u.cpu_ms),
+        "peak_memory_mib": resource_usage_of(std::process::id()).map(|u| u.peak_memory_mib),
     });
     report["day"] = json!(scenario.name);
     report["size"] = json!({"servers": scenario.servers, "proxies": scenario.proxies, "seconds": scenario.duration_ms / 1e3});
     report["controller"] = json!({
         "starts": runner.process.starts,
         "ended_orderly": runner.ended_orderly,
-        "cpu_ms_since_last_start": usage.map(|u| u.0),
-        "peak_memory_mib": usage.map(|u| u.1),
+        "cpu_ms_since_last_start": usage.as_ref().map(|u| u.cpu_ms),
+        "peak_memory_mib": usage.as_ref().map(|u| u.peak_memory_mib),
         "deciding": overview["deciding"],
         "intake": overview["intake"],
         "files": overview["files"],
@@ -552,22 +561,25 @@
 
     /// Checks rule 1 at every proxy, and whether all are bound again after a kill.
     fn check_proxies(&mut self, now: f64) {
-        let warm = self.scenario.deployment.terms.warm_up_ms;
+        let warm_up_ms = self.scenario.deployment.terms.warm_up_ms;
         let listed = lock(&self.run_state.listed).clone();
-        let open = self.context.servers.iter().any(|b| {
-            let t = &listed[b.index];
-            let since = |at: Option<f64>| at.is_none_or(|at| now - at >= warm);
-            t.state == "ready" && since(t.started_ms) && since(b.started_ms()) && b.is_up()
+        let is_warm_ready = self.context.servers.iter().any(|server| {
+            let entry = &listed[server.index];
+            let is_warm = |start: Option<f64>| start.is_none_or(|at| now - at >= warm_up_ms);
+            entry.state == "ready"
+                && is_warm(entry.started_ms)
+                && is_warm(server.started_ms())
+                && server.is_up()
         });
         self.proxies
             .iter()
-            .for_each(|p| p.check_no_server(now, open));
-        let alive = |p: &&Arc<dyn TestProxy>| p.is_reachable();
+            .for_each(|p| p.check_no_server(now, is_warm_ready));
+        let is_reachable = |p: &&Arc<dyn TestProxy>| p.is_reachable();
         if let Some(at) = self.killed_ms
             && self
                 .proxies
                 .iter()
-                .filter(alive)
+                .filter(is_reachable)
                 .all(|p| p.is_bound_after(at))
         {
             lock(&self.run_state.checker.rebind_ms).push(now - at);
@@ -613,6 +625,7 @@
         e.targets.iter().map(|i| &self.proxies[*i])
     }
 
+    /// Runs one step; an event schedules its own end.
     fn run_step(&mut self, step: Step) -> Result<(), String> {
         match step {
             Step::WriteRoster => self.roster.write(&self.context.servers)?,
@@ -714,9 +727,9 @@
                 .for_each(|p| p.clone().restart(e.size * 1e3)),
             Action::BreakStreams => {
                 self.killed_ms = Some(now);
-                for relay in &self.context.links {
-                    relay.set(LinkState::Cut);
-                    relay.set(LinkState::Open);
+                for link in &self.context.links {
+                    link.set(LinkState::Cut);
+                    link.set(LinkState::Open);
                 }
             }
         }
@@ -784,23 +797,23 @@
     }
 
     /// Divides the rate of the channel by a factor.
-    fn slow_channel(&self, slower: f64) {
-        let usual = self.scenario.deployment.terms.lines_per_s;
-        *lock(&self.context.channel.lines_per_s) = usual / slower;
+    fn slow_channel(&self, factor: f64) {
+        let lines_per_s = self.scenario.deployment.terms.lines_per_s;
+        *lock(&self.context.channel.lines_per_s) = lines_per_s / factor;
     }
 
     /// Sets the links that an event on a zone affects. The controller is in the first zone, so cutting that
     /// zone cuts the links of all others.
-    fn set_links(&self, e: &Event, mode: LinkState) {
+    fn set_links(&self, e: &Event, state: LinkState) {
         let zone = e.size as usize;
-        let cut = mode == LinkState::Cut || mode == LinkState::Open;
-        for (i, relay) in self.context.links.iter().enumerate() {
-            let apart = match zone {
-                0 => i != 0 && cut,
+        let is_cut_or_open = state == LinkState::Cut || state == LinkState::Open;
+        for (i, link) in self.context.links.iter().enumerate() {
+            let is_affected = match zone {
+                0 => i != 0 && is_cut_or_open,
                 _ => i == zone,
             };
-            if apart || !cut && i == zone {
-                relay.set(mode);
+            if is_affected || !is_cut_or_open && i == zone {
+                link.set(state);
             }
         }
     }
--- a/crates/standins/src/scripted_proxy.rs
+++ b/crates/standins/src/scripted_proxy.rs
@@ -60,7 +60,7 @@
     /// Whether it runs and reads its stream.
     fn is_reachable(&self) -> bool;
     /// Switches a fault on or off.
-    fn set_fault(&self, what: ProxyFault, on: bool);
+    fn set_fault(&self, fault: ProxyFault, on: bool);
 }
 
 /// Since when a proxy has had no server to choose.
@@ -177,6 +177,15 @@
     }
 }
 
+/// A message that was read from a stream and is still in the model of the channel.
+struct QueuedMessage {
+    response: DeltaDiscoveryResponse,
+    received_ms: f64,
+    /// When it leaves the channel.
+    send_time_ms: f64,
+    lines: f64,
+}
+
 /// What the next load report counts.
 #[derive(Default)]
 struct LoadCounts {
@@ -274,16 +283,16 @@
     fn draw_initial_servers(&self) {
         let listed = lock(&self.context.run_state.listed).clone();
         let ready = |s: &&Arc<TestServer>| listed[s.index].state == "ready";
-        let near: Vec<usize> = {
-            let there = self.context.servers.iter().filter(ready);
-            let near = there.clone().filter(|s| s.zone == self.zone);
+        let candidates: Vec<usize> = {
+            let all = self.context.servers.iter().filter(ready);
+            let near = all.clone().filter(|s| s.zone == self.zone);
             let near: Vec<usize> = near.map(|s| s.index).collect();
             match near.len() >= 3 {
                 true => near,
-                false => there.map(|s| s.index).collect(),
+                false => all.map(|s| s.index).collect(),
             }
         };
-        let mut left = near;
+        let mut left = candidates;
         let mut rng = self.rng(1);
         let mut drawn = Vec::new();
         while drawn.len() < self.context.initial_server_count && !left.is_empty() {
@@ -363,8 +372,6 @@
         table.received.then_some(table.targets.len())
     }
 
-    // ---- tables ----
-
     /// Opens one stream after the other until the run ends.
     fn run_streams(self: &Arc<Self>) {
         let mut rng = self.rng(2);
@@ -417,17 +424,14 @@
         ended
     }
 
+    /// Whether the run has ended or the process is stopped.
     fn is_stopped(&self) -> bool {
         self.context.run_state.has_ended() || self.is_down.load(Ordering::SeqCst)
     }
 
     /// Reads messages and records each as it comes out of the socket. The model of the channel sets when it
     /// leaves.
-    fn read_stream(
-        &self,
-        mut inbound: Inbound,
-        queue: &Queue<(DeltaDiscoveryResponse, f64, f64, f64)>,
-    ) {
+    fn read_stream(&self, mut inbound: Inbound, queue: &Queue<QueuedMessage>) {
         let context = &self.context;
         loop {
             while self.stops_reading.load(Ordering::SeqCst) && !self.is_stopped() {
@@ -446,8 +450,16 @@
                         .run_state
                         .checker
                         .check_message(now, &self.name, lines);
-                    let send_time = context.channel.send_time(now, lines);
-                    if queue.put((response, now, send_time, lines)).is_err() {
+                    let send_time_ms = context.channel.send_time(now, lines);
+                    if queue
+                        .put(QueuedMessage {
+                            response,
+                            received_ms: now,
+                            send_time_ms,
+                            lines,
+                        })
+                        .is_err()
+                    {
                         context.run_state.checker.message_delivered(lines, 0.0);
                         break;
                     }
@@ -471,7 +483,7 @@
     fn apply_messages(
         &self,
         mut outbound: Outbound,
-        queue: &Queue<(DeltaDiscoveryResponse, f64, f64, f64)>,
+        queue: &Queue<QueuedMessage>,
     ) -> Result<(), Status> {
         let context = &self.context;
         let run_state = &context.run_state;
@@ -483,21 +495,23 @@
                 Received::TimedOut => continue,
                 Received::Closed => return Ok(()),
             };
-            let mut broken = None;
-            for (response, received_ms, send_time, lines) in items {
-                if broken.is_none() {
-                    run_state.wait_until(send_time);
+            let mut failure = None;
+            for message in items {
+                if failure.is_none() {
+                    run_state.wait_until(message.send_time_ms);
                 }
                 run_state
                     .checker
-                    .message_delivered(lines, run_state.now_ms() - received_ms);
-                if broken.is_some() {
+                    .message_delivered(message.lines, run_state.now_ms() - message.received_ms);
+                if failure.is_some() {
                     continue;
                 }
-                run_state.wait_until(send_time + context.channel.latency_ms);
-                broken = self.apply(&response, received_ms, &mut outbound).err();
+                run_state.wait_until(message.send_time_ms + context.channel.latency_ms);
+                failure = self
+                    .apply(&message.response, message.received_ms, &mut outbound)
+                    .err();
             }
-            if let Some(status) = broken {
+            if let Some(status) = failure {
                 return Err(status);
             }
         }
@@ -533,8 +547,9 @@
         checker.record_applied(&serial, received_ms, now);
         if response.type_url == LEDS && lines > 0 {
             let bytes = response.encoded_len() as u64;
-            let whole = bytes / lines as u64 * lock(&self.table).targets.len().max(lines) as u64;
-            checker.record_bytes(bytes, whole);
+            let whole_table_bytes =
+                bytes / lines as u64 * lock(&self.table).targets.len().max(lines) as u64;
+            checker.record_bytes(bytes, whole_table_bytes);
         }
         for request in &requests {
             outbound.send(request)?;
@@ -542,8 +557,6 @@
         Ok(())
     }
 
-    // ---- reports ----
-
     /// Sends load reports at the interval that the controller asks for, until the stream has ended.
     fn send_reports<T>(&self, link: &Link, alive: &Queue<T>) -> Result<(), Status> {
         const LRS: &str = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats";
@@ -553,12 +566,12 @@
         dialed.outbound.send(&load_request(Some(node), 0.0, &[]))?;
         let (mut outbound, mut inbound) = dialed.answered()?;
         let first = inbound.message::<LoadStatsResponse>()?;
-        let every = first.and_then(|r| r.load_reporting_interval);
-        let every = every.map_or(1.0, |d| d.seconds as f64 + f64::from(d.nanos) / 1e9);
+        let interval_s = first.and_then(|r| r.load_reporting_interval);
+        let interval_s = interval_s.map_or(1.0, |d| d.seconds as f64 + f64::from(d.nanos) / 1e9);
         lock(&self.counts).since_ms = run_state.now_ms();
         while !alive.is_closed() && !self.is_stopped() {
             let floods_reports = self.floods_reports.load(Ordering::SeqCst);
-            let wait = if floods_reports { 0.005 } else { every };
+            let wait = if floods_reports { 0.005 } else { interval_s };
             sleep(Duration::from_secs_f64(wait));
             let now = run_state.now_ms();
             let counts = {
@@ -576,6 +589,7 @@
         Ok(())
     }
 
+    /// The counts as tallies of a load report, a cluster for each class.
     fn cluster_tallies(&self, counts: &LoadCounts) -> Vec<ClusterTally> {
         let classes = self.context.classes.iter().enumerate();
         classes
@@ -596,23 +610,22 @@
             .collect()
     }
 
-    fn count(&self, class: usize, server: usize, note: impl FnOnce(&mut EndpointTally)) {
+    /// Changes the tally of a class at a server.
+    fn count(&self, class: usize, server: usize, change: impl FnOnce(&mut EndpointTally)) {
         let mut counts = lock(&self.counts);
         let tally = counts.endpoints.entry((class, server)).or_default();
         if tally.address.is_empty() {
             tally.address = self.context.servers[server].address.to_string();
         }
-        note(tally);
+        change(tally);
     }
 
-    // ---- visits ----
-
     /// Sends visits with exponentially distributed gaps, and drops idle connections every 2 s.
     fn generate_visits(self: &Arc<Self>) {
         let mut rng = self.rng(3);
         let run_state = self.context.run_state.clone();
         let mut next = run_state.now_ms();
-        let mut pruned = next;
+        let mut last_pruned = next;
         while !run_state.has_ended() && self.visits_per_s > 0.0 {
             next += -f64::ln(1.0 - rng.random::<f64>()) / self.visits_per_s * 1e3;
             run_state.wait_until(next);
@@ -621,17 +634,17 @@
                 continue;
             }
             let now = run_state.now_ms();
-            if now - pruned > 2_000.0 {
-                pruned = now;
-                let idle = self.context.idle_ms;
+            if now - last_pruned > 2_000.0 {
+                last_pruned = now;
+                let idle_ms = self.context.idle_ms;
                 let mut pools = lock(&self.pools);
                 pools
                     .values_mut()
-                    .for_each(|kept| kept.retain(|(_, used)| now - used < idle));
+                    .for_each(|idle| idle.retain(|(_, used)| now - used < idle_ms));
             }
-            let (class, visit_seed) = (rng.random::<f64>(), rng.random::<u64>());
+            let (class_draw, visit_seed) = (rng.random::<f64>(), rng.random::<u64>());
             let proxy = self.clone();
-            spawn(move || proxy.visit(class, visit_seed));
+            spawn(move || proxy.visit(class_draw, visit_seed));
         }
     }
 
@@ -645,8 +658,8 @@
         let id = context.visits.fetch_add(1, Ordering::SeqCst) + 1;
         let start_ms = run_state.now_ms();
         lock(&run_state.checker.visit_counts)[class].asked += 1;
-        let stalled = *lock(&self.busy_until_ms);
-        run_state.wait_until(stalled);
+        let busy_until_ms = *lock(&self.busy_until_ms);
+        run_state.wait_until(busy_until_ms);
         let table = lock(&self.table).clone();
         if rng.random::<f64>() >= table.shares[class] {
             *lock(&self.counts).dropped.entry(class).or_default() += 1;
@@ -655,7 +668,7 @@
         }
         let work = workload.work_ms * (0.5 + rng.random::<f64>());
         let mut tried = Vec::new();
-        let mut good = false;
+        let mut succeeded = false;
         for number in 1..=2 {
             let Some(server) = self.choose_server(&tried, &mut rng) else {
                 break;
@@ -665,8 +678,8 @@
                 break;
             }
             // A try that may be retried waits only until the soft limit.
-            let followed = number == 1 && table.on_failure[class];
-            let left = if followed {
+            let may_retry = number == 1 && table.on_failure[class];
+            let left = if may_retry {
                 left.min(workload.soft_ms)
             } else {
                 left
@@ -675,7 +688,7 @@
             tried.push(server);
             match outcome {
                 Outcome::Succeeded => {
-                    good = true;
+                    succeeded = true;
                     break;
                 }
                 Outcome::NotExecuted => {}
@@ -686,7 +699,7 @@
         let took = run_state.now_ms() - start_ms;
         let mut visit_counts = lock(&run_state.checker.visit_counts);
         let visit_counts = &mut visit_counts[class];
-        match (good, took <= workload.soft_ms) {
+        match (succeeded, took <= workload.soft_ms) {
             (true, true) => visit_counts.in_time += 1,
             (true, false) => visit_counts.late += 1,
             (false, _) => visit_counts.failed += 1,
@@ -702,13 +715,13 @@
             let still = ejected.iter().filter(|(_, (_, until))| *until > now);
             still.map(|(s, _)| *s).collect()
         };
-        let fresh = table.targets.iter().filter(|p| !tried.contains(&p.server));
-        let mut open: Vec<&Target> = fresh
+        let untried = table.targets.iter().filter(|p| !tried.contains(&p.server));
+        let mut open: Vec<&Target> = untried
             .clone()
             .filter(|p| !ejected.contains(&p.server))
             .collect();
         if open.is_empty() {
-            open = fresh.collect();
+            open = untried.collect();
         }
         let sum: f64 = open.iter().map(|p| p.weight).sum();
         let mut left = rng.random::<f64>() * sum;
@@ -763,13 +776,13 @@
             false => self.send_request(server, class, id, number, work, left, knows_start),
         };
         let took = run_state.now_ms() - sent;
-        let good = outcome == Outcome::Succeeded;
+        let succeeded = outcome == Outcome::Succeeded;
         run_state.record_try(server);
         if let Some(count) = lock(&self.in_flight).get_mut(&(class, server)) {
             *count -= 1;
         }
         self.count(class, server, |t| {
-            if good {
+            if succeeded {
                 t.good += 1;
                 t.good_ms += took;
             } else {
@@ -778,7 +791,7 @@
         });
         let mut ejected = lock(&self.ejected);
         let failures = ejected.entry(server).or_insert((0, 0.0));
-        failures.0 = if good { 0 } else { failures.0 + 1 };
+        failures.0 = if succeeded { 0 } else { failures.0 + 1 };
         if context.ejection_failures > 0 && failures.0 >= context.ejection_failures {
             *failures = (0, run_state.now_ms() + context.ejection_ms);
         }
@@ -805,7 +818,7 @@
                 other => break other.map(|(socket, _)| socket),
             }
         };
-        let fresh = pooled.is_none();
+        let is_new = pooled.is_none();
         let mut socket = match pooled {
             Some(socket) => socket,
             None => {
@@ -828,7 +841,7 @@
         );
         if socket.write_all(head.as_bytes()).is_err() {
             // The server may have closed an idle connection before the request; a new one broke.
-            return if fresh {
+            return if is_new {
                 Outcome::Failed
             } else {
                 Outcome::NotExecuted
@@ -855,9 +868,9 @@
                         _ => Outcome::Failed,
                     };
                     self.record_load_report(server, class, response.headers);
-                    let kept = !end.has_fired();
+                    let is_reusable = !end.has_fired();
                     drop(end);
-                    if kept {
+                    if is_reusable {
                         let now = context.run_state.now_ms();
                         let mut pools = lock(&self.pools);
                         pools.entry(server).or_default().push((socket, now));
@@ -935,8 +948,8 @@
         !self.is_down.load(Ordering::SeqCst) && !self.stops_reading.load(Ordering::SeqCst)
     }
 
-    fn set_fault(&self, what: ProxyFault, on: bool) {
-        let flag = match what {
+    fn set_fault(&self, fault: ProxyFault, on: bool) {
+        let flag = match fault {
             ProxyFault::RejectsMessages => &self.rejects_messages,
             ProxyFault::StopsReading => &self.stops_reading,
             ProxyFault::FloodsReports => &self.floods_reports,
--- a/crates/standins/src/test_server.rs
+++ b/crates/standins/src/test_server.rs
@@ -27,7 +27,7 @@
 pub struct Faults {
     /// The share of visits that it answers at once with an error.
     pub fail_share: f64,
-    /// Accepts visits and probes but answers none.
+    /// Accepts visits and probes but answers none; also stands for a server that died silently.
     pub hangs: bool,
     /// The factor by which it is slower.
     pub slowdown: f64,
@@ -47,13 +47,21 @@
     started_ms: Option<f64>,
     /// It failed from overload while cold, and answers nothing until a restart.
     overloaded: bool,
-    /// Work received while cold: the time, the amount, and whether the proxy must have known of the start.
-    cold_work: VecDeque<(f64, f64, bool)>,
+    /// The visits of the overload window.
+    cold_work: VecDeque<ColdWork>,
     reported_load: f64,
     reported_latency_ms: f64,
     latency_ms: f64,
 }
 
+/// A visit that came while the server was cold.
+struct ColdWork {
+    at_ms: f64,
+    work_ms: f64,
+    /// The proxy must have known of the start.
+    knows_start: bool,
+}
+
 /// A test server.
 pub struct TestServer {
     pub index: usize,
@@ -262,11 +270,11 @@
             }
             let (queue, latency) = self.load_report();
             let reason = if status == 503 { "X-Unseen: 1\r\n" } else { "" };
-            let said = format!(
+            let response = format!(
                 "HTTP/1.1 {status} X\r\n{reason}endpoint-load-metrics: TEXT named_metrics.queue={queue},\
                  named_metrics.latency_ms={latency:.3}\r\nContent-Length: 0\r\n\r\n"
             );
-            if socket.write_all(said.as_bytes()).is_err() {
+            if socket.write_all(response.as_bytes()).is_err() {
                 return;
             }
         }
@@ -380,20 +388,29 @@
     /// multiple of its capacity by more than four times the work of this visit.
     fn record_cold_work(&self, state: &mut ServerState, now: f64, capacity: f64, visit: Visit) {
         let work_ms = visit.work_ms / self.speed;
-        state.cold_work.push_back((now, work_ms, visit.knows_start));
+        state.cold_work.push_back(ColdWork {
+            at_ms: now,
+            work_ms,
+            knows_start: visit.knows_start,
+        });
         let window_ms = self.cold.overload_window_ms;
         while state
             .cold_work
             .front()
-            .is_some_and(|(at, ..)| now - at > window_ms)
+            .is_some_and(|c| now - c.at_ms > window_ms)
         {
             state.cold_work.pop_front();
         }
-        let total_work: f64 = state.cold_work.iter().map(|c| c.1).sum();
+        let total_work: f64 = state.cold_work.iter().map(|c| c.work_ms).sum();
         let max_work =
             self.cold.overload_multiple * capacity * state.cores.len() as f64 * window_ms;
         if total_work > max_work + 4.0 * work_ms {
-            let informed_work: f64 = state.cold_work.iter().filter(|c| c.2).map(|c| c.1).sum();
+            let informed_work: f64 = state
+                .cold_work
+                .iter()
+                .filter(|c| c.knows_start)
+                .map(|c| c.work_ms)
+                .sum();
             state.overloaded = true;
             self.run_state
                 .checker
