--- a/crates/standins/src/faulty_controller.rs
+++ b/crates/standins/src/faulty_controller.rs
@@ -128,6 +128,7 @@
     seen: BTreeSet<(usize, usize)>,
     /// When each server that had been withdrawn came back.
     returned_ms: BTreeMap<usize, f64>,
+    /// Counts the rounds of changed weights.
     iteration: u32,
 }
 
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -12,7 +12,7 @@
 mod scripted_proxy;
 mod test_server;
 
-use clap::{Parser, Subcommand, ValueEnum};
+use clap::{Args, Parser, Subcommand, ValueEnum};
 use dahliapoint_control::AdminState;
 use dahliapoint_files::disk::Plain;
 use dahliapoint_files::forms::{FORM, Form, Table, TableLine};
@@ -56,43 +56,50 @@
     Both,
 }
 
+// No doc comment: it would replace the help text of the subcommand.
+#[derive(Args)]
+struct BadDay {
+    /// The file of the scenario.
+    file: PathBuf,
+    /// Print the report as JSON.
+    #[arg(long)]
+    json: bool,
+    /// Inject a fault into the controller that breaks a rule.
+    #[arg(long = "wrong", value_name = "WRONG", value_enum)]
+    fault: Option<faulty_controller::ControllerFault>,
+    /// Inject the fault into the planner's orders, before the guard checks them.
+    #[arg(long, requires = "fault")]
+    in_module: bool,
+    /// The guard's mode, in place of the deployment's.
+    #[arg(long, value_parser = ["hold", "tell", "off"])]
+    guard: Option<String>,
+    /// The kind of proxies, in place of the scenario's.
+    #[arg(long, value_enum)]
+    proxies: Option<ProxyKind>,
+    /// Where real proxies get their tables from, in place of the scenario's.
+    #[arg(long, value_enum)]
+    front: Option<TableSourceArg>,
+    /// Give the controller a memory on disk, which survives restarts.
+    #[arg(long)]
+    memory: bool,
+    /// Run the hooks of this folder in the controller.
+    #[arg(long)]
+    hooks: Option<PathBuf>,
+    /// Use this folder for the controller's logs and the roster, and keep it.
+    #[arg(long)]
+    keep: Option<PathBuf>,
+}
+
 #[derive(Subcommand)]
 enum Command {
     /// Play a scenario; exit code 1 if a rule is broken, 3 if it could not be played.
-    BadDay {
-        file: PathBuf,
-        /// Print the report as JSON.
-        #[arg(long)]
-        json: bool,
-        /// Inject a fault into the controller that breaks a rule.
-        #[arg(long = "wrong", value_name = "WRONG", value_enum)]
-        fault: Option<faulty_controller::ControllerFault>,
-        /// Inject the fault into the planner's orders, before the guard checks them.
-        #[arg(long, requires = "fault")]
-        in_module: bool,
-        /// The guard's mode, in place of the deployment's.
-        #[arg(long, value_parser = ["hold", "tell", "off"])]
-        guard: Option<String>,
-        /// The kind of proxies, in place of the scenario's.
-        #[arg(long, value_enum)]
-        proxies: Option<ProxyKind>,
-        /// Where real proxies get their tables from, in place of the scenario's.
-        #[arg(long, value_enum)]
-        front: Option<TableSourceArg>,
-        /// Give the controller a memory on disk, which survives restarts.
-        #[arg(long)]
-        memory: bool,
-        /// Run the hooks of this folder in the controller.
-        #[arg(long)]
-        hooks: Option<PathBuf>,
-        /// Use this folder for the controller's logs and the roster, and keep it.
-        #[arg(long)]
-        keep: Option<PathBuf>,
-    },
+    BadDay(BadDay),
     /// Draw random scenarios and play them; exit code 1 if one does not pass, and its file is kept.
     Hunt {
+        /// The seed of the first scenario.
         #[arg(long, default_value_t = 1)]
         seed: u64,
+        /// How many scenarios to play.
         #[arg(long, default_value_t = 20)]
         days: u64,
         /// Scenarios played in parallel.
@@ -195,26 +202,9 @@
             }
             ExitCode::from(UNPLAYED)
         }
-        Command::BadDay {
-            file,
-            json,
-            fault,
-            in_module,
-            guard,
-            proxies,
-            front,
-            memory,
-            hooks,
-            keep,
-        } => match bad_day(
-            &file,
-            (fault, in_module),
-            (guard, hooks),
-            (proxies, front, memory),
-            keep,
-        ) {
+        Command::BadDay(options) => match bad_day(&options) {
             Ok(report) => {
-                let text = match json {
+                let text = match options.json {
                     true => format!("{report:#}\n"),
                     false => runner::as_text(&report),
                 };
@@ -233,40 +223,37 @@
 }
 
 /// Runs a scenario with the overrides of the command line; the report.
-fn bad_day(
-    file: &std::path::Path,
-    (fault, in_module): (Option<faulty_controller::ControllerFault>, bool),
-    (guard, hooks): (Option<String>, Option<PathBuf>),
-    (proxies, front, memory): (Option<ProxyKind>, Option<TableSourceArg>, bool),
-    keep: Option<PathBuf>,
-) -> Result<serde_json::Value, String> {
-    let mut scenario = scenario::load(file)?;
-    scenario.uses_real_proxy =
-        proxies.map_or(scenario.uses_real_proxy, |kind| kind == ProxyKind::Real);
-    scenario.memory |= memory;
-    if let Some(guard) = guard {
+fn bad_day(options: &BadDay) -> Result<serde_json::Value, String> {
+    let mut scenario = scenario::load(&options.file)?;
+    scenario.uses_real_proxy = options
+        .proxies
+        .map_or(scenario.uses_real_proxy, |kind| kind == ProxyKind::Real);
+    scenario.memory |= options.memory;
+    if let Some(guard) = &options.guard {
         scenario.deployment_text += &format!("\nguard: {guard}\n");
     }
-    if let Some(dir) = hooks {
+    if let Some(dir) = &options.hooks {
         let dir = dir
             .canonicalize()
             .map_err(|e| format!("{}: {e}", dir.display()))?;
         scenario.deployment_text += &format!("\nhooks: {{dir: {:?}}}\n", dir.display().to_string());
     }
-    scenario.table_source = front.map_or(scenario.table_source, |front| match front {
-        TableSourceArg::Streams => scenario::TableSource::Streams,
-        TableSourceArg::Files => scenario::TableSource::Files,
-        TableSourceArg::Both => scenario::TableSource::Both,
-    });
-    let own = std::env::temp_dir().join(format!("dahliapoint-day-{}", std::process::id()));
-    let folder = keep.clone().unwrap_or(own);
+    scenario.table_source = options
+        .front
+        .map_or(scenario.table_source, |front| match front {
+            TableSourceArg::Streams => scenario::TableSource::Streams,
+            TableSourceArg::Files => scenario::TableSource::Files,
+            TableSourceArg::Both => scenario::TableSource::Both,
+        });
+    let temporary = std::env::temp_dir().join(format!("dahliapoint-day-{}", std::process::id()));
+    let folder = options.keep.clone().unwrap_or(temporary);
     std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-    let arguments = match fault {
+    let arguments = match options.fault {
         None => vec!["controller".to_string(), "run".to_string()],
         Some(fault) => {
             let name = fault.to_possible_value().map(|v| v.get_name().to_string());
             let mut arguments = vec!["sabotaged".to_string(), name.unwrap_or_default()];
-            if in_module {
+            if options.in_module {
                 arguments.push("--in-module".into());
             }
             arguments
@@ -275,7 +262,7 @@
     let mut process = runner::ControllerProcess::new(&folder, arguments);
     let report = runner::run(&scenario, &mut process, &folder);
     drop(process);
-    if keep.is_none() && report.is_ok() {
+    if options.keep.is_none() && report.is_ok() {
         let _ = std::fs::remove_dir_all(&folder);
     }
     report
--- a/crates/standins/src/random_search.rs
+++ b/crates/standins/src/random_search.rs
@@ -30,8 +30,8 @@
     );
     for _ in 0..rng.random_range(3..=9) {
         let (action, _) = ACTIONS[rng.random_range(0..ACTIONS.len())];
-        let at = rng.random_range(500..15_000);
-        let lasts = rng.random_range(300..5_000);
+        let at_ms = rng.random_range(500..15_000);
+        let duration_ms = rng.random_range(300..5_000);
         let target_limit = match action {
             "refuse" | "deaf" | "flood" | "crash_proxy" => proxies,
             _ => servers,
@@ -58,7 +58,7 @@
         };
         let _ = writeln!(
             text,
-            "- {{at: {at}ms, do: {action}, whom: [{}], for: {lasts}ms, size: {size}}}",
+            "- {{at: {at_ms}ms, do: {action}, whom: [{}], for: {duration_ms}ms, size: {size}}}",
             targets.join(", ")
         );
     }
@@ -68,7 +68,7 @@
 /// The result of a drawn scenario.
 struct PlayedScenario {
     seed: u64,
-    code: i32,
+    exit_code: i32,
     report: Value,
 }
 
@@ -106,11 +106,11 @@
             let out = child.wait_with_output().map_err(|e| e.to_string())?;
             let played = PlayedScenario {
                 seed,
-                code: out.status.code().unwrap_or(-1),
+                exit_code: out.status.code().unwrap_or(-1),
                 report: serde_json::from_slice(&out.stdout).unwrap_or_default(),
             };
             print_result(&played);
-            match played.code {
+            match played.exit_code {
                 0 => drop(std::fs::remove_file(&file)),
                 _ => failed.push(file),
             }
@@ -137,7 +137,7 @@
             )
         })
         .collect();
-    let verdict = match (result.code, broken_rules.is_empty()) {
+    let verdict = match (result.exit_code, broken_rules.is_empty()) {
         (0, _) => "kept".to_string(),
         (_, false) => format!("BROKEN: {}", broken_rules.join(", ")),
         (code, true) => format!("not played: exit code {code}"),
@@ -150,35 +150,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn drawn_scenarios_parse_and_depend_on_the_seed_only() {
-        let folder = std::env::temp_dir().join(format!("dahliapoint-hunt-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).unwrap();
-        std::fs::write(folder.join("base.yaml"), BASE_DEPLOYMENT).unwrap();
-        let file = folder.join("day.yaml");
-        let mut kinds = std::collections::BTreeSet::new();
-        for seed in 0..200 {
-            let text = draw_scenario(seed);
-            assert_eq!(text, draw_scenario(seed));
-            std::fs::write(&file, &text).unwrap();
-            let scenario =
-                crate::scenario::load(&file).unwrap_or_else(|why| panic!("{why}\n{text}"));
-            let target_count = scenario
-                .events
-                .iter()
-                .map(|e| e.targets.len())
-                .max()
-                .unwrap_or(0);
-            assert!(
-                target_count * 3 <= scenario.servers.max(scenario.proxies),
-                "{text}"
-            );
-            kinds.extend(scenario.events.iter().map(|e| format!("{:?}", e.action)));
-        }
-        assert_eq!(kinds.len(), ACTIONS.len(), "all kinds are drawn: {kinds:?}");
-        std::fs::remove_dir_all(&folder).unwrap();
-    }
-}
+mod tests;
--- a/crates/standins/src/real_proxy.rs
+++ b/crates/standins/src/real_proxy.rs
@@ -68,6 +68,7 @@
 }
 
 impl RealProxy {
+    /// A stopped proxy with settings from the context; `files` if it gets its tables from files.
     pub fn new(
         context: &Arc<ProxyContext>,
         index: usize,
@@ -91,7 +92,7 @@
             name: name.clone(),
             service: context.service.clone(),
             zone: context.run_state.zones[zone].clone(),
-            visits_per_s: visits_per_s,
+            visits_per_s,
             controllers: vec![context.links[zone].address],
             files,
             listen: any,
--- a/crates/standins/src/rule_checker.rs
+++ b/crates/standins/src/rule_checker.rs
@@ -274,10 +274,10 @@
     }
 
     /// Records the bytes of a message, and of the whole table that it replaced.
-    pub fn record_bytes(&self, received_ms: u64, whole: u64) {
+    pub fn record_bytes(&self, received: u64, whole_table: u64) {
         let mut bytes = lock(&self.bytes);
-        bytes.0 += received_ms;
-        bytes.1 += whole;
+        bytes.0 += received;
+        bytes.1 += whole_table;
     }
 
     /// Records that a proxy applied the message of a serial.
@@ -323,9 +323,9 @@
         let visits: Vec<Value> = visit_counts
             .iter()
             .zip(classes)
-            .map(|(e, (name, worth))| {
-                asked += e.asked as f64 * worth;
-                served += e.in_time as f64 * worth;
+            .map(|(e, (name, earnings))| {
+                asked += e.asked as f64 * earnings;
+                served += e.in_time as f64 * earnings;
                 json!({"class": name, "asked": e.asked, "fulfilled_in_soft_limit": e.in_time,
                        "late": e.late, "failed": e.failed, "refused": e.refused})
             })
--- a/crates/standins/src/scenario.rs
+++ b/crates/standins/src/scenario.rs
@@ -23,27 +23,49 @@
 /// What an event does; the names in files are in [`ACTIONS`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
+    /// Lists servers as draining; at the end as ready again.
     Drain,
+    /// Stops servers, lists them as gone, and starts them again after `size` seconds.
     Restart,
+    /// Servers answer nothing; at the end they stop and start again after 200 ms.
     Vanish,
+    /// Servers answer nothing.
     Hang,
+    /// Servers fail the share `size` of their visits.
     Fail,
+    /// Servers are slower by the factor `size`.
     Slow,
+    /// Servers do no work.
     Pause,
+    /// Servers fail all visits of the class with index `size`.
     FailClass,
+    /// Servers are slower by the factor `size` and keep reporting the load from before.
     StaleLoad,
+    /// The roster lists running servers as gone.
     WrongRoster,
+    /// The roster lists servers as gone and as they are in turn, 400 ms each.
     FlapRoster,
+    /// The roster file ends in an incomplete entry.
     BreakRoster,
+    /// The roster file is not written.
     FreezeRoster,
+    /// Kills the controller; at the end starts it again.
     KillController,
+    /// Divides the rate of the controller's channel by `size`.
     SlowChannel,
+    /// Cuts off the zone with index `size`.
     CutZone,
+    /// The link of the zone with index `size` holds back all bytes.
     StallZone,
+    /// Proxies reject messages with lines.
     Refuse,
+    /// Proxies do not read their streams.
     Deaf,
+    /// Scripted proxies send a load report every 5 ms.
     Flood,
+    /// Proxies stop and start again after `size` seconds.
     CrashProxy,
+    /// Closes all connections to the controller once.
     BreakStreams,
 }
 
--- a/crates/standins/src/scripted_proxy.rs
+++ b/crates/standins/src/scripted_proxy.rs
@@ -28,7 +28,9 @@
 #[derive(Clone, Debug)]
 pub struct ClassWorkload {
     pub name: String,
+    /// The share of the visits, relative to the other classes.
     pub share: f64,
+    /// The mean work of a visit on a server of speed 1.
     pub work_ms: f64,
     pub soft_ms: f64,
     pub hard_ms: f64,
@@ -131,10 +133,12 @@
 pub struct ControllerChannel {
     pub lines_per_s: Mutex<f64>,
     pub latency_ms: f64,
+    /// When the lines written so far have left.
     free_at_ms: Mutex<f64>,
 }
 
 impl ControllerChannel {
+    /// An empty channel.
     pub fn new(lines_per_s: f64, latency_ms: f64) -> ControllerChannel {
         ControllerChannel {
             lines_per_s: Mutex::new(lines_per_s),
@@ -231,6 +235,7 @@
 }
 
 impl ScriptedProxy {
+    /// A proxy that is not started.
     pub fn new(
         context: &Arc<ProxyContext>,
         index: usize,
