--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -28,6 +28,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
+// No doc comment: it would appear in the help text.
 #[derive(Parser)]
 #[command(name = "dahliapoint-standins", version)]
 struct CommandLine {
@@ -172,7 +173,7 @@
             }
         },
         Command::Remember { dir } => {
-            if let Err(why) = remember(&dir) {
+            if let Err(why) = commit_numbers(&dir) {
                 eprintln!("{why}");
             }
             ExitCode::from(UNPLAYED)
@@ -181,7 +182,7 @@
             dir,
             lines,
             max_tables,
-        } => match publish(dir, lines, max_tables) {
+        } => match publish_tables(dir, lines, max_tables) {
             Ok(()) => ExitCode::SUCCESS,
             Err(why) => {
                 eprintln!("{why}");
@@ -269,7 +270,7 @@
 }
 
 /// Publishes tables whose weights all follow from their serial, so that a reader detects a mix of two tables.
-fn publish(dir: PathBuf, lines: usize, max_tables: u64) -> std::io::Result<()> {
+fn publish_tables(dir: PathBuf, lines: usize, max_tables: u64) -> std::io::Result<()> {
     let mut publisher = Publisher::new(dir, "p", Keys::default(), &[Form::Workers], 0);
     let mut disk = Plain::default();
     for mark in 0..max_tables {
@@ -299,7 +300,7 @@
 }
 
 /// Commits numbers to the memory and prints each once it is committed.
-fn remember(dir: &std::path::Path) -> std::io::Result<()> {
+fn commit_numbers(dir: &std::path::Path) -> std::io::Result<()> {
     let (mut store, mut facts, _) = Store::open(FsDirectory::open(dir)?, Key::default())?;
     let mut out = std::io::stdout().lock();
     for n in facts.alive.wall_ms as u64 + 1.. {
--- a/crates/standins/src/runner.rs
+++ b/crates/standins/src/runner.rs
@@ -173,7 +173,7 @@
     /// The actual state and start of each server.
     actual: Vec<(&'static str, Option<f64>)>,
     /// States that are listed in place of the actual ones.
-    listed_wrong: HashMap<usize, &'static str>,
+    state_overrides: HashMap<usize, &'static str>,
     /// The file is not written.
     frozen: bool,
     /// The file ends in an incomplete entry.
@@ -191,7 +191,7 @@
         let now = self.run_state.now_ms();
         let mut text = String::from("servers:\n");
         let state = |i: usize| {
-            self.listed_wrong
+            self.state_overrides
                 .get(&i)
                 .copied()
                 .unwrap_or(self.actual[i].0)
@@ -398,7 +398,7 @@
         path: folder.join(name),
         run_state: run_state.clone(),
         actual: vec![("ready", None); scenario.servers],
-        listed_wrong: HashMap::new(),
+        state_overrides: HashMap::new(),
         frozen: false,
         broken: false,
     };
@@ -685,7 +685,7 @@
             }
             Action::WrongRoster | Action::FlapRoster => {
                 for s in &e.targets {
-                    self.roster.listed_wrong.insert(*s, "gone");
+                    self.roster.state_overrides.insert(*s, "gone");
                 }
                 self.roster.write(&self.context.servers)?;
                 if e.action == Action::FlapRoster && e.duration_ms > 800.0 {
@@ -761,7 +761,7 @@
             }),
             Action::WrongRoster | Action::FlapRoster => {
                 for s in &e.targets {
-                    self.roster.listed_wrong.remove(s);
+                    self.roster.state_overrides.remove(s);
                 }
                 self.roster.write(&self.context.servers)?;
             }
