--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -1,17 +1,18 @@
-//! `dahliapoint-standins`: plays a scripted bad day against the controller and checks the five rules.
+//! `dahliapoint-standins`: runs fault scenarios ("bad days") against the controller, with test servers,
+//! proxies, links and a roster, and checks the five rules.
 
-mod backend;
-mod day;
-mod hunt;
-mod obedient;
-mod play;
-mod proxy;
-mod relay;
-mod rules;
-mod sabotage;
-mod world;
+mod faulty_controller;
+mod faulty_link;
+mod random_search;
+mod real_proxy;
+mod rule_checker;
+mod run_state;
+mod runner;
+mod scenario;
+mod scripted_proxy;
+mod test_server;
 
-use clap::{Parser, Subcommand, ValueEnum};
+use clap::{Args, Parser, Subcommand, ValueEnum};
 use dahliapoint_control::AdminState;
 use dahliapoint_files::disk::SystemDisk;
 use dahliapoint_files::formats::{Format, TABLE_FORMAT_VERSION, Table, TableLine};
@@ -27,97 +28,111 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
+// No doc comment: it would appear in the help text.
 #[derive(Parser)]
 #[command(name = "dahliapoint-standins", version)]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Command,
 }
 
-/// What carries a day's visits.
+/// Which proxies carry the visits.
 #[derive(Clone, Copy, PartialEq, ValueEnum)]
-enum Kind {
-    /// The obedient proxy, by HTTP.
-    Obedient,
-    /// The stand-ins' own.
+enum ProxyKind {
+    /// The proxy of the package `dahliapoint-proxy`, over HTTP.
+    #[value(name = "obedient")]
+    Real,
+    /// The simple proxy of this package.
     Scripted,
 }
 
+/// Where real proxies get their tables from.
 #[derive(Clone, Copy, PartialEq, ValueEnum)]
-enum Front {
+enum TableSourceArg {
+    /// All from xDS streams.
     Streams,
+    /// All from files.
     Files,
+    /// Every second proxy from files.
     Both,
 }
 
+// No doc comment: it would replace the help text of the subcommand.
+#[derive(Args)]
+struct BadDay {
+    /// The file of the scenario.
+    file: PathBuf,
+    /// Print the report as JSON.
+    #[arg(long)]
+    json: bool,
+    /// Inject a fault into the controller that breaks a rule.
+    #[arg(long = "wrong", value_name = "WRONG", value_enum)]
+    fault: Option<faulty_controller::ControllerFault>,
+    /// Inject the fault into the planner's orders, before the guard checks them.
+    #[arg(long, requires = "fault")]
+    in_module: bool,
+    /// The guard's mode, in place of the deployment's.
+    #[arg(long, value_parser = ["hold", "tell", "off"])]
+    guard: Option<String>,
+    /// The kind of proxies, in place of the scenario's.
+    #[arg(long, value_enum)]
+    proxies: Option<ProxyKind>,
+    /// Where real proxies get their tables from, in place of the scenario's.
+    #[arg(long, value_enum)]
+    front: Option<TableSourceArg>,
+    /// Give the controller a memory on disk, which survives restarts.
+    #[arg(long)]
+    memory: bool,
+    /// Run the hooks of this folder in the controller.
+    #[arg(long)]
+    hooks: Option<PathBuf>,
+    /// Use this folder for the controller's logs and the roster, and keep it.
+    #[arg(long)]
+    keep: Option<PathBuf>,
+}
+
 #[derive(Subcommand)]
 enum Command {
-    /// Play a day; exit code 1 if a rule broke, 3 if it could not be played.
-    BadDay {
-        file: PathBuf,
-        /// The report as JSON.
-        #[arg(long)]
-        json: bool,
-        /// A controller that breaks a rule on purpose.
-        #[arg(long, value_enum)]
-        wrong: Option<sabotage::Wrong>,
-        /// It is the module that is wrong, before the guard sees what it orders.
-        #[arg(long, requires = "wrong")]
-        in_module: bool,
-        /// What the guard does, instead of what the day's deployment says.
-        #[arg(long, value_parser = ["hold", "tell", "off"])]
-        guard: Option<String>,
-        /// Other proxies than the day names.
-        #[arg(long, value_enum)]
-        proxies: Option<Kind>,
-        /// Other ways for tables to come than the day names; for obedient proxies.
-        #[arg(long, value_enum)]
-        front: Option<Front>,
-        /// The controller keeps what it knows over its restarts.
-        #[arg(long)]
-        memory: bool,
-        /// The controller runs the hooks of this folder.
-        #[arg(long)]
-        hooks: Option<PathBuf>,
-        /// Keep the day's folder (the controller's logs, its roster) here.
-        #[arg(long)]
-        keep: Option<PathBuf>,
-    },
-    /// Draw days by chance and play them; exit code 1 if a rule broke on one, whose file is kept.
+    /// Play a scenario; exit code 1 if a rule is broken, 3 if it could not be played.
+    BadDay(BadDay),
+    /// Draw random scenarios and play them; exit code 1 if one does not pass, and its file is kept.
     Hunt {
+        /// The seed of the first scenario.
         #[arg(long, default_value_t = 1)]
         seed: u64,
+        /// How many scenarios to play.
         #[arg(long, default_value_t = 20)]
         days: u64,
-        /// Days that are played side by side.
+        /// Scenarios played in parallel.
         #[arg(long, default_value_t = 4)]
         at_once: usize,
-        /// Where files of days are written; those on which nothing broke are removed.
+        /// Where the scenario files are written; those that pass are removed.
         #[arg(long, default_value = "found")]
         keep: PathBuf,
     },
-    /// The controller itself, as a process of its own.
+    /// Run the controller itself, with its own command line.
     #[command(hide = true, disable_help_flag = true)]
     Controller {
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
         line: Vec<OsString>,
     },
-    /// Publishes tables of so many lines into a directory until it is killed, or so many.
+    /// Publish tables into a directory until killed, or a number of them.
     #[command(hide = true)]
     Publish {
         dir: PathBuf,
         #[arg(long, default_value_t = 100)]
         lines: usize,
-        #[arg(long, default_value_t = u64::MAX)]
-        many: u64,
+        #[arg(long = "many", value_name = "MANY", default_value_t = u64::MAX)]
+        max_tables: u64,
     },
-    /// Remembers one number after the other, with snapshots in between, until it is killed.
+    /// Commit one number after the other to the memory, with snapshots in between, until killed.
     #[command(hide = true)]
     Remember { dir: PathBuf },
-    #[command(hide = true)]
-    Sabotaged {
-        #[arg(value_enum)]
-        wrong: sabotage::Wrong,
+    /// Run a controller with an injected fault.
+    #[command(hide = true, name = "sabotaged")]
+    FaultyController {
+        #[arg(value_enum, value_name = "WRONG")]
+        fault: faulty_controller::ControllerFault,
         #[arg(long)]
         in_module: bool,
         file: PathBuf,
@@ -128,11 +143,13 @@
     },
 }
 
+/// Exit code: a rule is broken.
 const BROKEN: u8 = 1;
+/// Exit code: the scenario could not be played.
 const UNPLAYED: u8 = 3;
 
 fn main() -> ExitCode {
-    match Line::parse().command {
+    match CommandLine::parse().command {
         Command::Controller { line } => {
             let line = std::iter::once(OsString::from("dahliapoint")).chain(line);
             dahliapoint_daemon::cli::main(line)
@@ -142,7 +159,7 @@
             days,
             at_once,
             keep,
-        } => match hunt::hunt(seed, days, at_once, &keep) {
+        } => match random_search::search(seed, days, at_once, &keep) {
             Ok(broken) if broken.is_empty() => ExitCode::SUCCESS,
             Ok(broken) => {
                 broken
@@ -156,52 +173,41 @@
             }
         },
         Command::Remember { dir } => {
-            if let Err(why) = remember(&dir) {
+            if let Err(why) = commit_numbers(&dir) {
                 eprintln!("{why}");
             }
             ExitCode::from(UNPLAYED)
         }
-        Command::Publish { dir, lines, many } => match publish(dir, lines, many) {
+        Command::Publish {
+            dir,
+            lines,
+            max_tables,
+        } => match publish_tables(dir, lines, max_tables) {
             Ok(()) => ExitCode::SUCCESS,
             Err(why) => {
                 eprintln!("{why}");
                 ExitCode::from(UNPLAYED)
             }
         },
-        Command::Sabotaged {
-            wrong,
+        Command::FaultyController {
+            fault,
             in_module,
             file,
             listen,
             address_file,
         } => {
-            if let Err(why) = sabotage::run((wrong, in_module), &file, listen, &address_file) {
+            if let Err(why) =
+                faulty_controller::run((fault, in_module), &file, listen, &address_file)
+            {
                 eprintln!("{why}");
             }
             ExitCode::from(UNPLAYED)
         }
-        Command::BadDay {
-            file,
-            json,
-            wrong,
-            in_module,
-            guard,
-            proxies,
-            front,
-            memory,
-            hooks,
-            keep,
-        } => match bad_day(
-            &file,
-            (wrong, in_module),
-            (guard, hooks),
-            (proxies, front, memory),
-            keep,
-        ) {
+        Command::BadDay(options) => match bad_day(&options) {
             Ok(report) => {
-                let text = match json {
+                let text = match options.json {
                     true => format!("{report:#}\n"),
-                    false => play::as_text(&report),
+                    false => runner::as_text(&report),
                 };
                 let _ = std::io::stdout().write_all(text.as_bytes());
                 match report["kept"] == serde_json::json!(true) {
@@ -217,58 +223,57 @@
     }
 }
 
-fn bad_day(
-    file: &std::path::Path,
-    (wrong, in_module): (Option<sabotage::Wrong>, bool),
-    (guard, hooks): (Option<String>, Option<PathBuf>),
-    (proxies, front, memory): (Option<Kind>, Option<Front>, bool),
-    keep: Option<PathBuf>,
-) -> Result<serde_json::Value, String> {
-    let mut day = day::load(file)?;
-    day.obedient = proxies.map_or(day.obedient, |kind| kind == Kind::Obedient);
-    day.memory |= memory;
-    if let Some(guard) = guard {
-        day.deployment_text += &format!("\nguard: {guard}\n");
+/// Runs a scenario with the overrides of the command line; the report.
+fn bad_day(options: &BadDay) -> Result<serde_json::Value, String> {
+    let mut scenario = scenario::load(&options.file)?;
+    scenario.uses_real_proxy = options
+        .proxies
+        .map_or(scenario.uses_real_proxy, |kind| kind == ProxyKind::Real);
+    scenario.memory |= options.memory;
+    if let Some(guard) = &options.guard {
+        scenario.deployment_text += &format!("\nguard: {guard}\n");
     }
-    if let Some(dir) = hooks {
+    if let Some(dir) = &options.hooks {
         let dir = dir
             .canonicalize()
             .map_err(|e| format!("{}: {e}", dir.display()))?;
-        day.deployment_text += &format!("\nhooks: {{dir: {:?}}}\n", dir.display().to_string());
+        scenario.deployment_text += &format!("\nhooks: {{dir: {:?}}}\n", dir.display().to_string());
     }
-    day.front = front.map_or(day.front, |front| match front {
-        Front::Streams => day::Fronts::Streams,
-        Front::Files => day::Fronts::Files,
-        Front::Both => day::Fronts::Both,
-    });
-    let own = std::env::temp_dir().join(format!("dahliapoint-day-{}", std::process::id()));
-    let folder = keep.clone().unwrap_or(own);
+    scenario.table_source = options
+        .front
+        .map_or(scenario.table_source, |front| match front {
+            TableSourceArg::Streams => scenario::TableSource::Streams,
+            TableSourceArg::Files => scenario::TableSource::Files,
+            TableSourceArg::Both => scenario::TableSource::Both,
+        });
+    let temporary = std::env::temp_dir().join(format!("dahliapoint-day-{}", std::process::id()));
+    let folder = options.keep.clone().unwrap_or(temporary);
     std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-    let arguments = match wrong {
+    let arguments = match options.fault {
         None => vec!["controller".to_string(), "run".to_string()],
-        Some(wrong) => {
-            let name = wrong.to_possible_value().map(|v| v.get_name().to_string());
+        Some(fault) => {
+            let name = fault.to_possible_value().map(|v| v.get_name().to_string());
             let mut arguments = vec!["sabotaged".to_string(), name.unwrap_or_default()];
-            if in_module {
+            if options.in_module {
                 arguments.push("--in-module".into());
             }
             arguments
         }
     };
-    let mut process = play::Process::new(&folder, arguments);
-    let report = play::play(&day, &mut process, &folder);
+    let mut process = runner::ControllerProcess::new(&folder, arguments);
+    let report = runner::run(&scenario, &mut process, &folder);
     drop(process);
-    if keep.is_none() && report.is_ok() {
+    if options.keep.is_none() && report.is_ok() {
         let _ = std::fs::remove_dir_all(&folder);
     }
     report
 }
 
-/// Tables whose lines all tell the same mark: a reader sees whether one is mixed.
-fn publish(dir: PathBuf, lines: usize, many: u64) -> std::io::Result<()> {
+/// Publishes tables whose weights all follow from their serial, so that a reader detects a mix of two tables.
+fn publish_tables(dir: PathBuf, lines: usize, max_tables: u64) -> std::io::Result<()> {
     let mut publisher = Publisher::new(dir, "p", Keys::default(), &[Format::Workers], 0);
     let mut disk = SystemDisk::default();
-    for mark in 0..many {
+    for mark in 0..max_tables {
         let line = |i: usize| TableLine {
             server: format!("s{i:03}"),
             address: format!("127.0.0.1:{}", 1000 + i),
@@ -294,8 +299,8 @@
     Ok(())
 }
 
-/// Each number is told on standard output once it is committed.
-fn remember(dir: &std::path::Path) -> std::io::Result<()> {
+/// Commits numbers to the memory and prints each once it is committed.
+fn commit_numbers(dir: &std::path::Path) -> std::io::Result<()> {
     let (mut store, mut facts, _) = Store::open(FsDirectory::open(dir)?, Key::default())?;
     let mut out = std::io::stdout().lock();
     for n in facts.alive.wall_ms as u64 + 1.. {
