--- a/crates/standins/src/scenario.rs
+++ b/crates/standins/src/scenario.rs
@@ -212,8 +212,8 @@
             name: c.name.clone(),
             share: shares.field(&c.name).number(0.0..=1.0, Some(1.0)),
             work_ms: work
-            .field(&c.name)
-            .duration_ms(0.001..=60_000.0, Some(20.0)),
+                .field(&c.name)
+                .duration_ms(0.001..=60_000.0, Some(20.0)),
             soft_ms: c.soft_limit_ms,
             hard_ms: deployment.hard_limits_ms[i],
             earnings: c.earnings,
