--- a/crates/daemon/examples/newcomer.rs
+++ b/crates/daemon/examples/newcomer.rs
@@ -4,8 +4,8 @@
 use dahliapoint_control::{
     AdminState, ControllerHandle, Input, LoadReport, ReportLine, RosterEntry,
 };
+use dahliapoint_daemon::daemon::{Daemon, RosterSource};
 use dahliapoint_daemon::deployment;
-use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_memory::clock;
 use dahliapoint_peer::client;
 use serde_json::Value;
@@ -29,11 +29,11 @@
         started: None,
     };
     let roster = (0..servers).map(entry).collect();
-    let daemon = Daemon::start(&deployment, Source::Fixed(roster), None).expect("it starts");
+    let daemon = Daemon::start(&deployment, RosterSource::Fixed(roster), None).expect("it starts");
     for n in 0..PROXIES {
         let proxy = format!("p{n}");
-        daemon.engine().report_stream(&proxy, 7 + n, true);
-        daemon.engine().send(Input::Joined {
+        daemon.controller().report_stream(&proxy, 7 + n, true);
+        daemon.controller().send(Input::Joined {
             session: 7 + n,
             proxy,
             zone: "east".into(),
@@ -57,7 +57,7 @@
             lines: met.collect(),
             arrivals: Vec::new(),
         };
-        let _ = daemon.engine().report(&format!("p{n}"), 7 + n, report);
+        let _ = daemon.controller().report(&format!("p{n}"), 7 + n, report);
     }
 }
 
@@ -68,7 +68,7 @@
     let started = begun.elapsed();
     let mut told = begun;
     loop {
-        let view: Value = daemon.engine().overview();
+        let view: Value = daemon.controller().overview();
         let weight = |i: usize| {
             let all = view["servers"].as_array().expect("a list");
             let name = format!("s{i}");
--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -1,10 +1,10 @@
 //! The command line: runs a controller, checks its files, asks one for its state, plays a record again.
 
-use crate::deployment::{self, Deployment, LogForm};
-use crate::importing::{self, Foreign};
-use crate::life::{Daemon, Source};
-use crate::roster::{self, Watch};
-use crate::{guarding, hooking, hooks, memory, sample, status};
+use crate::daemon::{Daemon, RosterSource};
+use crate::deployment::{self, Deployment, LogFormat};
+use crate::import::{self, ImportSettings};
+use crate::roster::{self, RosterWatcher};
+use crate::{guard_explain, hook_commands, hook_runner, memory, sample, status};
 use clap::{Parser, Subcommand};
 use dahliapoint_control::record::{End, encode_outputs, replay};
 use dahliapoint_files::forms::Form;
@@ -207,7 +207,7 @@
                 Theirs::Apache => Kind::Apache,
                 Theirs::Jk => Kind::Jk,
             };
-            let foreign = Foreign {
+            let foreign = ImportSettings {
                 kind,
                 balancer,
                 assumed: assume,
@@ -245,15 +245,15 @@
 }
 
 /// Sets up the log as the deployment says.
-pub fn log(deployment: &Deployment) {
+pub fn init_logging(deployment: &Deployment) {
     // The runtime tells of every socket at `info`.
     let filter = EnvFilter::new(format!("{},may=warn", deployment.log_level));
     let to = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(std::io::stderr);
-    match deployment.log_form {
-        LogForm::Text => to.with_ansi(false).init(),
-        LogForm::Json => to.json().init(),
+    match deployment.log_format {
+        LogFormat::Text => to.with_ansi(false).init(),
+        LogFormat::Json => to.json().init(),
     }
 }
 
@@ -268,12 +268,12 @@
         None => deployment::parse("the embedded sample", sample::DEPLOYMENT).map_err(wrong)?,
     };
     deployment.listen = listen.unwrap_or(deployment.listen);
-    log(&deployment);
+    init_logging(&deployment);
     // Before any part starts, so that no signal is missed.
     let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(wrong)?;
     let source = match file {
-        Some(_) => Source::File,
-        None => Source::Fixed(sample::servers(&deployment.terms.zones).map_err(wrong)?),
+        Some(_) => RosterSource::File,
+        None => RosterSource::Fixed(sample::servers(&deployment.settings.zones).map_err(wrong)?),
     };
     let daemon = Daemon::start(&deployment, source, record).map_err(wrong)?;
     if let Some(path) = address_file {
@@ -292,22 +292,22 @@
 
 fn check(file: &Path) -> Done {
     let deployment = load(file)?;
-    let zones = &deployment.terms.zones;
-    let look = Watch::new(&deployment.roster, &deployment.roster_form, zones).look();
+    let zones = &deployment.settings.zones;
+    let look = RosterWatcher::new(&deployment.roster_path, &deployment.roster_format, zones).poll();
     let entries = match look {
-        roster::Look::New(entries) => entries,
-        roster::Look::Refused(why) => return Err(wrong(why)),
-        roster::Look::Same => return Err(wrong("the roster changes while it is read")),
+        roster::PollResult::Changed(entries) => entries,
+        roster::PollResult::Refused(why) => return Err(wrong(why)),
+        roster::PollResult::Unchanged => return Err(wrong("the roster changes while it is read")),
     };
     if let Some(place) = &deployment.hooks {
-        let set = hooking::load(&place.dir).map_err(|f| wrong(f.trim_end()))?;
+        let set = hook_runner::load(&place.dir).map_err(|f| wrong(f.trim_end()))?;
         println!("{}: {} files of hooks", place.dir.display(), set.len());
     }
     println!(
         "{}: service {}, {} classes, {} zones, {} servers",
         file.display(),
-        deployment.terms.service,
-        deployment.terms.classes.len(),
+        deployment.settings.service,
+        deployment.settings.classes.len(),
         zones.len(),
         entries.len()
     );
@@ -325,14 +325,14 @@
     Ok(())
 }
 
-fn take_over(file: &Path, foreign: &Foreign, back: Option<&Path>, in_place: bool) -> Done {
+fn take_over(file: &Path, foreign: &ImportSettings, back: Option<&Path>, in_place: bool) -> Done {
     let told = match back {
-        Some(roster) => importing::write_back(file, foreign, roster, in_place).map_err(wrong)?,
+        Some(roster) => import::write_back(file, foreign, roster, in_place).map_err(wrong)?,
         None => {
             let import =
-                importing::import(&mut importing::Disk::default(), file, foreign).map_err(wrong)?;
-            let entries = importing::entries(&import, foreign, None).map_err(wrong)?;
-            importing::as_yaml(&entries)
+                import::import(&mut import::LocalFiles::default(), file, foreign).map_err(wrong)?;
+            let entries = import::entries(&import, foreign, None).map_err(wrong)?;
+            import::as_yaml(&entries)
         }
     };
     // A reader that has gone away is no fault of ours.
@@ -347,7 +347,7 @@
     };
     match what {
         HookWork::Check { files } => {
-            let all: Vec<_> = files.iter().map(|f| hooks::check(f)).collect();
+            let all: Vec<_> = files.iter().map(|f| hook_commands::check(f)).collect();
             all.iter().flatten().for_each(|told| say(told));
             let faults: Vec<String> = all.into_iter().filter_map(Result::err).collect();
             if faults.is_empty() {
@@ -359,7 +359,8 @@
         HookWork::Fmt { files, check } => {
             let mut other = Vec::new();
             for file in &files {
-                let (before, after) = hooks::format(file).map_err(|f| wrong(f.trim_end()))?;
+                let (before, after) =
+                    hook_commands::format(file).map_err(|f| wrong(f.trim_end()))?;
                 if before == after {
                     continue;
                 }
@@ -377,7 +378,7 @@
             }
         }
         HookWork::Run { file, night } => {
-            let (told, _) = hooks::play(&file, &night).map_err(|f| wrong(f.trim_end()))?;
+            let (told, _) = hook_commands::play(&file, &night).map_err(|f| wrong(f.trim_end()))?;
             say(&told);
             Ok(())
         }
@@ -386,7 +387,7 @@
             for file in &files {
                 let night = file.with_extension("test.yaml");
                 let (told, otherwise) =
-                    hooks::play(file, &night).map_err(|f| wrong(f.trim_end()))?;
+                    hook_commands::play(file, &night).map_err(|f| wrong(f.trim_end()))?;
                 match otherwise {
                     0 => say(&format!("{}: as wanted\n", file.display())),
                     _ => say(&told),
@@ -404,7 +405,7 @@
 fn explain(file: &Path) -> Done {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| wrong(format!("{name}: {e}")))?;
-    let (told, is_safe) = guarding::explain(&name, &text).map_err(wrong)?;
+    let (told, is_safe) = guard_explain::explain(&name, &text).map_err(wrong)?;
     let _ = std::io::stdout().write_all(told.as_bytes());
     match is_safe {
         true => Ok(()),
--- a/crates/daemon/src/engine.rs
+++ b/crates/daemon/src/controller_thread.rs
@@ -4,7 +4,7 @@
 //! waits, and are read once a round as background work, in slices. Between two slices the queue comes
 //! first, so a drain waits behind one slice of reports at the most.
 
-use crate::hooking::Hooking;
+use crate::hook_runner::HookRunner;
 use dahliapoint_control::record::{Header, Recorder};
 use dahliapoint_control::{
     Controller, ControllerSettings, FaultInjector, Input, LineState, LoadReport, Output,
@@ -91,7 +91,7 @@
 }
 
 /// Carries out an output; gives it back if it is for another.
-pub type Hand = Box<dyn Fn(Output) -> Option<Output> + Send>;
+pub type OutputHandler = Box<dyn Fn(Output) -> Option<Output> + Send>;
 
 /// A reporter: the proxy's name, and the number of its stream.
 type Reporter = (Arc<str>, Session);
@@ -101,27 +101,27 @@
 
 /// The way to the owner; clones are the same.
 #[derive(Clone)]
-pub struct Engine {
+pub struct ControllerThread {
     clock: Clock,
     queue: Queue<Item>,
     mouth: Arc<Mutex<ReportQueue<Reporter, Place>>>,
     /// The reporting interval that proxies are told, as the bits of a number.
     every_ms: Arc<AtomicU64>,
     roster_fault: Arc<Mutex<Option<String>>>,
-    figures: Arc<Mutex<Figures>>,
-    views: Arc<Mutex<Vec<(&'static str, View)>>>,
-    hooking: Arc<Mutex<Option<Arc<Hooking>>>>,
+    figures: Arc<Mutex<LoopStats>>,
+    views: Arc<Mutex<Vec<(&'static str, StatusView)>>>,
+    hooking: Arc<Mutex<Option<Arc<HookRunner>>>>,
     known: Arc<Mutex<Option<(SharedFacts, ChangeTracker)>>>,
     /// A hand that spoils orders, for tests of the guard.
     spoiled: Arc<Mutex<Option<FaultInjector>>>,
 }
 
 /// A part's own words for an overview.
-pub type View = Box<dyn Fn() -> Json + Send>;
+pub type StatusView = Box<dyn Fn() -> Json + Send>;
 
 /// What the owner has used so far, for measurements.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Figures {
+pub struct LoopStats {
     pub moments: u64,
     pub inputs: u64,
     /// Time within decisions, and the longest of one moment.
@@ -137,7 +137,7 @@
 struct Work {
     controller: Controller,
     record: Option<Recorder<BufWriter<File>>>,
-    hand: Hand,
+    hand: OutputHandler,
     scheduler: Scheduler,
     interval: ReportInterval,
     every_ms: f64,
@@ -150,16 +150,16 @@
     memory: Option<(Arc<JournalWriter>, ChangeTracker)>,
     /// What peers are told, brought up to date once a round.
     known: Option<(SharedFacts, ChangeTracker)>,
-    hooking: Option<Arc<Hooking>>,
+    hooking: Option<Arc<HookRunner>>,
     /// The world as hooks last saw it, and when that was.
     world: Arc<World>,
     seen_at: f64,
 }
 
-impl Engine {
+impl ControllerThread {
     /// An engine with its queue; it is fed before it runs. `every_ms` is the usual reporting interval.
-    pub fn new(clock: Clock, seed: u64, every_ms: f64) -> Engine {
-        Engine {
+    pub fn new(clock: Clock, seed: u64, every_ms: f64) -> ControllerThread {
+        ControllerThread {
             clock,
             queue: Queue::bounded(MOST),
             mouth: Arc::new(Mutex::new(ReportQueue::new(every_ms, MOST_SERVERS, seed))),
@@ -174,18 +174,18 @@
     }
 
     /// Keeps what peers are told, beginning with what was known at the start.
-    pub fn tells(&self, known: SharedFacts, first: &Facts) {
+    pub fn share_facts(&self, known: SharedFacts, first: &Facts) {
         *known.lock() = first.clone();
         *lock(&self.known) = Some((known, ChangeTracker::from_facts(first)));
     }
 
     /// Hooks see what happens, from when the engine runs.
-    pub fn hooked(&self, hooking: Arc<Hooking>) {
+    pub fn set_hooks(&self, hooking: Arc<HookRunner>) {
         *lock(&self.hooking) = Some(hooking);
     }
 
     /// Puts a hand between planner and guard, before the engine runs.
-    pub fn spoiled_by(&self, between: FaultInjector) {
+    pub fn inject_faults(&self, between: FaultInjector) {
         *lock(&self.spoiled) = Some(between);
     }
 
@@ -199,7 +199,7 @@
         terms: ControllerSettings,
         record: Option<&Path>,
         first: Vec<Input>,
-        hand: Hand,
+        hand: OutputHandler,
         memory: Option<(Arc<JournalWriter>, ChangeTracker)>,
     ) -> io::Result<JoinHandle<()>> {
         let now = self.clock.now_ms();
@@ -243,10 +243,10 @@
         if let Some(between) = lock(&self.spoiled).take() {
             work.controller.inject_faults(between);
         }
-        let engine = self.clone();
+        let controller = self.clone();
         std::thread::Builder::new()
             .name("controller".into())
-            .spawn(move || engine.own(work, first))
+            .spawn(move || controller.own(work, first))
     }
 
     fn own(&self, mut work: Work, first: Vec<Input>) {
@@ -549,12 +549,12 @@
     }
 
     /// A part whose words belong into overviews.
-    pub fn shows(&self, name: &'static str, view: View) {
+    pub fn add_status_view(&self, name: &'static str, view: StatusView) {
         lock(&self.views).push((name, view));
     }
 
     /// What is wrong with the roster's file, if anything is.
-    pub fn roster_fault(&self, fault: Option<String>) {
+    pub fn set_roster_fault(&self, fault: Option<String>) {
         *lock(&self.roster_fault) = fault;
     }
 
@@ -594,7 +594,7 @@
     Input::Reported(read.reporter.0.to_string(), report)
 }
 
-impl ControllerHandle for Engine {
+impl ControllerHandle for ControllerThread {
     fn send(&self, input: Input) -> bool {
         self.queue.put(Item::Input(input)).is_ok()
     }
--- a/crates/daemon/src/life.rs
+++ b/crates/daemon/src/daemon.rs
@@ -1,12 +1,12 @@
 //! The life of a daemon: its parts wired, started and ended in order.
 
+use crate::controller_thread::{Clock, ControllerThread};
 use crate::deployment::Deployment;
-use crate::engine::{Clock, Engine};
-use crate::hooking::Hooking;
+use crate::dns::DnsResolver;
+use crate::hook_runner::HookRunner;
 use crate::memory;
 use crate::probe::Prober;
-use crate::resolving::Resolving;
-use crate::roster::{Look, Watch};
+use crate::roster::{PollResult, RosterWatcher};
 use dahliapoint_control::{ControllerHandle, Input, Output, RosterEntry};
 use dahliapoint_files::front::{self as files, Place};
 use dahliapoint_files::reach::Promise;
@@ -34,7 +34,7 @@
 const LOOK_UP: Duration = Duration::from_millis(50);
 
 /// Where the servers come from.
-pub enum Source {
+pub enum RosterSource {
     /// The deployment's roster file, watched.
     File,
     /// These, for good.
@@ -45,14 +45,14 @@
 pub struct Daemon {
     server: Server,
     front: Arc<Front>,
-    engine: Engine,
+    controller: ControllerThread,
     owner: JoinHandle<()>,
     ending: Arc<AtomicBool>,
     watcher: Option<JoinHandle<()>>,
     resolver: Option<JoinHandle<()>>,
     files: Option<(Arc<files::Front>, JoinHandle<()>)>,
     memory: Option<(Arc<JournalWriter>, JoinHandle<()>)>,
-    hooks: Option<(Arc<Hooking>, JoinHandle<()>)>,
+    hooks: Option<(Arc<HookRunner>, JoinHandle<()>)>,
 }
 
 impl Daemon {
@@ -62,10 +62,10 @@
     /// What is wrong, in words for an operator.
     pub fn start(
         deployment: &Deployment,
-        source: Source,
+        source: RosterSource,
         record: Option<PathBuf>,
     ) -> Result<Daemon, String> {
-        let terms = deployment.terms.clone();
+        let terms = deployment.settings.clone();
         let (memory, facts) = match &deployment.memory {
             None => (None, Facts::default()),
             Some((dir, key)) => {
@@ -93,31 +93,35 @@
                 warn!("memory: what was learned is not kept yet");
             }
         }
-        let mut watch = Watch::new(&deployment.roster, &deployment.roster_form, &terms.zones);
+        let mut watch = RosterWatcher::new(
+            &deployment.roster_path,
+            &deployment.roster_format,
+            &terms.zones,
+        );
         let (entries, watched) = match source {
-            Source::Fixed(entries) => (entries, false),
-            Source::File => match watch.look() {
-                Look::New(entries) => (entries, true),
-                Look::Refused(why) if !facts.servers.is_empty() => {
+            RosterSource::Fixed(entries) => (entries, false),
+            RosterSource::File => match watch.poll() {
+                PollResult::Changed(entries) => (entries, true),
+                PollResult::Refused(why) if !facts.servers.is_empty() => {
                     warn!("the roster is refused, the last one that is remembered stands: {why}");
                     (facts.entries(), true)
                 }
-                Look::Refused(why) => return Err(why),
-                Look::Same => return Err("the roster was not read".into()),
+                PollResult::Refused(why) => return Err(why),
+                PollResult::Unchanged => return Err("the roster was not read".into()),
             },
         };
         let resolving = deployment.dns.clone().map(|place| {
             let keeper = memory.as_ref().map(|(keeper, _)| keeper.clone());
             let before = facts.servers.values();
             let before = before.map(|f| (f.name.clone(), f.address.clone()));
-            Resolving::new(place, keeper, &facts.kept, before)
+            DnsResolver::new(place, keeper, &facts.kept, before)
         });
         let entries = match &resolving {
             None => entries,
             Some(resolving) => {
                 // What DNS says at the start is listed at the start.
                 let alone = resolving.roster(entries);
-                if resolving.look() {
+                if resolving.refresh() {
                     resolving.both()
                 } else {
                     alone
@@ -129,11 +133,11 @@
             let now = SystemTime::now().duration_since(UNIX_EPOCH);
             now.map_or(1, |d| d.as_nanos() as u64)
         });
-        let engine = Engine::new(clock, seed, terms.report_interval_ms);
-        let shared: Arc<dyn ControllerHandle> = Arc::new(engine.clone());
-        let shape = Shape::of(&terms, deployment.connect_ms);
+        let controller = ControllerThread::new(clock, seed, terms.report_interval_ms);
+        let shared: Arc<dyn ControllerHandle> = Arc::new(controller.clone());
+        let shape = Shape::of(&terms, deployment.connect_timeout_ms);
         let front = Front::new(shape, shared.clone(), 1);
-        let patience = Duration::from_secs_f64(deployment.stream_patience_ms / 1e3);
+        let patience = Duration::from_secs_f64(deployment.ping_timeout_ms / 1e3);
         let limits = Limits {
             patience,
             keepalive: patience / 2,
@@ -142,8 +146,8 @@
         let known = SharedFacts::default();
         let ways = Arc::new(Ways {
             front: front.clone(),
-            teller: deployment.tells.then(|| {
-                engine.tells(known.clone(), &facts);
+            teller: deployment.answers_peers.then(|| {
+                controller.share_facts(known.clone(), &facts);
                 PeerService::new(&terms.service, known, clock::now)
             }),
         });
@@ -158,7 +162,7 @@
                 let keys = f.keys.as_deref().map(files::keys).transpose()?;
                 let place = Place {
                     dir: f.dir.clone(),
-                    forms: f.forms.clone(),
+                    forms: f.formats.clone(),
                     keys: keys.unwrap_or_default(),
                     every_ms: f.reach.every_ms,
                     valid_ms: f.valid_ms,
@@ -166,11 +170,11 @@
                 let started = files::Front::start(place, shared.clone(), FILES, &terms);
                 let started = started.map_err(|e| format!("{}: {e}", f.dir.display()))?;
                 let shown = started.0.clone();
-                engine.shows("files", Box::new(move || shown.view()));
+                controller.add_status_view("files", Box::new(move || shown.view()));
                 Some(started)
             }
         };
-        let prober = Prober::new(&deployment.probe_path, deployment.probe_within_ms, shared);
+        let prober = Prober::new(&deployment.probe_path, deployment.probe_timeout_ms, shared);
         let hand = {
             let front = front.clone();
             let filed = files.as_ref().map(|(front, _)| front.clone());
@@ -202,51 +206,52 @@
         let kept = memory.as_ref();
         let kept = kept.map(|(keeper, _)| (keeper.clone(), ChangeTracker::from_facts(&facts)));
         if let Some((keeper, _)) = kept.clone() {
-            engine.shows("memory", Box::new(move || keeper.status()));
+            controller.add_status_view("memory", Box::new(move || keeper.status()));
         }
         if let Some(resolving) = resolving.clone() {
-            engine.shows("dns", Box::new(move || resolving.view()));
+            controller.add_status_view("dns", Box::new(move || resolving.view()));
         }
-        let hooking = deployment.hooks.clone().map(Hooking::new);
+        let hooking = deployment.hooks.clone().map(HookRunner::new);
         let listed = entries_of(&first);
         if let Some(hooking) = &hooking {
             // Whatever is wrong with a hook is told before anything runs.
-            crate::hooking::load(
+            crate::hook_runner::load(
                 &deployment
                     .hooks
                     .as_ref()
                     .map_or(PathBuf::new(), |p| p.dir.clone()),
             )?;
-            engine.hooked(hooking.clone());
+            controller.set_hooks(hooking.clone());
             let shown = hooking.clone();
-            engine.shows("hooks", Box::new(move || shown.view()));
+            controller.add_status_view("hooks", Box::new(move || shown.view()));
         }
-        let owner = engine
+        let owner = controller
             .run(seed, terms, record.as_deref(), first, hand, kept)
             .map_err(|e| format!("the controller cannot start: {e}"))?;
         let hooks = match hooking {
             None => None,
             Some(hooking) => {
                 let keeper = memory.as_ref().map(|(keeper, _)| keeper.clone());
-                let thread = hooking.start(engine.clone(), listed, keeper, facts.kept.clone())?;
+                let thread =
+                    hooking.start(controller.clone(), listed, keeper, facts.kept.clone())?;
                 Some((hooking, thread))
             }
         };
         let ending = Arc::new(AtomicBool::new(false));
-        let every = Duration::from_secs_f64(deployment.roster_every_ms / 1e3);
+        let every = Duration::from_secs_f64(deployment.roster_poll_interval_ms / 1e3);
         let deliver = Delivery {
-            engine: engine.clone(),
+            controller: controller.clone(),
             hooks: hooks.as_ref().map(|(h, _)| h.clone()),
             resolving: resolving.clone(),
             order: Arc::default(),
         };
         let watcher = watched.then(|| watching(watch, every, deliver.clone(), ending.clone()));
         let resolver = resolving.and_then(|r| looking_up(r, deliver, ending.clone()));
-        info!(xds = %server.address(), servers, service = %deployment.terms.service, "running");
+        info!(xds = %server.address(), servers, service = %deployment.settings.service, "running");
         Ok(Daemon {
             server,
             front,
-            engine,
+            controller,
             owner,
             ending,
             watcher: watcher.flatten(),
@@ -262,8 +267,8 @@
         self.server.address()
     }
 
-    pub fn engine(&self) -> &Engine {
-        &self.engine
+    pub fn controller(&self) -> &ControllerThread {
+        &self.controller
     }
 
     /// Ends orderly: streams are told to go elsewhere, what waits is decided, then all is closed. Tells
@@ -276,7 +281,7 @@
             hooking.end();
             let _ = thread.join();
         }
-        self.engine.close();
+        self.controller.close();
         let _ = self.owner.join();
         if let Some((front, thread)) = self.files {
             front.end();
@@ -314,13 +319,18 @@
     if deployment.peers.is_empty() {
         return kept;
     }
-    let within = Duration::from_secs_f64(deployment.peers_within_ms / 1e3);
-    let service = &deployment.terms.service;
+    let within = Duration::from_secs_f64(deployment.peers_timeout_ms / 1e3);
+    let service = &deployment.settings.service;
     let Some(learned) = client::query_all(&deployment.peers, service, clock::now, within) else {
         warn!("no peer told anything: this starts on what it has itself");
         return kept;
     };
-    let (facts, counted) = merge_facts(&clock::now(), &kept, &learned, deployment.terms.warm_up_ms);
+    let (facts, counted) = merge_facts(
+        &clock::now(),
+        &kept,
+        &learned,
+        deployment.settings.warm_up_ms,
+    );
     info!(
         ?counted,
         whole = learned.complete,
@@ -341,9 +351,9 @@
 /// The way of a roster to the owner: DNS adds to it, hooks see it.
 #[derive(Clone)]
 struct Delivery {
-    engine: Engine,
-    hooks: Option<Arc<Hooking>>,
-    resolving: Option<Arc<Resolving>>,
+    controller: ControllerThread,
+    hooks: Option<Arc<HookRunner>>,
+    resolving: Option<Arc<DnsResolver>>,
     /// Held from when a list is made until it is put: of two threads that make one, the later list is put last.
     order: Arc<Mutex<()>>,
 }
@@ -361,21 +371,21 @@
         match &self.hooks {
             Some(hooks) => hooks.roster(entries),
             None => {
-                self.engine.send(Input::Roster(entries));
+                self.controller.send(Input::Roster(entries));
             }
         }
     }
 }
 
 fn looking_up(
-    resolving: Arc<Resolving>,
+    resolving: Arc<DnsResolver>,
     deliver: Delivery,
     ending: Arc<AtomicBool>,
 ) -> Option<JoinHandle<()>> {
     let look = move || {
         while !ending.load(Ordering::SeqCst) {
             std::thread::sleep(LOOK_UP);
-            if resolving.look() {
+            if resolving.refresh() {
                 let _order = deliver.order.lock().unwrap_or_else(|e| e.into_inner());
                 deliver.put(resolving.both());
             }
@@ -388,7 +398,7 @@
 }
 
 fn watching(
-    mut watch: Watch,
+    mut watch: RosterWatcher,
     every: Duration,
     deliver: Delivery,
     ending: Arc<AtomicBool>,
@@ -396,16 +406,16 @@
     let look = move || {
         while !ending.load(Ordering::SeqCst) {
             std::thread::sleep(every);
-            match watch.look() {
-                Look::Same => {}
-                Look::New(entries) => {
+            match watch.poll() {
+                PollResult::Unchanged => {}
+                PollResult::Changed(entries) => {
                     info!(servers = entries.len(), "a new roster is taken");
-                    deliver.engine.roster_fault(None);
+                    deliver.controller.set_roster_fault(None);
                     deliver.roster(entries);
                 }
-                Look::Refused(why) => {
+                PollResult::Refused(why) => {
                     warn!("the roster is refused, the last good one stands: {why}");
-                    deliver.engine.roster_fault(Some(why));
+                    deliver.controller.set_roster_fault(Some(why));
                 }
             }
         }
--- a/crates/daemon/src/deployment.rs
+++ b/crates/daemon/src/deployment.rs
@@ -1,9 +1,9 @@
 //! The deployment file: what a controller is told about its service. Read whole and checked whole before
 //! anything starts. docs/operators/running.md lists the fields.
 
-use crate::hooking::HooksPlace;
-use crate::importing::{Foreign, RosterForm};
-use crate::resolving::DnsPlace;
+use crate::dns::DnsSettings;
+use crate::hook_runner::HooksSettings;
+use crate::import::{ImportSettings, RosterFormat};
 use dahliapoint_control::rollout::GuardMode;
 use dahliapoint_control::{ClassSettings, ControllerSettings, RetryPolicy};
 use dahliapoint_files::forms::Form;
@@ -22,7 +22,7 @@
 
 /// What a repeated visit of a class may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// Nothing: it only reads.
     Safe,
     /// Nothing, while servers know its key.
@@ -33,7 +33,7 @@
 
 /// The form of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LogForm {
+pub enum LogFormat {
     Text,
     Json,
 }
@@ -41,46 +41,46 @@
 /// All of a deployment file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deployment {
-    pub terms: ControllerSettings,
+    pub settings: ControllerSettings,
     /// By class.
-    pub repeats: Vec<Repeat>,
+    pub idempotency: Vec<Idempotency>,
     pub hard_limits_ms: Vec<f64>,
-    pub connect_ms: f64,
-    pub roster: PathBuf,
-    pub roster_form: RosterForm,
-    pub roster_every_ms: f64,
+    pub connect_timeout_ms: f64,
+    pub roster_path: PathBuf,
+    pub roster_format: RosterFormat,
+    pub roster_poll_interval_ms: f64,
     pub probe_path: String,
-    pub probe_within_ms: f64,
+    pub probe_timeout_ms: f64,
     pub listen: SocketAddr,
-    pub log_form: LogForm,
+    pub log_format: LogFormat,
     pub log_level: String,
     /// Where chance starts; drawn from the clock if not given.
     pub seed: Option<u64>,
     /// A proxy's connection is given up after this long without an answer to a ping.
-    pub stream_patience_ms: f64,
+    pub ping_timeout_ms: f64,
     /// The front of files, if there is one.
-    pub files: Option<Files>,
+    pub files: Option<FileFrontSettings>,
     /// Where what is known is kept over restarts, and the key that it is sealed with.
     pub memory: Option<(PathBuf, Option<PathBuf>)>,
     /// SRV records beside the roster.
-    pub dns: Option<DnsPlace>,
+    pub dns: Option<DnsSettings>,
     /// Controllers that are asked at the start, and for how long.
     pub peers: Vec<SocketAddr>,
-    pub peers_within_ms: f64,
+    pub peers_timeout_ms: f64,
     /// Who asks is told.
-    pub tells: bool,
+    pub answers_peers: bool,
     /// Where hooks are, and what they may use.
-    pub hooks: Option<HooksPlace>,
+    pub hooks: Option<HooksSettings>,
 }
 
 /// The front of files, as a deployment tells it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Files {
+pub struct FileFrontSettings {
     pub dir: PathBuf,
     /// Forms that are written beside the table of our own.
-    pub forms: Vec<Form>,
+    pub formats: Vec<Form>,
     pub reach: Reach,
-    pub beat_ms: f64,
+    pub heartbeat_interval_ms: f64,
     pub valid_ms: f64,
     /// The keys, one or two, that tables and reports are sealed with.
     pub keys: Option<PathBuf>,
@@ -101,11 +101,11 @@
 fn deployment(at: &At, folder: &Path) -> Deployment {
     let service = at.field("service").text(None);
     let zones = names(&at.field("zones"), "zone");
-    let (classes, repeats, hard_limits_ms) = classes(&at.field("classes"));
+    let (classes, idempotency, hard_limits_ms) = classes(&at.field("classes"));
 
     let proxies = at.field("proxies");
     let tries = proxies.field("further_try");
-    let usual_tries = tries.choice(
+    let default_retry_policy = tries.choice(
         &[
             ("never", RetryPolicy::Never),
             ("on_proof", RetryPolicy::OnProof),
@@ -113,64 +113,65 @@
         ],
         Some(RetryPolicy::OnProof),
     );
-    if usual_tries == RetryPolicy::OnFailure && repeats.contains(&Repeat::Never) {
+    if default_retry_policy == RetryPolicy::OnFailure && idempotency.contains(&Idempotency::Never) {
         tries.wrong("never or on_proof is wanted: a class here must never run twice");
     }
-    let shares = proxies.field("refuse");
-    let shares = shares.choice(&[("share", true), ("nothing", false)], Some(false));
-    let idle_ms = proxies.field("idle").time(1.0..=3.6e6, Some(15_000.0));
-    let standing_lines = proxies.field("standing").number(0.0..=10_000.0, Some(10.0));
-    let usual_pace = proxies.field("usual_pace").number(0.0..=1e6, Some(0.0));
-    let connect_ms = proxies.field("connect").time(1.0..=60_000.0, Some(250.0));
-    let patience = proxies
+    let admission_control = proxies.field("refuse");
+    let admission_control =
+        admission_control.choice(&[("share", true), ("nothing", false)], Some(false));
+    let idle_timeout_ms = proxies.field("idle").time(1.0..=3.6e6, Some(15_000.0));
+    let initial_servers = proxies.field("standing").number(0.0..=10_000.0, Some(10.0));
+    let default_visits_per_s = proxies.field("usual_pace").number(0.0..=1e6, Some(0.0));
+    let connect_timeout_ms = proxies.field("connect").time(1.0..=60_000.0, Some(250.0));
+    let ping_timeout_ms = proxies
         .field("patience")
         .time(100.0..=600_000.0, Some(4_000.0));
     proxies.close();
 
     let channel = at.field("channel");
-    let most_waiting = channel
+    let max_queued_lines = channel
         .field("most_waiting")
         .number(10.0..=1e9, Some(20_000.0));
     let lines_per_s = channel
         .field("lines_per_s")
         .number(1.0..=1e9, Some(15_000.0));
-    let way_ms = channel.field("way").time(0.0..=60_000.0, Some(50.0));
-    let message_lines = channel
+    let message_latency_ms = channel.field("way").time(0.0..=60_000.0, Some(50.0));
+    let message_overhead_lines = channel
         .field("message_lines")
         .number(0.0..=1000.0, Some(3.0));
     let most = channel.field("most_messages");
-    let most_messages = most.number(0.0..=1e6, Some(0.0));
+    let max_messages = most.number(0.0..=1e6, Some(0.0));
     let least = RESPONSES_BY_JOINING + 4.0 * RESPONSES_BY_MESSAGE;
-    if most_messages > 0.0 && most_messages < least {
+    if max_messages > 0.0 && max_messages < least {
         most.wrong(format!(
             "0 for no limit, or at least {least}: a joining takes {RESPONSES_BY_JOINING}"
         ));
     }
-    let message_span_ms = channel.field("within").time(1.0..=3.6e6, Some(10_000.0));
+    let message_window_ms = channel.field("within").time(1.0..=3.6e6, Some(10_000.0));
     channel.close();
 
     let reports = at.field("reports");
-    let report_every_ms = reports.field("every").time(50.0..=60_000.0, Some(1_000.0));
-    let reports_per_s = reports
+    let report_interval_ms = reports.field("every").time(50.0..=60_000.0, Some(1_000.0));
+    let report_lines_per_s = reports
         .field("lines_per_s")
         .number(1.0..=1e9, Some(100_000.0));
     reports.close();
 
     let cold = at.field("cold");
-    let cold_share = cold.field("share").number(0.001..=1.0, Some(0.15));
-    let warm_after_ms = cold.field("warm_after").time(0.0..=3.6e6, Some(18_000.0));
-    let fall_multiple = cold.field("falls_at").number(1.0..=1000.0, Some(3.0));
+    let cold_capacity_share = cold.field("share").number(0.001..=1.0, Some(0.15));
+    let warm_up_ms = cold.field("warm_after").time(0.0..=3.6e6, Some(18_000.0));
+    let overload_multiple = cold.field("falls_at").number(1.0..=1000.0, Some(3.0));
     cold.close();
 
     let drains = at.field("drains");
     let grace_ms = drains.field("grace").time(1.0..=3.6e6, Some(3_000.0));
-    let dropped_may_stay = drains.field("dropped_may_stay").flag(Some(false));
+    let keep_unlisted_servers = drains.field("dropped_may_stay").flag(Some(false));
     drains.close();
 
     let roster = at.field("roster");
     let roster_file = roster.field("file").text(None);
-    let roster_every_ms = roster.field("every").time(10.0..=60_000.0, Some(200.0));
-    let roster_form = roster_form(&roster, folder, &zones);
+    let roster_poll_interval_ms = roster.field("every").time(10.0..=60_000.0, Some(200.0));
+    let roster_format = roster_format(&roster, folder, &zones);
     let dns = roster.field("dns");
     let dns = dns.is_there().then(|| self::dns(&dns, &zones));
     let probe = roster.field("probe");
@@ -181,7 +182,7 @@
             .field("path")
             .wrong("a path that begins with / is wanted");
     }
-    let probe_within_ms = probe.field("within").time(1.0..=60_000.0, Some(1_000.0));
+    let probe_timeout_ms = probe.field("within").time(1.0..=60_000.0, Some(1_000.0));
     probe.close();
     roster.close();
 
@@ -215,8 +216,8 @@
             })
         })
         .collect();
-    let peers_within_ms = peers.field("within").time(10.0..=60_000.0, Some(1_000.0));
-    let tells = peers.field("tell").flag(Some(true));
+    let peers_timeout_ms = peers.field("within").time(10.0..=60_000.0, Some(1_000.0));
+    let answers_peers = peers.field("tell").flag(Some(true));
     peers.close();
 
     let hooks = at.field("hooks");
@@ -224,17 +225,17 @@
         .is_there()
         .then(|| self::hooks(&hooks, folder, grace_ms));
 
-    let guard = at.field("guard");
+    let guard_mode = at.field("guard");
     let modes = [
         ("hold", GuardMode::Enforce),
         ("tell", GuardMode::ReportOnly),
         ("off", GuardMode::Off),
     ];
-    let guard = guard.choice(&modes, Some(GuardMode::Enforce));
+    let guard_mode = guard_mode.choice(&modes, Some(GuardMode::Enforce));
 
     let log = at.field("log");
-    let forms = [("text", LogForm::Text), ("json", LogForm::Json)];
-    let log_form = log.field("form").choice(&forms, Some(LogForm::Text));
+    let forms = [("text", LogFormat::Text), ("json", LogFormat::Json)];
+    let log_format = log.field("form").choice(&forms, Some(LogFormat::Text));
     let levels = ["error", "warn", "info", "debug", "trace"].map(|l| (l, l));
     let log_level = log.field("level").choice(&levels, Some("info")).to_string();
     log.close();
@@ -246,58 +247,58 @@
     at.close();
 
     Deployment {
-        terms: ControllerSettings {
+        settings: ControllerSettings {
             service,
             zones,
             classes,
-            admission_control: shares,
-            max_queued_lines: most_waiting,
+            admission_control,
+            max_queued_lines,
             lines_per_s,
-            message_latency_ms: way_ms,
-            message_overhead_lines: message_lines,
-            max_messages: most_messages,
-            message_window_ms: message_span_ms,
+            message_latency_ms,
+            message_overhead_lines,
+            max_messages,
+            message_window_ms,
             writes_per_message: RESPONSES_BY_MESSAGE,
             writes_per_join: RESPONSES_BY_JOINING,
-            idle_timeout_ms: idle_ms,
-            initial_servers: standing_lines,
-            default_visits_per_s: usual_pace,
-            report_interval_ms: report_every_ms,
-            report_lines_per_s: reports_per_s,
-            cold_capacity_share: cold_share,
-            warm_up_ms: warm_after_ms,
-            overload_multiple: fall_multiple,
+            idle_timeout_ms,
+            initial_servers,
+            default_visits_per_s,
+            report_interval_ms,
+            report_lines_per_s,
+            cold_capacity_share,
+            warm_up_ms,
+            overload_multiple,
             drain_grace_ms: grace_ms,
-            keep_unlisted_servers: dropped_may_stay,
-            default_retry_policy: usual_tries,
+            keep_unlisted_servers,
+            default_retry_policy,
             may_probe,
-            heartbeat_interval_ms: files.as_ref().map_or(0.0, |f| f.beat_ms),
-            guard_mode: guard,
+            heartbeat_interval_ms: files.as_ref().map_or(0.0, |f| f.heartbeat_interval_ms),
+            guard_mode,
         },
-        repeats,
+        idempotency,
         hard_limits_ms,
-        connect_ms,
-        roster: folder.join(roster_file),
-        roster_form,
-        roster_every_ms,
+        connect_timeout_ms,
+        roster_path: folder.join(roster_file),
+        roster_format,
+        roster_poll_interval_ms,
         probe_path,
-        probe_within_ms,
+        probe_timeout_ms,
         listen: address.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0))),
-        log_form,
+        log_format,
         log_level,
         seed,
-        stream_patience_ms: patience,
+        ping_timeout_ms,
         files,
         memory,
         dns,
         peers: addresses.into_iter().flatten().collect(),
-        peers_within_ms,
-        tells,
+        peers_timeout_ms,
+        answers_peers,
         hooks,
     }
 }
 
-fn dns(at: &At, zones: &[String]) -> DnsPlace {
+fn dns(at: &At, zones: &[String]) -> DnsSettings {
     let name = at.field("name");
     let told = name.text(None);
     if let Err(why) = dahliapoint_dns::lookup::name(&told) {
@@ -316,7 +317,7 @@
     if !zones.contains(&told_zone) {
         zone.wrong(format!("one of the zones {} is wanted", zones.join(", ")));
     }
-    let place = DnsPlace {
+    let place = DnsSettings {
         name: told,
         server: server.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 53))),
         zone: told_zone,
@@ -328,14 +329,14 @@
 }
 
 /// Our own form, or others' files with what is to be known beside them.
-fn roster_form(at: &At, folder: &Path, zones: &[String]) -> RosterForm {
+fn roster_format(at: &At, folder: &Path, zones: &[String]) -> RosterFormat {
     let kinds = [
         ("yaml", None),
         ("apache", Some(Kind::Apache)),
         ("mod_jk", Some(Kind::Jk)),
     ];
     let Some(kind) = at.field("form").choice(&kinds, Some(None)) else {
-        return RosterForm::Own;
+        return RosterFormat::Yaml;
     };
     let optional = |name: &str| {
         let field = at.field(name);
@@ -356,7 +357,7 @@
         // Where there is one, it is theirs.
         one
     };
-    RosterForm::Foreign(Foreign {
+    RosterFormat::Imported(ImportSettings {
         kind,
         balancer: optional("balancer"),
         assumed: at
@@ -371,7 +372,7 @@
 }
 
 /// Hooks: what all of them may use is bounded by the grace, since a roster waits for them.
-fn hooks(at: &At, folder: &Path, grace_ms: f64) -> HooksPlace {
+fn hooks(at: &At, folder: &Path, grace_ms: f64) -> HooksSettings {
     let usual = Bounds::default();
     let run = at.field("run");
     let run_ms = run.time(1.0..=1_000.0, Some(20.0));
@@ -395,7 +396,7 @@
     let wishes = at
         .field("wishes_a_minute")
         .number(1.0..=1e6, Some(usual.wishes_a_minute as f64));
-    let place = HooksPlace {
+    let place = HooksSettings {
         dir: folder.join(at.field("dir").text(None)),
         bounds: Bounds {
             allowance,
@@ -411,7 +412,7 @@
 }
 
 /// The front of files.
-fn files(at: &At, folder: &Path, grace_ms: f64) -> Files {
+fn files(at: &At, folder: &Path, grace_ms: f64) -> FileFrontSettings {
     let forms = at.field("forms");
     let mut listed = Vec::new();
     for place in forms.list() {
@@ -432,11 +433,11 @@
     };
     let keys = at.field("keys");
     let keys = keys.is_there().then(|| folder.join(keys.text(None)));
-    let files = Files {
+    let files = FileFrontSettings {
         dir: folder.join(at.field("dir").text(None)),
-        forms: listed,
+        formats: listed,
         reach,
-        beat_ms: at.field("beat").time(50.0..=600_000.0, Some(1_000.0)),
+        heartbeat_interval_ms: at.field("beat").time(50.0..=600_000.0, Some(1_000.0)),
         valid_ms: at.field("valid").time(1_000.0..=8.64e8, Some(600_000.0)),
         keys,
     };
@@ -464,8 +465,8 @@
     names
 }
 
-fn classes(at: &At) -> (Vec<ClassSettings>, Vec<Repeat>, Vec<f64>) {
-    let (mut classes, mut repeats, mut limits) = (Vec::new(), Vec::new(), Vec::new());
+fn classes(at: &At) -> (Vec<ClassSettings>, Vec<Idempotency>, Vec<f64>) {
+    let (mut classes, mut idempotency, mut limits) = (Vec::new(), Vec::new(), Vec::new());
     let mut seen = BTreeSet::new();
     for place in at.list() {
         let name = place.field("name").text(None);
@@ -476,11 +477,13 @@
         }
         let soft = place.field("soft_limit").time(1.0..=3.6e6, None);
         let words = [
-            ("safe", Repeat::Safe),
-            ("keyed", Repeat::Keyed),
-            ("never", Repeat::Never),
+            ("safe", Idempotency::Safe),
+            ("keyed", Idempotency::Keyed),
+            ("never", Idempotency::Never),
         ];
-        let repeat = place.field("repeat").choice(&words, Some(Repeat::Never));
+        let repeat = place
+            .field("repeat")
+            .choice(&words, Some(Idempotency::Never));
         let hard = place.field("hard_limit");
         let hard_ms = hard.time(1.0..=3.6e6, Some(soft * 3.0));
         if hard_ms < soft {
@@ -490,16 +493,16 @@
             name,
             soft_limit_ms: soft,
             earnings: place.field("earnings").number(0.001..=1e6, Some(1.0)),
-            idempotent: repeat != Repeat::Never,
+            idempotent: repeat != Idempotency::Never,
         });
-        repeats.push(repeat);
+        idempotency.push(repeat);
         limits.push(hard_ms);
         place.close();
     }
     if classes.is_empty() {
         at.wrong("at least one class is wanted");
     }
-    (classes, repeats, limits)
+    (classes, idempotency, limits)
 }
 
 #[cfg(test)]
@@ -512,14 +515,14 @@
     #[test]
     fn a_small_deployment_has_its_defaults() {
         let d = parse("conf/d.yaml", SMALL).unwrap();
-        assert_eq!(d.roster, PathBuf::from("conf/r.yaml"));
+        assert_eq!(d.roster_path, PathBuf::from("conf/r.yaml"));
         assert_eq!(
-            d.repeats,
-            [Repeat::Never],
+            d.idempotency,
+            [Idempotency::Never],
             "nothing is repeated unless it is said"
         );
         assert_eq!(d.hard_limits_ms, [3000.0]);
-        assert!(!d.terms.may_probe);
+        assert!(!d.settings.may_probe);
     }
 
     #[test]
--- a/crates/daemon/src/resolving.rs
+++ b/crates/daemon/src/dns.rs
@@ -19,7 +19,7 @@
 
 /// What a deployment says of DNS.
 #[derive(Clone, Debug, PartialEq)]
-pub struct DnsPlace {
+pub struct DnsSettings {
     pub name: String,
     pub server: SocketAddr,
     /// The zone of hosts that only DNS names, and whether there are any.
@@ -39,8 +39,8 @@
 }
 
 /// See the module's head.
-pub struct Resolving {
-    place: DnsPlace,
+pub struct DnsResolver {
+    place: DnsSettings,
     begun: Instant,
     both: Mutex<Both>,
     memory: Option<Arc<JournalWriter>>,
@@ -94,14 +94,14 @@
     }
 }
 
-impl Resolving {
+impl DnsResolver {
     /// `kept`: what memory kept of hooks and others; `before`: hosts that it knew, with their addresses.
     pub fn new(
-        place: DnsPlace,
+        place: DnsSettings,
         memory: Option<Arc<JournalWriter>>,
         kept: &BTreeMap<(String, String), String>,
         before: impl Iterator<Item = (String, String)>,
-    ) -> Arc<Resolving> {
+    ) -> Arc<DnsResolver> {
         let text = kept.get(&(KEPT.0.to_string(), KEPT.1.to_string()));
         let known = text.and_then(|t| Kept::of(t));
         let mut agree = Agree::new(place.adds);
@@ -115,7 +115,7 @@
         agree.remembers(of.names.clone(), of.addresses.clone());
         agree.remembers(hosts.iter().map(|h| h.0.clone()), hosts.iter().map(|h| h.1));
         let known = known.map(|k| k.targets);
-        Arc::new(Resolving {
+        Arc::new(DnsResolver {
             place,
             begun: Instant::now(),
             both: Mutex::new(Both {
@@ -191,7 +191,7 @@
     }
 
     /// Looks up if that is due; tells whether the list that holds may be another.
-    pub fn look(&self) -> bool {
+    pub fn refresh(&self) -> bool {
         if self.now_ms() < self.lock().refresh.due() {
             return false;
         }
--- a/crates/daemon/src/hooks.rs
+++ b/crates/daemon/src/hook_commands.rs
@@ -1,6 +1,6 @@
 //! Hooks offline: checked, formatted, run and tested against a written night, without a controller.
 
-use crate::hooking;
+use crate::hook_runner;
 use dahliapoint_hooks::book::{Book, Listed};
 use dahliapoint_hooks::discipline::End;
 use dahliapoint_hooks::fault::told;
@@ -34,7 +34,7 @@
 }
 
 fn load(path: &Path) -> Result<Loaded, String> {
-    let source = hooking::read(path)?;
+    let source = hook_runner::read(path)?;
     Loaded::new(&path.display().to_string(), &source)
 }
 
@@ -43,7 +43,7 @@
 /// # Errors
 /// Why it has none.
 pub fn format(path: &Path) -> Result<(String, String), String> {
-    let source = hooking::read(path)?;
+    let source = hook_runner::read(path)?;
     let name = path.display().to_string();
     let formatted = dahliapoint_hooks::format(&source).map_err(|f| told(&name, &source, &f))?;
     Ok((source, formatted))
--- a/crates/daemon/src/hooking.rs
+++ b/crates/daemon/src/hook_runner.rs
@@ -5,7 +5,7 @@
 //! time. The owner leaves a picture of the world now and then, never waits, and runs by itself only the hooks
 //! before publications, within a bounded time for all of them.
 
-use crate::engine::Engine;
+use crate::controller_thread::ControllerThread;
 use dahliapoint_control::{
     AdminState, ControllerHandle, Input, Overview, PendingLine, RosterEntry,
 };
@@ -48,7 +48,7 @@
 
 /// What a deployment says of hooks.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HooksPlace {
+pub struct HooksSettings {
     pub dir: PathBuf,
     pub bounds: Bounds,
     /// One run's time; that of all hooks before the publications of a moment, and of all that see a roster.
@@ -71,8 +71,8 @@
 }
 
 /// See the module's head.
-pub struct Hooking {
-    place: HooksPlace,
+pub struct HookRunner {
+    place: HooksSettings,
     begun: Instant,
     mail: Mutex<Mail>,
     bell: Condvar,
@@ -259,7 +259,7 @@
 
 /// What the thread works with.
 struct Work {
-    engine: Engine,
+    controller: ControllerThread,
     host: Host,
     book: Book,
     scheduler: Scheduler,
@@ -279,9 +279,9 @@
     kept: BTreeMap<(String, String), String>,
 }
 
-impl Hooking {
-    pub fn new(place: HooksPlace) -> Arc<Hooking> {
-        Arc::new(Hooking {
+impl HookRunner {
+    pub fn new(place: HooksSettings) -> Arc<HookRunner> {
+        Arc::new(HookRunner {
             place,
             begun: Instant::now(),
             mail: Mutex::default(),
@@ -419,7 +419,7 @@
     /// All that is wrong with the files, or why there is no thread.
     pub fn start(
         self: &Arc<Self>,
-        engine: Engine,
+        controller: ControllerThread,
         first: Vec<RosterEntry>,
         memory: Option<Arc<JournalWriter>>,
         kept: BTreeMap<(String, String), String>,
@@ -437,7 +437,7 @@
             })
             .collect();
         let mut work = Work {
-            engine,
+            controller,
             host: Host::default(),
             book: Book::default(),
             scheduler: Scheduler::new(0.0, PERIOD_MS, &budgets),
@@ -825,7 +825,7 @@
             work.overruled = overruled;
         }
         if entries != work.put {
-            work.engine.send(Input::Roster(entries.clone()));
+            work.controller.send(Input::Roster(entries.clone()));
             work.put = entries;
         }
         if pins != work.pins {
@@ -833,7 +833,7 @@
             let ahead = pins
                 .iter()
                 .map(|(part, until)| (*part, (until - now).max(0.0)));
-            work.engine.send(Input::Pinned(ahead.collect()));
+            work.controller.send(Input::Pinned(ahead.collect()));
             work.pins = pins;
         }
     }
--- a/crates/daemon/src/importing.rs
+++ b/crates/daemon/src/import.rs
@@ -11,15 +11,15 @@
 
 /// How a roster file is written.
 #[derive(Clone, Debug, PartialEq)]
-pub enum RosterForm {
+pub enum RosterFormat {
     /// Our own YAML.
-    Own,
-    Foreign(Foreign),
+    Yaml,
+    Imported(ImportSettings),
 }
 
 /// What is told of others' files beside where they are.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Foreign {
+pub struct ImportSettings {
     pub kind: Kind,
     pub balancer: Option<String>,
     pub assumed: Vec<String>,
@@ -40,19 +40,19 @@
 
 /// Files of this machine, and which were asked for.
 #[derive(Default)]
-pub struct Disk {
-    pub asked: BTreeSet<PathBuf>,
+pub struct LocalFiles {
+    pub read_paths: BTreeSet<PathBuf>,
 }
 
-impl Files for Disk {
+impl Files for LocalFiles {
     fn read(&mut self, path: &str) -> Result<String, String> {
-        self.asked.insert(path.into());
+        self.read_paths.insert(path.into());
         let bytes = std::fs::read(path).map_err(|e| e.to_string())?;
         String::from_utf8(bytes).map_err(|_| "not UTF-8".into())
     }
 
     fn list(&mut self, folder: &str) -> Result<Vec<String>, String> {
-        self.asked.insert(folder.into());
+        self.read_paths.insert(folder.into());
         let mut names = Vec::new();
         for entry in std::fs::read_dir(folder).map_err(|e| e.to_string())? {
             let entry = entry.map_err(|e| e.to_string())?;
@@ -69,7 +69,11 @@
 ///
 /// # Errors
 /// All that is wrong, a line each.
-pub fn import(disk: &mut Disk, path: &Path, foreign: &Foreign) -> Result<Import, String> {
+pub fn import(
+    disk: &mut LocalFiles,
+    path: &Path,
+    foreign: &ImportSettings,
+) -> Result<Import, String> {
     let wanted = Wanted {
         balancer: foreign.balancer.clone(),
         assumed: foreign.assumed.clone(),
@@ -87,7 +91,7 @@
 /// Hosts whose zone is not known, with their places.
 pub fn entries(
     import: &Import,
-    foreign: &Foreign,
+    foreign: &ImportSettings,
     zones: Option<&[String]>,
 ) -> Result<Vec<RosterEntry>, String> {
     let (mut out, mut faults) = (Vec::new(), Vec::new());
@@ -158,11 +162,11 @@
 /// What is wrong with either, or cannot be written; then nothing is.
 pub fn write_back(
     path: &Path,
-    foreign: &Foreign,
+    foreign: &ImportSettings,
     roster: &Path,
     in_place: bool,
 ) -> Result<String, String> {
-    let import = import(&mut Disk::default(), path, foreign)?;
+    let import = import(&mut LocalFiles::default(), path, foreign)?;
     let name = roster.display().to_string();
     let text = std::fs::read_to_string(roster).map_err(|e| format!("{name}: {e}"))?;
     let zones: Vec<String> = entries(&import, foreign, None)?
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,17 +1,17 @@
-//! The controller as a program. [`deployment`] and [`roster`] read what operators write, [`engine`] owns
+//! The controller as a program. [`deployment`] and [`roster`] read what operators write, [`controller`] owns
 //! the controller, [`life`] wires it to its fronts and ends it; nothing here decides.
 
 pub mod cli;
+pub mod controller_thread;
+pub mod daemon;
 pub mod deployment;
-pub mod engine;
-pub mod guarding;
-pub mod hooking;
-pub mod hooks;
-pub mod importing;
-pub mod life;
+pub mod dns;
+pub mod guard_explain;
+pub mod hook_commands;
+pub mod hook_runner;
+pub mod import;
 pub mod memory;
 pub mod probe;
-pub mod resolving;
 pub mod roster;
 pub mod sample;
 pub mod status;
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -1,8 +1,8 @@
 //! The roster: a YAML file that others replace atomically, looked at now and then. A broken one is
-//! refused with its reason and the last good one stands. Others' files ([`importing`]) are looked at alike, with all
+//! refused with its reason and the last good one stands. Others' files ([`import`]) are looked at alike, with all
 //! that they include.
 
-use crate::importing::{self, Disk, RosterForm, Stamp, stamp};
+use crate::import::{self, LocalFiles, RosterFormat, Stamp, stamp};
 use dahliapoint_control::{AdminState, RosterEntry};
 use dahliapoint_yaml::{Faults, read};
 use std::collections::BTreeMap;
@@ -88,21 +88,21 @@
 
 /// What a look at the file found.
 #[derive(Debug, PartialEq)]
-pub enum Look {
-    Same,
-    New(Vec<RosterEntry>),
+pub enum PollResult {
+    Unchanged,
+    Changed(Vec<RosterEntry>),
     /// Refused, with the reason; told once for each state of the file.
     Refused(String),
 }
 
 /// Watches a roster file.
-pub struct Watch {
+pub struct RosterWatcher {
     path: PathBuf,
-    form: RosterForm,
+    form: RosterFormat,
     zones: Vec<String>,
     seen: Option<Seen>,
     /// Files and folders that others' files led to, as they were.
-    asked: Vec<(PathBuf, Option<Stamp>)>,
+    read_paths: Vec<(PathBuf, Option<Stamp>)>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -115,14 +115,14 @@
     Fault(String),
 }
 
-impl Watch {
-    pub fn new(path: &Path, form: &RosterForm, zones: &[String]) -> Watch {
-        Watch {
+impl RosterWatcher {
+    pub fn new(path: &Path, form: &RosterFormat, zones: &[String]) -> RosterWatcher {
+        RosterWatcher {
             path: path.to_path_buf(),
             form: form.clone(),
             zones: zones.to_vec(),
             seen: None,
-            asked: Vec::new(),
+            read_paths: Vec::new(),
         }
     }
 
@@ -141,39 +141,42 @@
 
     /// Looks at others' files. Ones that change while they are read are read again with the next look: nobody
     /// swaps several at once.
-    fn look_at(&mut self, foreign: &importing::Foreign) -> Look {
+    fn look_at(&mut self, foreign: &import::ImportSettings) -> PollResult {
         let is_same = |(path, was): &(PathBuf, Option<Stamp>)| stamp(path) == *was;
-        if !self.asked.is_empty() && self.asked.iter().all(is_same) {
-            return Look::Same;
+        if !self.read_paths.is_empty() && self.read_paths.iter().all(is_same) {
+            return PollResult::Unchanged;
         }
-        let mut disk = Disk::default();
+        let mut disk = LocalFiles::default();
         // Stamps from before each is read are not to be had; so all is read twice, and must lead to the same.
-        let first = importing::import(&mut disk, &self.path, foreign);
-        let stamps = |disk: &Disk| -> Vec<(PathBuf, Option<Stamp>)> {
-            disk.asked.iter().map(|p| (p.clone(), stamp(p))).collect()
+        let first = import::import(&mut disk, &self.path, foreign);
+        let stamps = |disk: &LocalFiles| -> Vec<(PathBuf, Option<Stamp>)> {
+            disk.read_paths
+                .iter()
+                .map(|p| (p.clone(), stamp(p)))
+                .collect()
         };
         let before = stamps(&disk);
-        let second = importing::import(&mut disk, &self.path, foreign);
+        let second = import::import(&mut disk, &self.path, foreign);
         let changes = first != second || !before.iter().all(is_same);
         if changes {
-            return Look::Same;
+            return PollResult::Unchanged;
         }
-        self.asked = before;
-        let read = second.and_then(|i| importing::entries(&i, foreign, Some(&self.zones)));
+        self.read_paths = before;
+        let read = second.and_then(|i| import::entries(&i, foreign, Some(&self.zones)));
         match read {
-            Ok(entries) => Look::New(entries),
-            Err(why) => Look::Refused(why),
+            Ok(entries) => PollResult::Changed(entries),
+            Err(why) => PollResult::Refused(why),
         }
     }
 
     /// Looks whether the file is another than the last time, and reads it if so.
-    pub fn look(&mut self) -> Look {
-        if let RosterForm::Foreign(foreign) = self.form.clone() {
+    pub fn poll(&mut self) -> PollResult {
+        if let RosterFormat::Imported(foreign) = self.form.clone() {
             return self.look_at(&foreign);
         }
         let now = self.state();
         if self.seen.as_ref() == Some(&now) {
-            return Look::Same;
+            return PollResult::Unchanged;
         }
         let file = self.path.display().to_string();
         let read = match &now {
@@ -187,8 +190,8 @@
         // Noted as it was before it was read: one that changes meanwhile is read again.
         self.seen = Some(now);
         match read {
-            Ok(entries) => Look::New(entries),
-            Err(why) => Look::Refused(why),
+            Ok(entries) => PollResult::Changed(entries),
+            Err(why) => PollResult::Refused(why),
         }
     }
 }
@@ -232,17 +235,17 @@
             std::fs::write(&aside, text).unwrap();
             std::fs::rename(&aside, &path).unwrap();
         };
-        let mut watch = Watch::new(&path, &RosterForm::Own, &["a".to_string()]);
-        assert!(matches!(watch.look(), Look::Refused(_)));
-        assert_eq!(watch.look(), Look::Same);
+        let mut watch = RosterWatcher::new(&path, &RosterFormat::Yaml, &["a".to_string()]);
+        assert!(matches!(watch.poll(), PollResult::Refused(_)));
+        assert_eq!(watch.poll(), PollResult::Unchanged);
         put("servers:\n- {name: x, address: '127.0.0.1:1', zone: a}\n");
-        assert!(matches!(watch.look(), Look::New(entries) if entries.len() == 1));
-        assert_eq!(watch.look(), Look::Same);
+        assert!(matches!(watch.poll(), PollResult::Changed(entries) if entries.len() == 1));
+        assert_eq!(watch.poll(), PollResult::Unchanged);
         put("servers: {");
-        assert!(matches!(watch.look(), Look::Refused(why) if why.contains("r.yaml:")));
-        assert_eq!(watch.look(), Look::Same);
+        assert!(matches!(watch.poll(), PollResult::Refused(why) if why.contains("r.yaml:")));
+        assert_eq!(watch.poll(), PollResult::Unchanged);
         put("servers: []\n");
-        assert_eq!(watch.look(), Look::New(vec![]));
+        assert_eq!(watch.poll(), PollResult::Changed(vec![]));
         std::fs::remove_dir_all(&folder).unwrap();
     }
 }
--- a/crates/daemon/tests/dns.rs
+++ b/crates/daemon/tests/dns.rs
@@ -2,8 +2,8 @@
 //! restart.
 
 use dahliapoint_control::ControllerHandle;
+use dahliapoint_daemon::daemon::{Daemon, RosterSource};
 use dahliapoint_daemon::deployment;
-use dahliapoint_daemon::life::{Daemon, Source};
 use hickory_proto::op::{Message, MessageType, OpCode, ResponseCode};
 use hickory_proto::rr::rdata::{A, SRV};
 use hickory_proto::rr::{Name, RData, Record};
@@ -90,7 +90,7 @@
         );
         let file = self.0.join("d.yaml").display().to_string();
         let deployment = deployment::parse(&file, &text).unwrap();
-        Daemon::start(&deployment, Source::File, None).unwrap()
+        Daemon::start(&deployment, RosterSource::File, None).unwrap()
     }
 }
 
@@ -103,7 +103,7 @@
 fn until(daemon: &Daemon, what: &str, met: impl Fn(&Value) -> bool) -> Value {
     let end = Instant::now() + Duration::from_secs(30);
     loop {
-        let view = daemon.engine().overview();
+        let view = daemon.controller().overview();
         if met(&view) {
             return view;
         }
@@ -126,7 +126,7 @@
     let says: Says = Arc::new(Mutex::new(Some(vec![1, 2, 3, 4])));
     place.roster(&[(1, "ready"), (2, "ready"), (3, "draining")]);
     let daemon = place.start(serve(says.clone()), "");
-    let view = daemon.engine().overview();
+    let view = daemon.controller().overview();
     assert_eq!(
         ["s1", "s2", "s3", "s4"].map(|s| state(&view, s)),
         ["Ready", "Ready", "Draining", "Ready"],
@@ -138,7 +138,7 @@
         state(v, "s2") == "Gone" && state(v, "s3") == "Gone"
     });
     let looked = |v: &Value| v["dns"]["looked"].as_u64().unwrap();
-    let before = looked(&daemon.engine().overview());
+    let before = looked(&daemon.controller().overview());
     let view = until(&daemon, "two more lookups", |v| looked(v) >= before + 2);
     assert_eq!(
         ["s1", "s2", "s3", "s4"].map(|s| state(&view, s)),
@@ -199,14 +199,14 @@
     place.roster(&[(1, "ready"), (2, "ready")]);
     let memory = "memory: {dir: memory}\nreports: {every: 50ms}\n";
     let daemon = place.start(dns, memory);
-    let view = daemon.engine().overview();
+    let view = daemon.controller().overview();
     assert_eq!(state(&view, "s7"), "Ready");
     place.roster(&[(1, "ready")]);
     until(&daemon, "s2 is gone", |v| state(v, "s2") == "Gone");
     daemon.end(Duration::from_secs(1));
     *says.lock().unwrap() = None;
     let daemon = place.start(dns, memory);
-    let view = daemon.engine().overview();
+    let view = daemon.controller().overview();
     assert_eq!(
         [state(&view, "s1"), state(&view, "s7")],
         ["Ready", "Ready"],
--- a/crates/daemon/tests/guard.rs
+++ b/crates/daemon/tests/guard.rs
@@ -1,8 +1,8 @@
 //! The guard beside a running controller, and offline.
 
 use dahliapoint_control::{AdminState, ControllerHandle, Input, RosterEntry};
+use dahliapoint_daemon::daemon::{Daemon, RosterSource};
 use dahliapoint_daemon::deployment;
-use dahliapoint_daemon::life::{Daemon, Source};
 use std::path::Path;
 use std::process::Command;
 use std::time::{Duration, Instant};
@@ -68,15 +68,15 @@
     };
     let servers = (0..5).map(|i| entry(i, AdminState::Ready)).collect();
     let deployment = deployment::parse("d.yaml", text).unwrap();
-    let daemon = Daemon::start(&deployment, Source::Fixed(servers), None).unwrap();
+    let daemon = Daemon::start(&deployment, RosterSource::Fixed(servers), None).unwrap();
     let joined = |n: u64| Input::Joined {
         session: n,
         proxy: format!("p{n}"),
         zone: "east".into(),
         visits_per_s: Some(10.0),
     };
-    assert!((7..10).all(|n| daemon.engine().send(joined(n))));
-    let view = || daemon.engine().overview()["guard"].clone();
+    assert!((7..10).all(|n| daemon.controller().send(joined(n))));
+    let view = || daemon.controller().overview()["guard"].clone();
     let judged = || view()["judged"].as_u64().unwrap_or(0);
     let end = Instant::now() + Duration::from_secs(20);
     let until = |what: &str, met: &dyn Fn() -> bool| {
@@ -88,7 +88,7 @@
     until("the first table is judged", &|| judged() >= 1);
     let before = judged();
     daemon
-        .engine()
+        .controller()
         .send(Input::RosterChanges(vec![entry(2, AdminState::Draining)]));
     until("a drain is judged", &|| judged() > before);
     assert_eq!(view()["dangerous"], serde_json::json!({}), "{}", view());
--- a/crates/daemon/tests/hooks.rs
+++ b/crates/daemon/tests/hooks.rs
@@ -3,8 +3,8 @@
 
 use dahliapoint_control::record::{End, encode_outputs, replay};
 use dahliapoint_control::{ControllerHandle, Input};
+use dahliapoint_daemon::daemon::{Daemon, RosterSource};
 use dahliapoint_daemon::deployment;
-use dahliapoint_daemon::life::{Daemon, Source};
 use serde_json::Value;
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
@@ -52,7 +52,7 @@
         let deployment = deployment::parse(&name, &text).unwrap();
         let daemon = Daemon::start(
             &deployment,
-            Source::File,
+            RosterSource::File,
             record.then(|| self.0.join("record")),
         )
         .unwrap();
@@ -62,7 +62,7 @@
             zone: "east".into(),
             visits_per_s: Some(10.0),
         };
-        assert!((7..10).all(|n| daemon.engine().send(joined(n))));
+        assert!((7..10).all(|n| daemon.controller().send(joined(n))));
         daemon
     }
 }
@@ -76,7 +76,7 @@
 fn until(daemon: &Daemon, what: &str, met: impl Fn(&Value) -> bool) -> Value {
     let end = Instant::now() + Duration::from_secs(30);
     loop {
-        let view = daemon.engine().overview();
+        let view = daemon.controller().overview();
         if met(&view) {
             return view;
         }
@@ -184,7 +184,7 @@
             let wanted = if round == 1 { "Ready" } else { "Draining" };
             server(v, "s1")["state"] == wanted
         });
-        daemon.engine().send(Input::Left(7 + round));
+        daemon.controller().send(Input::Left(7 + round));
     }
     // Each point that has had an occasion: its hooks were cut off, or threw, and the good one has had its turns.
     let points = [
--- a/crates/daemon/tests/import.rs
+++ b/crates/daemon/tests/import.rs
@@ -1,8 +1,8 @@
 //! Others' host lists in a running daemon and on the command line, on sample files of the project's own.
 
 use dahliapoint_control::ControllerHandle;
+use dahliapoint_daemon::daemon::{Daemon, RosterSource};
 use dahliapoint_daemon::deployment;
-use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_files::forms::{FORM, Form, Table, TableLine};
 use serde_json::Value;
 use std::path::{Path, PathBuf};
@@ -36,7 +36,7 @@
         );
         let name = self.0.join("d.yaml").display().to_string();
         let deployment = deployment::parse(&name, &text).map_err(|f| f.to_string())?;
-        Daemon::start(&deployment, Source::File, None)
+        Daemon::start(&deployment, RosterSource::File, None)
     }
 
     fn run(&self, line: &[&str]) -> (Option<i32>, String) {
@@ -56,7 +56,7 @@
 fn until(daemon: &Daemon, what: &str, met: impl Fn(&Value) -> bool) -> Value {
     let end = Instant::now() + Duration::from_secs(30);
     loop {
-        let view = daemon.engine().overview();
+        let view = daemon.controller().overview();
         if met(&view) {
             return view;
         }
@@ -85,7 +85,7 @@
     let daemon = place
         .start("file: httpd.conf, form: apache, zone: east")
         .unwrap();
-    let view = daemon.engine().overview();
+    let view = daemon.controller().overview();
     assert_eq!(
         (
             &server(&view, "a")["listed_weight"],
@@ -147,7 +147,7 @@
     let daemon = place
         .start("file: workers.properties, form: mod_jk, zone: east")
         .unwrap();
-    let view = daemon.engine().overview();
+    let view = daemon.controller().overview();
     assert_eq!(
         (&server(&view, "a")["zone"], &server(&view, "b")["zone"]),
         (&"west".into(), &"east".into())
--- a/crates/daemon/tests/interop.rs
+++ b/crates/daemon/tests/interop.rs
@@ -2,8 +2,8 @@
 //! server (tonic) against ours, on the whole path.
 
 use dahliapoint_control::{AdminState, RosterEntry};
+use dahliapoint_daemon::daemon::{Daemon, RosterSource};
 use dahliapoint_daemon::deployment;
-use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_fibers::spawn;
 use dahliapoint_grpc::{Code, Limits, Link};
 use dahliapoint_xds::names::{CDS, EDS, LEDS};
@@ -44,7 +44,7 @@
         started: None,
     };
     let entries = (0..3).map(entry).collect();
-    Daemon::start(&deployment, Source::Fixed(entries), None).unwrap()
+    Daemon::start(&deployment, RosterSource::Fixed(entries), None).unwrap()
 }
 
 fn node(id: &str, features: &[&str]) -> Node {
--- a/crates/daemon/tests/memory.rs
+++ b/crates/daemon/tests/memory.rs
@@ -1,8 +1,8 @@
 //! A controller that ends and begins again, with and without what it knew.
 
 use dahliapoint_control::{ControllerHandle, Input};
+use dahliapoint_daemon::daemon::{Daemon, RosterSource};
 use dahliapoint_daemon::deployment;
-use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_daemon::memory;
 use dahliapoint_memory::clock;
 use dahliapoint_memory::facts::{Change, Facts};
@@ -43,7 +43,7 @@
         );
         let file = self.0.join("d.yaml").display().to_string();
         let deployment = deployment::parse(&file, &text).unwrap();
-        Daemon::start(&deployment, Source::File, None)
+        Daemon::start(&deployment, RosterSource::File, None)
     }
 
     fn known(&self) -> Facts {
@@ -68,7 +68,7 @@
 /// The shares of the listed weight that lines have, once they are ordered.
 fn lines(daemon: &Daemon) -> Vec<f64> {
     // Lines are ordered once somebody is there to have them.
-    daemon.engine().send(Input::Joined {
+    daemon.controller().send(Input::Joined {
         session: 7,
         proxy: "p".into(),
         zone: "east".into(),
@@ -76,7 +76,7 @@
     });
     let mut found = Vec::new();
     until("lines are ordered", || {
-        let overview = daemon.engine().overview();
+        let overview = daemon.controller().overview();
         let servers = overview["servers"].as_array().cloned().unwrap_or_default();
         let share =
             |s: &Value| s["weight"].as_f64().unwrap() / s["listed_weight"].as_f64().unwrap();
@@ -148,12 +148,12 @@
     let found = lines(&daemon);
     assert_eq!(found.len(), 2);
     assert_eq!(
-        daemon.engine().overview()["servers"][1]["state"],
+        daemon.controller().overview()["servers"][1]["state"],
         "Draining"
     );
     folder.roster(&["ready", "gone"]);
     until("the roster is back", || {
-        daemon.engine().overview()["servers"][1]["state"] == "Gone"
+        daemon.controller().overview()["servers"][1]["state"] == "Gone"
     });
     daemon.end(Duration::from_secs(1));
 }
--- a/crates/daemon/tests/peer.rs
+++ b/crates/daemon/tests/peer.rs
@@ -4,8 +4,8 @@
 use dahliapoint_control::{
     AdminState, ControllerHandle, Input, LoadReport, ReportLine, RosterEntry,
 };
+use dahliapoint_daemon::daemon::{Daemon, RosterSource};
 use dahliapoint_daemon::deployment;
-use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_grpc::{Call, Code, Handler, Limits, Server, Status};
 use dahliapoint_memory::clock;
 use dahliapoint_peer::client;
@@ -36,7 +36,7 @@
          peers: {{ask: {peers:?}, within: 1s{more}}}\n"
     );
     let deployment = deployment::parse("d.yaml", &text).unwrap();
-    let daemon = Daemon::start(&deployment, Source::Fixed(roster()), None).unwrap();
+    let daemon = Daemon::start(&deployment, RosterSource::Fixed(roster()), None).unwrap();
     for n in 0..4 {
         let joined = Input::Joined {
             session: 7 + n,
@@ -44,8 +44,10 @@
             zone: "east".into(),
             visits_per_s: Some(50.0),
         };
-        assert!(daemon.engine().send(joined));
-        daemon.engine().report_stream(&format!("p{n}"), 7 + n, true);
+        assert!(daemon.controller().send(joined));
+        daemon
+            .controller()
+            .report_stream(&format!("p{n}"), 7 + n, true);
     }
     daemon
 }
@@ -66,7 +68,7 @@
             arrivals: Vec::new(),
         };
         daemon
-            .engine()
+            .controller()
             .report(&format!("p{n}"), 7 + n, report)
             .unwrap();
     }
@@ -75,7 +77,7 @@
 fn until(daemon: &Daemon, what: &str, reports: bool, met: impl Fn(&Value) -> bool) -> Value {
     let end = Instant::now() + Duration::from_secs(40);
     loop {
-        let view = daemon.engine().overview();
+        let view = daemon.controller().overview();
         if met(&view) {
             return view;
         }
--- a/crates/proxy/tests/files.rs
+++ b/crates/proxy/tests/files.rs
@@ -1,8 +1,8 @@
 //! Proxies steered by files, against the controller: the way there and back, moves between the fronts.
 
 use dahliapoint_control::{AdminState, RosterEntry};
+use dahliapoint_daemon::daemon::{Daemon, RosterSource};
 use dahliapoint_daemon::deployment;
-use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_proxy::described;
 use dahliapoint_proxy::filed::{Filed, Over};
 use dahliapoint_proxy::plane::Plane;
@@ -63,7 +63,7 @@
     );
     let file = folder.join("d.yaml").display().to_string();
     let deployment = deployment::parse(&file, &text).unwrap();
-    Daemon::start(&deployment, Source::File, None).unwrap()
+    Daemon::start(&deployment, RosterSource::File, None).unwrap()
 }
 
 fn plane(folder: &Path, name: &str, steered: &str) -> Arc<Plane> {
@@ -88,7 +88,7 @@
 
 fn overview(daemon: &Daemon) -> Value {
     use dahliapoint_control::ControllerHandle;
-    daemon.engine().overview()
+    daemon.controller().overview()
 }
 
 /// The proxies that the controller knows, and whether they have a part.
@@ -242,7 +242,7 @@
         started: None,
     };
     use dahliapoint_control::{ControllerHandle, Input};
-    daemon.engine().send(Input::RosterChanges(vec![entry]));
+    daemon.controller().send(Input::RosterChanges(vec![entry]));
     until("both drain", || {
         by_files.lines() == 1 && by_stream.lines() == 1
     });
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -1,8 +1,8 @@
 //! The proxy on real sockets: clients and servers of the test's own, tables from the real controller.
 
 use dahliapoint_control::{AdminState, Input, RosterEntry};
+use dahliapoint_daemon::daemon::{Daemon, RosterSource};
 use dahliapoint_daemon::deployment;
-use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_proxy::described::{self, Listed};
 use dahliapoint_proxy::plane::Plane;
 use dahliapoint_proxy::steering::Steering;
@@ -204,7 +204,7 @@
          reports: {{every: 100ms}}\nroster: {{file: none}}\nlisten: {{xds: '{listen}'}}\nseed: 3\n"
     );
     let deployment = deployment::parse("d.yaml", &text).unwrap();
-    Daemon::start(&deployment, Source::Fixed(entries(servers)), None).unwrap()
+    Daemon::start(&deployment, RosterSource::Fixed(entries(servers)), None).unwrap()
 }
 
 use AdminState::{Draining, Ready};
@@ -238,8 +238,8 @@
     }
     // What it met comes back to the controller, nothing twice and nothing lost.
     until("all reports read", || {
-        let lines = daemon.engine().overview();
-        let of = |s: &dahliapoint_daemon::engine::Json| {
+        let lines = daemon.controller().overview();
+        let of = |s: &dahliapoint_daemon::controller_thread::Json| {
             s["estimate"]["tries_per_s"].as_f64().unwrap_or(0.0)
         };
         lines["servers"]
@@ -251,7 +251,7 @@
             > 100.0
     });
     listed[3].2 = Draining;
-    daemon.engine().send(Input::Roster(entries(&listed)));
+    daemon.controller().send(Input::Roster(entries(&listed)));
     until("withdrawn", || p.plane.lines() == 3);
     let then = servers[3].visits.load(Ordering::SeqCst);
     (0..200).for_each(|_| assert_eq!(client.visit("view"), 200));
@@ -275,7 +275,7 @@
     let again = controller(&listed, &at.to_string());
     until("joined again", || p.steering.is_joined());
     until("bound again", || {
-        let view = again.engine().overview();
+        let view = again.controller().overview();
         view["proxies"]
             .as_array()
             .is_some_and(|p| p.iter().any(|p| !p["part"].is_null()))
@@ -298,7 +298,7 @@
     let plane = Plane::new(described, &[]);
     let steering = Steering::start(plane.clone());
     let joined = |d: &Daemon| {
-        let view = d.engine().overview();
+        let view = d.controller().overview();
         view["proxies"].as_array().is_some_and(|p| !p.is_empty())
     };
     until("joined the second", || {
--- a/crates/standins/src/day.rs
+++ b/crates/standins/src/day.rs
@@ -1,6 +1,6 @@
 //! The script of a day, as YAML.
 
-use dahliapoint_daemon::deployment::{self, Deployment, Repeat};
+use dahliapoint_daemon::deployment::{self, Deployment, Idempotency};
 use dahliapoint_proxy::picking::Way;
 use dahliapoint_yaml::{At, read};
 use std::path::{Path, PathBuf};
@@ -159,7 +159,7 @@
     let apply_us = proxies.field("apply").time(0.0..=1000.0, Some(0.04)) * 1e3;
     proxies.close();
     let (work, shares) = (at.field("work"), at.field("shares"));
-    let terms = &deployment.terms;
+    let terms = &deployment.settings;
     let classes = terms.classes.iter().enumerate().map(|(i, c)| ClassPlay {
         name: c.name.clone(),
         share: shares.field(&c.name).number(0.0..=1.0, Some(1.0)),
@@ -167,7 +167,7 @@
         soft_ms: c.soft_limit_ms,
         hard_ms: deployment.hard_limits_ms[i],
         earnings: c.earnings,
-        never_twice: deployment.repeats[i] == Repeat::Never,
+        never_twice: deployment.idempotency[i] == Idempotency::Never,
     });
     let classes: Vec<ClassPlay> = classes.collect();
     work.close();
--- a/crates/standins/src/obedient.rs
+++ b/crates/standins/src/obedient.rs
@@ -3,7 +3,7 @@
 
 use crate::proxy::{Layer, Look, Player, Trouble, class_of};
 use crate::world::lock;
-use dahliapoint_daemon::deployment::Repeat;
+use dahliapoint_daemon::deployment::Idempotency;
 use dahliapoint_fibers::{TcpStream, dial, shutdown_at, sleep, spawn};
 use dahliapoint_proxy::around::{Around, Crossed};
 use dahliapoint_proxy::described::{Class, Described, Listed, Spooled};
@@ -76,9 +76,9 @@
             name: c.name.clone(),
             hard_limit_ms: c.hard_ms,
             effect: match repeat {
-                Repeat::Safe => Effect::Pure,
-                Repeat::Keyed => Effect::Keyed,
-                Repeat::Never => Effect::Effect,
+                Idempotency::Safe => Effect::Pure,
+                Idempotency::Keyed => Effect::Keyed,
+                Idempotency::Never => Effect::Effect,
             },
         });
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
--- a/crates/standins/src/play.rs
+++ b/crates/standins/src/play.rs
@@ -312,7 +312,7 @@
 /// # Errors
 /// Why it could not be played.
 pub fn play(day: &Day, process: &mut Process, folder: &Path) -> Result<Value, String> {
-    let terms = &day.deployment.terms;
+    let terms = &day.deployment.settings;
     let figures = Figures {
         bare_ms: day.bare_ms,
         grace_ms: terms.drain_grace_ms,
@@ -321,7 +321,7 @@
         span_ms: terms.message_window_ms,
     };
     let ledger = Ledger::new(figures, day.classes.len());
-    let knows_after_ms = day.deployment.roster_every_ms + MARGIN_MS;
+    let knows_after_ms = day.deployment.roster_poll_interval_ms + MARGIN_MS;
     let world = World::new(terms.zones.clone(), day.servers, ledger, knows_after_ms);
     let world = Arc::new(world);
     let cold = Cold {
@@ -350,7 +350,7 @@
         backends.push(started.map_err(|e| format!("a server cannot be started: {e}"))?);
     }
     // The deployment as it is, with its roster in the day's own folder.
-    let name = day.deployment.roster.file_name().unwrap_or_default();
+    let name = day.deployment.roster_path.file_name().unwrap_or_default();
     let roster = RosterFile {
         path: folder.join(name),
         world: world.clone(),
@@ -376,7 +376,7 @@
         world: world.clone(),
         service: terms.service.clone(),
         classes: day.classes.clone(),
-        repeats: day.deployment.repeats.clone(),
+        repeats: day.deployment.idempotency.clone(),
         way: day.way,
         by_address: by_address.collect(),
         backends,
@@ -386,7 +386,7 @@
         shun_ms: day.shun_ms,
         apply_us: day.apply_us,
         standing: terms.initial_servers as usize,
-        connect_ms: day.deployment.connect_ms,
+        connect_ms: day.deployment.connect_timeout_ms,
         idle_ms: terms.idle_timeout_ms,
         message_lines: terms.message_overhead_lines,
         knows_after_ms,
@@ -514,7 +514,7 @@
     }
 
     fn look(&mut self, now: f64) {
-        let warm = self.day.deployment.terms.warm_up_ms;
+        let warm = self.day.deployment.settings.warm_up_ms;
         let told = lock(&self.world.told).clone();
         let open = self.layer.backends.iter().any(|b| {
             let t = &told[b.index];
@@ -730,7 +730,7 @@
     }
 
     fn channel(&self, slower: f64) {
-        let usual = self.day.deployment.terms.lines_per_s;
+        let usual = self.day.deployment.settings.lines_per_s;
         *lock(&self.layer.channel.lines_per_s) = usual / slower;
     }
 
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -5,7 +5,7 @@
 use crate::relay::Relay;
 use crate::rules::Ledger;
 use crate::world::{World, lock};
-use dahliapoint_daemon::deployment::Repeat;
+use dahliapoint_daemon::deployment::Idempotency;
 use dahliapoint_fibers::{Queue, Received, TcpStream, dial, shutdown_at, sleep, spawn};
 use dahliapoint_grpc::{Inbound, Limits, Link, Outbound, Status};
 use dahliapoint_proxy::picking::Way;
@@ -87,7 +87,7 @@
     pub world: Arc<World>,
     pub service: String,
     pub classes: Vec<ClassPlay>,
-    pub repeats: Vec<Repeat>,
+    pub repeats: Vec<Idempotency>,
     pub way: Way,
     pub backends: Vec<Arc<Backend>>,
     pub by_address: HashMap<String, usize>,
--- a/crates/standins/src/sabotage.rs
+++ b/crates/standins/src/sabotage.rs
@@ -4,9 +4,9 @@
 
 use dahliapoint::{self as planner, Orders};
 use dahliapoint_control::{Input, LineState, Message, Output, RetryPolicy, Scope};
+use dahliapoint_daemon::controller_thread::{Clock, ControllerThread};
 use dahliapoint_daemon::deployment;
-use dahliapoint_daemon::engine::{Clock, Engine};
-use dahliapoint_daemon::roster::{Look, Watch};
+use dahliapoint_daemon::roster::{PollResult, RosterWatcher};
 use dahliapoint_grpc::{Limits, Server};
 use dahliapoint_xds::{ControllerHandle, Front, Shape};
 use std::collections::{BTreeMap, BTreeSet};
@@ -40,19 +40,19 @@
     let text = std::fs::read_to_string(file).map_err(|e| e.to_string())?;
     let name = file.display().to_string();
     let deployment = deployment::parse(&name, &text).map_err(|f| f.to_string())?;
-    dahliapoint_daemon::cli::log(&deployment);
-    let terms = deployment.terms.clone();
+    dahliapoint_daemon::cli::init_logging(&deployment);
+    let terms = deployment.settings.clone();
     let seed = deployment.seed.unwrap_or(1);
-    let engine = Engine::new(Clock::start(), seed, terms.report_interval_ms);
+    let engine = ControllerThread::new(Clock::start(), seed, terms.report_interval_ms);
     let owner: Arc<dyn ControllerHandle> = Arc::new(engine.clone());
-    let shape = Shape::of(&terms, deployment.connect_ms);
+    let shape = Shape::of(&terms, deployment.connect_timeout_ms);
     let front = Front::new(shape, owner.clone(), 1);
     let server =
         Server::start(listen, Limits::default(), front.clone()).map_err(|e| e.to_string())?;
     let begun = Instant::now();
     if module {
         let mut spoiled = Spoiled::new(wrong, terms.classes.len());
-        engine.spoiled_by(Box::new(move |now, orders| spoiled.spoil(now, orders)));
+        engine.inject_faults(Box::new(move |now, orders| spoiled.spoil(now, orders)));
     }
     let wrong = if module { Wrong::Nothing } else { wrong };
     let spoiler = Mutex::new(Spoiler {
@@ -81,8 +81,12 @@
         }
         None
     });
-    let mut watch = Watch::new(&deployment.roster, &deployment.roster_form, &terms.zones);
-    let Look::New(entries) = watch.look() else {
+    let mut watch = RosterWatcher::new(
+        &deployment.roster_path,
+        &deployment.roster_format,
+        &terms.zones,
+    );
+    let PollResult::Changed(entries) = watch.poll() else {
         return Err("no roster".into());
     };
     let first = vec![Input::Roster(entries)];
@@ -91,7 +95,7 @@
     std::fs::write(address_file, server.address().to_string()).map_err(|e| e.to_string())?;
     loop {
         std::thread::sleep(Duration::from_millis(50));
-        if let Look::New(mut entries) = watch.look() {
+        if let PollResult::Changed(mut entries) = watch.poll() {
             if wrong == Wrong::FloodsTheCold {
                 entries.iter_mut().for_each(|e| e.started = None);
                 // So late that no proxy can be excused for not having known.
