--- a/crates/daemon/src/controller_thread.rs
+++ b/crates/daemon/src/controller_thread.rs
@@ -1,8 +1,9 @@
-//! The one owner of the controller: a thread that is fed by a queue. All that waits in it is one moment.
+//! The thread that owns the controller. Others put inputs into its queue; everything that is queued
+//! when the thread looks is handled as one step.
 //!
-//! Load reports do not go through the queue: they go into the intake's mouth, which merges and never
-//! waits, and are read once a round as background work, in slices. Between two slices the queue comes
-//! first, so a drain waits behind one slice of reports at the most.
+//! Load reports do not go through that queue. They go into the intake's report queue, which merges
+//! them without blocking, and are read once per reporting interval (a round) as background work, in
+//! slices. Inputs are handled between two slices, so a drain waits for one slice of reports at most.
 
 use crate::hook_runner::HookRunner;
 use dahliapoint_control::record::{Header, Recorder};
@@ -31,33 +32,33 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, error, info, warn};
 
-/// What an overview is told as.
+/// Status as JSON.
 pub type Json = serde_json::Value;
 
-/// Inputs that wait at most; beyond that whoever brings one waits.
-const MOST: usize = 16 * 1024;
-/// Servers that one reporter may name.
-const MOST_SERVERS: usize = 20_000;
-/// Where the clock starts: late enough that all that is told of the past lies after 0.
-const ORIGIN_MS: f64 = 1e9;
-
-/// Background work, the highest first: reading reports, then answering people. Decisions and withdrawals
-/// are no background work: they are done before any of it.
-const READING: usize = 0;
-const TELLING: usize = 1;
-/// The budgets' period, shares of it, and how much may wait.
-const PERIOD_MS: f64 = 100.0;
-const READING_SHARE: f64 = 0.5;
-const TELLING_SHARE: f64 = 0.1;
-const WAITING: usize = 1024;
-/// Reporters' stretches that one slice reads.
-const SLICE: usize = 64;
+/// Limit of the input queue; while it is full, senders block.
+const MAX_QUEUED_ITEMS: usize = 16 * 1024;
+/// Servers that one reporter may report on.
+const MAX_SERVERS_PER_REPORTER: usize = 20_000;
+/// Reading of the clock at its start; large enough that times in the past stay positive.
+const CLOCK_ORIGIN_MS: f64 = 1e9;
+
+/// Classes of background work, in order of priority: reading reports, then answering status requests.
+/// Inputs are not background work: they are handled before any of it.
+const REPORTS_CLASS: usize = 0;
+const STATUS_CLASS: usize = 1;
+/// Period of the CPU budgets, share of each class, and limit of each class's queue.
+const BUDGET_PERIOD_MS: f64 = 100.0;
+const REPORTS_CPU_SHARE: f64 = 0.5;
+const STATUS_CPU_SHARE: f64 = 0.1;
+const MAX_QUEUED_TASKS: usize = 1024;
+/// Merged reports that one slice reads.
+const REPORTERS_PER_SLICE: usize = 64;
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-/// A clock that never goes back.
+/// A monotonic clock.
 #[derive(Clone, Copy)]
 pub struct Clock(Instant);
 
@@ -67,139 +68,150 @@
     }
 
     pub fn now_ms(&self) -> f64 {
-        ORIGIN_MS + self.0.elapsed().as_secs_f64() * 1e3
+        CLOCK_ORIGIN_MS + self.0.elapsed().as_secs_f64() * 1e3
     }
 
     fn at(&self, ms: f64) -> Option<Instant> {
-        let after = (ms - ORIGIN_MS) / 1e3;
-        // A year ahead is as good as never: the queue wakes it before.
+        let after = (ms - CLOCK_ORIGIN_MS) / 1e3;
+        // A time that is further ahead, or infinite, is cut to a year, so that it fits an `Instant`.
         let after = after.clamp(0.0, 86_400.0 * 365.0);
         self.0.checked_add(Duration::from_secs_f64(after))
     }
 }
 
+/// Entry of the thread's queue.
 enum Item {
     Input(Input),
-    Ask(Arc<Asked>),
+    StatusRequest(Arc<StatusRequest>),
 }
 
-/// A question for the present state.
+/// A request for the controller's status, with its answer.
 #[derive(Default)]
-struct Asked {
+struct StatusRequest {
     answer: Mutex<Option<serde_json::Value>>,
-    bell: Notify,
+    done: Notify,
 }
 
-/// Carries out an output; gives it back if it is for another.
+/// Carries out an output, or returns it if it cannot.
 pub type OutputHandler = Box<dyn Fn(Output) -> Option<Output> + Send>;
 
-/// A reporter: the proxy's name, and the number of its stream.
+/// The proxy's name and the number of its report stream.
 type Reporter = (Arc<str>, Session);
 
-/// What a line is of: a server's address and a class; or, for what came, a class's name alone.
-type Place = (Arc<str>, usize);
+/// Key of a report line: a server and a class; for arrivals, the name of the class and 0.
+type LineKey = (Arc<str>, usize);
 
-/// The way to the owner; clones are the same.
+/// Handle of the controller's thread; clones refer to the same thread.
 #[derive(Clone)]
 pub struct ControllerThread {
     clock: Clock,
     queue: Queue<Item>,
-    mouth: Arc<Mutex<ReportQueue<Reporter, Place>>>,
-    /// The reporting interval that proxies are told, as the bits of a number.
-    every_ms: Arc<AtomicU64>,
+    report_queue: Arc<Mutex<ReportQueue<Reporter, LineKey>>>,
+    /// Reporting interval that proxies are to use, as the bits of an `f64`.
+    report_interval_ms: Arc<AtomicU64>,
     roster_fault: Arc<Mutex<Option<String>>>,
-    figures: Arc<Mutex<LoopStats>>,
-    views: Arc<Mutex<Vec<(&'static str, StatusView)>>>,
-    hooking: Arc<Mutex<Option<Arc<HookRunner>>>>,
-    known: Arc<Mutex<Option<(SharedFacts, ChangeTracker)>>>,
-    /// A hand that spoils orders, for tests of the guard.
-    spoiled: Arc<Mutex<Option<FaultInjector>>>,
+    stats: Arc<Mutex<LoopStats>>,
+    status_views: Arc<Mutex<Vec<(&'static str, StatusView)>>>,
+    hook_runner: Arc<Mutex<Option<Arc<HookRunner>>>>,
+    peer_facts: Arc<Mutex<Option<(SharedFacts, ChangeTracker)>>>,
+    /// Falsifies the planner's orders, for tests of the guard.
+    fault_injector: Arc<Mutex<Option<FaultInjector>>>,
 }
 
-/// A part's own words for an overview.
+/// Status of one component, as part of the overview.
 pub type StatusView = Box<dyn Fn() -> Json + Send>;
 
-/// What the owner has used so far, for measurements.
+/// Counters of the thread.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoopStats {
-    pub moments: u64,
+    pub steps: u64,
     pub inputs: u64,
-    /// Time within decisions, and the longest of one moment.
-    pub deciding_ms: f64,
-    pub longest_ms: f64,
-    /// Rounds of reports, the longest time that reading one took, and periods in which work was put off.
+    /// Time spent in [`Controller::handle`] and with its inputs.
+    pub total_step_ms: f64,
+    pub longest_step_ms: f64,
+    /// Rounds of load reports that were read.
     pub rounds: u64,
+    /// Longest time from the start of a round to its last slice.
     pub longest_round_ms: f64,
-    pub put_off: u64,
+    /// How often a class had background work left but no budget in its period.
+    pub deferred_tasks: u64,
 }
 
-/// What the owner's thread works with.
-struct Work {
+/// State of the thread.
+struct LoopState {
     controller: Controller,
     record: Option<Recorder<BufWriter<File>>>,
-    hand: OutputHandler,
+    output_handler: OutputHandler,
     scheduler: Scheduler,
     interval: ReportInterval,
-    every_ms: f64,
-    next_round: f64,
-    /// The round being read, what it began with, and its piece of work.
-    unread: VecDeque<MergedReport<Reporter, Place>>,
-    reading: Option<(TaskId, f64)>,
-    lines_before: u64,
-    asked: Vec<(TaskId, Arc<Asked>)>,
+    report_interval_ms: f64,
+    next_round_ms: f64,
+    /// Reports of the present round that are not read yet.
+    unread: VecDeque<MergedReport<Reporter, LineKey>>,
+    /// Task that reads them, and the time at which the round began.
+    reading_task: Option<(TaskId, f64)>,
+    /// Lines that the report queue had counted at the last round.
+    lines_seen: u64,
+    status_requests: Vec<(TaskId, Arc<StatusRequest>)>,
     memory: Option<(Arc<JournalWriter>, ChangeTracker)>,
-    /// What peers are told, brought up to date once a round.
-    known: Option<(SharedFacts, ChangeTracker)>,
-    hooking: Option<Arc<HookRunner>>,
-    /// The world as hooks last saw it, and when that was.
+    /// Facts for peers, updated after each round and each change of the roster.
+    peer_facts: Option<(SharedFacts, ChangeTracker)>,
+    hook_runner: Option<Arc<HookRunner>>,
+    /// Last state of the service that hooks were given, and its time.
     world: Arc<World>,
-    seen_at: f64,
+    world_updated_ms: f64,
 }
 
 impl ControllerThread {
-    /// An engine with its queue; it is fed before it runs. `every_ms` is the usual reporting interval.
-    pub fn new(clock: Clock, seed: u64, every_ms: f64) -> ControllerThread {
+    /// Creates the queue; the thread starts with [`ControllerThread::run`]. `report_interval_ms` is
+    /// the configured reporting interval.
+    pub fn new(clock: Clock, seed: u64, report_interval_ms: f64) -> ControllerThread {
         ControllerThread {
             clock,
-            queue: Queue::bounded(MOST),
-            mouth: Arc::new(Mutex::new(ReportQueue::new(every_ms, MOST_SERVERS, seed))),
-            every_ms: Arc::new(AtomicU64::new(every_ms.to_bits())),
+            queue: Queue::bounded(MAX_QUEUED_ITEMS),
+            report_queue: Arc::new(Mutex::new(ReportQueue::new(
+                report_interval_ms,
+                MAX_SERVERS_PER_REPORTER,
+                seed,
+            ))),
+            report_interval_ms: Arc::new(AtomicU64::new(report_interval_ms.to_bits())),
             roster_fault: Arc::default(),
-            figures: Arc::default(),
-            views: Arc::default(),
-            hooking: Arc::default(),
-            known: Arc::default(),
-            spoiled: Arc::default(),
+            stats: Arc::default(),
+            status_views: Arc::default(),
+            hook_runner: Arc::default(),
+            peer_facts: Arc::default(),
+            fault_injector: Arc::default(),
         }
     }
 
-    /// Keeps what peers are told, beginning with what was known at the start.
-    pub fn share_facts(&self, known: SharedFacts, first: &Facts) {
-        *known.lock() = first.clone();
-        *lock(&self.known) = Some((known, ChangeTracker::from_facts(first)));
+    /// Keeps `peer_facts` up to date, beginning with `first`. To be called before `run`.
+    pub fn share_facts(&self, peer_facts: SharedFacts, first: &Facts) {
+        *peer_facts.lock() = first.clone();
+        *lock(&self.peer_facts) = Some((peer_facts, ChangeTracker::from_facts(first)));
     }
 
-    /// Hooks see what happens, from when the engine runs.
-    pub fn set_hooks(&self, hooking: Arc<HookRunner>) {
-        *lock(&self.hooking) = Some(hooking);
+    /// Connects the hooks. To be called before `run`.
+    pub fn set_hooks(&self, hook_runner: Arc<HookRunner>) {
+        *lock(&self.hook_runner) = Some(hook_runner);
     }
 
-    /// Puts a hand between planner and guard, before the engine runs.
-    pub fn inject_faults(&self, between: FaultInjector) {
-        *lock(&self.spoiled) = Some(between);
+    /// Puts a fault injector between planner and guard. To be called before `run`.
+    pub fn inject_faults(&self, injector: FaultInjector) {
+        *lock(&self.fault_injector) = Some(injector);
     }
 
-    /// Begins to own a controller: first the inputs given, then what is put in.
+    /// Starts the thread with a new controller, which handles the inputs of `first` before those of
+    /// the queue. Inputs are recorded in the file `record`, if one is given.
     ///
     /// # Errors
-    /// When the record cannot be written or the thread cannot be started.
+    /// Fails if the record cannot be written or the thread cannot be started.
     pub fn run(
         &self,
         seed: u64,
-        terms: ControllerSettings,
+        settings: ControllerSettings,
         record: Option<&Path>,
         first: Vec<Input>,
-        hand: OutputHandler,
+        output_handler: OutputHandler,
         memory: Option<(Arc<JournalWriter>, ChangeTracker)>,
     ) -> io::Result<JoinHandle<()>> {
         let now = self.clock.now_ms();
@@ -208,7 +220,7 @@
             let begin = Header {
                 now,
                 seed,
-                settings: terms.clone(),
+                settings: settings.clone(),
             };
             recorder = Some(Recorder::create(
                 BufWriter::new(File::create(path)?),
@@ -216,54 +228,56 @@
             )?);
         }
         let budget = |share| Budget {
-            cpu_ms: PERIOD_MS * share,
-            max_queued: WAITING,
+            cpu_ms: BUDGET_PERIOD_MS * share,
+            max_queued: MAX_QUEUED_TASKS,
         };
-        let budgets = [budget(READING_SHARE), budget(TELLING_SHARE)];
-        let every_ms = terms.report_interval_ms;
-        let work = Work {
-            interval: ReportInterval::new(now, every_ms, terms.report_lines_per_s),
-            controller: Controller::new(now, seed, terms),
+        let budgets = [budget(REPORTS_CPU_SHARE), budget(STATUS_CPU_SHARE)];
+        let report_interval_ms = settings.report_interval_ms;
+        let mut state = LoopState {
+            interval: ReportInterval::new(now, report_interval_ms, settings.report_lines_per_s),
+            controller: Controller::new(now, seed, settings),
             record: recorder,
-            hand,
-            scheduler: Scheduler::new(now, PERIOD_MS, &budgets),
-            every_ms,
-            next_round: now + every_ms,
+            output_handler,
+            scheduler: Scheduler::new(now, BUDGET_PERIOD_MS, &budgets),
+            report_interval_ms,
+            next_round_ms: now + report_interval_ms,
             unread: VecDeque::new(),
-            reading: None,
-            lines_before: 0,
-            asked: Vec::new(),
+            reading_task: None,
+            lines_seen: 0,
+            status_requests: Vec::new(),
             memory,
-            known: lock(&self.known).take(),
-            hooking: lock(&self.hooking).take(),
+            peer_facts: lock(&self.peer_facts).take(),
+            hook_runner: lock(&self.hook_runner).take(),
             world: Arc::default(),
-            seen_at: f64::NEG_INFINITY,
+            world_updated_ms: f64::NEG_INFINITY,
         };
-        let mut work = work;
-        if let Some(between) = lock(&self.spoiled).take() {
-            work.controller.inject_faults(between);
+        if let Some(injector) = lock(&self.fault_injector).take() {
+            state.controller.inject_faults(injector);
         }
         let controller = self.clone();
         std::thread::Builder::new()
             .name("controller".into())
-            .spawn(move || controller.own(work, first))
+            .spawn(move || controller.run_loop(state, first))
     }
 
-    fn own(&self, mut work: Work, first: Vec<Input>) {
-        self.decide(&mut work, first);
+    fn run_loop(&self, mut state: LoopState, first: Vec<Input>) {
+        self.run_step(&mut state, first);
         loop {
             let now = self.clock.now_ms();
-            if now >= work.next_round && work.reading.is_none() {
-                self.begin_round(&mut work, now);
+            if now >= state.next_round_ms && state.reading_task.is_none() {
+                self.begin_round(&mut state, now);
             }
-            let next = work.scheduler.next(now);
-            self.say_what_waits(&mut work);
-            // With work at hand the queue is only looked into; without, it is waited for.
+            let next = state.scheduler.next(now);
+            self.handle_scheduler_events(&mut state);
+            // With background work at hand the queue is only polled.
             let until = match next {
                 Some(_) => now,
                 None => {
-                    let alarm = work.controller.wake_at().min(work.next_round);
-                    work.scheduler.wake_at().map_or(alarm, |at| alarm.min(at))
+                    let wake_at = state.controller.wake_at().min(state.next_round_ms);
+                    state
+                        .scheduler
+                        .wake_at()
+                        .map_or(wake_at, |at| wake_at.min(at))
                 }
             };
             let taken = self.queue.take_all(self.clock.at(until));
@@ -273,101 +287,107 @@
                 for item in items {
                     match item {
                         Item::Input(input) => inputs.push(input),
-                        Item::Ask(asked) => self.submit_answer(&mut work, asked),
+                        Item::StatusRequest(request) => {
+                            self.submit_status_request(&mut state, request)
+                        }
                     }
                 }
             }
             if closed {
                 break;
             }
-            let due = work.controller.wake_at() <= self.clock.now_ms();
+            let due = state.controller.wake_at() <= self.clock.now_ms();
             if !inputs.is_empty() || due {
-                self.decide(&mut work, inputs);
+                self.run_step(&mut state, inputs);
             }
-            if let Some((id, piece)) = next {
-                let begun = self.clock.now_ms();
-                let more = match piece.class {
-                    READING => self.read_slice(&mut work),
-                    _ => self.answer(&mut work, id),
+            if let Some((id, task)) = next {
+                let started = self.clock.now_ms();
+                let more = match task.class {
+                    REPORTS_CLASS => self.read_slice(&mut state),
+                    _ => self.answer_status_request(&mut state, id),
                 };
                 let now = self.clock.now_ms();
-                work.scheduler.task_ran(now, id, now - begun, more);
+                state.scheduler.task_ran(now, id, now - started, more);
             }
         }
-        work.asked
+        state
+            .status_requests
             .drain(..)
-            .for_each(|(_, asked)| asked.bell.notify());
+            .for_each(|(_, request)| request.done.notify());
     }
 
-    /// One moment: written down, decided, carried out.
-    fn decide(&self, work: &mut Work, inputs: Vec<Input>) {
+    /// Records inputs, has the controller handle them, and carries out its outputs.
+    fn run_step(&self, state: &mut LoopState, inputs: Vec<Input>) {
         let now = self.clock.now_ms();
-        if let Some(recorder) = &mut work.record
+        if let Some(recorder) = &mut state.record
             && let Err(e) = recorder
                 .append(now, &inputs)
                 .and_then(|()| recorder.flush())
         {
-            // The day goes on without its record.
-            error!(error = %e, "the record cannot be written; it ends here");
-            work.record = None;
+            // The controller runs on without its record.
+            error!(error = %e, "cannot write the record; recording stops");
+            state.record = None;
         }
         let count = inputs.len();
-        // What the roster says is remembered at once, the rest once a round.
-        let listed = |i: &Input| matches!(i, Input::Roster(_) | Input::RosterChanges(_));
-        let roster = inputs.iter().any(listed);
-        let outputs = self.take(work, now, inputs);
+        // Changes of the roster are saved at once, other facts once a round.
+        let is_roster = |i: &Input| matches!(i, Input::Roster(_) | Input::RosterChanges(_));
+        let has_roster = inputs.iter().any(is_roster);
+        let outputs = self.handle_inputs(state, now, inputs);
         let took = self.clock.now_ms() - now;
         {
-            let mut figures = lock(&self.figures);
-            figures.moments += 1;
-            figures.inputs += count as u64;
-            figures.deciding_ms += took;
-            figures.longest_ms = figures.longest_ms.max(took);
+            let mut stats = lock(&self.stats);
+            stats.steps += 1;
+            stats.inputs += count as u64;
+            stats.total_step_ms += took;
+            stats.longest_step_ms = stats.longest_step_ms.max(took);
         }
         for output in outputs {
-            if let Some(Output::Log(note)) = (work.hand)(output) {
+            if let Some(Output::Log(note)) = (state.output_handler)(output) {
                 match note.starts_with("guard:") {
                     true => warn!(target: "guard", "{note}"),
                     false => info!(target: "decisions", "{note}"),
                 }
             }
         }
-        if roster {
-            self.remember(work);
+        if has_roster {
+            self.save_facts(state);
         }
     }
 
-    /// One moment through the controller, with hooks before what leaves and behind it.
-    fn take(&self, work: &mut Work, now: f64, inputs: Vec<Input>) -> Vec<Output> {
-        let Some(hooking) = work.hooking.clone() else {
-            return work.controller.handle(now, inputs);
+    /// Has the controller handle inputs; hooks may hold publications, and see what was published.
+    fn handle_inputs(&self, state: &mut LoopState, now: f64, inputs: Vec<Input>) -> Vec<Output> {
+        let Some(hook_runner) = state.hook_runner.clone() else {
+            return state.controller.handle(now, inputs);
         };
         let mut held = Vec::new();
-        let outputs = match hooking.gate() {
-            None => work.controller.handle(now, inputs),
+        let outputs = match hook_runner.gate() {
+            None => state.controller.handle(now, inputs),
             Some(gate) => {
-                let world = work.world.clone();
-                let mut until = None;
-                work.controller
+                let world = state.world.clone();
+                let mut deadline = None;
+                state
+                    .controller
                     .handle_gated(now, inputs, &mut |part, lines| {
-                        // One time for all publications of a moment.
-                        let ms = hooking.publication_ms() / 1e3;
-                        let until = *until
-                            .get_or_insert_with(|| Instant::now() + Duration::from_secs_f64(ms));
-                        let hold = hooking.judges(&gate, &world, part, lines, until);
+                        // All publications of a step share one deadline.
+                        let timeout_s = hook_runner.publication_timeout_ms() / 1e3;
+                        let deadline = *deadline.get_or_insert_with(|| {
+                            Instant::now() + Duration::from_secs_f64(timeout_s)
+                        });
+                        let hold =
+                            hook_runner.check_publication(&gate, &world, part, lines, deadline);
                         held.extend(hold.then_some(part));
                         hold
                     })
             }
         };
         if !held.is_empty()
-            && let Some(recorder) = &mut work.record
+            && let Some(recorder) = &mut state.record
             && let Err(e) = recorder
                 .append(now, &[Input::Gated(held)])
                 .and_then(|()| recorder.flush())
         {
-            error!(error = %e, "the record cannot be written; it ends here");
-            work.record = None;
+            error!(error = %e, "cannot write the record; recording stops");
+            state.record = None;
         }
         for output in &outputs {
             if let Output::Write(_, message) = output
@@ -384,189 +404,196 @@
                     open: l.state == LineState::Open,
                     before: 0.0,
                 };
-                hooking.published(part, message.lines.iter().map(seen).collect());
+                hook_runner.lines_published(part, message.lines.iter().map(seen).collect());
             }
         }
-        let controller = &work.controller;
+        let controller = &state.controller;
         let zones = &controller.settings().zones;
-        if let Some(world) = hooking.sees(&mut work.seen_at, || controller.overview(), zones) {
-            work.world = world;
+        if let Some(world) =
+            hook_runner.update_world(&mut state.world_updated_ms, || controller.overview(), zones)
+        {
+            state.world = world;
         }
         outputs
     }
 
-    /// Offers what has changed to memory and to peers, without waiting.
-    fn remember(&self, work: &mut Work) {
-        if let Some((known, differ)) = &mut work.known {
+    /// Passes changed facts on to peers and to memory, without blocking.
+    fn save_facts(&self, state: &mut LoopState) {
+        if let Some((peer_facts, tracker)) = &mut state.peer_facts {
             let now = clock::now();
             let (servers, levels) = (
-                work.controller.servers(),
-                work.controller.admission_levels(),
+                state.controller.servers(),
+                state.controller.admission_levels(),
             );
-            let changes = differ.changes(&now, &servers, &levels);
-            let mut facts = known.lock();
+            let changes = tracker.changes(&now, &servers, &levels);
+            let mut facts = peer_facts.lock();
             for change in changes.into_iter().chain([Change::Alive(now)]) {
-                // Made by our own differ: always sound.
+                // Cannot fail: the tracker makes valid changes only.
                 let _ = facts.apply(change);
             }
         }
-        let Some((keeper, differ)) = &mut work.memory else {
+        let Some((journal, tracker)) = &mut state.memory else {
             return;
         };
         let now = clock::now();
         let (servers, levels) = (
-            work.controller.servers(),
-            work.controller.admission_levels(),
+            state.controller.servers(),
+            state.controller.admission_levels(),
         );
-        let mut changes = differ.changes(&now, &servers, &levels);
+        let mut changes = tracker.changes(&now, &servers, &levels);
         changes.push(Change::Alive(now));
-        if !keeper.offer(changes) {
-            // What was not taken is found again, all of it.
-            *differ = ChangeTracker::default();
+        if !journal.offer(changes) {
+            // The journal's queue is full: an empty tracker finds all facts again in the next round.
+            *tracker = ChangeTracker::default();
         }
     }
 
-    /// Takes what the mouth holds, as much as may be read in a round, and has it read in slices.
-    fn begin_round(&self, work: &mut Work, now: f64) {
-        let per_ms = work.controller.settings().report_lines_per_s / 1e3;
-        let room = (per_ms * work.every_ms).max(1.0) as usize;
-        let (read, tally) = {
-            let mut mouth = lock(&self.mouth);
-            (mouth.read(now, room), mouth.stats)
+    /// Takes from the report queue as many lines as the rate limit allows in a round, and submits
+    /// the task that reads them in slices.
+    fn begin_round(&self, state: &mut LoopState, now: f64) {
+        let per_ms = state.controller.settings().report_lines_per_s / 1e3;
+        let max_lines = (per_ms * state.report_interval_ms).max(1.0) as usize;
+        let (read, queue_stats) = {
+            let mut report_queue = lock(&self.report_queue);
+            (report_queue.read(now, max_lines), report_queue.stats)
         };
-        let came = (tally.lines - work.lines_before) as f64;
-        work.lines_before = tally.lines;
-        let over = now - (work.next_round - work.every_ms);
-        if let Some(every) = work.interval.observe(now, came, over) {
+        let new_lines = (queue_stats.lines - state.lines_seen) as f64;
+        state.lines_seen = queue_stats.lines;
+        let elapsed = now - (state.next_round_ms - state.report_interval_ms);
+        if let Some(every) = state.interval.observe(now, new_lines, elapsed) {
             warn!(
                 every_ms = every,
-                lines = came,
-                "proxies are told to report at another interval"
+                lines = new_lines,
+                "the reporting interval of the proxies changes"
             );
-            self.every_ms.store(every.to_bits(), Ordering::SeqCst);
+            self.report_interval_ms
+                .store(every.to_bits(), Ordering::SeqCst);
         }
-        work.next_round = (work.next_round + work.every_ms).max(now);
-        self.remember(work);
-        work.unread = read.into();
-        let piece = Task {
-            class: READING,
+        state.next_round_ms = (state.next_round_ms + state.report_interval_ms).max(now);
+        self.save_facts(state);
+        state.unread = read.into();
+        let task = Task {
+            class: REPORTS_CLASS,
             owner: 0,
             deadline: None,
         };
-        work.reading = work.scheduler.submit(now, piece).map(|id| (id, now));
+        state.reading_task = state.scheduler.submit(now, task).map(|id| (id, now));
     }
 
-    /// Reads a slice; tells whether more of the round is left.
-    fn read_slice(&self, work: &mut Work) -> bool {
+    /// Reads a slice of reports; returns whether the round has more.
+    fn read_slice(&self, state: &mut LoopState) -> bool {
         let now = self.clock.now_ms();
-        let many = work.unread.len().min(SLICE);
-        let slice = work.unread.drain(..many);
-        let mut inputs: Vec<Input> = slice.map(|r| reported(now, r)).collect();
-        let more = !work.unread.is_empty();
+        let count = state.unread.len().min(REPORTERS_PER_SLICE);
+        let slice = state.unread.drain(..count);
+        let mut inputs: Vec<Input> = slice.map(|r| report_input(now, r)).collect();
+        let more = !state.unread.is_empty();
         if !more {
             inputs.push(Input::RoundEnded);
         }
-        self.decide(work, inputs);
-        if let Some((_, begun)) = work.reading.filter(|_| !more) {
-            work.reading = None;
-            let mut figures = lock(&self.figures);
-            figures.rounds += 1;
-            figures.longest_round_ms = figures.longest_round_ms.max(now - begun);
+        self.run_step(state, inputs);
+        if let Some((_, round_began)) = state.reading_task.filter(|_| !more) {
+            state.reading_task = None;
+            let mut stats = lock(&self.stats);
+            stats.rounds += 1;
+            stats.longest_round_ms = stats.longest_round_ms.max(now - round_began);
         }
         more
     }
 
-    fn submit_answer(&self, work: &mut Work, asked: Arc<Asked>) {
-        let piece = Task {
-            class: TELLING,
+    fn submit_status_request(&self, state: &mut LoopState, request: Arc<StatusRequest>) {
+        let task = Task {
+            class: STATUS_CLASS,
             owner: 0,
             deadline: None,
         };
-        if let Some(id) = work.scheduler.submit(self.clock.now_ms(), piece) {
-            work.asked.push((id, asked));
+        if let Some(id) = state.scheduler.submit(self.clock.now_ms(), task) {
+            state.status_requests.push((id, request));
         }
     }
 
-    fn say_what_waits(&self, work: &mut Work) {
-        for told in work.scheduler.take_events() {
-            match told {
+    fn handle_scheduler_events(&self, state: &mut LoopState) {
+        for event in state.scheduler.take_events() {
+            match event {
                 Event::Deferred(class) => {
-                    lock(&self.figures).put_off += 1;
+                    lock(&self.stats).deferred_tasks += 1;
                     debug!(class, "background work waits for its next period");
                 }
                 Event::Evicted(id) | Event::Expired(id) => {
-                    let gone = work.asked.iter().position(|(i, _)| *i == id);
-                    if let Some(at) = gone {
-                        work.asked.swap_remove(at).1.bell.notify();
+                    let position = state.status_requests.iter().position(|(i, _)| *i == id);
+                    if let Some(at) = position {
+                        state.status_requests.swap_remove(at).1.done.notify();
                     }
-                    warn!(id, "background work was given up: there is too much");
+                    warn!(
+                        id,
+                        "background work is dropped: its queue is full or its deadline has passed"
+                    );
                 }
             }
         }
     }
 
-    /// Answers a question; there is never more of it.
-    fn answer(&self, work: &mut Work, id: TaskId) -> bool {
-        let Some(at) = work.asked.iter().position(|(i, _)| *i == id) else {
+    /// Answers a status request. Returns false: the task has no further slice.
+    fn answer_status_request(&self, state: &mut LoopState, id: TaskId) -> bool {
+        let Some(at) = state.status_requests.iter().position(|(i, _)| *i == id) else {
             return false;
         };
-        let (_, asked) = work.asked.swap_remove(at);
-        let controller = &work.controller;
+        let (_, request) = state.status_requests.swap_remove(at);
+        let controller = &state.controller;
         let mut view = serde_json::to_value(controller.overview()).unwrap_or_default();
         view["roster_fault"] = serde_json::json!(*lock(&self.roster_fault));
-        let figures = *lock(&self.figures);
+        let stats = *lock(&self.stats);
         view["service"] = serde_json::json!(controller.settings().service);
         view["deciding"] = serde_json::json!({
-            "moments": figures.moments,
-            "inputs": figures.inputs,
-            "total_ms": figures.deciding_ms,
-            "longest_ms": figures.longest_ms,
+            "moments": stats.steps,
+            "inputs": stats.inputs,
+            "total_ms": stats.total_step_ms,
+            "longest_ms": stats.longest_step_ms,
             "waiting": self.queue.len(),
         });
-        let (tally, waiting) = {
-            let mouth = lock(&self.mouth);
-            (mouth.stats, mouth.pending_lines())
+        let (queue_stats, waiting) = {
+            let report_queue = lock(&self.report_queue);
+            (report_queue.stats, report_queue.pending_lines())
         };
         view["intake"] = serde_json::json!({
-            "reports": tally.reports,
-            "lines": tally.lines,
-            "merged": tally.merged,
-            "read": tally.read,
-            "left_unread": tally.sampled_out,
-            "refused": tally.refused,
+            "reports": queue_stats.reports,
+            "lines": queue_stats.lines,
+            "merged": queue_stats.merged,
+            "read": queue_stats.read,
+            "left_unread": queue_stats.sampled_out,
+            "refused": queue_stats.refused,
             "waiting": waiting,
             "every_ms": self.report_interval_ms(),
-            "rounds": figures.rounds,
-            "longest_round_ms": figures.longest_round_ms,
-            "put_off": figures.put_off,
+            "rounds": stats.rounds,
+            "longest_round_ms": stats.longest_round_ms,
+            "put_off": stats.deferred_tasks,
         });
-        for (name, part) in lock(&self.views).iter() {
+        for (name, part) in lock(&self.status_views).iter() {
             view[*name] = part();
         }
-        *lock(&asked.answer) = Some(view);
-        asked.bell.notify();
+        *lock(&request.answer) = Some(view);
+        request.done.notify();
         false
     }
 
-    /// A part whose words belong into overviews.
+    /// Adds the status of a component to overviews, under `name`.
     pub fn add_status_view(&self, name: &'static str, view: StatusView) {
-        lock(&self.views).push((name, view));
+        lock(&self.status_views).push((name, view));
     }
 
-    /// What is wrong with the roster's file, if anything is.
+    /// Sets what overviews say is wrong with the roster.
     pub fn set_roster_fault(&self, fault: Option<String>) {
         *lock(&self.roster_fault) = fault;
     }
 
-    /// Ends the owner once what waits was taken.
+    /// Closes the queue; the thread ends once it has taken what is queued.
     pub fn close(&self) {
         self.queue.close();
     }
 }
 
-/// What was read of a reporter, as an input.
-fn reported(now: f64, read: MergedReport<Reporter, Place>) -> Input {
-    let met = read
+/// A merged report as an input of the controller.
+fn report_input(now: f64, read: MergedReport<Reporter, LineKey>) -> Input {
+    let lines = read
         .lines
         .into_iter()
         .map(|((server, class), l, variance)| ReportLine {
@@ -581,15 +608,15 @@
             service_ms_sum: l.own_ms,
             in_flight: l.in_flight,
         });
-    let came = read
+    let arrivals = read
         .visits
         .into_iter()
         .map(|((class, _), n)| (class.to_string(), n));
     let report = LoadReport {
         window_ms: read.end - read.begin,
         ended_ago_ms: (now - read.end).max(0.0),
-        lines: met.collect(),
-        arrivals: came.collect(),
+        lines: lines.collect(),
+        arrivals: arrivals.collect(),
     };
     Input::Reported(read.reporter.0.to_string(), report)
 }
@@ -601,10 +628,10 @@
 
     fn report_stream(&self, proxy: &str, stream: Session, begins: bool) {
         let reporter = (Arc::from(proxy), stream);
-        let mut mouth = lock(&self.mouth);
+        let mut report_queue = lock(&self.report_queue);
         match begins {
-            true => mouth.stream_started(self.clock.now_ms(), reporter),
-            false => mouth.stream_ended(&reporter),
+            true => report_queue.stream_started(self.clock.now_ms(), reporter),
+            false => report_queue.stream_ended(&reporter),
         }
     }
 
@@ -621,29 +648,33 @@
             };
             ((Arc::from(m.server), m.class), line)
         });
-        let came = report
+        let arrivals = report
             .arrivals
             .into_iter()
             .map(|(class, n)| ((Arc::from(class), 0), n));
         let reporter = (Arc::from(proxy), stream);
         let now = self.clock.now_ms();
-        lock(&self.mouth)
-            .push(now, &reporter, report.window_ms, lines, came)
-            .map_err(|why| format!("a report that is not taken: {why:?}"))
+        lock(&self.report_queue)
+            .push(now, &reporter, report.window_ms, lines, arrivals)
+            .map_err(|why| format!("load report refused: {why:?}"))
     }
 
     fn report_interval_ms(&self) -> f64 {
-        f64::from_bits(self.every_ms.load(Ordering::SeqCst))
+        f64::from_bits(self.report_interval_ms.load(Ordering::SeqCst))
     }
 
     fn overview(&self) -> serde_json::Value {
-        let asked = Arc::new(Asked::default());
-        if self.queue.put(Item::Ask(asked.clone())).is_err() {
+        let request = Arc::new(StatusRequest::default());
+        if self
+            .queue
+            .put(Item::StatusRequest(request.clone()))
+            .is_err()
+        {
             return serde_json::Value::Null;
         }
-        asked
-            .bell
+        request
+            .done
             .wait(Some(Instant::now() + Duration::from_secs(5)));
-        lock(&asked.answer).take().unwrap_or_default()
+        lock(&request.answer).take().unwrap_or_default()
     }
 }
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -122,7 +122,7 @@
                 // What DNS says at the start is listed at the start.
                 let alone = resolving.roster(entries);
                 if resolving.refresh() {
-                    resolving.both()
+                    resolving.merged_roster()
                 } else {
                     alone
                 }
@@ -209,7 +209,7 @@
             controller.add_status_view("memory", Box::new(move || keeper.status()));
         }
         if let Some(resolving) = resolving.clone() {
-            controller.add_status_view("dns", Box::new(move || resolving.view()));
+            controller.add_status_view("dns", Box::new(move || resolving.status()));
         }
         let hooking = deployment.hooks.clone().map(HookRunner::new);
         let listed = entries_of(&first);
@@ -223,7 +223,7 @@
             )?;
             controller.set_hooks(hooking.clone());
             let shown = hooking.clone();
-            controller.add_status_view("hooks", Box::new(move || shown.view()));
+            controller.add_status_view("hooks", Box::new(move || shown.status()));
         }
         let owner = controller
             .run(seed, terms, record.as_deref(), first, hand, kept)
@@ -387,7 +387,7 @@
             std::thread::sleep(LOOK_UP);
             if resolving.refresh() {
                 let _order = deliver.order.lock().unwrap_or_else(|e| e.into_inner());
-                deliver.put(resolving.both());
+                deliver.put(resolving.merged_roster());
             }
         }
     };
--- a/crates/daemon/src/deployment.rs
+++ b/crates/daemon/src/deployment.rs
@@ -321,8 +321,8 @@
         name: told,
         server: server.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 53))),
         zone: told_zone,
-        adds: at.field("adds").flag(Some(false)),
-        within_ms: at.field("within").time(50.0..=60_000.0, Some(1_000.0)),
+        adds_servers: at.field("adds").flag(Some(false)),
+        timeout_ms: at.field("within").time(50.0..=60_000.0, Some(1_000.0)),
     };
     at.close();
     place
@@ -375,12 +375,12 @@
 fn hooks(at: &At, folder: &Path, grace_ms: f64) -> HooksSettings {
     let usual = Bounds::default();
     let run = at.field("run");
-    let run_ms = run.time(1.0..=1_000.0, Some(20.0));
-    let publication_ms = at.field("publication").time(0.1..=50.0, Some(2.0));
+    let run_timeout_ms = run.time(1.0..=1_000.0, Some(20.0));
+    let publication_timeout_ms = at.field("publication").time(0.1..=50.0, Some(2.0));
     let roster = at.field("roster");
-    let roster_ms = roster.time(1.0..=1_000.0, Some(50.0));
+    let roster_timeout_ms = roster.time(1.0..=1_000.0, Some(50.0));
     // A roster waits for the run at hand, then for the hooks that see it.
-    if run_ms + roster_ms > grace_ms * HOOKS_GRACE {
+    if run_timeout_ms + roster_timeout_ms > grace_ms * HOOKS_GRACE {
         let most = grace_ms * HOOKS_GRACE;
         roster.wrong(format!(
             "run and roster together are at most {most} ms: a tenth of the drains' grace"
@@ -402,10 +402,10 @@
             allowance,
             wishes_a_minute: wishes as usize,
         },
-        run_ms,
-        publication_ms,
-        roster_ms,
-        every_ms: at.field("every").time(10.0..=600_000.0, Some(500.0)),
+        run_timeout_ms,
+        publication_timeout_ms,
+        roster_timeout_ms,
+        poll_interval_ms: at.field("every").time(10.0..=600_000.0, Some(500.0)),
     };
     at.close();
     place
@@ -424,10 +424,10 @@
         listed.push(form);
     }
     let every = at.field("every");
-    let every_ms = every.time(10.0..=600_000.0, Some(200.0));
+    let poll_interval_ms = every.time(10.0..=600_000.0, Some(200.0));
     let read = at.field("read_every");
     let reach = Reach {
-        every_ms,
+        every_ms: poll_interval_ms,
         read_every_ms: read.time(10.0..=600_000.0, Some(500.0)),
         grace_ms,
     };
--- a/crates/daemon/src/dns.rs
+++ b/crates/daemon/src/dns.rs
@@ -24,11 +24,11 @@
     pub server: SocketAddr,
     /// The zone of hosts that only DNS names, and whether there are any.
     pub zone: String,
-    pub adds: bool,
-    pub within_ms: f64,
+    pub adds_servers: bool,
+    pub timeout_ms: f64,
 }
 
-struct Both {
+struct State {
     agree: Agree,
     refresh: Refresh,
     roster: Vec<RosterEntry>,
@@ -40,9 +40,9 @@
 
 /// See the module's head.
 pub struct DnsResolver {
-    place: DnsSettings,
-    begun: Instant,
-    both: Mutex<Both>,
+    settings: DnsSettings,
+    started: Instant,
+    state: Mutex<State>,
     memory: Option<Arc<JournalWriter>>,
 }
 
@@ -97,14 +97,14 @@
 impl DnsResolver {
     /// `kept`: what memory kept of hooks and others; `before`: hosts that it knew, with their addresses.
     pub fn new(
-        place: DnsSettings,
+        settings: DnsSettings,
         memory: Option<Arc<JournalWriter>>,
         kept: &BTreeMap<(String, String), String>,
         before: impl Iterator<Item = (String, String)>,
     ) -> Arc<DnsResolver> {
         let text = kept.get(&(KEPT.0.to_string(), KEPT.1.to_string()));
         let known = text.and_then(|t| Kept::of(t));
-        let mut agree = Agree::new(place.adds);
+        let mut agree = Agree::new(settings.adds_servers);
         // Hosts that were there by DNS alone are not the roster's.
         let empty = Kept::default();
         let of = known.as_ref().unwrap_or(&empty);
@@ -116,9 +116,9 @@
         agree.remembers(hosts.iter().map(|h| h.0.clone()), hosts.iter().map(|h| h.1));
         let known = known.map(|k| k.targets);
         Arc::new(DnsResolver {
-            place,
-            begun: Instant::now(),
-            both: Mutex::new(Both {
+            settings,
+            started: Instant::now(),
+            state: Mutex::new(State {
                 agree,
                 refresh: known.map_or_else(Refresh::default, Refresh::since),
                 roster: Vec::new(),
@@ -130,63 +130,63 @@
         })
     }
 
-    fn lock(&self) -> MutexGuard<'_, Both> {
-        self.both.lock().unwrap_or_else(|e| e.into_inner())
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
     fn now_ms(&self) -> f64 {
-        self.begun.elapsed().as_secs_f64() * 1e3
+        self.started.elapsed().as_secs_f64() * 1e3
     }
 
     /// A roster came: the list that holds.
     pub fn roster(&self, entries: Vec<RosterEntry>) -> Vec<RosterEntry> {
-        let mut both = self.lock();
+        let mut state = self.lock();
         let hosts: Vec<(String, SocketAddr, Listed)> = entries
             .iter()
             .filter_map(|e| Some((e.name.clone(), e.address.parse().ok()?, listed(e.state))))
             .collect();
-        both.agree.roster(&hosts);
-        both.roster = entries;
-        self.merge(&mut both)
+        state.agree.roster(&hosts);
+        state.roster = entries;
+        self.merge(&mut state)
     }
 
-    fn merge(&self, both: &mut Both) -> Vec<RosterEntry> {
-        let (targets, worth) = both.refresh.listed(self.now_ms());
-        let (added, disagree) = both.agree.merged(targets, worth == Worth::Fresh);
+    fn merge(&self, state: &mut State) -> Vec<RosterEntry> {
+        let (targets, worth) = state.refresh.listed(self.now_ms());
+        let (added, disagree) = state.agree.merged(targets, worth == Worth::Fresh);
         for (name, why) in disagree
             .iter()
-            .filter(|(n, w)| both.disagree.get(*n) != Some(w))
+            .filter(|(n, w)| state.disagree.get(*n) != Some(w))
         {
             warn!(target: "dns", "{name}: {}", why.told());
         }
-        let mut out = both.roster.clone();
-        both.added = added.len();
+        let mut out = state.roster.clone();
+        state.added = added.len();
         let alone: Vec<SocketAddr> = added.iter().map(|a| a.address).collect();
-        let text = Kept::text(targets, &alone, &both.agree);
+        let text = Kept::text(targets, &alone, &state.agree);
         if let Some(memory) = &self.memory
-            && text != both.kept
+            && text != state.kept
             && memory.offer(vec![Change::Kept(
                 KEPT.0.into(),
                 KEPT.1.into(),
                 text.clone(),
             )])
         {
-            both.kept = text;
+            state.kept = text;
         }
         out.extend(added.into_iter().map(|a| RosterEntry {
             name: a.name,
             address: a.address.to_string(),
-            zone: self.place.zone.clone(),
+            zone: self.settings.zone.clone(),
             state: AdminState::Ready,
             weight: a.weight,
             started: None,
         }));
-        both.disagree = disagree;
+        state.disagree = disagree;
         out
     }
 
     /// The list that holds now.
-    pub fn both(&self) -> Vec<RosterEntry> {
+    pub fn merged_roster(&self) -> Vec<RosterEntry> {
         self.merge(&mut self.lock())
     }
 
@@ -196,42 +196,42 @@
             return false;
         }
         // Nobody waits for the lock while a server does not answer.
-        let within = Duration::from_secs_f64(self.place.within_ms / 1e3);
-        let answer = look(self.place.server, &self.place.name, within);
-        let mut both = self.lock();
+        let within = Duration::from_secs_f64(self.settings.timeout_ms / 1e3);
+        let answer = look(self.settings.server, &self.settings.name, within);
+        let mut state = self.lock();
         if let Answer::Failed(why) = &answer
-            && both.refresh.last_fault.as_ref() != Some(why)
+            && state.refresh.last_fault.as_ref() != Some(why)
         {
-            warn!(target: "dns", "{}: {why}; what stood stands", self.place.name);
+            warn!(target: "dns", "{}: {why}; what stood stands", self.settings.name);
         }
         let now = self.now_ms();
-        if !both.refresh.answered(now, &answer) {
+        if !state.refresh.answered(now, &answer) {
             return false;
         }
-        let (targets, _) = both.refresh.listed(now);
-        info!(target: "dns", targets = targets.len(), "{} says something new", self.place.name);
+        let (targets, _) = state.refresh.listed(now);
+        info!(target: "dns", targets = targets.len(), "{} says something new", self.settings.name);
         true
     }
 
-    pub fn view(&self) -> Value {
-        let both = self.lock();
-        let (targets, worth) = both.refresh.listed(self.now_ms());
+    pub fn status(&self) -> Value {
+        let state = self.lock();
+        let (targets, worth) = state.refresh.listed(self.now_ms());
         let disagree: BTreeMap<&String, &str> =
-            both.disagree.iter().map(|(n, d)| (n, d.told())).collect();
+            state.disagree.iter().map(|(n, d)| (n, d.told())).collect();
         json!({
-            "name": self.place.name,
+            "name": self.settings.name,
             "targets": targets.len(),
             "worth": match worth {
                 Worth::Fresh => "fresh",
                 Worth::Stale => "stale: lookups fail, what stood stands",
                 Worth::Nothing => "it has never answered",
             },
-            "added": both.added,
+            "added": state.added,
             "disagreements": disagree,
-            "looked": both.refresh.looked,
-            "failed": both.refresh.failed,
-            "doubted": both.refresh.doubts,
-            "fault": both.refresh.last_fault,
+            "looked": state.refresh.looked,
+            "failed": state.refresh.failed,
+            "doubted": state.refresh.doubts,
+            "fault": state.refresh.last_fault,
         })
     }
 }
--- a/crates/daemon/src/hook_runner.rs
+++ b/crates/daemon/src/hook_runner.rs
@@ -1,9 +1,10 @@
-//! The life of hooks in a daemon: a thread of their own that loads files, sees what happens, runs what is due as
-//! background work within budgets, and puts what is in force of their wishes into the owner's queue as a roster.
+//! The thread that runs hooks in a daemon. It loads the hook files, derives events from what happens, runs the
+//! hooks of due events as background work within CPU budgets, and sends the wishes in force to the controller's
+//! thread as a roster.
 //!
-//! Nobody waits for this thread but a change of the roster that hooks want to see first, and that for a bounded
-//! time. The owner leaves a picture of the world now and then, never waits, and runs by itself only the hooks
-//! before publications, within a bounded time for all of them.
+//! Only changes of the roster wait for this thread, since hooks see them first, and for a bounded time. The
+//! controller's thread never waits for it: it leaves a snapshot of the service now and then, and runs the hooks
+//! before publications itself, within a bounded time for all of them.
 
 use crate::controller_thread::ControllerThread;
 use dahliapoint_control::{
@@ -30,82 +31,90 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tracing::{info, warn};
 
-/// A picture of the world is made no more often than this.
-const PICTURE_MS: f64 = 250.0;
-/// Publications that wait to be told, and verdicts of gates.
-const WAITING: usize = 64;
-/// The budgets' period, a class's share of it, and how many events may wait in one.
-const PERIOD_MS: f64 = 1_000.0;
-const SHARE: f64 = 0.1;
-const EVENTS: usize = 256;
-/// Work that waited longer than this is of a world that is gone.
-const TOO_OLD_MS: f64 = 10_000.0;
-/// Files of hooks that one directory may have, and what a refused roster waits before it is looked at again.
-const MOST_FILES: usize = 256;
-const REFUSED_MS: f64 = 600_000.0;
-/// The ending of a hook's file.
-const ENDING: &str = "hook";
-
-/// What a deployment says of hooks.
+/// Minimum time between two snapshots of the service.
+const WORLD_INTERVAL_MS: f64 = 250.0;
+/// Limit of publications that wait for the hooks after them, and of verdicts that wait to be entered.
+const MAX_PENDING: usize = 64;
+/// Period of the CPU budgets, share of each hook point, and limit of each point's queue.
+const BUDGET_PERIOD_MS: f64 = 1_000.0;
+const CPU_SHARE: f64 = 0.1;
+const MAX_QUEUED_EVENTS: usize = 256;
+/// An event that has waited longer than this is dropped: its snapshot of the service is out of date.
+const EVENT_TIMEOUT_MS: f64 = 10_000.0;
+/// Hook files that one directory may have.
+const MAX_FILES: usize = 256;
+/// A refused roster is decided on again after this long at the latest.
+const MAX_REFUSAL_MS: f64 = 600_000.0;
+/// Extension of hook files.
+const EXTENSION: &str = "hook";
+
+/// Settings of hooks in a deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HooksSettings {
     pub dir: PathBuf,
     pub bounds: Bounds,
-    /// One run's time; that of all hooks before the publications of a moment, and of all that see a roster.
-    pub run_ms: f64,
-    pub publication_ms: f64,
-    pub roster_ms: f64,
-    /// How often the directory is looked at.
-    pub every_ms: f64,
+    /// Time limit of one run.
+    pub run_timeout_ms: f64,
+    /// Time limit of all hooks before the publications of one step of the controller.
+    pub publication_timeout_ms: f64,
+    /// Time limit of all hooks that see a new roster.
+    pub roster_timeout_ms: f64,
+    /// Interval at which the directory is checked for changes.
+    pub poll_interval_ms: f64,
 }
 
+/// What other threads have left for the runner.
 #[derive(Default)]
-struct Mail {
-    worlds: Option<Arc<World>>,
-    waits: BTreeMap<usize, Vec<String>>,
-    published: VecDeque<(usize, Vec<LineSeen>)>,
+struct Inbox {
+    /// Latest snapshot of the service.
+    latest_world: Option<Arc<World>>,
+    /// Why the guard holds a part back, by part.
+    guard_reasons: BTreeMap<usize, Vec<String>>,
+    lines_published: VecDeque<(usize, Vec<LineSeen>)>,
+    /// Publications and verdicts that found no room.
     dropped: u64,
     verdicts: VecDeque<Verdict>,
     roster: Option<Vec<RosterEntry>>,
-    over: bool,
+    ended: bool,
 }
 
-/// See the module's head.
+/// Runs hooks; see the [module](self).
 pub struct HookRunner {
-    place: HooksSettings,
-    begun: Instant,
-    mail: Mutex<Mail>,
-    bell: Condvar,
+    settings: HooksSettings,
+    started: Instant,
+    inbox: Mutex<Inbox>,
+    wakeup: Condvar,
     gate: Mutex<Arc<Gate>>,
-    waits_for: [AtomicBool; 9],
-    view: Mutex<serde_json::Value>,
-    /// How long runs, and the hooks of publications, took, in microseconds.
-    runs_us: Mutex<Histogram<u64>>,
-    gates_us: Mutex<Histogram<u64>>,
-    gated: AtomicU64,
+    /// Whether any hook waits for a point, by point.
+    has_hooks: [AtomicBool; 9],
+    status: Mutex<serde_json::Value>,
+    /// Durations of runs, and of all hooks before one publication.
+    run_times_us: Mutex<Histogram<u64>>,
+    gate_times_us: Mutex<Histogram<u64>>,
+    held_publications: AtomicU64,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-fn times() -> Histogram<u64> {
-    // Three figures of up to a minute in microseconds: always a valid histogram.
+fn histogram() -> Histogram<u64> {
+    // Three significant figures, up to a minute in microseconds.
     Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid bounds")
 }
 
-fn took(times: &Mutex<Histogram<u64>>, since: Instant) {
+fn record_time(histogram: &Mutex<Histogram<u64>>, since: Instant) {
     let us = since.elapsed().as_micros() as u64;
-    lock(times).saturating_record(us.max(1));
+    lock(histogram).saturating_record(us.max(1));
 }
 
-fn told_times(times: &Mutex<Histogram<u64>>) -> serde_json::Value {
-    let t = lock(times);
+fn histogram_json(histogram: &Mutex<Histogram<u64>>) -> serde_json::Value {
+    let t = lock(histogram);
     let at = |q| t.value_at_quantile(q) as f64 / 1e3;
     json!({"count": t.len(), "median_ms": at(0.5), "p99_ms": at(0.99), "worst_ms": t.max() as f64 / 1e3})
 }
 
-fn state_of(state: AdminState) -> State {
+fn hook_state(state: AdminState) -> State {
     match state {
         AdminState::Ready => State::Ready,
         AdminState::Draining => State::Draining,
@@ -113,7 +122,7 @@
     }
 }
 
-fn admin(state: State) -> AdminState {
+fn admin_state(state: State) -> AdminState {
     match state {
         State::Ready => AdminState::Ready,
         State::Draining => AdminState::Draining,
@@ -126,19 +135,19 @@
     since.unwrap_or(Duration::ZERO).as_secs_f64() * 1e3
 }
 
-/// The world as hooks see it.
-fn picture(overview: &Overview, zones: &[String]) -> World {
+/// The service's state as hooks see it.
+fn world_of(overview: &Overview, zones: &[String]) -> World {
     let servers = overview.servers.iter().map(|s| {
         let e = s.estimate.as_ref();
         ServerSeen {
             name: s.name.clone(),
             zone: s.zone.as_str().into(),
-            state: state_of(s.state),
+            state: hook_state(s.state),
             listed: s.listed_weight,
             weight: s.weight,
             shut: s.withdrawn,
             part: s.part.map_or(-1.0, |p| p as f64),
-            // A year: it is not known when it started.
+            // About a year if it is not known when it started.
             age_ms: s.started_ago_ms.unwrap_or(3.2e10),
             tries_per_s: e.map_or(0.0, |e| e.tries_per_s),
             failed_share: e.map_or(0.0, |e| e.failed_share),
@@ -165,7 +174,7 @@
     .indexed()
 }
 
-/// A kept value as text, and back.
+/// A kept value as JSON; [`from_json`] reads it back.
 fn to_json(value: &Value) -> serde_json::Value {
     match value {
         Value::Bool(b) => json!(b),
@@ -178,7 +187,7 @@
                 m.iter().map(|(k, v)| (k.to_string(), to_json(v))).collect();
             json!({"map": inner})
         }
-        // Of one moment: never kept.
+        // These hold for one run only and are never kept.
         Value::Nothing | Value::Server(_) | Value::Proxy(_) | Value::Line(_) => json!(null),
     }
 }
@@ -205,22 +214,25 @@
     })
 }
 
-/// All hooks of a directory, checked whole.
+/// Loads and checks all hook files of a directory.
 ///
 /// # Errors
-/// All that is wrong with any of them: then none is taken.
+/// Returns all faults of all files; then none is loaded.
 pub fn load(dir: &Path) -> Result<Vec<Loaded>, String> {
-    let told = |e: std::io::Error| format!("{}: {e}\n", dir.display());
+    let io_error = |e: std::io::Error| format!("{}: {e}\n", dir.display());
     let mut files = Vec::new();
-    for entry in std::fs::read_dir(dir).map_err(told)? {
-        let path = entry.map_err(told)?.path();
-        if path.extension().is_some_and(|e| e == ENDING) {
+    for entry in std::fs::read_dir(dir).map_err(io_error)? {
+        let path = entry.map_err(io_error)?.path();
+        if path.extension().is_some_and(|e| e == EXTENSION) {
             files.push(path);
         }
     }
     files.sort();
-    if files.len() > MOST_FILES {
-        return Err(format!("{}: over {MOST_FILES} hooks\n", dir.display()));
+    if files.len() > MAX_FILES {
+        return Err(format!(
+            "{}: more than {MAX_FILES} hook files\n",
+            dir.display()
+        ));
     }
     let (mut set, mut faults) = (Vec::new(), String::new());
     for path in files {
@@ -243,120 +255,131 @@
     }
 }
 
-/// A source from a file that is no larger than one may be.
+/// Reads a hook's source, up to one byte more than a source may have.
 ///
 /// # Errors
-/// Why it is not read.
+/// Fails if the file cannot be read or is not UTF-8.
 pub fn read(path: &Path) -> Result<String, String> {
     use std::io::Read;
-    let most = dahliapoint_hooks::lex::MOST_SOURCE as u64 + 1;
-    let told = |e: std::io::Error| format!("{}: {e}\n", path.display());
-    let file = std::fs::File::open(path).map_err(told)?;
+    let max_bytes = dahliapoint_hooks::lex::MOST_SOURCE as u64 + 1;
+    let io_error = |e: std::io::Error| format!("{}: {e}\n", path.display());
+    let file = std::fs::File::open(path).map_err(io_error)?;
     let mut bytes = Vec::new();
-    file.take(most).read_to_end(&mut bytes).map_err(told)?;
+    file.take(max_bytes)
+        .read_to_end(&mut bytes)
+        .map_err(io_error)?;
     String::from_utf8(bytes).map_err(|_| format!("{}: not UTF-8\n", path.display()))
 }
 
-/// What the thread works with.
-struct Work {
+/// State of the thread.
+struct RunnerState {
     controller: ControllerThread,
     host: Host,
     book: Book,
     scheduler: Scheduler,
-    waiting: HashMap<u64, (Id, Event, Arc<World>)>,
+    /// Queued runs by the number of their task: the hook, its event, and the snapshot it sees.
+    queued: HashMap<u64, (Id, Event, Arc<World>)>,
     world: Arc<World>,
-    waits: BTreeMap<usize, Vec<String>>,
-    /// The roster as it is said, and as it was last put.
-    said: Vec<RosterEntry>,
-    put: Vec<RosterEntry>,
+    guard_reasons: BTreeMap<usize, Vec<String>>,
+    /// Roster without the hooks' wishes.
+    listed_roster: Vec<RosterEntry>,
+    /// Roster as last sent to the controller.
+    sent_roster: Vec<RosterEntry>,
+    /// Pins as last sent: part, and the time at which the pin ends.
     pins: BTreeMap<usize, f64>,
     overruled: Vec<Told>,
+    /// A refused roster, and the time at which it is decided on again.
     refused: Option<(Vec<RosterEntry>, f64)>,
+    /// Path, length and modification time of each hook file.
     stamp: Option<Vec<(PathBuf, u64, Option<SystemTime>)>>,
+    /// Why the files on disk were not loaded.
     fault: Option<String>,
-    look_at: f64,
+    next_poll_ms: f64,
     memory: Option<Arc<JournalWriter>>,
+    /// Kept values as memory has them, by file and name.
     kept: BTreeMap<(String, String), String>,
 }
 
 impl HookRunner {
-    pub fn new(place: HooksSettings) -> Arc<HookRunner> {
+    pub fn new(settings: HooksSettings) -> Arc<HookRunner> {
         Arc::new(HookRunner {
-            place,
-            begun: Instant::now(),
-            mail: Mutex::default(),
-            bell: Condvar::new(),
+            settings,
+            started: Instant::now(),
+            inbox: Mutex::default(),
+            wakeup: Condvar::new(),
             gate: Mutex::default(),
-            waits_for: Default::default(),
-            view: Mutex::default(),
-            runs_us: Mutex::new(times()),
-            gates_us: Mutex::new(times()),
-            gated: AtomicU64::new(0),
+            has_hooks: Default::default(),
+            status: Mutex::default(),
+            run_times_us: Mutex::new(histogram()),
+            gate_times_us: Mutex::new(histogram()),
+            held_publications: AtomicU64::new(0),
         })
     }
 
     fn now_ms(&self) -> f64 {
-        self.begun.elapsed().as_secs_f64() * 1e3
+        self.started.elapsed().as_secs_f64() * 1e3
     }
 
-    // ---- the owner's side: nothing here waits ----
+    // ---- called by the controller's thread; never blocks ----
 
-    fn anybody_waits(&self) -> bool {
-        self.waits_for.iter().any(|w| w.load(Ordering::Relaxed))
+    fn has_any_hooks(&self) -> bool {
+        self.has_hooks.iter().any(|w| w.load(Ordering::Relaxed))
     }
 
-    /// A new picture of the world, if one is due and anybody looks at it.
-    pub fn sees(
+    /// Makes a new snapshot of the service, if one is due and there are hooks. `last` is the time of the last one.
+    pub fn update_world(
         &self,
         last: &mut f64,
         overview: impl FnOnce() -> Overview,
         zones: &[String],
     ) -> Option<Arc<World>> {
         let now = self.now_ms();
-        if now - *last < PICTURE_MS || !self.anybody_waits() {
+        if now - *last < WORLD_INTERVAL_MS || !self.has_any_hooks() {
             return None;
         }
         *last = now;
         let overview = overview();
-        let world = Arc::new(picture(&overview, zones));
-        let mut mail = lock(&self.mail);
-        mail.worlds = Some(world.clone());
-        mail.waits = overview.guard.waits;
-        drop(mail);
-        self.bell.notify_one();
+        let world = Arc::new(world_of(&overview, zones));
+        let mut inbox = lock(&self.inbox);
+        inbox.latest_world = Some(world.clone());
+        inbox.guard_reasons = overview.guard.waits;
+        drop(inbox);
+        self.wakeup.notify_one();
         Some(world)
     }
 
-    /// Lines of a part have left.
-    pub fn published(&self, part: usize, lines: Vec<LineSeen>) {
-        if !self.waits_for[Point::AfterPublication as usize].load(Ordering::Relaxed) {
+    /// Lines of a part were published.
+    pub fn lines_published(&self, part: usize, lines: Vec<LineSeen>) {
+        if !self.has_hooks[Point::AfterPublication as usize].load(Ordering::Relaxed) {
             return;
         }
-        let mut mail = lock(&self.mail);
-        if mail.published.len() >= WAITING {
-            mail.published.pop_front();
-            mail.dropped += 1;
+        let mut inbox = lock(&self.inbox);
+        if inbox.lines_published.len() >= MAX_PENDING {
+            inbox.lines_published.pop_front();
+            inbox.dropped += 1;
         }
-        mail.published.push_back((part, lines));
-        drop(mail);
-        self.bell.notify_one();
+        inbox.lines_published.push_back((part, lines));
+        drop(inbox);
+        self.wakeup.notify_one();
     }
 
+    /// The hooks before publications, if there are any.
     pub fn gate(&self) -> Option<Arc<Gate>> {
         let gate = lock(&self.gate).clone();
         (!gate.is_empty()).then_some(gate)
     }
 
-    /// Asks the hooks before a publication; `until` bounds all of a moment. Whatever they do, this returns.
-    pub fn judges(
+    /// Runs the hooks before a publication, until the deadline at the latest; returns whether one holds it
+    /// back. A panic in a hook's interpreter is caught and lets the publication pass.
+    pub fn check_publication(
         &self,
         gate: &Gate,
         world: &World,
         part: usize,
         lines: &[PendingLine],
-        until: Instant,
+        deadline: Instant,
     ) -> bool {
-        let begun = Instant::now();
+        let started = Instant::now();
         let seen = |l: &PendingLine| LineSeen {
             server: l.server.clone(),
             weight: l.weight,
@@ -368,55 +391,62 @@
             ..world.clone()
         };
         let judged = catch_unwind(AssertUnwindSafe(|| {
-            gate.judge(part, &world, &mut Until::new(until))
+            gate.judge(part, &world, &mut SharedDeadline::new(deadline))
         }));
         let verdict = judged.unwrap_or_else(|_| Verdict {
-            said: vec!["a hook before a publication broke its machine; the table leaves".into()],
+            said: vec![
+                "the interpreter panicked in a hook before a publication; the table is published"
+                    .into(),
+            ],
             ..Verdict::default()
         });
-        took(&self.gates_us, begun);
+        record_time(&self.gate_times_us, started);
         let hold = verdict.hold;
-        self.gated.fetch_add(u64::from(hold), Ordering::Relaxed);
-        let mut mail = lock(&self.mail);
-        if mail.verdicts.len() < WAITING {
-            mail.verdicts.push_back(verdict);
+        self.held_publications
+            .fetch_add(u64::from(hold), Ordering::Relaxed);
+        let mut inbox = lock(&self.inbox);
+        if inbox.verdicts.len() < MAX_PENDING {
+            inbox.verdicts.push_back(verdict);
         } else {
-            mail.dropped += 1;
+            inbox.dropped += 1;
         }
-        drop(mail);
-        self.bell.notify_one();
+        drop(inbox);
+        self.wakeup.notify_one();
         hold
     }
 
-    pub fn publication_ms(&self) -> f64 {
-        self.place.publication_ms
+    /// Time limit of all hooks before the publications of one step.
+    pub fn publication_timeout_ms(&self) -> f64 {
+        self.settings.publication_timeout_ms
     }
 
-    // ---- others' side ----
+    // ---- called by other threads ----
 
-    /// The roster says something new: hooks see it first, for a bounded time.
+    /// Takes a new roster; it goes to the controller once hooks have seen it, after a bounded time.
     pub fn roster(&self, entries: Vec<RosterEntry>) {
-        lock(&self.mail).roster = Some(entries);
-        self.bell.notify_one();
+        lock(&self.inbox).roster = Some(entries);
+        self.wakeup.notify_one();
     }
 
-    pub fn view(&self) -> serde_json::Value {
-        let mut view = lock(&self.view).clone();
-        view["run_times"] = told_times(&self.runs_us);
-        view["publication_times"] = told_times(&self.gates_us);
-        view["publications_held"] = json!(self.gated.load(Ordering::Relaxed));
-        view
+    /// Status for overviews.
+    pub fn status(&self) -> serde_json::Value {
+        let mut status = lock(&self.status).clone();
+        status["run_times"] = histogram_json(&self.run_times_us);
+        status["publication_times"] = histogram_json(&self.gate_times_us);
+        status["publications_held"] = json!(self.held_publications.load(Ordering::Relaxed));
+        status
     }
 
+    /// Ends the thread.
     pub fn end(&self) {
-        lock(&self.mail).over = true;
-        self.bell.notify_one();
+        lock(&self.inbox).ended = true;
+        self.wakeup.notify_one();
     }
 
-    /// Starts the thread; the files must be good at the start. `first` is the roster that the owner begins with.
+    /// Loads the files and starts the thread. `first` is the roster that the controller starts with.
     ///
     /// # Errors
-    /// All that is wrong with the files, or why there is no thread.
+    /// Returns all faults of the files, or why the thread cannot be started.
     pub fn start(
         self: &Arc<Self>,
         controller: ControllerThread,
@@ -424,40 +454,40 @@
         memory: Option<Arc<JournalWriter>>,
         kept: BTreeMap<(String, String), String>,
     ) -> Result<JoinHandle<()>, String> {
-        let set = load(&self.place.dir)?;
+        let set = load(&self.settings.dir)?;
         let budgets: Vec<Budget> = Point::ALL
             .iter()
             .map(|point| Budget {
                 cpu_ms: match point {
-                    // The roster waits for nobody.
+                    // Not limited here: publications and rosters must not wait for a budget.
                     Point::BeforePublication | Point::RosterChanged => f64::INFINITY,
-                    _ => PERIOD_MS * SHARE,
+                    _ => BUDGET_PERIOD_MS * CPU_SHARE,
                 },
-                max_queued: EVENTS,
+                max_queued: MAX_QUEUED_EVENTS,
             })
             .collect();
-        let mut work = Work {
+        let mut state = RunnerState {
             controller,
             host: Host::default(),
             book: Book::default(),
-            scheduler: Scheduler::new(0.0, PERIOD_MS, &budgets),
-            waiting: HashMap::new(),
+            scheduler: Scheduler::new(0.0, BUDGET_PERIOD_MS, &budgets),
+            queued: HashMap::new(),
             world: Arc::default(),
-            waits: BTreeMap::new(),
-            put: first.clone(),
-            said: first,
+            guard_reasons: BTreeMap::new(),
+            sent_roster: first.clone(),
+            listed_roster: first,
             pins: BTreeMap::new(),
             overruled: Vec::new(),
             refused: None,
             stamp: self.stamp(),
             fault: None,
-            look_at: 0.0,
+            next_poll_ms: 0.0,
             memory,
             kept,
         };
-        work.host.bounds = self.place.bounds;
-        self.put_in_force(&mut work, set);
-        let back: Vec<(Arc<str>, Arc<str>, Value)> = work
+        state.host.bounds = self.settings.bounds;
+        self.install(&mut state, set);
+        let kept: Vec<(Arc<str>, Arc<str>, Value)> = state
             .kept
             .iter()
             .filter_map(|((f, n), v)| {
@@ -465,20 +495,21 @@
                 Some((f.as_str().into(), n.as_str().into(), value))
             })
             .collect();
-        work.host.put_back(&back);
-        self.show(&work);
-        let own = self.clone();
+        state.host.put_back(&kept);
+        self.update_status(&state);
+        let runner = self.clone();
         let thread = std::thread::Builder::new().name("hooks".into());
         thread
-            .spawn(move || own.live(work))
+            .spawn(move || runner.run_loop(state))
             .map_err(|e| e.to_string())
     }
 
+    /// Paths, lengths and modification times of the hook files.
     fn stamp(&self) -> Option<Vec<(PathBuf, u64, Option<SystemTime>)>> {
-        let entries = std::fs::read_dir(&self.place.dir).ok()?;
+        let entries = std::fs::read_dir(&self.settings.dir).ok()?;
         let mut out = Vec::new();
         for path in entries.filter_map(|e| Some(e.ok()?.path())) {
-            if path.extension().is_some_and(|e| e == ENDING) {
+            if path.extension().is_some_and(|e| e == EXTENSION) {
                 let meta = std::fs::metadata(&path).ok();
                 let length = meta.as_ref().map_or(0, std::fs::Metadata::len);
                 out.push((path, length, meta.and_then(|m| m.modified().ok())));
@@ -488,193 +519,197 @@
         Some(out)
     }
 
-    fn put_in_force(&self, work: &mut Work, set: Vec<Loaded>) {
+    /// Puts a set of files in force, in place of the old one.
+    fn install(&self, state: &mut RunnerState, set: Vec<Loaded>) {
         let now = self.now_ms();
-        // Work of the old set names places in it.
-        let waiting: Vec<u64> = work.waiting.drain().map(|(id, _)| id).collect();
-        waiting.into_iter().for_each(|id| {
-            work.scheduler.cancel(id);
+        // Queued runs refer to hooks by their place in the old set.
+        let queued: Vec<u64> = state.queued.drain().map(|(id, _)| id).collect();
+        queued.into_iter().for_each(|id| {
+            state.scheduler.cancel(id);
         });
-        let many = set.len();
-        work.host.swap(now, set);
-        work.book.forget_but(&work.host.names());
+        let file_count = set.len();
+        state.host.swap(now, set);
+        state.book.forget_but(&state.host.names());
         for point in Point::ALL {
-            let waits = work.host.waiting_for(point).next().is_some();
-            self.waits_for[point as usize].store(waits, Ordering::Relaxed);
+            let has_hooks = state.host.waiting_for(point).next().is_some();
+            self.has_hooks[point as usize].store(has_hooks, Ordering::Relaxed);
         }
-        // Events between worlds are seen only by who looks.
         info!(
-            files = many,
-            version = work.host.version,
+            files = file_count,
+            version = state.host.version,
             "hooks are in force"
         );
     }
 
-    fn live(&self, mut work: Work) {
+    /// Runs until the runner is ended.
+    fn run_loop(&self, mut state: RunnerState) {
         loop {
-            let Some(mail) = self.wait(&work) else {
+            let Some(inbox) = self.wait_for_inbox(&state) else {
                 return;
             };
-            self.reload(&mut work);
-            self.take(&mut work, mail);
+            self.reload(&mut state);
+            self.process_inbox(&mut state, inbox);
             let now = self.now_ms();
-            for event in work.host.timers(now) {
-                self.submit(&mut work, event);
+            for event in state.host.timers(now) {
+                self.submit(&mut state, event);
             }
-            let ended = work.book.expire(now);
-            let again = work.refused.as_ref().is_some_and(|(_, at)| now >= *at);
-            if again && let Some((entries, _)) = work.refused.take() {
-                self.decide_roster(&mut work, entries);
+            let ended = state.book.expire(now);
+            let is_retry_due = state.refused.as_ref().is_some_and(|(_, at)| now >= *at);
+            if is_retry_due && let Some((entries, _)) = state.refused.take() {
+                self.decide_roster(&mut state, entries);
             }
-            say(&ended);
+            log_notes(&ended);
             let mut changed = !ended.is_empty();
-            // One piece a turn: a roster that comes meanwhile waits for one run at the longest.
-            if let Some((id, _)) = work.scheduler.next(now) {
-                changed |= self.piece(&mut work, id);
+            // One run at a time: a roster that arrives meanwhile waits for one run at most.
+            if let Some((id, _)) = state.scheduler.next(now) {
+                changed |= self.run_task(&mut state, id);
             }
-            work.scheduler.take_events();
+            state.scheduler.take_events();
             if changed {
-                self.put(&mut work);
+                self.send_roster(&mut state);
             }
-            self.keep(&mut work);
-            let gate = Arc::new(work.host.gate(now));
+            self.save_kept(&mut state);
+            let gate = Arc::new(state.host.gate(now));
             *lock(&self.gate) = gate;
-            self.show(&work);
+            self.update_status(&state);
         }
     }
 
-    /// What has come; waits for it until something is due.
-    fn wait(&self, work: &Work) -> Option<Mail> {
+    /// Waits until something arrives or is due, and takes the inbox; `None` once the runner is ended.
+    fn wait_for_inbox(&self, state: &RunnerState) -> Option<Inbox> {
         let now = self.now_ms();
-        let refused = work.refused.as_ref().map_or(f64::INFINITY, |(_, at)| *at);
-        let mut until = work
+        let refused = state.refused.as_ref().map_or(f64::INFINITY, |(_, at)| *at);
+        let mut wake_at = state
             .host
             .wake_at()
-            .min(work.book.wake_at())
-            .min(work.look_at)
+            .min(state.book.wake_at())
+            .min(state.next_poll_ms)
             .min(refused);
-        if !work.waiting.is_empty() {
-            until = work.scheduler.wake_at().map_or(now, |at| until.min(at));
+        if !state.queued.is_empty() {
+            wake_at = state.scheduler.wake_at().map_or(now, |at| wake_at.min(at));
         }
-        let mut mail = lock(&self.mail);
-        let nothing = |m: &Mail| {
-            m.worlds.is_none()
-                && m.published.is_empty()
+        let mut inbox = lock(&self.inbox);
+        let is_empty = |m: &Inbox| {
+            m.latest_world.is_none()
+                && m.lines_published.is_empty()
                 && m.verdicts.is_empty()
                 && m.roster.is_none()
-                && !m.over
+                && !m.ended
         };
-        let end = Instant::now() + Duration::from_secs_f64((until - now).clamp(0.0, 3.6e6) / 1e3);
-        while nothing(&mail) {
+        let end = Instant::now() + Duration::from_secs_f64((wake_at - now).clamp(0.0, 3.6e6) / 1e3);
+        while is_empty(&inbox) {
             let left = end.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 break;
             }
-            let waited = self.bell.wait_timeout(mail, left);
-            mail = waited.unwrap_or_else(|e| e.into_inner()).0;
+            let waited = self.wakeup.wait_timeout(inbox, left);
+            inbox = waited.unwrap_or_else(|e| e.into_inner()).0;
         }
-        match mail.over {
+        match inbox.ended {
             true => None,
-            false => Some(std::mem::take(&mut *mail)),
+            false => Some(std::mem::take(&mut *inbox)),
         }
     }
 
-    /// Looks at the directory. A set with a fault changes nothing.
-    fn reload(&self, work: &mut Work) {
+    /// Checks the directory, if that is due. If a file has a fault, the set in force stays.
+    fn reload(&self, state: &mut RunnerState) {
         let now = self.now_ms();
-        if now < work.look_at {
+        if now < state.next_poll_ms {
             return;
         }
-        work.look_at = now + self.place.every_ms;
+        state.next_poll_ms = now + self.settings.poll_interval_ms;
         let stamp = self.stamp();
-        if stamp == work.stamp {
+        if stamp == state.stamp {
             return;
         }
-        work.stamp = stamp;
-        match load(&self.place.dir) {
+        state.stamp = stamp;
+        match load(&self.settings.dir) {
             Ok(set) => {
-                work.fault = None;
-                self.put_in_force(work, set);
-                self.put(work);
+                state.fault = None;
+                self.install(state, set);
+                self.send_roster(state);
             }
             Err(why) => {
-                warn!(target: "hooks", "refused, version {} stays in force:\n{why}", work.host.version);
-                work.fault = Some(why);
+                warn!(target: "hooks", "hook files refused, version {} stays in force:\n{why}", state.host.version);
+                state.fault = Some(why);
             }
         }
     }
 
-    fn take(&self, work: &mut Work, mail: Mail) {
-        if let Some(entries) = mail.roster {
-            work.refused = None;
-            self.decide_roster(work, entries);
+    /// Handles what other threads have left.
+    fn process_inbox(&self, state: &mut RunnerState, inbox: Inbox) {
+        if let Some(entries) = inbox.roster {
+            state.refused = None;
+            self.decide_roster(state, entries);
         }
-        for verdict in mail.verdicts {
+        for verdict in inbox.verdicts {
             let now = self.now_ms();
-            for said in &verdict.said {
-                warn!(target: "hooks", "{said}");
+            for message in &verdict.said {
+                warn!(target: "hooks", "{message}");
             }
             for (id, end) in verdict.ran {
-                if let Deed::Rests(ms) = work.host.gate_ran(now, id, end) {
-                    warn!(target: "hooks", "{} rests for {} s", work.host.name(id), ms / 1e3);
+                if let Deed::Rests(ms) = state.host.gate_ran(now, id, end) {
+                    warn!(target: "hooks", "{} rests for {} s", state.host.name(id), ms / 1e3);
                 }
             }
             for (hook, text) in verdict.alerts {
-                let alert = alert_of(text);
-                if let Ok(told) = work.book.takes(now, &hook, &[alert]) {
-                    say(&told);
+                let alert = alert(text);
+                if let Ok(notes) = state.book.takes(now, &hook, &[alert]) {
+                    log_notes(&notes);
                 }
             }
         }
-        if let Some(world) = mail.worlds {
-            let before = std::mem::replace(&mut work.world, world);
-            // The first picture is no change.
+        if let Some(world) = inbox.latest_world {
+            let before = std::mem::replace(&mut state.world, world);
+            // The first snapshot has nothing to compare with.
             if !before.servers.is_empty() || !before.proxies.is_empty() {
-                for event in events_between(&before, &work.world.clone()) {
-                    self.submit(work, event);
+                for event in events_between(&before, &state.world.clone()) {
+                    self.submit(state, event);
                 }
             }
-            for (part, reasons) in mail.waits.clone() {
-                if work.waits.get(&part) != Some(&reasons) {
+            for (part, reasons) in inbox.guard_reasons.clone() {
+                if state.guard_reasons.get(&part) != Some(&reasons) {
                     let reasons = reasons.iter().map(|r| r.as_str().into()).collect();
-                    self.submit(work, Event::GuardHeld(part, reasons));
+                    self.submit(state, Event::GuardHeld(part, reasons));
                 }
             }
-            work.waits = mail.waits;
+            state.guard_reasons = inbox.guard_reasons;
         }
-        for (part, lines) in mail.published {
-            self.submit(work, Event::AfterPublication(part, lines));
+        for (part, lines) in inbox.lines_published {
+            self.submit(state, Event::AfterPublication(part, lines));
         }
     }
 
-    fn submit(&self, work: &mut Work, event: Event) {
+    /// Queues a run of each hook that is due for an event.
+    fn submit(&self, state: &mut RunnerState, event: Event) {
         let now = self.now_ms();
-        for id in work.host.due(now, &event) {
-            let piece = Task {
+        for id in state.host.due(now, &event) {
+            let task = Task {
                 class: event.point() as usize,
                 owner: id.file as u64,
-                deadline: Some(now + TOO_OLD_MS),
+                deadline: Some(now + EVENT_TIMEOUT_MS),
             };
-            if let Some(number) = work.scheduler.submit(now, piece) {
-                work.waiting
-                    .insert(number, (id, event.clone(), work.world.clone()));
+            if let Some(number) = state.scheduler.submit(now, task) {
+                state
+                    .queued
+                    .insert(number, (id, event.clone(), state.world.clone()));
             }
         }
-        // What was pushed out or too late is no longer waited for.
-        for told in work.scheduler.take_events() {
+        // Runs that were evicted or have expired are dropped.
+        for event in state.scheduler.take_events() {
             if let dahliapoint_scheduler::Event::Evicted(id)
-            | dahliapoint_scheduler::Event::Expired(id) = told
+            | dahliapoint_scheduler::Event::Expired(id) = event
             {
-                work.waiting.remove(&id);
+                state.queued.remove(&id);
             }
         }
     }
 
-    /// Runs one piece of work; tells whether wishes came of it.
-    fn piece(&self, work: &mut Work, number: u64) -> bool {
-        let begun = self.now_ms();
-        let mut wished = false;
-        if let Some((id, event, world)) = work.waiting.remove(&number) {
+    /// Runs one queued task; returns whether it made wishes.
+    fn run_task(&self, state: &mut RunnerState, number: u64) -> bool {
+        let started = self.now_ms();
+        let mut has_wishes = false;
+        if let Some((id, event, world)) = state.queued.remove(&number) {
             let world = match &event {
                 Event::AfterPublication(_, lines) => Arc::new(World {
                     lines: lines.clone(),
@@ -682,87 +717,95 @@
                 }),
                 _ => world,
             };
-            let until = Instant::now() + Duration::from_secs_f64(self.place.run_ms / 1e3);
-            wished = self
-                .run(work, id, &event, &world, until)
+            let deadline =
+                Instant::now() + Duration::from_secs_f64(self.settings.run_timeout_ms / 1e3);
+            has_wishes = self
+                .run(state, id, &event, &world, deadline)
                 .is_some_and(|wishes| wishes > 0);
         }
         let now = self.now_ms();
-        work.scheduler.task_ran(now, number, now - begun, false);
-        wished
+        state.scheduler.task_ran(now, number, now - started, false);
+        has_wishes
     }
 
-    /// Runs a hook and enters its wishes; how many there were, if it ended well. A roster's refusal is counted in
-    /// `work.refusals` by the caller, who looks at the wishes.
+    /// Runs a hook and enters its wishes in the book. Returns their number, or `None` if the run did not end well
+    /// or its wishes were not accepted. A wish to refuse the roster sets `state.refused`, whose roster the caller
+    /// fills in.
     fn run(
         &self,
-        work: &mut Work,
+        state: &mut RunnerState,
         id: Id,
         event: &Event,
         world: &World,
-        until: Instant,
+        deadline: Instant,
     ) -> Option<usize> {
-        let (now, begun) = (self.now_ms(), Instant::now());
-        let host = &mut work.host;
+        let (now, started) = (self.now_ms(), Instant::now());
+        let host = &mut state.host;
         let ran = catch_unwind(AssertUnwindSafe(|| {
-            host.run(now, id, event, world, &mut || Instant::now() >= until)
+            host.run(now, id, event, world, &mut || Instant::now() >= deadline)
         }));
-        took(&self.runs_us, begun);
+        record_time(&self.run_times_us, started);
         let ran = match ran {
             Ok(ran) => ran?,
             Err(_) => {
-                work.host.gate_ran(now, id, End::CutOff);
-                warn!(target: "hooks", "{} broke its machine; it rests", work.host.name(id));
+                state.host.gate_ran(now, id, End::CutOff);
+                warn!(target: "hooks", "the interpreter panicked in {}; the hook pauses", state.host.name(id));
                 return None;
             }
         };
-        if let Some(said) = &ran.said {
-            warn!(target: "hooks", "{said}");
+        if let Some(message) = &ran.said {
+            warn!(target: "hooks", "{message}");
         }
         if ran.end != End::Well {
             return None;
         }
         let refuses = ran.wishes.iter().find(|w| w.kind == WishKind::RefuseRoster);
         if let Some(refusal) = refuses {
-            let lasts = refusal.lasts_ms.unwrap_or(REFUSED_MS).min(REFUSED_MS);
-            let at = now + lasts;
+            let duration_ms = refusal
+                .lasts_ms
+                .unwrap_or(MAX_REFUSAL_MS)
+                .min(MAX_REFUSAL_MS);
+            let retry_at = now + duration_ms;
             warn!(target: "hooks", "{} refuses the roster: {}", ran.hook, refusal.reason);
-            let before = work.refused.take().map_or(0.0, |(_, at)| at);
-            work.refused = Some((Vec::new(), at.max(before)));
+            let before = state.refused.take().map_or(0.0, |(_, at)| at);
+            state.refused = Some((Vec::new(), retry_at.max(before)));
         }
-        match work.book.takes(now, &ran.hook, &ran.wishes) {
-            Ok(told) => {
-                say(&told);
+        match state.book.takes(now, &ran.hook, &ran.wishes) {
+            Ok(notes) => {
+                log_notes(&notes);
                 Some(ran.wishes.len())
             }
             Err(why) => {
-                warn!(target: "hooks", "{}: nothing of this run is heard: {why}", ran.hook);
+                warn!(target: "hooks", "{}: the wishes of this run are refused: {why}", ran.hook);
                 None
             }
         }
     }
 
-    /// A new roster: hooks that wait for one see it, together no longer than their time; then it holds, unless one
-    /// refused it.
-    fn decide_roster(&self, work: &mut Work, entries: Vec<RosterEntry>) {
-        let before: BTreeMap<&str, &RosterEntry> =
-            work.said.iter().map(|e| (e.name.as_str(), e)).collect();
-        let is_new = |e: &&RosterEntry| {
+    /// Runs the hooks that see a new roster, together no longer than their time limit; then it takes effect, unless
+    /// one refused it.
+    fn decide_roster(&self, state: &mut RunnerState, entries: Vec<RosterEntry>) {
+        let before: BTreeMap<&str, &RosterEntry> = state
+            .listed_roster
+            .iter()
+            .map(|e| (e.name.as_str(), e))
+            .collect();
+        let is_changed = |e: &&RosterEntry| {
             before
                 .get(e.name.as_str())
                 .is_none_or(|b| b.state != e.state || b.weight != e.weight)
         };
         let mut changed: Vec<Arc<str>> = entries
             .iter()
-            .filter(is_new)
+            .filter(is_changed)
             .map(|e| e.name.as_str().into())
             .collect();
-        let there: std::collections::BTreeSet<&str> =
+        let present: std::collections::BTreeSet<&str> =
             entries.iter().map(|e| e.name.as_str()).collect();
-        let dropped: Vec<RosterEntry> = work
-            .said
+        let dropped: Vec<RosterEntry> = state
+            .listed_roster
             .iter()
-            .filter(|e| !there.contains(e.name.as_str()))
+            .filter(|e| !present.contains(e.name.as_str()))
             .map(|e| RosterEntry {
                 state: AdminState::Gone,
                 ..e.clone()
@@ -770,144 +813,147 @@
             .collect();
         changed.extend(dropped.iter().map(|e| Arc::from(e.name.as_str())));
         if !changed.is_empty() {
-            let world = with_roster(&work.world, entries.iter().chain(&dropped));
+            let world = with_roster(&state.world, entries.iter().chain(&dropped));
             let event = Event::RosterChanged(changed);
-            let all = Instant::now() + Duration::from_secs_f64(self.place.roster_ms / 1e3);
-            let mut turns = Until::new(all);
-            let asked = work.host.due(self.now_ms(), &event);
-            for (i, id) in asked.iter().enumerate() {
-                if turns.are_over() {
-                    let name = work.host.name(*id);
-                    warn!(target: "hooks", "{name} was not asked about the roster: the time for all was over");
+            let deadline =
+                Instant::now() + Duration::from_secs_f64(self.settings.roster_timeout_ms / 1e3);
+            let mut limits = SharedDeadline::new(deadline);
+            let hooks = state.host.due(self.now_ms(), &event);
+            for (i, id) in hooks.iter().enumerate() {
+                if limits.are_over() {
+                    let name = state.host.name(*id);
+                    warn!(target: "hooks", "{name} did not see the roster: the time limit of all hooks had passed");
                     continue;
                 }
-                turns.begins(asked.len() - i);
-                let own = Instant::now() + Duration::from_secs_f64(self.place.run_ms / 1e3);
-                self.run(work, *id, &event, &world, turns.own.min(own));
+                limits.begins(hooks.len() - i);
+                let own =
+                    Instant::now() + Duration::from_secs_f64(self.settings.run_timeout_ms / 1e3);
+                self.run(state, *id, &event, &world, limits.own.min(own));
             }
         }
-        if let Some((refused, _)) = &mut work.refused {
+        if let Some((refused, _)) = &mut state.refused {
             *refused = entries;
         } else {
-            work.said = entries;
+            state.listed_roster = entries;
         }
-        self.put(work);
+        self.send_roster(state);
     }
 
-    /// What is in force goes into the owner's queue, if it is something else than before.
-    fn put(&self, work: &mut Work) {
+    /// Sends the roster with the wishes in force, and the pins, to the controller, if they have changed.
+    fn send_roster(&self, state: &mut RunnerState) {
         let listed = |e: &RosterEntry| Listed {
             name: e.name.as_str().into(),
             zone: e.zone.as_str().into(),
-            state: state_of(e.state),
+            state: hook_state(e.state),
             weight: e.weight,
         };
-        let roster: Vec<Listed> = work.said.iter().map(listed).collect();
+        let roster: Vec<Listed> = state.listed_roster.iter().map(listed).collect();
         let InForce {
             servers,
             pins,
             overruled,
-        } = work.book.in_force(&roster);
-        let entries: Vec<RosterEntry> = work
-            .said
+        } = state.book.in_force(&roster);
+        let entries: Vec<RosterEntry> = state
+            .listed_roster
             .iter()
             .map(|e| match servers.get(e.name.as_str()) {
                 Some((state, weight)) => RosterEntry {
-                    state: admin(*state),
+                    state: admin_state(*state),
                     weight: *weight,
                     ..e.clone()
                 },
                 None => e.clone(),
             })
             .collect();
-        if overruled != work.overruled {
-            say(&overruled);
-            work.overruled = overruled;
+        if overruled != state.overruled {
+            log_notes(&overruled);
+            state.overruled = overruled;
         }
-        if entries != work.put {
-            work.controller.send(Input::Roster(entries.clone()));
-            work.put = entries;
+        if entries != state.sent_roster {
+            state.controller.send(Input::Roster(entries.clone()));
+            state.sent_roster = entries;
         }
-        if pins != work.pins {
+        if pins != state.pins {
             let now = self.now_ms();
-            let ahead = pins
+            let durations = pins
                 .iter()
-                .map(|(part, until)| (*part, (until - now).max(0.0)));
-            work.controller.send(Input::Pinned(ahead.collect()));
-            work.pins = pins;
+                .map(|(part, deadline)| (*part, (deadline - now).max(0.0)));
+            state.controller.send(Input::Pinned(durations.collect()));
+            state.pins = pins;
         }
     }
 
-    /// What hooks keep goes to memory, as far as it changed.
-    fn keep(&self, work: &mut Work) {
-        let Some(memory) = &work.memory else {
+    /// Passes changed values that hooks keep on to memory.
+    fn save_kept(&self, state: &mut RunnerState) {
+        let Some(memory) = &state.memory else {
             return;
         };
         let mut changes = Vec::new();
-        for (file, name, value) in work.host.kept() {
+        for (file, name, value) in state.host.kept() {
             let text = to_json(&value).to_string();
             let key = (file.to_string(), name.to_string());
-            if work.kept.get(&key) != Some(&text) {
+            if state.kept.get(&key) != Some(&text) {
                 changes.push(Change::Kept(key.0.clone(), key.1.clone(), text.clone()));
-                work.kept.insert(key, text);
+                state.kept.insert(key, text);
             }
         }
         if !changes.is_empty() && !memory.offer(changes) {
-            // Offered again with the next turn.
-            work.kept.clear();
+            // The journal's queue is full: all are offered again the next time.
+            state.kept.clear();
         }
     }
 
-    fn show(&self, work: &Work) {
+    fn update_status(&self, state: &RunnerState) {
         let now = self.now_ms();
-        let hooks = work.host.told(now).into_iter().map(|(name, r, rests)| {
+        let hooks = state.host.told(now).into_iter().map(|(name, r, rests)| {
             json!({"hook": name, "runs": r.runs, "failed": r.failed, "cut_off": r.cut_off, "not_heard": r.unheard,
-                   "rests_ms": rests.map(|until| until - now)})
+                   "rests_ms": rests.map(|deadline| deadline - now)})
         });
-        let wishes = work.book.told().map(|(kind, whom, hook, number, until, why)| {
-            json!({"wish": kind, "whom": whom, "hook": &**hook, "number": number, "ends_in_ms": until - now, "because": &**why})
+        let wishes = state.book.told().map(|(kind, whom, hook, number, deadline, why)| {
+            json!({"wish": kind, "whom": whom, "hook": &**hook, "number": number, "ends_in_ms": deadline - now, "because": &**why})
         });
-        let notes = work
+        let notes = state
             .book
             .notes()
             .map(|(key, hook, text)| json!({"key": &**key, "hook": &**hook, "text": &**text}));
-        let alerts = work
+        let alerts = state
             .book
             .alerts()
             .map(|(at, hook, text)| json!({"ago_ms": now - at, "hook": &**hook, "text": &**text}));
-        let overruled = work
+        let overruled = state
             .overruled
             .iter()
             .map(|t| json!({"hook": &*t.hook, "what": t.what}));
-        let view = json!({
-            "version": work.host.version,
-            "fault": work.fault,
+        let status = json!({
+            "version": state.host.version,
+            "fault": state.fault,
             "hooks": hooks.collect::<Vec<_>>(),
             "wishes": wishes.collect::<Vec<_>>(),
             "overruled": overruled.collect::<Vec<_>>(),
             "notes": notes.collect::<Vec<_>>(),
             "alerts": alerts.collect::<Vec<_>>(),
-            "roster_refused": work.refused.is_some(),
-            "events_waiting": work.waiting.len(),
-            "events_dropped": lock(&self.mail).dropped,
+            "roster_refused": state.refused.is_some(),
+            "events_waiting": state.queued.len(),
+            "events_dropped": lock(&self.inbox).dropped,
         });
-        *lock(&self.view) = view;
+        *lock(&self.status) = status;
     }
 }
 
-/// Runs that share a time.
-struct Until {
+/// A deadline that several runs share: each gets an equal part of the time that is left.
+struct SharedDeadline {
     all: Instant,
+    /// Deadline of the present run.
     own: Instant,
 }
 
-impl Until {
-    fn new(all: Instant) -> Until {
-        Until { all, own: all }
+impl SharedDeadline {
+    fn new(all: Instant) -> SharedDeadline {
+        SharedDeadline { all, own: all }
     }
 }
 
-impl Turns for Until {
+impl Turns for SharedDeadline {
     fn begins(&mut self, left: usize) {
         let now = Instant::now();
         self.own = now + self.all.saturating_duration_since(now) / left.max(1) as u32;
@@ -922,7 +968,7 @@
     }
 }
 
-fn alert_of(text: Arc<str>) -> dahliapoint_hooks::ops::Wished {
+fn alert(text: Arc<str>) -> dahliapoint_hooks::ops::Wished {
     dahliapoint_hooks::ops::Wished {
         kind: WishKind::Alert,
         whom: "".into(),
@@ -933,13 +979,13 @@
     }
 }
 
-fn say(told: &[Told]) {
-    for t in told {
+fn log_notes(notes: &[Told]) {
+    for t in notes {
         info!(target: "hooks", "{}: {}", t.hook, t.what);
     }
 }
 
-/// The world as it would be with another roster.
+/// The service's state as it would be with another roster.
 fn with_roster<'a>(world: &World, entries: impl Iterator<Item = &'a RosterEntry>) -> World {
     let mut world = world.clone();
     for e in entries {
@@ -949,11 +995,11 @@
             .get(&name)
             .and_then(|i| world.servers.get_mut(*i as usize))
         {
-            Some(s) => (s.state, s.listed) = (state_of(e.state), e.weight),
+            Some(s) => (s.state, s.listed) = (hook_state(e.state), e.weight),
             None => world.servers.push(ServerSeen {
                 name,
                 zone: e.zone.as_str().into(),
-                state: state_of(e.state),
+                state: hook_state(e.state),
                 listed: e.weight,
                 weight: 0.0,
                 shut: false,
