--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The life of a daemon: its parts wired, started and ended in order.
+//! Creates the components of a controller, connects them, and starts and ends them in order.
 
 use crate::controller_thread::{Clock, ControllerThread};
 use crate::deployment::Deployment;
@@ -27,17 +27,17 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tracing::{error, info, warn};
 
-/// Sessions of the front of files are numbered from here, those of streams below.
-const FILES: u64 = 1 << 40;
+/// First session number of the front of files; streams have numbers below it.
+const FIRST_FILE_SESSION: u64 = 1 << 40;
 
-/// How often it is asked whether a lookup is due.
-const LOOK_UP: Duration = Duration::from_millis(50);
+/// Interval at which the resolver's thread checks whether a lookup is due.
+const DNS_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Where the servers come from.
+/// Where the roster comes from.
 pub enum RosterSource {
-    /// The deployment's roster file, watched.
+    /// The roster file of the deployment, which is watched for changes.
     File,
-    /// These, for good.
+    /// These entries, for as long as the daemon runs.
     Fixed(Vec<RosterEntry>),
 }
 
@@ -46,7 +46,7 @@
     server: Server,
     front: Arc<Front>,
     controller: ControllerThread,
-    owner: JoinHandle<()>,
+    controller_thread: JoinHandle<()>,
     ending: Arc<AtomicBool>,
     watcher: Option<JoinHandle<()>>,
     resolver: Option<JoinHandle<()>>,
@@ -56,75 +56,76 @@
 }
 
 impl Daemon {
-    /// Starts all parts; the roster must be good at the start.
+    /// Starts all components. Inputs are recorded in the file `record`, if one is given.
     ///
     /// # Errors
-    /// What is wrong, in words for an operator.
+    /// Returns what is wrong, for an operator, if the settings cannot be used or the roster cannot be read and
+    /// memory holds none.
     pub fn start(
         deployment: &Deployment,
         source: RosterSource,
         record: Option<PathBuf>,
     ) -> Result<Daemon, String> {
-        let terms = deployment.settings.clone();
+        let settings = deployment.settings.clone();
         let (memory, facts) = match &deployment.memory {
             None => (None, Facts::default()),
             Some((dir, key)) => {
                 let (store, facts, found) = memory::open(dir, key.as_deref())?;
-                info!(dir = %dir.display(), servers = facts.servers.len(), ?found, "what was known is read");
+                info!(dir = %dir.display(), servers = facts.servers.len(), ?found, "memory is read");
                 for passed in &found.passed_over {
                     warn!("memory: {passed}");
                 }
-                let kept = facts.clone();
-                let started = JournalWriter::start(store, kept, found);
+                let stored = facts.clone();
+                let started = JournalWriter::start(store, stored, found);
                 let started = started.map_err(|e| format!("{}: {e}", dir.display()))?;
                 (Some(started), facts)
             }
         };
-        let kept = facts;
-        let facts = learned(deployment, kept.clone());
-        if let Some((keeper, _)) = &memory {
-            // What was learned is remembered with the age that it has.
-            let news = facts
+        let stored = facts;
+        let facts = merge_with_peers(deployment, stored.clone());
+        if let Some((journal, _)) = &memory {
+            // Facts that peers know better are stored with their own age.
+            let changes = facts
                 .servers
                 .values()
-                .filter(|f| kept.servers.get(&f.name) != Some(f));
-            let news: Vec<Change> = news.cloned().map(Change::Server).collect();
-            if !news.is_empty() && !keeper.offer(news) {
-                warn!("memory: what was learned is not kept yet");
+                .filter(|f| stored.servers.get(&f.name) != Some(f));
+            let changes: Vec<Change> = changes.cloned().map(Change::Server).collect();
+            if !changes.is_empty() && !journal.offer(changes) {
+                warn!("memory: the facts learned from peers are not stored yet: the queue is full");
             }
         }
-        let mut watch = RosterWatcher::new(
+        let mut watcher = RosterWatcher::new(
             &deployment.roster_path,
             &deployment.roster_format,
-            &terms.zones,
+            &settings.zones,
         );
         let (entries, watched) = match source {
             RosterSource::Fixed(entries) => (entries, false),
-            RosterSource::File => match watch.poll() {
+            RosterSource::File => match watcher.poll() {
                 PollResult::Changed(entries) => (entries, true),
                 PollResult::Refused(why) if !facts.servers.is_empty() => {
-                    warn!("the roster is refused, the last one that is remembered stands: {why}");
+                    warn!("the roster is refused, the one in memory is used: {why}");
                     (facts.entries(), true)
                 }
                 PollResult::Refused(why) => return Err(why),
-                PollResult::Unchanged => return Err("the roster was not read".into()),
+                PollResult::Unchanged => return Err("the roster changed while it was read".into()),
             },
         };
-        let resolving = deployment.dns.clone().map(|place| {
-            let keeper = memory.as_ref().map(|(keeper, _)| keeper.clone());
-            let before = facts.servers.values();
-            let before = before.map(|f| (f.name.clone(), f.address.clone()));
-            DnsResolver::new(place, keeper, &facts.kept, before)
+        let resolver = deployment.dns.clone().map(|dns| {
+            let journal = memory.as_ref().map(|(journal, _)| journal.clone());
+            let previous = facts.servers.values();
+            let previous = previous.map(|f| (f.name.clone(), f.address.clone()));
+            DnsResolver::new(dns, journal, &facts.kept, previous)
         });
-        let entries = match &resolving {
+        let entries = match &resolver {
             None => entries,
-            Some(resolving) => {
-                // What DNS says at the start is listed at the start.
-                let alone = resolving.roster(entries);
-                if resolving.refresh() {
-                    resolving.merged_roster()
+            Some(resolver) => {
+                // The first lookup is done before the start, so that its servers are in the first roster.
+                let listed = resolver.roster(entries);
+                if resolver.refresh() {
+                    resolver.merged_roster()
                 } else {
-                    alone
+                    listed
                 }
             }
         };
@@ -133,25 +134,25 @@
             let now = SystemTime::now().duration_since(UNIX_EPOCH);
             now.map_or(1, |d| d.as_nanos() as u64)
         });
-        let controller = ControllerThread::new(clock, seed, terms.report_interval_ms);
+        let controller = ControllerThread::new(clock, seed, settings.report_interval_ms);
         let shared: Arc<dyn ControllerHandle> = Arc::new(controller.clone());
-        let shape = Shape::of(&terms, deployment.connect_timeout_ms);
+        let shape = Shape::of(&settings, deployment.connect_timeout_ms);
         let front = Front::new(shape, shared.clone(), 1);
-        let patience = Duration::from_secs_f64(deployment.ping_timeout_ms / 1e3);
+        let ping_timeout = Duration::from_secs_f64(deployment.ping_timeout_ms / 1e3);
         let limits = Limits {
-            patience,
-            keepalive: patience / 2,
+            patience: ping_timeout,
+            keepalive: ping_timeout / 2,
             ..Limits::default()
         };
-        let known = SharedFacts::default();
-        let ways = Arc::new(Ways {
+        let shared_facts = SharedFacts::default();
+        let router = Arc::new(CallRouter {
             front: front.clone(),
-            teller: deployment.answers_peers.then(|| {
-                controller.share_facts(known.clone(), &facts);
-                PeerService::new(&terms.service, known, clock::now)
+            peers: deployment.answers_peers.then(|| {
+                controller.share_facts(shared_facts.clone(), &facts);
+                PeerService::new(&settings.service, shared_facts, clock::now)
             }),
         });
-        let server = Server::start(deployment.listen, limits, ways)
+        let server = Server::start(deployment.listen, limits, router)
             .map_err(|e| format!("cannot listen on {}: {e}", deployment.listen))?;
         let files = match &deployment.files {
             None => None,
@@ -160,31 +161,32 @@
                     warn!("files: {why}");
                 }
                 let keys = f.keys.as_deref().map(files::keys).transpose()?;
-                let place = Place {
+                let paths = Place {
                     dir: f.dir.clone(),
                     forms: f.formats.clone(),
                     keys: keys.unwrap_or_default(),
                     every_ms: f.reach.every_ms,
                     valid_ms: f.valid_ms,
                 };
-                let started = files::Front::start(place, shared.clone(), FILES, &terms);
+                let started =
+                    files::Front::start(paths, shared.clone(), FIRST_FILE_SESSION, &settings);
                 let started = started.map_err(|e| format!("{}: {e}", f.dir.display()))?;
-                let shown = started.0.clone();
-                controller.add_status_view("files", Box::new(move || shown.view()));
+                let view_source = started.0.clone();
+                controller.add_status_view("files", Box::new(move || view_source.view()));
                 Some(started)
             }
         };
         let prober = Prober::new(&deployment.probe_path, deployment.probe_timeout_ms, shared);
-        let hand = {
+        let output_handler = {
             let front = front.clone();
-            let filed = files.as_ref().map(|(front, _)| front.clone());
+            let file_front = files.as_ref().map(|(front, _)| front.clone());
             Box::new(move |output| match output {
                 Output::Probe { server, address } => {
                     prober.send(server, &address);
                     None
                 }
-                other => front.carry_out(other).and_then(|rest| match &filed {
-                    Some(filed) => filed.carry_out(rest),
+                other => front.carry_out(other).and_then(|rest| match &file_front {
+                    Some(file_front) => file_front.carry_out(rest),
                     None => Some(rest),
                 }),
             })
@@ -192,67 +194,84 @@
         let servers = entries.len();
         let mut first = Vec::new();
         if !facts.servers.is_empty() {
-            // What is remembered goes before what is: it enters as any day's events do.
+            // The roster as memory has it is handled first, then the present one as a change of it.
             let now = clock::now();
-            let (told, how) = restore::restore_roster(&now, &facts, &entries, terms.warm_up_ms);
-            let doubted = how.iter().filter(|r| **r != Restored::AsListed).count();
+            let (restored, restorations) =
+                restore::restore_roster(&now, &facts, &entries, settings.warm_up_ms);
+            let doubted = restorations
+                .iter()
+                .filter(|r| **r != Restored::AsListed)
+                .count();
             info!(
                 servers,
-                doubted, "what was known is told to the planner first"
+                doubted, "the planner starts with the roster from memory"
             );
-            first.push(Input::Roster(told));
+            first.push(Input::Roster(restored));
         }
         first.push(Input::Roster(entries));
-        let kept = memory.as_ref();
-        let kept = kept.map(|(keeper, _)| (keeper.clone(), ChangeTracker::from_facts(&facts)));
-        if let Some((keeper, _)) = kept.clone() {
-            controller.add_status_view("memory", Box::new(move || keeper.status()));
+        let stored = memory.as_ref();
+        let stored =
+            stored.map(|(journal, _)| (journal.clone(), ChangeTracker::from_facts(&facts)));
+        if let Some((journal, _)) = stored.clone() {
+            controller.add_status_view("memory", Box::new(move || journal.status()));
         }
-        if let Some(resolving) = resolving.clone() {
-            controller.add_status_view("dns", Box::new(move || resolving.status()));
+        if let Some(resolver) = resolver.clone() {
+            controller.add_status_view("dns", Box::new(move || resolver.status()));
         }
-        let hooking = deployment.hooks.clone().map(HookRunner::new);
-        let listed = entries_of(&first);
-        if let Some(hooking) = &hooking {
-            // Whatever is wrong with a hook is told before anything runs.
+        let hook_runner = deployment.hooks.clone().map(HookRunner::new);
+        let initial_roster = last_roster(&first);
+        if let Some(hook_runner) = &hook_runner {
+            // A fault in a hook is found before the controller runs.
             crate::hook_runner::load(
                 &deployment
                     .hooks
                     .as_ref()
                     .map_or(PathBuf::new(), |p| p.dir.clone()),
             )?;
-            controller.set_hooks(hooking.clone());
-            let shown = hooking.clone();
-            controller.add_status_view("hooks", Box::new(move || shown.status()));
+            controller.set_hooks(hook_runner.clone());
+            let view_source = hook_runner.clone();
+            controller.add_status_view("hooks", Box::new(move || view_source.status()));
         }
-        let owner = controller
-            .run(seed, terms, record.as_deref(), first, hand, kept)
-            .map_err(|e| format!("the controller cannot start: {e}"))?;
-        let hooks = match hooking {
+        let controller_thread = controller
+            .run(
+                seed,
+                settings,
+                record.as_deref(),
+                first,
+                output_handler,
+                stored,
+            )
+            .map_err(|e| format!("cannot start the controller: {e}"))?;
+        let hooks = match hook_runner {
             None => None,
-            Some(hooking) => {
-                let keeper = memory.as_ref().map(|(keeper, _)| keeper.clone());
-                let thread =
-                    hooking.start(controller.clone(), listed, keeper, facts.kept.clone())?;
-                Some((hooking, thread))
+            Some(hook_runner) => {
+                let journal = memory.as_ref().map(|(journal, _)| journal.clone());
+                let thread = hook_runner.start(
+                    controller.clone(),
+                    initial_roster,
+                    journal,
+                    facts.kept.clone(),
+                )?;
+                Some((hook_runner, thread))
             }
         };
         let ending = Arc::new(AtomicBool::new(false));
-        let every = Duration::from_secs_f64(deployment.roster_poll_interval_ms / 1e3);
-        let deliver = Delivery {
+        let interval = Duration::from_secs_f64(deployment.roster_poll_interval_ms / 1e3);
+        let sink = RosterSink {
             controller: controller.clone(),
             hooks: hooks.as_ref().map(|(h, _)| h.clone()),
-            resolving: resolving.clone(),
+            resolver: resolver.clone(),
             order: Arc::default(),
         };
-        let watcher = watched.then(|| watching(watch, every, deliver.clone(), ending.clone()));
-        let resolver = resolving.and_then(|r| looking_up(r, deliver, ending.clone()));
+        let watcher =
+            watched.then(|| spawn_watcher(watcher, interval, sink.clone(), ending.clone()));
+        let resolver = resolver.and_then(|r| spawn_resolver(r, sink, ending.clone()));
         info!(xds = %server.address(), servers, service = %deployment.settings.service, "running");
         Ok(Daemon {
             server,
             front,
             controller,
-            owner,
+            controller_thread,
             ending,
             watcher: watcher.flatten(),
             resolver,
@@ -262,85 +281,87 @@
         })
     }
 
-    /// Where proxies connect.
+    /// Address that proxies connect to.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
+    /// Handle of the controller's thread.
     pub fn controller(&self) -> &ControllerThread {
         &self.controller
     }
 
-    /// Ends orderly: streams are told to go elsewhere, what waits is decided, then all is closed. Tells
-    /// whether every connection had ended in time.
-    pub fn end(self, within: Duration) -> bool {
+    /// Shuts down: asks streams to reconnect elsewhere, handles the queued inputs, then ends all threads. Returns
+    /// whether all connections had ended within the timeout.
+    pub fn end(self, timeout: Duration) -> bool {
         self.ending.store(true, Ordering::SeqCst);
         self.front.end();
-        let all = self.server.end(Instant::now() + within);
-        if let Some((hooking, thread)) = self.hooks {
-            hooking.end();
+        let all_ended = self.server.end(Instant::now() + timeout);
+        if let Some((hook_runner, thread)) = self.hooks {
+            hook_runner.end();
             let _ = thread.join();
         }
         self.controller.close();
-        let _ = self.owner.join();
+        let _ = self.controller_thread.join();
         if let Some((front, thread)) = self.files {
             front.end();
             let _ = thread.join();
         }
-        if let Some((keeper, thread)) = self.memory {
-            keeper.stop();
+        if let Some((journal, thread)) = self.memory {
+            journal.stop();
             let _ = thread.join();
         }
         for thread in [self.watcher, self.resolver].into_iter().flatten() {
             let _ = thread.join();
         }
-        info!(all_streams_ended = all, "ended");
-        all
+        info!(all_streams_ended = all_ended, "ended");
+        all_ended
     }
 }
 
-/// Calls of proxies and people, and of newcomers.
-struct Ways {
+/// Routes calls: those of starting peers to the peer service, all others to the front.
+struct CallRouter {
     front: Arc<Front>,
-    teller: Option<Arc<PeerService>>,
+    peers: Option<Arc<PeerService>>,
 }
 
-impl Handler for Ways {
+impl Handler for CallRouter {
     fn call(&self, call: Call) {
-        match &self.teller {
-            Some(teller) if call.path.starts_with(messages::SERVICE_PREFIX) => teller.call(call),
+        match &self.peers {
+            Some(peers) if call.path.starts_with(messages::SERVICE_PREFIX) => peers.call(call),
             _ => self.front.call(call),
         }
     }
 }
 
-/// What was kept, and what peers know, whichever is fresher. Whatever peers do, this ends in time.
-fn learned(deployment: &Deployment, kept: Facts) -> Facts {
+/// Facts from memory and from the peers, the fresher ones of each. Returns after the timeout at the latest,
+/// whatever peers do.
+fn merge_with_peers(deployment: &Deployment, stored: Facts) -> Facts {
     if deployment.peers.is_empty() {
-        return kept;
+        return stored;
     }
-    let within = Duration::from_secs_f64(deployment.peers_timeout_ms / 1e3);
+    let timeout = Duration::from_secs_f64(deployment.peers_timeout_ms / 1e3);
     let service = &deployment.settings.service;
-    let Some(learned) = client::query_all(&deployment.peers, service, clock::now, within) else {
-        warn!("no peer told anything: this starts on what it has itself");
-        return kept;
+    let Some(learned) = client::query_all(&deployment.peers, service, clock::now, timeout) else {
+        warn!("no peer answered: starting with what memory has");
+        return stored;
     };
     let (facts, counted) = merge_facts(
         &clock::now(),
-        &kept,
+        &stored,
         &learned,
         deployment.settings.warm_up_ms,
     );
     info!(
         ?counted,
         whole = learned.complete,
-        "what peers know is weighed against what was kept"
+        "facts of peers are merged with those in memory"
     );
     facts
 }
 
-/// The roster that the owner begins with.
-fn entries_of(first: &[Input]) -> Vec<RosterEntry> {
+/// The last roster among inputs.
+fn last_roster(first: &[Input]) -> Vec<RosterEntry> {
     let mut rosters = first.iter().rev().filter_map(|i| match i {
         Input::Roster(entries) => Some(entries.clone()),
         _ => None,
@@ -348,26 +369,28 @@
     rosters.next().unwrap_or_default()
 }
 
-/// The way of a roster to the owner: DNS adds to it, hooks see it.
+/// Passes rosters on to the controller: DNS adds servers to them, hooks see them first.
 #[derive(Clone)]
-struct Delivery {
+struct RosterSink {
     controller: ControllerThread,
     hooks: Option<Arc<HookRunner>>,
-    resolving: Option<Arc<DnsResolver>>,
-    /// Held from when a list is made until it is put: of two threads that make one, the later list is put last.
+    resolver: Option<Arc<DnsResolver>>,
+    /// Held while a roster is merged and sent, so that rosters of two threads are sent in the order in which they
+    /// were merged.
     order: Arc<Mutex<()>>,
 }
 
-impl Delivery {
-    fn roster(&self, entries: Vec<RosterEntry>) {
+impl RosterSink {
+    /// Merges a roster with the servers of DNS and sends it.
+    fn merge_and_send(&self, entries: Vec<RosterEntry>) {
         let _order = self.order.lock().unwrap_or_else(|e| e.into_inner());
-        self.put(match &self.resolving {
-            Some(resolving) => resolving.roster(entries),
+        self.send(match &self.resolver {
+            Some(resolver) => resolver.roster(entries),
             None => entries,
         });
     }
 
-    fn put(&self, entries: Vec<RosterEntry>) {
+    fn send(&self, entries: Vec<RosterEntry>) {
         match &self.hooks {
             Some(hooks) => hooks.roster(entries),
             None => {
@@ -377,53 +400,53 @@
     }
 }
 
-fn looking_up(
-    resolving: Arc<DnsResolver>,
-    deliver: Delivery,
+/// Starts the thread that looks up DNS until `ending` is set.
+fn spawn_resolver(
+    resolver: Arc<DnsResolver>,
+    sink: RosterSink,
     ending: Arc<AtomicBool>,
 ) -> Option<JoinHandle<()>> {
-    let look = move || {
+    let run = move || {
         while !ending.load(Ordering::SeqCst) {
-            std::thread::sleep(LOOK_UP);
-            if resolving.refresh() {
-                let _order = deliver.order.lock().unwrap_or_else(|e| e.into_inner());
-                deliver.put(resolving.merged_roster());
+            std::thread::sleep(DNS_POLL_INTERVAL);
+            if resolver.refresh() {
+                let _order = sink.order.lock().unwrap_or_else(|e| e.into_inner());
+                sink.send(resolver.merged_roster());
             }
         }
     };
-    let started = std::thread::Builder::new().name("dns".into()).spawn(look);
+    let started = std::thread::Builder::new().name("dns".into()).spawn(run);
     started
-        .map_err(|e| error!(error = %e, "DNS cannot be looked up"))
+        .map_err(|e| error!(error = %e, "cannot start the thread that looks up DNS"))
         .ok()
 }
 
-fn watching(
-    mut watch: RosterWatcher,
-    every: Duration,
-    deliver: Delivery,
+/// Starts the thread that watches the roster file until `ending` is set.
+fn spawn_watcher(
+    mut watcher: RosterWatcher,
+    interval: Duration,
+    sink: RosterSink,
     ending: Arc<AtomicBool>,
 ) -> Option<JoinHandle<()>> {
-    let look = move || {
+    let run = move || {
         while !ending.load(Ordering::SeqCst) {
-            std::thread::sleep(every);
-            match watch.poll() {
+            std::thread::sleep(interval);
+            match watcher.poll() {
                 PollResult::Unchanged => {}
                 PollResult::Changed(entries) => {
-                    info!(servers = entries.len(), "a new roster is taken");
-                    deliver.controller.set_roster_fault(None);
-                    deliver.roster(entries);
+                    info!(servers = entries.len(), "the roster has changed");
+                    sink.controller.set_roster_fault(None);
+                    sink.merge_and_send(entries);
                 }
                 PollResult::Refused(why) => {
-                    warn!("the roster is refused, the last good one stands: {why}");
-                    deliver.controller.set_roster_fault(Some(why));
+                    warn!("the roster is refused, the last valid one stays in force: {why}");
+                    sink.controller.set_roster_fault(Some(why));
                 }
             }
         }
     };
-    let started = std::thread::Builder::new()
-        .name("roster".into())
-        .spawn(look);
+    let started = std::thread::Builder::new().name("roster".into()).spawn(run);
     started
-        .map_err(|e| error!(error = %e, "the roster cannot be watched"))
+        .map_err(|e| error!(error = %e, "cannot start the thread that watches the roster"))
         .ok()
 }
