--- a/crates/daemon/src/deployment.rs
+++ b/crates/daemon/src/deployment.rs
@@ -1,5 +1,5 @@
-//! The deployment file: what a controller is told about its service. Read whole and checked whole before
-//! anything starts. docs/operators/running.md lists the fields.
+//! The deployment file: the settings of a controller and its service. It is read and checked completely
+//! before anything starts. docs/operators/running.md lists the fields.
 
 use crate::dns::DnsSettings;
 use crate::hook_runner::HooksSettings;
@@ -17,33 +17,34 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// A roster waits for hooks no longer than this share of the drains' grace.
+/// Share of the drains' grace period that hooks may delay a roster at most.
 const HOOKS_GRACE: f64 = 0.1;
 
-/// What a repeated visit of a class may do.
+/// Whether visits of a class may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Nothing: it only reads.
+    /// Yes: they only read.
     Safe,
-    /// Nothing, while servers know its key.
+    /// Yes, while servers remember the visit's idempotency key.
     Keyed,
-    /// It must never run twice.
+    /// No: a visit must never run twice.
     Never,
 }
 
-/// The form of the log.
+/// Output format of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
     Text,
     Json,
 }
 
-/// All of a deployment file.
+/// A deployment file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deployment {
     pub settings: ControllerSettings,
     /// By class.
     pub idempotency: Vec<Idempotency>,
+    /// By class.
     pub hard_limits_ms: Vec<f64>,
     pub connect_timeout_ms: f64,
     pub roster_path: PathBuf,
@@ -54,42 +55,44 @@
     pub listen: SocketAddr,
     pub log_format: LogFormat,
     pub log_level: String,
-    /// Where chance starts; drawn from the clock if not given.
+    /// Seed of the random numbers; taken from the clock if not given.
     pub seed: Option<u64>,
-    /// A proxy's connection is given up after this long without an answer to a ping.
+    /// A proxy's connection is closed if a ping is not answered for this long.
     pub ping_timeout_ms: f64,
-    /// The front of files, if there is one.
+    /// The front that exchanges tables and reports by files, if it is used.
     pub files: Option<FileFrontSettings>,
-    /// Where what is known is kept over restarts, and the key that it is sealed with.
+    /// Directory that keeps state over restarts, and the file with the key that seals it.
     pub memory: Option<(PathBuf, Option<PathBuf>)>,
-    /// SRV records beside the roster.
+    /// Servers from SRV records, in addition to the roster.
     pub dns: Option<DnsSettings>,
-    /// Controllers that are asked at the start, and for how long.
+    /// Controllers that are asked for their state at the start.
     pub peers: Vec<SocketAddr>,
     pub peers_timeout_ms: f64,
-    /// Who asks is told.
+    /// Whether peers that ask are answered.
     pub answers_peers: bool,
-    /// Where hooks are, and what they may use.
+    /// Hooks, if they are used.
     pub hooks: Option<HooksSettings>,
 }
 
-/// The front of files, as a deployment tells it.
+/// Settings of the front of files.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FileFrontSettings {
     pub dir: PathBuf,
-    /// Forms that are written beside the table of our own.
+    /// Formats that are written in addition to the native table.
     pub formats: Vec<Form>,
+    /// Polling intervals and grace period, which bound how late a proxy sees a change.
     pub reach: Reach,
     pub heartbeat_interval_ms: f64,
+    /// How long a table stays valid.
     pub valid_ms: f64,
-    /// The keys, one or two, that tables and reports are sealed with.
+    /// File with the one or two keys that seal tables and reports.
     pub keys: Option<PathBuf>,
 }
 
-/// Reads a deployment; paths in it are taken from the folder of the file.
+/// Parses a deployment file; paths in it are relative to the folder of the file.
 ///
 /// # Errors
-/// All that is wrong with it, with lines.
+/// Returns all faults, with their lines.
 pub fn parse(file: &str, text: &str) -> Result<Deployment, Faults> {
     let folder = Path::new(file)
         .parent()
@@ -104,8 +107,8 @@
     let (classes, idempotency, hard_limits_ms) = classes(&at.field("classes"));
 
     let proxies = at.field("proxies");
-    let tries = proxies.field("further_try");
-    let default_retry_policy = tries.choice(
+    let further_try = proxies.field("further_try");
+    let default_retry_policy = further_try.choice(
         &[
             ("never", RetryPolicy::Never),
             ("on_proof", RetryPolicy::OnProof),
@@ -114,7 +117,7 @@
         Some(RetryPolicy::OnProof),
     );
     if default_retry_policy == RetryPolicy::OnFailure && idempotency.contains(&Idempotency::Never) {
-        tries.wrong("never or on_proof is wanted: a class here must never run twice");
+        further_try.wrong("never or on_proof is wanted: a class here must never run twice");
     }
     let admission_control = proxies.field("refuse");
     let admission_control =
@@ -139,12 +142,12 @@
     let message_overhead_lines = channel
         .field("message_lines")
         .number(0.0..=1000.0, Some(3.0));
-    let most = channel.field("most_messages");
-    let max_messages = most.number(0.0..=1e6, Some(0.0));
-    let least = RESPONSES_BY_JOINING + 4.0 * RESPONSES_BY_MESSAGE;
-    if max_messages > 0.0 && max_messages < least {
-        most.wrong(format!(
-            "0 for no limit, or at least {least}: a joining takes {RESPONSES_BY_JOINING}"
+    let max_messages_field = channel.field("most_messages");
+    let max_messages = max_messages_field.number(0.0..=1e6, Some(0.0));
+    let min_messages = RESPONSES_BY_JOINING + 4.0 * RESPONSES_BY_MESSAGE;
+    if max_messages > 0.0 && max_messages < min_messages {
+        max_messages_field.wrong(format!(
+            "0 for no limit, or at least {min_messages}: a joining takes {RESPONSES_BY_JOINING}"
         ));
     }
     let message_window_ms = channel.field("within").time(1.0..=3.6e6, Some(10_000.0));
@@ -300,8 +303,8 @@
 
 fn dns(at: &At, zones: &[String]) -> DnsSettings {
     let name = at.field("name");
-    let told = name.text(None);
-    if let Err(why) = dahliapoint_dns::lookup::name(&told) {
+    let srv_name = name.text(None);
+    if let Err(why) = dahliapoint_dns::lookup::name(&srv_name) {
         name.wrong(format!(
             "a name such as _portal._tcp.example.org is wanted: {why}"
         ));
@@ -309,26 +312,26 @@
     let wanted = "an address such as 127.0.0.1:53";
     let server = at.field("server").parsed(wanted, None, |t| t.parse().ok());
     let zone = at.field("zone");
-    let one = match zones {
+    let only_zone = match zones {
         [one] => Some(one.as_str()),
         _ => None,
     };
-    let told_zone = zone.text(one);
-    if !zones.contains(&told_zone) {
+    let zone_name = zone.text(only_zone);
+    if !zones.contains(&zone_name) {
         zone.wrong(format!("one of the zones {} is wanted", zones.join(", ")));
     }
-    let place = DnsSettings {
-        name: told,
+    let settings = DnsSettings {
+        name: srv_name,
         server: server.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 53))),
-        zone: told_zone,
+        zone: zone_name,
         adds_servers: at.field("adds").flag(Some(false)),
         timeout_ms: at.field("within").time(50.0..=60_000.0, Some(1_000.0)),
     };
     at.close();
-    place
+    settings
 }
 
-/// Our own form, or others' files with what is to be known beside them.
+/// Format of the roster: native, or files of another program and the settings to import them.
 fn roster_format(at: &At, folder: &Path, zones: &[String]) -> RosterFormat {
     let kinds = [
         ("yaml", None),
@@ -343,19 +346,19 @@
         field.is_there().then(|| field.text(None))
     };
     let zone = at.field("zone");
-    let one = match zones {
+    let only_zone = match zones {
         [one] => Some(one.clone()),
         _ => None,
     };
     let zone = if zone.is_there() {
-        let told = zone.text(None);
-        if !zones.contains(&told) {
+        let name = zone.text(None);
+        if !zones.contains(&name) {
             zone.wrong(format!("one of the zones {} is wanted", zones.join(", ")));
         }
-        Some(told)
+        Some(name)
     } else {
-        // Where there is one, it is theirs.
-        one
+        // The default, if the deployment has a single zone.
+        only_zone
     };
     RosterFormat::Imported(ImportSettings {
         kind,
@@ -371,32 +374,32 @@
     })
 }
 
-/// Hooks: what all of them may use is bounded by the grace, since a roster waits for them.
+/// Settings of hooks. Their time for a roster is bounded by the grace period, since the roster waits for them.
 fn hooks(at: &At, folder: &Path, grace_ms: f64) -> HooksSettings {
-    let usual = Bounds::default();
+    let defaults = Bounds::default();
     let run = at.field("run");
     let run_timeout_ms = run.time(1.0..=1_000.0, Some(20.0));
     let publication_timeout_ms = at.field("publication").time(0.1..=50.0, Some(2.0));
     let roster = at.field("roster");
     let roster_timeout_ms = roster.time(1.0..=1_000.0, Some(50.0));
-    // A roster waits for the run at hand, then for the hooks that see it.
+    // A roster waits for the run that is under way, then for the hooks that see it.
     if run_timeout_ms + roster_timeout_ms > grace_ms * HOOKS_GRACE {
-        let most = grace_ms * HOOKS_GRACE;
+        let limit_ms = grace_ms * HOOKS_GRACE;
         roster.wrong(format!(
-            "run and roster together are at most {most} ms: a tenth of the drains' grace"
+            "run and roster together are at most {limit_ms} ms: a tenth of the drains' grace"
         ));
     }
     let allowance = Allowance {
         steps: at
             .field("steps")
-            .number(100.0..=1e9, Some(usual.allowance.steps as f64)) as u64,
+            .number(100.0..=1e9, Some(defaults.allowance.steps as f64)) as u64,
         bytes: at.field("memory_kib").number(16.0..=1e6, Some(4096.0)) as usize * 1024,
-        ..usual.allowance
+        ..defaults.allowance
     };
     let wishes = at
         .field("wishes_a_minute")
-        .number(1.0..=1e6, Some(usual.wishes_a_minute as f64));
-    let place = HooksSettings {
+        .number(1.0..=1e6, Some(defaults.wishes_a_minute as f64));
+    let settings = HooksSettings {
         dir: folder.join(at.field("dir").text(None)),
         bounds: Bounds {
             allowance,
@@ -408,20 +411,20 @@
         poll_interval_ms: at.field("every").time(10.0..=600_000.0, Some(500.0)),
     };
     at.close();
-    place
+    settings
 }
 
-/// The front of files.
+/// Settings of the front of files.
 fn files(at: &At, folder: &Path, grace_ms: f64) -> FileFrontSettings {
     let forms = at.field("forms");
-    let mut listed = Vec::new();
-    for place in forms.list() {
+    let mut formats = Vec::new();
+    for item in forms.list() {
         let names = Form::ALL.map(|f| (f.name(), f));
-        let form = place.choice(&names, None);
-        if listed.contains(&form) {
-            place.wrong("each form once is wanted");
+        let form = item.choice(&names, None);
+        if formats.contains(&form) {
+            item.wrong("each form once is wanted");
         }
-        listed.push(form);
+        formats.push(form);
     }
     let every = at.field("every");
     let poll_interval_ms = every.time(10.0..=600_000.0, Some(200.0));
@@ -435,7 +438,7 @@
     let keys = keys.is_there().then(|| folder.join(keys.text(None)));
     let files = FileFrontSettings {
         dir: folder.join(at.field("dir").text(None)),
-        formats: listed,
+        formats,
         reach,
         heartbeat_interval_ms: at.field("beat").time(50.0..=600_000.0, Some(1_000.0)),
         valid_ms: at.field("valid").time(1_000.0..=8.64e8, Some(600_000.0)),
@@ -448,14 +451,14 @@
     files
 }
 
-/// Names, at least one, each once.
+/// A list of at least one name, without duplicates; `what` names its elements in faults.
 fn names(at: &At, what: &str) -> Vec<String> {
     let mut seen = BTreeSet::new();
     let mut names = Vec::new();
-    for place in at.list() {
-        let name = place.text(None);
+    for item in at.list() {
+        let name = item.text(None);
         if !seen.insert(name.clone()) {
-            place.wrong(format!("{name:?} is named twice"));
+            item.wrong(format!("{name:?} is named twice"));
         }
         names.push(name);
     }
@@ -465,26 +468,25 @@
     names
 }
 
+/// Settings of the classes, and by class: idempotency and hard limit.
 fn classes(at: &At) -> (Vec<ClassSettings>, Vec<Idempotency>, Vec<f64>) {
     let (mut classes, mut idempotency, mut limits) = (Vec::new(), Vec::new(), Vec::new());
     let mut seen = BTreeSet::new();
-    for place in at.list() {
-        let name = place.field("name").text(None);
+    for item in at.list() {
+        let name = item.field("name").text(None);
         if !seen.insert(name.clone()) {
-            place
-                .field("name")
-                .wrong(format!("{name:?} is named twice"));
+            item.field("name").wrong(format!("{name:?} is named twice"));
         }
-        let soft = place.field("soft_limit").time(1.0..=3.6e6, None);
-        let words = [
+        let soft = item.field("soft_limit").time(1.0..=3.6e6, None);
+        let choices = [
             ("safe", Idempotency::Safe),
             ("keyed", Idempotency::Keyed),
             ("never", Idempotency::Never),
         ];
-        let repeat = place
+        let repeat = item
             .field("repeat")
-            .choice(&words, Some(Idempotency::Never));
-        let hard = place.field("hard_limit");
+            .choice(&choices, Some(Idempotency::Never));
+        let hard = item.field("hard_limit");
         let hard_ms = hard.time(1.0..=3.6e6, Some(soft * 3.0));
         if hard_ms < soft {
             hard.wrong("a time no shorter than the soft limit is wanted");
@@ -492,12 +494,12 @@
         classes.push(ClassSettings {
             name,
             soft_limit_ms: soft,
-            earnings: place.field("earnings").number(0.001..=1e6, Some(1.0)),
+            earnings: item.field("earnings").number(0.001..=1e6, Some(1.0)),
             idempotent: repeat != Idempotency::Never,
         });
         idempotency.push(repeat);
         limits.push(hard_ms);
-        place.close();
+        item.close();
     }
     if classes.is_empty() {
         at.wrong("at least one class is wanted");
@@ -506,67 +508,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const SMALL: &str = "service: s\nzones: [a]\nclasses: [{name: c, soft_limit: 1s}]\n\
-        roster: {file: r.yaml}\nlisten: {xds: '127.0.0.1:0'}\n";
-
-    #[test]
-    fn a_small_deployment_has_its_defaults() {
-        let d = parse("conf/d.yaml", SMALL).unwrap();
-        assert_eq!(d.roster_path, PathBuf::from("conf/r.yaml"));
-        assert_eq!(
-            d.idempotency,
-            [Idempotency::Never],
-            "nothing is repeated unless it is said"
-        );
-        assert_eq!(d.hard_limits_ms, [3000.0]);
-        assert!(!d.settings.may_probe);
-    }
-
-    #[test]
-    fn what_contradicts_itself_is_refused_with_its_line() {
-        let cases = [
-            ("zones: [a]", "zones: [a, a]", 2, "zones[1]"),
-            ("zones: [a]", "zones: []", 2, "zones"),
-            (
-                "soft_limit: 1s",
-                "soft_limit: 1s, hard_limit: 900ms",
-                3,
-                "classes[0].hard_limit",
-            ),
-            (
-                "soft_limit: 1s",
-                "soft_limit: 1s, repeat: maybe",
-                3,
-                "classes[0].repeat",
-            ),
-            ("127.0.0.1:0", "localhost", 5, "listen.xds"),
-            (
-                "service: s",
-                "proxies: {further_try: on_failure}\nservice: s",
-                1,
-                "proxies.further_try",
-            ),
-            (
-                "service: s",
-                "channel: {most_messages: 5}\nservice: s",
-                1,
-                "channel.most_messages",
-            ),
-            (
-                "r.yaml}",
-                "r.yaml, probe: {path: 'x y'}}",
-                4,
-                "roster.probe.path",
-            ),
-        ];
-        for (from, to, line, field) in cases {
-            let text = SMALL.replace(from, to);
-            let faults = parse("d.yaml", &text).unwrap_err();
-            let found = faults.0.iter().any(|f| f.line == line && f.field == field);
-            assert!(found, "{to}: {faults}");
-        }
-    }
-}
+mod tests;
