--- a/crates/daemon/src/dns.rs
+++ b/crates/daemon/src/dns.rs
@@ -1,4 +1,5 @@
-//! DNS beside the roster: a thread that looks up, and the one list that both make. The roster has the last word.
+//! Servers from DNS in addition to the roster: the state of the lookups, and the list that both sources make together.
+//! The roster takes precedence.
 
 use dahliapoint_control::{AdminState, RosterEntry};
 use dahliapoint_dns::agree::{Agree, Disagreement, Listed};
@@ -14,31 +15,37 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// Where memory keeps what DNS said last.
-const KEPT: (&str, &str) = ("dns", "targets");
+/// File and name under which memory keeps the last answer.
+const STORED_KEY: (&str, &str) = ("dns", "targets");
 
-/// What a deployment says of DNS.
+/// Settings of DNS in a deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DnsSettings {
+    /// Name of the SRV records.
     pub name: String,
+    /// DNS server to ask.
     pub server: SocketAddr,
-    /// The zone of hosts that only DNS names, and whether there are any.
+    /// Zone of servers that only DNS names.
     pub zone: String,
+    /// Whether DNS may add servers that are not in the roster.
     pub adds_servers: bool,
     pub timeout_ms: f64,
 }
 
+/// State that lookups and rosters share.
 struct State {
     agree: Agree,
     refresh: Refresh,
     roster: Vec<RosterEntry>,
-    disagree: BTreeMap<String, Disagreement>,
+    /// Servers on which DNS and the roster disagree, by name.
+    disagreements: BTreeMap<String, Disagreement>,
+    /// Number of servers that DNS adds.
     added: usize,
-    /// As memory has it.
-    kept: String,
+    /// The [`StoredAnswer`] that memory has.
+    stored: String,
 }
 
-/// See the module's head.
+/// Looks up DNS and merges its servers with the roster.
 pub struct DnsResolver {
     settings: DnsSettings,
     started: Instant,
@@ -46,7 +53,7 @@
     memory: Option<Arc<JournalWriter>>,
 }
 
-fn listed(state: AdminState) -> Listed {
+fn dns_listed(state: AdminState) -> Listed {
     match state {
         AdminState::Ready => Listed::Ready,
         AdminState::Draining => Listed::Draining,
@@ -54,40 +61,43 @@
     }
 }
 
-/// What memory keeps: the targets, the hosts that are there by DNS alone, and all that the roster has ever had.
+/// What memory keeps over restarts.
 #[derive(Default)]
-struct Kept {
+struct StoredAnswer {
     targets: Vec<Target>,
-    alone: Vec<SocketAddr>,
+    /// Servers that only DNS names.
+    dns_only: Vec<SocketAddr>,
+    /// Names and addresses of all servers that the roster has ever had.
     names: Vec<String>,
     addresses: Vec<SocketAddr>,
 }
 
-impl Kept {
-    fn text(targets: &[Target], alone: &[SocketAddr], agree: &Agree) -> String {
-        let one = |t: &Target| json!([t.name, t.address, t.priority, t.weight]);
-        let targets: Vec<Value> = targets.iter().map(one).collect();
+impl StoredAnswer {
+    /// The stored form: JSON.
+    fn to_text(targets: &[Target], dns_only: &[SocketAddr], agree: &Agree) -> String {
+        let to_json = |t: &Target| json!([t.name, t.address, t.priority, t.weight]);
+        let targets: Vec<Value> = targets.iter().map(to_json).collect();
         let (names, addresses) = agree.known();
-        json!([targets, alone, names, addresses]).to_string()
+        json!([targets, dns_only, names, addresses]).to_string()
     }
 
-    fn of(text: &str) -> Option<Kept> {
+    fn parse(text: &str) -> Option<StoredAnswer> {
         type Form = (
             Vec<(String, SocketAddr, u16, u16)>,
             Vec<SocketAddr>,
             Vec<String>,
             Vec<SocketAddr>,
         );
-        let (all, alone, names, addresses): Form = serde_json::from_str(text).ok()?;
-        let one = |(name, address, priority, weight)| Target {
+        let (all, dns_only, names, addresses): Form = serde_json::from_str(text).ok()?;
+        let to_target = |(name, address, priority, weight)| Target {
             name,
             address,
             priority,
             weight,
         };
-        Some(Kept {
-            targets: all.into_iter().map(one).collect(),
-            alone,
+        Some(StoredAnswer {
+            targets: all.into_iter().map(to_target).collect(),
+            dns_only,
             names,
             addresses,
         })
@@ -95,24 +105,25 @@
 }
 
 impl DnsResolver {
-    /// `kept`: what memory kept of hooks and others; `before`: hosts that it knew, with their addresses.
+    /// `kept` are the values that memory keeps, `before` the servers that it knows, with their addresses.
     pub fn new(
         settings: DnsSettings,
         memory: Option<Arc<JournalWriter>>,
         kept: &BTreeMap<(String, String), String>,
         before: impl Iterator<Item = (String, String)>,
     ) -> Arc<DnsResolver> {
-        let text = kept.get(&(KEPT.0.to_string(), KEPT.1.to_string()));
-        let known = text.and_then(|t| Kept::of(t));
+        let text = kept.get(&(STORED_KEY.0.to_string(), STORED_KEY.1.to_string()));
+        let known = text.and_then(|t| StoredAnswer::parse(t));
         let mut agree = Agree::new(settings.adds_servers);
-        // Hosts that were there by DNS alone are not the roster's.
-        let empty = Kept::default();
-        let of = known.as_ref().unwrap_or(&empty);
+        // Servers that only DNS named do not count as known to the roster.
+        let empty = StoredAnswer::default();
+        let previous = known.as_ref().unwrap_or(&empty);
         let hosts =
             before.filter_map(|(name, address)| Some((name, address.parse::<SocketAddr>().ok()?)));
-        let hosts: Vec<(String, SocketAddr)> =
-            hosts.filter(|(_, at)| !of.alone.contains(at)).collect();
-        agree.remembers(of.names.clone(), of.addresses.clone());
+        let hosts: Vec<(String, SocketAddr)> = hosts
+            .filter(|(_, at)| !previous.dns_only.contains(at))
+            .collect();
+        agree.remembers(previous.names.clone(), previous.addresses.clone());
         agree.remembers(hosts.iter().map(|h| h.0.clone()), hosts.iter().map(|h| h.1));
         let known = known.map(|k| k.targets);
         Arc::new(DnsResolver {
@@ -122,9 +133,9 @@
                 agree,
                 refresh: known.map_or_else(Refresh::default, Refresh::since),
                 roster: Vec::new(),
-                disagree: BTreeMap::new(),
+                disagreements: BTreeMap::new(),
                 added: 0,
-                kept: String::new(),
+                stored: String::new(),
             }),
             memory,
         })
@@ -138,40 +149,41 @@
         self.started.elapsed().as_secs_f64() * 1e3
     }
 
-    /// A roster came: the list that holds.
+    /// Takes a new roster; returns it merged with the servers of DNS.
     pub fn roster(&self, entries: Vec<RosterEntry>) -> Vec<RosterEntry> {
         let mut state = self.lock();
         let hosts: Vec<(String, SocketAddr, Listed)> = entries
             .iter()
-            .filter_map(|e| Some((e.name.clone(), e.address.parse().ok()?, listed(e.state))))
+            .filter_map(|e| Some((e.name.clone(), e.address.parse().ok()?, dns_listed(e.state))))
             .collect();
         state.agree.roster(&hosts);
         state.roster = entries;
         self.merge(&mut state)
     }
 
+    /// Merges the roster and the last answer, and stores what has changed.
     fn merge(&self, state: &mut State) -> Vec<RosterEntry> {
         let (targets, worth) = state.refresh.listed(self.now_ms());
-        let (added, disagree) = state.agree.merged(targets, worth == Worth::Fresh);
-        for (name, why) in disagree
+        let (added, disagreements) = state.agree.merged(targets, worth == Worth::Fresh);
+        for (name, why) in disagreements
             .iter()
-            .filter(|(n, w)| state.disagree.get(*n) != Some(w))
+            .filter(|(n, w)| state.disagreements.get(*n) != Some(w))
         {
             warn!(target: "dns", "{name}: {}", why.told());
         }
         let mut out = state.roster.clone();
         state.added = added.len();
-        let alone: Vec<SocketAddr> = added.iter().map(|a| a.address).collect();
-        let text = Kept::text(targets, &alone, &state.agree);
+        let dns_only: Vec<SocketAddr> = added.iter().map(|a| a.address).collect();
+        let text = StoredAnswer::to_text(targets, &dns_only, &state.agree);
         if let Some(memory) = &self.memory
-            && text != state.kept
+            && text != state.stored
             && memory.offer(vec![Change::Kept(
-                KEPT.0.into(),
-                KEPT.1.into(),
+                STORED_KEY.0.into(),
+                STORED_KEY.1.into(),
                 text.clone(),
             )])
         {
-            state.kept = text;
+            state.stored = text;
         }
         out.extend(added.into_iter().map(|a| RosterEntry {
             name: a.name,
@@ -181,53 +193,57 @@
             weight: a.weight,
             started: None,
         }));
-        state.disagree = disagree;
+        state.disagreements = disagreements;
         out
     }
 
-    /// The list that holds now.
+    /// The roster merged with the servers of DNS.
     pub fn merged_roster(&self) -> Vec<RosterEntry> {
         self.merge(&mut self.lock())
     }
 
-    /// Looks up if that is due; tells whether the list that holds may be another.
+    /// Looks up DNS if that is due; returns whether the merged roster may have changed.
     pub fn refresh(&self) -> bool {
         if self.now_ms() < self.lock().refresh.due() {
             return false;
         }
-        // Nobody waits for the lock while a server does not answer.
-        let within = Duration::from_secs_f64(self.settings.timeout_ms / 1e3);
-        let answer = look(self.settings.server, &self.settings.name, within);
+        // The lock is not held during the lookup, which blocks until the server answers.
+        let timeout = Duration::from_secs_f64(self.settings.timeout_ms / 1e3);
+        let answer = look(self.settings.server, &self.settings.name, timeout);
         let mut state = self.lock();
         if let Answer::Failed(why) = &answer
             && state.refresh.last_fault.as_ref() != Some(why)
         {
-            warn!(target: "dns", "{}: {why}; what stood stands", self.settings.name);
+            warn!(target: "dns", "{}: {why}; the last answer stays in force", self.settings.name);
         }
         let now = self.now_ms();
         if !state.refresh.answered(now, &answer) {
             return false;
         }
         let (targets, _) = state.refresh.listed(now);
-        info!(target: "dns", targets = targets.len(), "{} says something new", self.settings.name);
+        info!(target: "dns", targets = targets.len(), "the answer for {} has changed", self.settings.name);
         true
     }
 
+    /// Status for overviews.
     pub fn status(&self) -> Value {
         let state = self.lock();
         let (targets, worth) = state.refresh.listed(self.now_ms());
-        let disagree: BTreeMap<&String, &str> =
-            state.disagree.iter().map(|(n, d)| (n, d.told())).collect();
+        let disagreements: BTreeMap<&String, &str> = state
+            .disagreements
+            .iter()
+            .map(|(n, d)| (n, d.told()))
+            .collect();
         json!({
             "name": self.settings.name,
             "targets": targets.len(),
             "worth": match worth {
                 Worth::Fresh => "fresh",
-                Worth::Stale => "stale: lookups fail, what stood stands",
+                Worth::Stale => "stale: lookups fail, the last answer stays in force",
                 Worth::Nothing => "it has never answered",
             },
             "added": state.added,
-            "disagreements": disagree,
+            "disagreements": disagreements,
             "looked": state.refresh.looked,
             "failed": state.refresh.failed,
             "doubted": state.refresh.doubts,
