--- a/crates/daemon/src/guard_explain.rs
+++ b/crates/daemon/src/guard_explain.rs
@@ -1,25 +1,27 @@
-//! The guard offline: a table from a file is judged, and what would leave in its place is told.
+//! `dahliapoint guard explain`: checks a table from a file by the guard's rules, without a controller, and says what
+//! would be published in its place.
 
 use dahliapoint_guard::{AdminState, Guard, Line, Server, Violation};
 use dahliapoint_yaml::{At, read};
 use std::fmt::Write;
 
-/// What a danger is, in words.
-fn told(d: &Violation, name: impl Fn(usize) -> String) -> String {
-    let whom = d.server.map_or(String::new(), |s| format!(" {}", name(s)));
-    let code = d.reason.code();
-    format!("{code}{whom}: {:.3}, borne {:.3}", d.found, d.limit)
+/// A violation in words.
+fn describe(v: &Violation, name: impl Fn(usize) -> String) -> String {
+    let server = v.server.map_or(String::new(), |s| format!(" {}", name(s)));
+    let code = v.reason.code();
+    format!("{code}{server}: {:.3}, borne {:.3}", v.found, v.limit)
 }
 
-/// Judges a table from a file: a fleet, what is in force, and what is wanted.
+/// Checks the table of a file, which also lists the servers, the load and the table in force. Returns the text to
+/// print, and whether the table is safe.
 ///
 /// # Errors
-/// All that is wrong with the file, with lines.
+/// Returns all faults of the file, with their lines.
 pub fn explain(file: &str, text: &str) -> Result<(String, bool), String> {
-    read(file, text, judged).map_err(|f| f.to_string())
+    read(file, text, check).map_err(|f| f.to_string())
 }
 
-fn judged(at: &At) -> (String, bool) {
+fn check(at: &At) -> (String, bool) {
     let mut guard = Guard::default();
     let mut names: Vec<String> = Vec::new();
     let states = [
@@ -29,17 +31,17 @@
     ];
     for s in at.field("servers").list() {
         names.push(s.field("name").text(None));
-        let falls = s.field("falls_at");
-        let now = Server {
+        let overload = s.field("falls_at");
+        let server = Server {
             admin_state: s.field("state").choice(&states, Some(AdminState::Ready)),
             listed_weight: s.field("weight").number(0.0..=1e6, Some(1.0)),
-            overload_per_s: match falls.is_there() {
-                true => falls.number(0.0..=1e9, None),
+            overload_per_s: match overload.is_there() {
+                true => overload.number(0.0..=1e9, None),
                 false => f64::INFINITY,
             },
         };
         s.close();
-        guard.set_server(names.len() - 1, Some(0), now);
+        guard.set_server(names.len() - 1, Some(0), server);
     }
     guard.set_load(0, at.field("load").number(0.0..=1e9, Some(0.0)));
     let mut lines = |field: &str| -> Vec<Line> {
@@ -70,23 +72,23 @@
     }
     let found = guard.check(0, &next, true);
     let mut out = String::new();
-    for danger in &found {
-        let _ = writeln!(out, "{}", told(danger, |s| names[s].clone()));
+    for violation in &found {
+        let _ = writeln!(out, "{}", describe(violation, |s| names[s].clone()));
     }
     if found.is_empty() {
         out.push_str("nothing is dangerous about it\n");
         return (out, true);
     }
-    out.push_str("in its place leaves:\n");
+    out.push_str("published in its place:\n");
     let step = guard.next_step(0, &next);
     for (server, weight) in &step.weights {
         let _ = writeln!(out, "  {}: {weight:.4}", names[*server]);
     }
-    for danger in &step.remaining {
+    for violation in &step.remaining {
         let _ = writeln!(
             out,
-            "nothing better is to be had: {}",
-            told(danger, |s| names[s].clone())
+            "no better table exists: {}",
+            describe(violation, |s| names[s].clone())
         );
     }
     (out, found.is_empty())
--- a/crates/daemon/src/import.rs
+++ b/crates/daemon/src/import.rs
@@ -1,5 +1,4 @@
-//! Host lists from Apache's and mod_jk's files on this machine: as a roster that is watched, as a roster printed, and
-//! written back.
+//! Host lists from the files of Apache and mod_jk: read as a roster, printed as one, and written back.
 
 use crate::roster;
 use dahliapoint_control::{AdminState, RosterEntry};
@@ -9,36 +8,40 @@
 use std::path::{Path, PathBuf};
 use std::time::SystemTime;
 
-/// How a roster file is written.
+/// Format of a roster file.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RosterFormat {
-    /// Our own YAML.
+    /// The native format.
     Yaml,
+    /// Files of another program.
     Imported(ImportSettings),
 }
 
-/// What is told of others' files beside where they are.
+/// Settings with which files of another program are read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ImportSettings {
     pub kind: Kind,
+    /// The balancer to read, if the files have several.
     pub balancer: Option<String>,
+    /// Names that count as true in `<IfModule>` and `<IfDefine>`.
     pub assumed: Vec<String>,
+    /// Folder that relative paths start from, if not that of the file.
     pub root: Option<String>,
-    /// The zone of hosts that say none; mod_jk's domain is one if it is so called.
+    /// Zone of hosts that state none. A mod_jk domain is used as the zone if it has the name of one.
     pub zone: Option<String>,
 }
 
-/// A file or folder as it was looked at.
+/// State of a file or folder: length, modification time and inode.
 pub type Stamp = (u64, Option<SystemTime>, u64);
 
-/// How a path is now; nothing if it is not there.
+/// Present state of a path; `None` if it does not exist.
 pub fn stamp(path: &Path) -> Option<Stamp> {
     use std::os::unix::fs::MetadataExt;
-    let m = std::fs::metadata(path).ok()?;
-    Some((m.len(), m.modified().ok(), m.ino()))
+    let metadata = std::fs::metadata(path).ok()?;
+    Some((metadata.len(), metadata.modified().ok(), metadata.ino()))
 }
 
-/// Files of this machine, and which were asked for.
+/// Reads files of this machine and keeps the paths that were read.
 #[derive(Default)]
 pub struct LocalFiles {
     pub read_paths: BTreeSet<PathBuf>,
@@ -65,33 +68,33 @@
     }
 }
 
-/// Reads others' files.
+/// Reads the files of another program, beginning with `path`.
 ///
 /// # Errors
-/// All that is wrong, a line each.
+/// Returns all faults, one a line.
 pub fn import(
-    disk: &mut LocalFiles,
+    files: &mut LocalFiles,
     path: &Path,
-    foreign: &ImportSettings,
+    settings: &ImportSettings,
 ) -> Result<Import, String> {
     let wanted = Wanted {
-        balancer: foreign.balancer.clone(),
-        assumed: foreign.assumed.clone(),
-        root: foreign.root.clone(),
+        balancer: settings.balancer.clone(),
+        assumed: settings.assumed.clone(),
+        root: settings.root.clone(),
     };
-    read(disk, &path.display().to_string(), foreign.kind, &wanted).map_err(|faults| {
+    read(files, &path.display().to_string(), settings.kind, &wanted).map_err(|faults| {
         let all: Vec<String> = faults.iter().map(ToString::to_string).collect();
         all.join("\n")
     })
 }
 
-/// Hosts as a roster.
+/// Imported hosts as roster entries. Zones are checked against `zones`, if they are given.
 ///
 /// # Errors
-/// Hosts whose zone is not known, with their places.
+/// Returns the hosts whose zone is not known, with the file and line of each.
 pub fn entries(
     import: &Import,
-    foreign: &ImportSettings,
+    settings: &ImportSettings,
     zones: Option<&[String]>,
 ) -> Result<Vec<RosterEntry>, String> {
     let (mut out, mut faults) = (Vec::new(), Vec::new());
@@ -101,7 +104,7 @@
             .domain
             .as_ref()
             .filter(|d| is_zone(d))
-            .or(foreign.zone.as_ref());
+            .or(settings.zone.as_ref());
         let Some(zone) = zone.filter(|z| is_zone(z)) else {
             faults.push(format!(
                 "{}: {:?}: its zone is not known: say one for all, or a domain that is one",
@@ -129,15 +132,15 @@
     }
 }
 
-/// A roster in our own form.
+/// A roster in the native YAML format.
 pub fn as_yaml(entries: &[RosterEntry]) -> String {
     let mut out = String::from("servers:\n");
     if entries.is_empty() {
         return "servers: []\n".into();
     }
     for e in entries {
-        // A text of JSON is one of YAML.
-        let text = |t: &str| serde_json::json!(t).to_string();
+        // A JSON string is also a YAML string.
+        let quoted = |t: &str| serde_json::json!(t).to_string();
         let state = match e.state {
             AdminState::Ready => "ready",
             AdminState::Draining => "draining",
@@ -146,30 +149,31 @@
         let _ = writeln!(
             out,
             "- {{name: {}, address: {}, zone: {}, state: {state}, weight: {}}}",
-            text(&e.name),
-            text(&e.address),
-            text(&e.zone),
+            quoted(&e.name),
+            quoted(&e.address),
+            quoted(&e.zone),
             e.weight
         );
     }
     out
 }
 
-/// Others' files with the weights and states of a roster of ours: what changes, a line each; with `in_place` it is
-/// written.
+/// Applies the weights and states of a native roster to files of another program. Returns the changed lines; with
+/// `in_place` the files are written.
 ///
 /// # Errors
-/// What is wrong with either, or cannot be written; then nothing is.
+/// Returns the faults of either, or why a file cannot be written. Nothing is replaced unless all files could be
+/// written under a temporary name.
 pub fn write_back(
     path: &Path,
-    foreign: &ImportSettings,
+    settings: &ImportSettings,
     roster: &Path,
     in_place: bool,
 ) -> Result<String, String> {
-    let import = import(&mut LocalFiles::default(), path, foreign)?;
+    let import = import(&mut LocalFiles::default(), path, settings)?;
     let name = roster.display().to_string();
     let text = std::fs::read_to_string(roster).map_err(|e| format!("{name}: {e}"))?;
-    let zones: Vec<String> = entries(&import, foreign, None)?
+    let zones: Vec<String> = entries(&import, settings, None)?
         .into_iter()
         .map(|e| e.zone)
         .collect();
@@ -191,7 +195,7 @@
         };
         changes.insert(e.name.clone(), (e.weight, state));
     }
-    // Who is not in a roster is gone.
+    // Hosts that the roster does not list are gone.
     for h in &import.hosts {
         changes
             .entry(h.name.clone())
@@ -214,13 +218,14 @@
                 .zip(&import.documents)
                 .filter(|(a, b)| a.text != b.text)
         };
-        let aside = |path: &str| PathBuf::from(format!("{path}.new"));
-        // All are written aside before any takes its place.
+        let temporary = |path: &str| PathBuf::from(format!("{path}.new"));
+        // All are written under temporary names before any is renamed.
         for (d, _) in changed() {
-            std::fs::write(aside(&d.path), &d.text).map_err(|e| format!("{}: {e}", d.path))?;
+            std::fs::write(temporary(&d.path), &d.text).map_err(|e| format!("{}: {e}", d.path))?;
         }
         for (d, _) in changed() {
-            std::fs::rename(aside(&d.path), &*d.path).map_err(|e| format!("{}: {e}", d.path))?;
+            std::fs::rename(temporary(&d.path), &*d.path)
+                .map_err(|e| format!("{}: {e}", d.path))?;
         }
     }
     Ok(out)
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,5 +1,5 @@
-//! The controller as a program. [`deployment`] and [`roster`] read what operators write, [`controller`] owns
-//! the controller, [`life`] wires it to its fronts and ends it; nothing here decides.
+//! The controller as a program. [`deployment`] and [`roster`] read the operators' files, [`controller_thread`] owns the
+//! controller, [`daemon`] connects it to its fronts and ends it. Decisions are made in other crates.
 
 pub mod cli;
 pub mod controller_thread;
--- a/crates/daemon/src/memory.rs
+++ b/crates/daemon/src/memory.rs
@@ -1,4 +1,4 @@
-//! Memory as the daemon and its command line open it.
+//! Opens the directory in which a controller keeps its state over restarts, for the daemon and the command line.
 
 use dahliapoint_files::seal::Keys;
 use dahliapoint_memory::clock;
@@ -9,8 +9,8 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// Reads a key file: the first key of it seals.
-fn key(file: Option<&Path>) -> Result<Key, String> {
+/// Reads a key file; its first key seals the state.
+fn read_key(file: Option<&Path>) -> Result<Key, String> {
     let Some(file) = file else {
         return Ok(Key::default());
     };
@@ -19,30 +19,30 @@
     Ok(Key(Keys::parse(&name, &text)?.first()))
 }
 
-/// Opens a directory to write to it.
+/// Opens a directory for writing.
 ///
 /// # Errors
-/// What is wrong, in words for an operator.
+/// Returns what is wrong, for an operator.
 pub fn open(dir: &Path, keys: Option<&Path>) -> Result<(Store<FsDirectory>, Facts, Found), String> {
-    let wrong = |e: std::io::Error| format!("{}: {e}", dir.display());
-    let layer = FsDirectory::open(dir).map_err(wrong)?;
-    Store::open(layer, key(keys)?).map_err(wrong)
+    let io_error = |e: std::io::Error| format!("{}: {e}", dir.display());
+    let directory = FsDirectory::open(dir).map_err(io_error)?;
+    Store::open(directory, read_key(keys)?).map_err(io_error)
 }
 
-/// Reads a directory, changing nothing in it.
+/// Reads a directory without changing it.
 ///
 /// # Errors
-/// See [`open`].
+/// Returns what is wrong, for an operator.
 pub fn read(dir: &Path, keys: Option<&Path>) -> Result<(Facts, Found), String> {
-    let wrong = |e: std::io::Error| format!("{}: {e}", dir.display());
+    let io_error = |e: std::io::Error| format!("{}: {e}", dir.display());
     if !dir.is_dir() {
         return Err(format!("{}: no directory", dir.display()));
     }
-    let mut layer = FsDirectory::open_read_only(dir).map_err(wrong)?;
-    recover(&mut layer, &key(keys)?).map_err(wrong)
+    let mut directory = FsDirectory::open_read_only(dir).map_err(io_error)?;
+    recover(&mut directory, &read_key(keys)?).map_err(io_error)
 }
 
-/// What is known, for a person.
+/// The state as a text for people.
 pub fn as_table(facts: &Facts) -> String {
     let now = clock::now();
     let age = |at| match now.since(at) {
@@ -51,10 +51,10 @@
     };
     let mut out = format!("alive {}\n", age(&facts.alive));
     for f in facts.servers.values() {
-        let shut = if f.withdrawn { ", withdrawn" } else { "" };
+        let withdrawn = if f.withdrawn { ", withdrawn" } else { "" };
         let _ = writeln!(
             out,
-            "{:<24} {:<22} {:<9} since {:<16} weight {:<6} line {:.2}, {}{shut}",
+            "{:<24} {:<22} {:<9} since {:<16} weight {:<6} line {:.2}, {}{withdrawn}",
             f.name,
             f.address,
             format!("{:?}", f.state).to_lowercase(),
--- a/crates/daemon/src/sample.rs
+++ b/crates/daemon/src/sample.rs
@@ -1,5 +1,5 @@
-//! The sample service of the embedded default: three small servers on loopback within the process, so
-//! that the program runs from a clean checkout.
+//! The sample service: an embedded deployment and three small servers on loopback within the process, so that the
+//! program runs without any files.
 
 use dahliapoint_control::{AdminState, RosterEntry};
 use dahliapoint_fibers::{TcpStream, listen, sleep, spawn};
@@ -7,13 +7,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The deployment that runs when none is named.
+/// The deployment that is used when no file is given.
 pub const DEPLOYMENT: &str = include_str!("sample.yaml");
 
-/// Starts the sample's servers; their roster.
+/// Starts the sample's servers and returns their roster.
 ///
 /// # Errors
-/// When no port can be had.
+/// Fails if no port can be bound.
 pub fn servers(zones: &[String]) -> io::Result<Vec<RosterEntry>> {
     let mut entries = Vec::new();
     for i in 0..3 {
@@ -39,6 +39,7 @@
     Ok(entries)
 }
 
+/// Answers every request on a connection with status 200.
 fn answer(mut socket: TcpStream) {
     let mut bytes = Vec::new();
     let mut chunk = [0; 2048];
@@ -49,8 +50,8 @@
         }
         while let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") {
             bytes.drain(..end + 4);
-            let said = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok\n";
-            if socket.write_all(said).is_err() {
+            let response = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok\n";
+            if socket.write_all(response).is_err() {
                 return;
             }
         }
--- a/crates/daemon/src/status.rs
+++ b/crates/daemon/src/status.rs
@@ -1,4 +1,4 @@
-//! `dahliapoint status`: asks a controller by CSDS, tells it as a table or as JSON.
+//! `dahliapoint status`: asks a controller for its status by CSDS and shows it as a table or as JSON.
 
 use dahliapoint_files::forms::{FORM, Table, TableLine};
 use dahliapoint_grpc::{Limits, Link, Status};
@@ -10,34 +10,35 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// Path of the CSDS call.
 const FETCH: &str = "/envoy.service.status.v3.ClientStatusDiscoveryService/FetchClientStatus";
 
-/// Asks a controller.
+/// Asks a controller for its overview and its resources.
 ///
 /// # Errors
-/// The call's status.
+/// Returns the status of the call.
 pub fn fetch(at: SocketAddr) -> Result<(Value, Vec<StatusRow>), Status> {
     let limits = Limits {
         message: 256 << 20,
         ..Limits::default()
     };
     let link = Link::dial(at, limits)?;
-    let asked = ClientStatusRequest::default();
-    let answer: ClientStatusResponse = link.ask(FETCH, &asked, Duration::from_secs(10))?;
-    Ok(read_status(&answer))
+    let request = ClientStatusRequest::default();
+    let response: ClientStatusResponse = link.ask(FETCH, &request, Duration::from_secs(10))?;
+    Ok(read_status(&response))
 }
 
-/// Everything, for a program.
+/// The whole status as JSON.
 pub fn as_json(overview: &Value, rows: &[StatusRow]) -> Value {
     json!({"controller": overview, "resources": rows})
 }
 
-/// A part of the shared table, as it stands.
+/// The present table of a part.
 pub fn table(overview: &Value, part: usize) -> Table {
     let text = |v: &Value| v.as_str().unwrap_or_default().to_string();
     let servers = overview["servers"].as_array().into_iter().flatten();
-    let ours = servers.filter(|s| s["part"] == json!(part));
-    let lines = ours.filter_map(|s| {
+    let servers_of_part = servers.filter(|s| s["part"] == json!(part));
+    let lines = servers_of_part.filter_map(|s| {
         let line = TableLine {
             server: text(&s["name"]),
             address: text(&s["address"]),
@@ -55,7 +56,7 @@
     }
 }
 
-/// The main things, for a person.
+/// The status as tables for people, in extracts.
 pub fn as_table(overview: &Value, rows: &[StatusRow]) -> String {
     let mut out = String::new();
     let text = |v: &Value| match v {
@@ -68,7 +69,10 @@
     };
     let _ = writeln!(out, "service {}", text(&overview["service"]));
     if let Some(fault) = overview["roster_fault"].as_str() {
-        let _ = writeln!(out, "ROSTER REFUSED, the last good one stands: {fault}");
+        let _ = writeln!(
+            out,
+            "ROSTER REFUSED, the last valid one stays in force: {fault}"
+        );
     }
     let list = |v: &Value| v.as_array().cloned().unwrap_or_default();
     let _ = writeln!(
@@ -83,7 +87,7 @@
             notes.push("withdrawn");
         }
         if estimate["stale"] == json!(true) {
-            notes.push("its own word is doubtful");
+            notes.push("its own reports of load are stale");
         }
         let note = notes.join(", ");
         let _ = writeln!(
@@ -100,14 +104,14 @@
             text(&estimate["mean_ms"]),
         );
     }
-    let mut held: BTreeMap<&str, [usize; 3]> = BTreeMap::new();
+    let mut resources: BTreeMap<&str, [usize; 3]> = BTreeMap::new();
     for row in rows {
-        let at = match row.state {
+        let column = match row.state {
             ResourceState::Acknowledged => 0,
             ResourceState::Sent => 1,
             ResourceState::Refused => 2,
         };
-        held.entry(&row.proxy).or_default()[at] += 1;
+        resources.entry(&row.proxy).or_default()[column] += 1;
     }
     let _ = writeln!(
         out,
@@ -116,7 +120,7 @@
     );
     for p in list(&overview["proxies"]) {
         let name = text(&p["name"]);
-        let [acked, sent, refused] = held.get(name.as_str()).copied().unwrap_or_default();
+        let [acked, sent, refused] = resources.get(name.as_str()).copied().unwrap_or_default();
         let _ = writeln!(
             out,
             "{name:<24} {:<10} {:>5} {acked:>10} {sent:>6} {refused:>8} {:>10}  {}",
