--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -1,4 +1,5 @@
-//! The command line: runs a controller, checks its files, asks one for its state, plays a record again.
+//! The command line: runs a controller, checks its files, asks one for its status, replays a record. Doc comments of
+//! commands and arguments are the texts of `--help`.
 
 use crate::daemon::{Daemon, RosterSource};
 use crate::deployment::{self, Deployment, LogFormat};
@@ -23,20 +24,21 @@
 /// A control service that hands weights to plain proxies.
 #[derive(Parser)]
 #[command(name = "dahliapoint", version)]
-struct Line {
+struct Arguments {
     #[command(subcommand)]
     command: Command,
 }
 
+/// Files that can be imported.
 #[derive(Clone, Copy, clap::ValueEnum)]
-enum Theirs {
+enum ImportFormat {
     Apache,
     #[value(name = "mod_jk")]
     Jk,
 }
 
 #[derive(Subcommand)]
-enum HookWork {
+enum HookCommand {
     /// Tell all that is wrong with files.
     Check {
         #[arg(required = true)]
@@ -94,13 +96,13 @@
         #[arg(long, default_value_t = 0)]
         part: usize,
         #[arg(long, value_enum, default_value = "json")]
-        form: Written,
+        form: ExportFormat,
     },
     /// Read Apache's balancer or mod_jk's worker files, and print the roster that they say.
     Import {
         file: PathBuf,
         #[arg(long, value_enum)]
-        form: Theirs,
+        form: ImportFormat,
         /// The balancer, if there are several.
         #[arg(long)]
         balancer: Option<String>,
@@ -123,17 +125,17 @@
     /// Check, format, run and test hooks.
     Hook {
         #[command(subcommand)]
-        what: HookWork,
+        what: HookCommand,
     },
     /// Judge tables by the guard's rules.
     Guard {
         #[command(subcommand)]
-        what: Judge,
+        what: GuardCommand,
     },
     /// Look into a directory of what a controller knows.
     State {
         #[arg(value_enum)]
-        what: Look,
+        what: StateCommand,
         dir: PathBuf,
         /// The key file that it is sealed with.
         #[arg(long)]
@@ -149,14 +151,14 @@
 }
 
 #[derive(Subcommand)]
-enum Judge {
+enum GuardCommand {
     /// Say what is dangerous about a table in a file; exit code 1 if something is.
     Explain { file: PathBuf },
 }
 
-/// What is done with a directory of memory.
+/// What to do with a directory of stored state.
 #[derive(Clone, Copy, clap::ValueEnum)]
-enum Look {
+enum StateCommand {
     /// Print what is known.
     Show,
     /// Say whether all of it can be read; exit code 1 if something was passed over.
@@ -165,9 +167,9 @@
     Compact,
 }
 
-/// A form that a table is printed in.
+/// Format in which a table is printed.
 #[derive(Clone, Copy, clap::ValueEnum)]
-enum Written {
+enum ExportFormat {
     Json,
     /// Apache `BalancerMember` lines.
     Balancer,
@@ -177,20 +179,21 @@
     State,
 }
 
-const WRONG: u8 = 2;
+/// Exit code if a file or a setting cannot be used.
+const EXIT_INVALID: u8 = 2;
 
-/// Runs a command line, the program's name first; tells the exit code.
-pub fn main(line: impl Iterator<Item = OsString>) -> ExitCode {
-    let done = match Line::parse_from(line).command {
+/// Runs a command line, whose first word is the program's name, and returns the exit code.
+pub fn main(arguments: impl Iterator<Item = OsString>) -> ExitCode {
+    let result = match Arguments::parse_from(arguments).command {
         Command::Run {
             file,
             record,
             listen,
             address_file,
         } => run(file.as_deref(), record, listen, address_file.as_deref()),
-        Command::Node => dahliapoint_node::run().map_err(wrong),
+        Command::Node => dahliapoint_node::run().map_err(invalid),
         Command::Check { file } => check(&file),
-        Command::Status { at, json } => ask(at, json),
+        Command::Status { at, json } => print_status(at, json),
         Command::Export { at, part, form } => export(at, part, form),
         Command::Hook { what } => hook(what),
         Command::Import {
@@ -204,25 +207,25 @@
             in_place,
         } => {
             let kind = match form {
-                Theirs::Apache => Kind::Apache,
-                Theirs::Jk => Kind::Jk,
+                ImportFormat::Apache => Kind::Apache,
+                ImportFormat::Jk => Kind::Jk,
             };
-            let foreign = ImportSettings {
+            let settings = ImportSettings {
                 kind,
                 balancer,
                 assumed: assume,
                 root,
                 zone,
             };
-            take_over(&file, &foreign, write_back.as_deref(), in_place)
+            import_files(&file, &settings, write_back.as_deref(), in_place)
         }
         Command::Guard {
-            what: Judge::Explain { file },
-        } => explain(&file),
+            what: GuardCommand::Explain { file },
+        } => guard_explain_file(&file),
         Command::State { what, dir, key } => state(what, &dir, key.as_deref()),
-        Command::Replay { file, quiet } => again(&file, quiet),
+        Command::Replay { file, quiet } => replay_record(&file, quiet),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err((code, why)) => {
             eprintln!("{why}");
@@ -231,29 +234,36 @@
     }
 }
 
-type Done = Result<(), (u8, String)>;
+/// An error is an exit code and a message.
+type CommandResult = Result<(), (u8, String)>;
 
-fn wrong(why: impl ToString) -> (u8, String) {
-    (WRONG, why.to_string())
+/// An error with [`EXIT_INVALID`].
+fn invalid(why: impl ToString) -> (u8, String) {
+    (EXIT_INVALID, why.to_string())
+}
+
+/// Prints to standard output. An error is ignored: the reader of a pipe may have ended.
+fn print(text: &str) {
+    let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
 /// Reads a deployment file.
 fn load(file: &Path) -> Result<Deployment, (u8, String)> {
     let name = file.display().to_string();
-    let text = std::fs::read_to_string(file).map_err(|e| wrong(format!("{name}: {e}")))?;
-    deployment::parse(&name, &text).map_err(wrong)
+    let text = std::fs::read_to_string(file).map_err(|e| invalid(format!("{name}: {e}")))?;
+    deployment::parse(&name, &text).map_err(invalid)
 }
 
-/// Sets up the log as the deployment says.
+/// Sets up logging with the settings of the deployment.
 pub fn init_logging(deployment: &Deployment) {
-    // The runtime tells of every socket at `info`.
+    // The coroutine runtime logs every socket at `info`.
     let filter = EnvFilter::new(format!("{},may=warn", deployment.log_level));
-    let to = tracing_subscriber::fmt()
+    let subscriber = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(std::io::stderr);
     match deployment.log_format {
-        LogFormat::Text => to.with_ansi(false).init(),
-        LogFormat::Json => to.json().init(),
+        LogFormat::Text => subscriber.with_ansi(false).init(),
+        LogFormat::Json => subscriber.json().init(),
     }
 }
 
@@ -262,46 +272,49 @@
     record: Option<PathBuf>,
     listen: Option<SocketAddr>,
     address_file: Option<&Path>,
-) -> Done {
+) -> CommandResult {
     let mut deployment = match file {
         Some(file) => load(file)?,
-        None => deployment::parse("the embedded sample", sample::DEPLOYMENT).map_err(wrong)?,
+        None => deployment::parse("the embedded sample", sample::DEPLOYMENT).map_err(invalid)?,
     };
     deployment.listen = listen.unwrap_or(deployment.listen);
     init_logging(&deployment);
-    // Before any part starts, so that no signal is missed.
-    let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(wrong)?;
+    // Before anything starts, so that no signal is missed.
+    let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(invalid)?;
     let source = match file {
         Some(_) => RosterSource::File,
-        None => RosterSource::Fixed(sample::servers(&deployment.settings.zones).map_err(wrong)?),
+        None => RosterSource::Fixed(sample::servers(&deployment.settings.zones).map_err(invalid)?),
     };
-    let daemon = Daemon::start(&deployment, source, record).map_err(wrong)?;
+    let daemon = Daemon::start(&deployment, source, record).map_err(invalid)?;
     if let Some(path) = address_file {
-        // Written aside and renamed: whoever waits for it reads all of it.
-        let aside = path.with_extension("aside");
-        std::fs::write(&aside, daemon.address().to_string())
-            .and_then(|()| std::fs::rename(&aside, path))
-            .map_err(|e| wrong(format!("{}: {e}", path.display())))?;
+        // Written under another name and renamed, so that nobody reads half of it.
+        let temporary = path.with_extension("aside");
+        std::fs::write(&temporary, daemon.address().to_string())
+            .and_then(|()| std::fs::rename(&temporary, path))
+            .map_err(|e| invalid(format!("{}: {e}", path.display())))?;
     }
     if signals.forever().next().is_some() {
-        tracing::info!("told to end");
+        tracing::info!("shutting down on a signal");
     }
     daemon.end(Duration::from_secs(5));
     Ok(())
 }
 
-fn check(file: &Path) -> Done {
+fn check(file: &Path) -> CommandResult {
     let deployment = load(file)?;
     let zones = &deployment.settings.zones;
-    let look = RosterWatcher::new(&deployment.roster_path, &deployment.roster_format, zones).poll();
-    let entries = match look {
+    let result =
+        RosterWatcher::new(&deployment.roster_path, &deployment.roster_format, zones).poll();
+    let entries = match result {
         roster::PollResult::Changed(entries) => entries,
-        roster::PollResult::Refused(why) => return Err(wrong(why)),
-        roster::PollResult::Unchanged => return Err(wrong("the roster changes while it is read")),
+        roster::PollResult::Refused(why) => return Err(invalid(why)),
+        roster::PollResult::Unchanged => {
+            return Err(invalid("the roster changed while it was read"));
+        }
     };
-    if let Some(place) = &deployment.hooks {
-        let set = hook_runner::load(&place.dir).map_err(|f| wrong(f.trim_end()))?;
-        println!("{}: {} files of hooks", place.dir.display(), set.len());
+    if let Some(hooks) = &deployment.hooks {
+        let set = hook_runner::load(&hooks.dir).map_err(|f| invalid(f.trim_end()))?;
+        println!("{}: {} files of hooks", hooks.dir.display(), set.len());
     }
     println!(
         "{}: service {}, {} classes, {} zones, {} servers",
@@ -314,165 +327,167 @@
     Ok(())
 }
 
-fn ask(at: SocketAddr, json: bool) -> Done {
+fn print_status(at: SocketAddr, json: bool) -> CommandResult {
     let (overview, rows) = status::fetch(at).map_err(|e| (1, format!("{at}: {e}")))?;
     let text = match json {
         true => format!("{:#}\n", status::as_json(&overview, &rows)),
         false => status::as_table(&overview, &rows),
     };
-    // A reader that has gone away is no fault of ours.
-    let _ = std::io::stdout().write_all(text.as_bytes());
+    print(&text);
     Ok(())
 }
 
-fn take_over(file: &Path, foreign: &ImportSettings, back: Option<&Path>, in_place: bool) -> Done {
-    let told = match back {
-        Some(roster) => import::write_back(file, foreign, roster, in_place).map_err(wrong)?,
+fn import_files(
+    file: &Path,
+    settings: &ImportSettings,
+    back: Option<&Path>,
+    in_place: bool,
+) -> CommandResult {
+    let text = match back {
+        Some(roster) => import::write_back(file, settings, roster, in_place).map_err(invalid)?,
         None => {
-            let import =
-                import::import(&mut import::LocalFiles::default(), file, foreign).map_err(wrong)?;
-            let entries = import::entries(&import, foreign, None).map_err(wrong)?;
+            let import = import::import(&mut import::LocalFiles::default(), file, settings)
+                .map_err(invalid)?;
+            let entries = import::entries(&import, settings, None).map_err(invalid)?;
             import::as_yaml(&entries)
         }
     };
-    // A reader that has gone away is no fault of ours.
-    let _ = std::io::stdout().write_all(told.as_bytes());
+    print(&text);
     Ok(())
 }
 
-fn hook(what: HookWork) -> Done {
-    let say = |text: &str| {
-        // A reader that has gone away is no fault of ours.
-        let _ = std::io::stdout().write_all(text.as_bytes());
-    };
+fn hook(what: HookCommand) -> CommandResult {
     match what {
-        HookWork::Check { files } => {
+        HookCommand::Check { files } => {
             let all: Vec<_> = files.iter().map(|f| hook_commands::check(f)).collect();
-            all.iter().flatten().for_each(|told| say(told));
+            all.iter().flatten().for_each(|text| print(text));
             let faults: Vec<String> = all.into_iter().filter_map(Result::err).collect();
             if faults.is_empty() {
                 Ok(())
             } else {
-                Err(wrong(faults.concat().trim_end()))
+                Err(invalid(faults.concat().trim_end()))
             }
         }
-        HookWork::Fmt { files, check } => {
-            let mut other = Vec::new();
+        HookCommand::Fmt { files, check } => {
+            let mut unformatted = Vec::new();
             for file in &files {
                 let (before, after) =
-                    hook_commands::format(file).map_err(|f| wrong(f.trim_end()))?;
+                    hook_commands::format(file).map_err(|f| invalid(f.trim_end()))?;
                 if before == after {
                     continue;
                 }
-                other.push(file.display().to_string());
+                unformatted.push(file.display().to_string());
                 if !check {
-                    let aside = file.with_extension("hook.new");
-                    let put =
-                        std::fs::write(&aside, after).and_then(|()| std::fs::rename(&aside, file));
-                    put.map_err(|e| (1, format!("{}: {e}", file.display())))?;
+                    let temporary = file.with_extension("hook.new");
+                    let written = std::fs::write(&temporary, after)
+                        .and_then(|()| std::fs::rename(&temporary, file));
+                    written.map_err(|e| (1, format!("{}: {e}", file.display())))?;
                 }
             }
-            match check && !other.is_empty() {
-                true => Err((1, format!("not in their form: {}", other.join(", ")))),
+            match check && !unformatted.is_empty() {
+                true => Err((1, format!("not formatted: {}", unformatted.join(", ")))),
                 false => Ok(()),
             }
         }
-        HookWork::Run { file, night } => {
-            let (told, _) = hook_commands::play(&file, &night).map_err(|f| wrong(f.trim_end()))?;
-            say(&told);
+        HookCommand::Run { file, night } => {
+            let (text, _) =
+                hook_commands::play(&file, &night).map_err(|f| invalid(f.trim_end()))?;
+            print(&text);
             Ok(())
         }
-        HookWork::Test { files } => {
+        HookCommand::Test { files } => {
             let mut failed = 0;
             for file in &files {
                 let night = file.with_extension("test.yaml");
-                let (told, otherwise) =
-                    hook_commands::play(file, &night).map_err(|f| wrong(f.trim_end()))?;
-                match otherwise {
-                    0 => say(&format!("{}: as wanted\n", file.display())),
-                    _ => say(&told),
+                let (text, mismatches) =
+                    hook_commands::play(file, &night).map_err(|f| invalid(f.trim_end()))?;
+                match mismatches {
+                    0 => print(&format!("{}: as wanted\n", file.display())),
+                    _ => print(&text),
                 }
-                failed += otherwise;
+                failed += mismatches;
             }
             match failed {
                 0 => Ok(()),
-                n => Err((1, format!("{n} steps came out otherwise than wanted"))),
+                n => Err((1, format!("{n} results differ from what is wanted"))),
             }
         }
     }
 }
 
-fn explain(file: &Path) -> Done {
+fn guard_explain_file(file: &Path) -> CommandResult {
     let name = file.display().to_string();
-    let text = std::fs::read_to_string(file).map_err(|e| wrong(format!("{name}: {e}")))?;
-    let (told, is_safe) = guard_explain::explain(&name, &text).map_err(wrong)?;
-    let _ = std::io::stdout().write_all(told.as_bytes());
+    let text = std::fs::read_to_string(file).map_err(|e| invalid(format!("{name}: {e}")))?;
+    let (text, is_safe) = guard_explain::explain(&name, &text).map_err(invalid)?;
+    print(&text);
     match is_safe {
         true => Ok(()),
         false => Err((1, format!("{name}: the table is dangerous"))),
     }
 }
 
-fn state(what: Look, dir: &Path, key: Option<&Path>) -> Done {
+fn state(what: StateCommand, dir: &Path, key: Option<&Path>) -> CommandResult {
     let (facts, found) = match what {
-        Look::Show | Look::Verify => memory::read(dir, key).map_err(wrong)?,
-        Look::Compact => {
-            let (_, facts, found) = memory::open(dir, key).map_err(wrong)?;
+        StateCommand::Show | StateCommand::Verify => memory::read(dir, key).map_err(invalid)?,
+        StateCommand::Compact => {
+            let (_, facts, found) = memory::open(dir, key).map_err(invalid)?;
             (facts, found)
         }
     };
-    let told = match what {
-        Look::Show => memory::as_table(&facts),
-        Look::Verify | Look::Compact => {
-            let found = serde_json::to_string(&found).map_err(wrong)?;
+    let text = match what {
+        StateCommand::Show => memory::as_table(&facts),
+        StateCommand::Verify | StateCommand::Compact => {
+            let found = serde_json::to_string(&found).map_err(invalid)?;
             format!("{} servers, {found}\n", facts.servers.len())
         }
     };
-    let _ = std::io::stdout().write_all(told.as_bytes());
-    let whole = found.passed_over.is_empty() && found.torn_bytes == 0;
+    print(&text);
+    let is_complete = found.passed_over.is_empty() && found.torn_bytes == 0;
     match what {
-        Look::Verify if !whole => Err((1, format!("{}: not all of it can be read", dir.display()))),
+        StateCommand::Verify if !is_complete => {
+            Err((1, format!("{}: not all of it can be read", dir.display())))
+        }
         _ => Ok(()),
     }
 }
 
-fn export(at: SocketAddr, part: usize, form: Written) -> Done {
+fn export(at: SocketAddr, part: usize, form: ExportFormat) -> CommandResult {
     let (overview, _) = status::fetch(at).map_err(|e| (1, format!("{at}: {e}")))?;
     let table = status::table(&overview, part);
     if table.lines.is_empty() {
         return Err((1, format!("{at}: part {part} has no lines")));
     }
     let text = match form {
-        Written::Json => serde_json::to_string_pretty(&table).map_err(wrong)? + "\n",
-        Written::Balancer => Form::Balancer.write(&table),
-        Written::Workers => Form::Workers.write(&table),
-        Written::State => Form::State.write(&table),
+        ExportFormat::Json => serde_json::to_string_pretty(&table).map_err(invalid)? + "\n",
+        ExportFormat::Balancer => Form::Balancer.write(&table),
+        ExportFormat::Workers => Form::Workers.write(&table),
+        ExportFormat::State => Form::State.write(&table),
     };
-    let _ = std::io::stdout().write_all(text.as_bytes());
+    print(&text);
     Ok(())
 }
 
-fn again(file: &Path, quiet: bool) -> Done {
+fn replay_record(file: &Path, quiet: bool) -> CommandResult {
     let name = file.display().to_string();
-    let opened = File::open(file).map_err(|e| wrong(format!("{name}: {e}")))?;
-    let (mut moments, mut bytes, mut sum) = (0_u64, 0_u64, crc32fast::Hasher::new());
+    let opened = File::open(file).map_err(|e| invalid(format!("{name}: {e}")))?;
+    let (mut steps, mut bytes, mut checksum) = (0_u64, 0_u64, crc32fast::Hasher::new());
     let mut out = std::io::stdout().lock();
-    let ended = replay(BufReader::new(opened), |now, outputs| {
-        let told = encode_outputs(outputs);
-        moments += 1;
-        bytes += told.len() as u64;
-        sum.update(&told);
+    let result = replay(BufReader::new(opened), |now, outputs| {
+        let encoded = encode_outputs(outputs);
+        steps += 1;
+        bytes += encoded.len() as u64;
+        checksum.update(&encoded);
         if !quiet {
             for output in outputs {
                 let _ = writeln!(out, "{now:.3} {output:?}");
             }
         }
     });
-    let (_, end) = ended.map_err(|why| wrong(format!("{name}: {why}")))?;
+    let (_, end) = result.map_err(|why| invalid(format!("{name}: {why}")))?;
     let _ = writeln!(
         out,
-        "{moments} moments, {bytes} bytes of orders, sum {:08x}",
-        sum.finalize()
+        "{steps} moments, {bytes} bytes of orders, sum {:08x}",
+        checksum.finalize()
     );
     match end {
         End::Complete => Ok(()),
@@ -480,6 +495,6 @@
             let _ = writeln!(out, "the last moment is cut off, as after a kill");
             Ok(())
         }
-        End::Corrupt(frame, why) => Err(wrong(format!("{name}: frame {frame}: {why}"))),
+        End::Corrupt(frame, why) => Err(invalid(format!("{name}: frame {frame}: {why}"))),
     }
 }
--- a/crates/daemon/src/guard_explain.rs
+++ b/crates/daemon/src/guard_explain.rs
@@ -87,7 +87,7 @@
     for violation in &step.remaining {
         let _ = writeln!(
             out,
-            "no better table exists: {}",
+            "nothing better is to be had: {}",
             describe(violation, |s| names[s].clone())
         );
     }
