--- a/crates/daemon/src/hook_commands.rs
+++ b/crates/daemon/src/hook_commands.rs
@@ -1,4 +1,5 @@
-//! Hooks offline: checked, formatted, run and tested against a written night, without a controller.
+//! `dahliapoint hook`: checks, formats, runs and tests hooks without a controller. A test is a scenario in a file: the
+//! state of the service and a list of steps (the "night" of the command line).
 
 use crate::hook_runner;
 use dahliapoint_hooks::book::{Book, Listed};
@@ -19,10 +20,10 @@
     ("gone", State::Gone),
 ];
 
-/// Checks a file.
+/// Checks a hook file; returns a line that counts what it holds.
 ///
 /// # Errors
-/// All that is wrong with it, with places and hints.
+/// Returns all faults, with their places and hints.
 pub fn check(path: &Path) -> Result<String, String> {
     let loaded = load(path)?;
     let hooks = loaded.ready.hooks.len();
@@ -38,10 +39,10 @@
     Loaded::new(&path.display().to_string(), &source)
 }
 
-/// A file in its one form.
+/// Returns the source of a file, before and after formatting.
 ///
 /// # Errors
-/// Why it has none.
+/// Returns why the file cannot be read or parsed.
 pub fn format(path: &Path) -> Result<(String, String), String> {
     let source = hook_runner::read(path)?;
     let name = path.display().to_string();
@@ -49,24 +50,28 @@
     Ok((source, formatted))
 }
 
-/// One step of a written night.
+/// One step of a scenario.
 struct Step {
     line: u64,
+    /// Time since the start of the scenario.
     at_ms: f64,
     event: Option<Event>,
-    /// Servers and proxies that are otherwise from here on.
+    /// Servers and proxies whose state changes with this step.
     servers: Vec<ServerSeen>,
     proxies: Vec<ProxySeen>,
     lines: Vec<LineSeen>,
-    /// What is wanted of it: wishes, whether the table stays, a part of what is said.
+    /// Expected wishes.
     wishes: Option<Vec<String>>,
+    /// Whether the publication is expected to be held back.
     hold: Option<bool>,
+    /// Expected part of a fault's message.
     fails: Option<String>,
-    /// Servers that are not ready by then, as the book has it.
+    /// Servers that are expected not to be ready after the step.
     drained: Option<Vec<String>>,
 }
 
-struct Night {
+/// The state of the service at the start, and the steps.
+struct Scenario {
     world: World,
     steps: Vec<Step>,
 }
@@ -115,7 +120,7 @@
     l
 }
 
-fn texts(at: &At) -> Option<Vec<String>> {
+fn strings(at: &At) -> Option<Vec<String>> {
     at.is_there()
         .then(|| at.list().iter().map(|t| t.text(None)).collect())
 }
@@ -127,11 +132,11 @@
         Point::BeforePublication => Event::BeforePublication(part()),
         Point::AfterPublication => Event::AfterPublication(part(), Vec::new()),
         Point::RosterChanged => {
-            let names = texts(&at.field("changed")).unwrap_or_default();
+            let names = strings(&at.field("changed")).unwrap_or_default();
             Event::RosterChanged(names.iter().map(|n| n.as_str().into()).collect())
         }
         Point::GuardHeld => {
-            let reasons = texts(&at.field("reasons")).unwrap_or_default();
+            let reasons = strings(&at.field("reasons")).unwrap_or_default();
             Event::GuardHeld(part(), reasons.iter().map(|r| r.as_str().into()).collect())
         }
         Point::ServerChanged => Event::ServerChanged(
@@ -141,7 +146,7 @@
         Point::ProxyJoined => Event::ProxyJoined(name("proxy")),
         Point::ProxyLeft => Event::ProxyLeft(name("proxy")),
         Point::Flagged => Event::Flagged(name("name"), name("what")),
-        // Which one is found when it runs.
+        // A placeholder: the hooks are found when the step runs.
         Point::Timer => Event::Timer(Id { file: 0, hook: 0 }),
     }
 }
@@ -159,19 +164,19 @@
         servers: at.field("servers").list().iter().map(server).collect(),
         proxies: at.field("proxies").list().iter().map(proxy).collect(),
         lines: at.field("lines").list().iter().map(line).collect(),
-        wishes: texts(&at.field("wishes")),
+        wishes: strings(&at.field("wishes")),
         hold: hold.is_there().then(|| hold.flag(None)),
         fails: fails.is_there().then(|| fails.text(None)),
-        drained: texts(&at.field("drained")),
+        drained: strings(&at.field("drained")),
     };
     at.close();
     step
 }
 
-fn night(at: &At) -> Night {
+fn scenario(at: &At) -> Scenario {
     let world = World {
         now_ms: at.field("hour").number(0.0..=24.0, Some(0.0)) * 3.6e6,
-        zones: texts(&at.field("zones"))
+        zones: strings(&at.field("zones"))
             .unwrap_or_default()
             .iter()
             .map(|z| z.as_str().into())
@@ -182,11 +187,11 @@
     };
     let steps = at.field("steps").list().iter().map(step).collect();
     at.close();
-    Night { world, steps }
+    Scenario { world, steps }
 }
 
-/// A wish in words, as tests write it.
-fn words(w: &Wished) -> String {
+/// A wish as text, as scenarios state it.
+fn wish_text(w: &Wished) -> String {
     let mut out = w.kind.name().to_string();
     match w.kind {
         WishKind::Drain | WishKind::Undrain => {
@@ -212,31 +217,33 @@
     out
 }
 
-/// What came of a step.
+/// Result of a step.
 #[derive(Default)]
-struct Came {
+struct StepResult {
     wishes: Vec<String>,
     hold: bool,
+    /// Messages about faults.
     said: Vec<String>,
 }
 
-/// Plays a night with a file's hooks; the text of what came, and how many steps did not come as wanted.
+/// Runs a scenario with the hooks of a file; returns the text of what happened, and how many results differ from what
+/// the scenario states.
 ///
 /// # Errors
-/// What is wrong with either file.
+/// Returns what is wrong with either file.
 pub fn play(path: &Path, events: &Path) -> Result<(String, usize), String> {
     let loaded = load(path)?;
     let name = events.display().to_string();
     let text = std::fs::read_to_string(events).map_err(|e| format!("{name}: {e}\n"))?;
-    let night = read(&name, &text, night).map_err(|f| format!("{f}\n"))?;
+    let scenario = read(&name, &text, scenario).map_err(|f| format!("{f}\n"))?;
     let mut host = Host::default();
     host.swap(0.0, vec![loaded]);
     let mut book = Book::default();
-    let mut world = night.world;
-    let hour = world.now_ms;
-    let (mut out, mut wrong) = (String::new(), 0);
-    for step in &night.steps {
-        world.now_ms = hour + step.at_ms;
+    let mut world = scenario.world;
+    let start_ms = world.now_ms;
+    let (mut out, mut mismatches) = (String::new(), 0);
+    for step in &scenario.steps {
+        world.now_ms = start_ms + step.at_ms;
         for s in &step.servers {
             match world.servers.iter_mut().find(|w| w.name == s.name) {
                 Some(known) => *known = s.clone(),
@@ -252,7 +259,7 @@
         world.lines = step.lines.clone();
         world = world.indexed();
         book.expire(step.at_ms);
-        let came = one(&mut host, &mut book, step, &world);
+        let result = run_step(&mut host, &mut book, step, &world);
         let listed = |s: &ServerSeen| Listed {
             name: s.name.clone(),
             zone: s.zone.clone(),
@@ -272,58 +279,58 @@
             "{name}:{}: {} s, {what}: {}",
             step.line,
             step.at_ms / 1e3,
-            came.wishes.join("; ")
+            result.wishes.join("; ")
         );
-        came.said.iter().for_each(|s| out.push_str(s));
-        let mut differs = |wanted: String, found: String| {
+        result.said.iter().for_each(|s| out.push_str(s));
+        let mut compare = |wanted: String, found: String| {
             if wanted != found {
-                wrong += 1;
+                mismatches += 1;
                 let _ = writeln!(out, "  wanted {wanted}\n  found  {found}");
             }
         };
         if let Some(wanted) = &step.wishes {
-            differs(format!("{wanted:?}"), format!("{:?}", came.wishes));
+            compare(format!("{wanted:?}"), format!("{:?}", result.wishes));
         }
         if let Some(wanted) = step.hold {
-            differs(format!("hold {wanted}"), format!("hold {}", came.hold));
+            compare(format!("hold {wanted}"), format!("hold {}", result.hold));
         }
         if let Some(wanted) = &step.drained {
-            differs(
+            compare(
                 format!("drained {wanted:?}"),
                 format!("drained {drained:?}"),
             );
         }
-        let said = came.said.concat();
+        let said = result.said.concat();
         match &step.fails {
             Some(part) if !said.contains(part) => {
-                differs(format!("a fault with {part:?}"), format!("{said:?}"))
+                compare(format!("a fault with {part:?}"), format!("{said:?}"))
             }
-            None if !said.is_empty() => differs("no fault".into(), format!("{said:?}")),
+            None if !said.is_empty() => compare("no fault".into(), format!("{said:?}")),
             _ => {}
         }
     }
-    Ok((out, wrong))
+    Ok((out, mismatches))
 }
 
-/// Runs what waits for a step.
-fn one(host: &mut Host, book: &mut Book, step: &Step, world: &World) -> Came {
-    let mut came = Came::default();
+/// Runs the hooks that are due for a step.
+fn run_step(host: &mut Host, book: &mut Book, step: &Step, world: &World) -> StepResult {
+    let mut result = StepResult::default();
     let now = step.at_ms;
     let Some(event) = &step.event else {
-        return came;
+        return result;
     };
-    // Steps bound a run here: the same night comes out the same on any machine.
-    let mut never = || false;
+    // Only the limit of steps bounds a run here, so that a scenario has the same result on any machine.
+    let mut no_deadline = || false;
     if let Event::BeforePublication(part) = event {
         let verdict = host.gate(now).judge(*part, world, &mut Unbounded);
-        came.hold = verdict.hold;
-        came.wishes = verdict
+        result.hold = verdict.hold;
+        result.wishes = verdict
             .alerts
             .iter()
             .map(|(_, text)| format!("alert: {text}"))
             .collect();
-        came.said = verdict.said;
-        return came;
+        result.said = verdict.said;
+        return result;
     }
     let events: Vec<Event> = match event {
         Event::Timer(_) => host.waiting_for(Point::Timer).map(Event::Timer).collect(),
@@ -331,18 +338,18 @@
     };
     for event in events {
         for id in host.due(now, &event) {
-            let Some(ran) = host.run(now, id, &event, world, &mut never) else {
+            let Some(ran) = host.run(now, id, &event, world, &mut no_deadline) else {
                 continue;
             };
-            came.said.extend(ran.said);
+            result.said.extend(ran.said);
             if ran.end != End::Well {
                 continue;
             }
             match book.takes(now, &ran.hook, &ran.wishes) {
-                Ok(_) => came.wishes.extend(ran.wishes.iter().map(words)),
-                Err(why) => came.said.push(format!("{why}\n")),
+                Ok(_) => result.wishes.extend(ran.wishes.iter().map(wish_text)),
+                Err(why) => result.said.push(format!("{why}\n")),
             }
         }
     }
-    came
+    result
 }
