--- a/crates/daemon/examples/newcomer.rs
+++ b/crates/daemon/examples/newcomer.rs
@@ -1,5 +1,6 @@
-//! How soon a newcomer decides well, cold and with a peer: reports tell of one server in ten that answers late; how long
-//! until every such line is at half or less of the others', and how long the learning takes.
+//! Measures how soon a starting controller decides well, without and with a peer. Load reports show that one server in
+//! ten answers late; the time is taken until each of these has half of the others' weight or less. Also prints how long
+//! asking the peer takes.
 
 use dahliapoint_control::{
     AdminState, ControllerHandle, Input, LoadReport, ReportLine, RosterEntry,
@@ -45,7 +46,7 @@
 
 fn report(daemon: &Daemon, servers: usize) {
     for n in 0..PROXIES {
-        let met = (0..servers).map(|i| ReportLine {
+        let lines = (0..servers).map(|i| ReportLine {
             server: format!("s{i}"),
             tries: 5.0,
             success_ms: 5.0 * if i % 10 == 1 { 1_500.0 } else { 20.0 },
@@ -54,19 +55,20 @@
         let report = LoadReport {
             window_ms: 500.0,
             ended_ago_ms: 0.0,
-            lines: met.collect(),
+            lines: lines.collect(),
             arrivals: Vec::new(),
         };
         let _ = daemon.controller().report(&format!("p{n}"), 7 + n, report);
     }
 }
 
-/// How long until the slow ones are at half, from when the newcomer was started.
-fn decides(servers: usize, peers: &[SocketAddr]) -> (Daemon, Duration, Duration) {
-    let begun = Instant::now();
+/// Starts a controller; returns it, how long its start took, and how long it took until the weights of the slow servers
+/// were at half.
+fn time_to_decide(servers: usize, peers: &[SocketAddr]) -> (Daemon, Duration, Duration) {
+    let start_time = Instant::now();
     let daemon = start(servers, peers);
-    let started = begun.elapsed();
-    let mut told = begun;
+    let started = start_time.elapsed();
+    let mut last_report = start_time;
     loop {
         let view: Value = daemon.controller().overview();
         let weight = |i: usize| {
@@ -83,13 +85,13 @@
                 .filter(|i| i % 10 == 1)
                 .all(|i| weight(i) <= 0.5 * other)
         {
-            return (daemon, started, begun.elapsed());
+            return (daemon, started, start_time.elapsed());
         }
-        if begun.elapsed() > Duration::from_secs(90) {
+        if start_time.elapsed() > Duration::from_secs(90) {
             panic!("it does not decide: {other} {}", weight(1));
         }
-        if told.elapsed() >= Duration::from_millis(500) {
-            told = Instant::now();
+        if last_report.elapsed() >= Duration::from_millis(500) {
+            last_report = Instant::now();
             report(&daemon, servers);
         }
         std::thread::sleep(Duration::from_millis(50));
@@ -98,25 +100,25 @@
 
 fn main() {
     for servers in [20, 115, 384] {
-        let (old, _, cold) = decides(servers, &[]);
-        // What it has come to is told with its next rounds.
+        let (running, _, cold) = time_to_decide(servers, &[]);
+        // Peers see its decisions after the next rounds.
         for _ in 0..6 {
-            report(&old, servers);
+            report(&running, servers);
             std::thread::sleep(Duration::from_millis(500));
         }
         let (learned, _) = client::query(
-            old.address(),
+            running.address(),
             "portal",
             clock::now,
             Instant::now() + Duration::from_secs(5),
         );
-        let (newcomer, started, decided) = decides(servers, &[old.address()]);
+        let (starting, started, warm_start) = time_to_decide(servers, &[running.address()]);
         println!(
-            "{servers} servers: cold {cold:.2?}, with a peer {decided:.2?} (started after {started:.2?}, asking took {:.1} ms, {} words)",
+            "{servers} servers: cold {cold:.2?}, with a peer {warm_start:.2?} (started after {started:.2?}, asking took {:.1} ms, {} words)",
             learned.took_ms,
             learned.facts.len()
         );
-        for daemon in [old, newcomer] {
+        for daemon in [running, starting] {
             daemon.end(Duration::from_secs(1));
         }
     }
--- a/crates/daemon/tests/dns.rs
+++ b/crates/daemon/tests/dns.rs
@@ -1,5 +1,5 @@
-//! DNS beside the roster of a running daemon: who has the last word, while DNS answers, fails, lies behind, and over a
-//! restart.
+//! Servers from DNS in addition to the roster of a running daemon: which source takes precedence while DNS answers,
+//! while it fails or is out of date, and after a restart.
 
 use dahliapoint_control::ControllerHandle;
 use dahliapoint_daemon::daemon::{Daemon, RosterSource};
@@ -15,8 +15,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What DNS says now: hosts by number, nothing if it fails.
-type Says = Arc<Mutex<Option<Vec<u8>>>>;
+/// What DNS answers: hosts by number, or `None` for a failure.
+type Answer = Arc<Mutex<Option<Vec<u8>>>>;
 
 fn name(text: &str) -> Name {
     let mut name = Name::from_str(text).unwrap();
@@ -24,8 +24,8 @@
     name
 }
 
-/// Answers until the process ends; lifetimes of one second.
-fn serve(says: Says) -> SocketAddr {
+/// Starts a DNS server that answers until the process ends, with a TTL of one second.
+fn serve(answer: Answer) -> SocketAddr {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -34,7 +34,7 @@
             let question = Message::from_vec(&buffer[..n]).unwrap();
             let mut m = Message::new(question.metadata.id, MessageType::Response, OpCode::Query);
             m.add_query(question.queries[0].clone());
-            match says.lock().unwrap().as_ref() {
+            match answer.lock().unwrap().as_ref() {
                 None => m.metadata.response_code = ResponseCode::ServFail,
                 Some(hosts) => {
                     for i in hosts {
@@ -56,15 +56,15 @@
     address
 }
 
-struct Place(PathBuf);
+struct TestDir(PathBuf);
 
-impl Place {
-    fn new(name: &str) -> Place {
+impl TestDir {
+    fn new(name: &str) -> TestDir {
         let dir =
             std::env::temp_dir().join(format!("dahliapoint-dns-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&dir);
         std::fs::create_dir_all(&dir).unwrap();
-        Place(dir)
+        TestDir(dir)
     }
 
     fn roster(&self, hosts: &[(u8, &str)]) {
@@ -94,17 +94,17 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for TestDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn until(daemon: &Daemon, what: &str, met: impl Fn(&Value) -> bool) -> Value {
+fn wait_for(daemon: &Daemon, what: &str, condition: impl Fn(&Value) -> bool) -> Value {
     let end = Instant::now() + Duration::from_secs(30);
     loop {
         let view = daemon.controller().overview();
-        if met(&view) {
+        if condition(&view) {
             return view;
         }
         assert!(Instant::now() < end, "{what}: {view:#}");
@@ -121,25 +121,25 @@
 }
 
 #[test]
-fn the_roster_has_the_last_word() {
-    let place = Place::new("word");
-    let says: Says = Arc::new(Mutex::new(Some(vec![1, 2, 3, 4])));
-    place.roster(&[(1, "ready"), (2, "ready"), (3, "draining")]);
-    let daemon = place.start(serve(says.clone()), "");
+fn the_roster_takes_precedence_over_dns() {
+    let dir = TestDir::new("word");
+    let answer: Answer = Arc::new(Mutex::new(Some(vec![1, 2, 3, 4])));
+    dir.roster(&[(1, "ready"), (2, "ready"), (3, "draining")]);
+    let daemon = dir.start(serve(answer.clone()), "");
     let view = daemon.controller().overview();
     assert_eq!(
         ["s1", "s2", "s3", "s4"].map(|s| state(&view, s)),
         ["Ready", "Ready", "Draining", "Ready"],
         "at the start"
     );
-    // Dropped by the roster: DNS names it still, and it does not return.
-    place.roster(&[(1, "ready"), (3, "gone")]);
-    until(&daemon, "s2 is gone", |v| {
+    // The roster drops s2. DNS still names it, but it does not return.
+    dir.roster(&[(1, "ready"), (3, "gone")]);
+    wait_for(&daemon, "s2 is gone", |v| {
         state(v, "s2") == "Gone" && state(v, "s3") == "Gone"
     });
-    let looked = |v: &Value| v["dns"]["looked"].as_u64().unwrap();
-    let before = looked(&daemon.controller().overview());
-    let view = until(&daemon, "two more lookups", |v| looked(v) >= before + 2);
+    let lookups = |v: &Value| v["dns"]["looked"].as_u64().unwrap();
+    let before = lookups(&daemon.controller().overview());
+    let view = wait_for(&daemon, "two more lookups", |v| lookups(v) >= before + 2);
     assert_eq!(
         ["s1", "s2", "s3", "s4"].map(|s| state(&view, s)),
         ["Ready", "Gone", "Gone", "Ready"]
@@ -152,37 +152,37 @@
         "{}",
         view["dns"]
     );
-    // What DNS added, DNS takes away, with an answer.
-    *says.lock().unwrap() = Some(vec![1, 2, 3]);
-    until(&daemon, "s4 is gone", |v| state(v, "s4") == "Gone");
-    // The roster brings back whom it likes.
-    place.roster(&[(1, "ready"), (2, "ready")]);
-    until(&daemon, "s2 is back", |v| state(v, "s2") == "Ready");
+    // A server that DNS added is removed by an answer without it.
+    *answer.lock().unwrap() = Some(vec![1, 2, 3]);
+    wait_for(&daemon, "s4 is gone", |v| state(v, "s4") == "Gone");
+    // The roster can bring a server back.
+    dir.roster(&[(1, "ready"), (2, "ready")]);
+    wait_for(&daemon, "s2 is back", |v| state(v, "s2") == "Ready");
     daemon.end(Duration::from_secs(1));
 }
 
 #[test]
 fn lookups_fail_while_the_roster_shrinks() {
-    let place = Place::new("fails");
-    let says: Says = Arc::new(Mutex::new(Some(vec![1, 2, 3, 5, 6])));
-    place.roster(&[(1, "ready"), (2, "ready"), (3, "ready")]);
-    let daemon = place.start(serve(says.clone()), "");
-    *says.lock().unwrap() = None;
-    until(&daemon, "lookups fail", |v| {
+    let dir = TestDir::new("fails");
+    let answer: Answer = Arc::new(Mutex::new(Some(vec![1, 2, 3, 5, 6])));
+    dir.roster(&[(1, "ready"), (2, "ready"), (3, "ready")]);
+    let daemon = dir.start(serve(answer.clone()), "");
+    *answer.lock().unwrap() = None;
+    wait_for(&daemon, "lookups fail", |v| {
         v["dns"]["failed"].as_u64() >= Some(2)
     });
-    place.roster(&[(1, "ready")]);
-    let view = until(&daemon, "the roster shrinks", |v| {
+    dir.roster(&[(1, "ready")]);
+    let view = wait_for(&daemon, "the roster shrinks", |v| {
         state(v, "s2") == "Gone" && state(v, "s3") == "Gone"
     });
-    // Silence takes nobody away.
+    // Failed lookups remove no server.
     assert_eq!(["s1", "s5", "s6"].map(|s| state(&view, s)), ["Ready"; 3]);
-    until(&daemon, "and it is told", |v| {
+    wait_for(&daemon, "the status says so", |v| {
         v["dns"]["worth"].as_str().unwrap().starts_with("stale")
     });
-    // An answer of next to nothing has to come twice; then it counts.
-    *says.lock().unwrap() = Some(vec![5]);
-    let view = until(&daemon, "it counts", |v| state(v, "s6") == "Gone");
+    // An answer that drops most servers takes effect only when it comes a second time.
+    *answer.lock().unwrap() = Some(vec![5]);
+    let view = wait_for(&daemon, "it counts", |v| state(v, "s6") == "Gone");
     assert_eq!(view["dns"]["doubted"].as_u64(), Some(1), "{}", view["dns"]);
     assert_eq!(
         ["s1", "s2", "s5"].map(|s| state(&view, s)),
@@ -192,20 +192,20 @@
 }
 
 #[test]
-fn over_a_restart_the_gone_stay_gone_and_what_dns_said_stands() {
-    let place = Place::new("restart");
-    let says: Says = Arc::new(Mutex::new(Some(vec![1, 2, 7])));
-    let dns = serve(says.clone());
-    place.roster(&[(1, "ready"), (2, "ready")]);
+fn after_a_restart_dropped_servers_stay_gone_and_the_last_dns_answer_holds() {
+    let dir = TestDir::new("restart");
+    let answer: Answer = Arc::new(Mutex::new(Some(vec![1, 2, 7])));
+    let dns = serve(answer.clone());
+    dir.roster(&[(1, "ready"), (2, "ready")]);
     let memory = "memory: {dir: memory}\nreports: {every: 50ms}\n";
-    let daemon = place.start(dns, memory);
+    let daemon = dir.start(dns, memory);
     let view = daemon.controller().overview();
     assert_eq!(state(&view, "s7"), "Ready");
-    place.roster(&[(1, "ready")]);
-    until(&daemon, "s2 is gone", |v| state(v, "s2") == "Gone");
+    dir.roster(&[(1, "ready")]);
+    wait_for(&daemon, "s2 is gone", |v| state(v, "s2") == "Gone");
     daemon.end(Duration::from_secs(1));
-    *says.lock().unwrap() = None;
-    let daemon = place.start(dns, memory);
+    *answer.lock().unwrap() = None;
+    let daemon = dir.start(dns, memory);
     let view = daemon.controller().overview();
     assert_eq!(
         [state(&view, "s1"), state(&view, "s7")],
@@ -213,8 +213,8 @@
         "DNS is down: {}",
         view["dns"]
     );
-    *says.lock().unwrap() = Some(vec![1, 2, 7]);
-    let view = until(&daemon, "DNS answers", |v| v["dns"]["worth"] == "fresh");
+    *answer.lock().unwrap() = Some(vec![1, 2, 7]);
+    let view = wait_for(&daemon, "DNS answers", |v| v["dns"]["worth"] == "fresh");
     assert_ne!(
         state(&view, "s2"),
         "Ready",
--- a/crates/daemon/tests/guard.rs
+++ b/crates/daemon/tests/guard.rs
@@ -1,4 +1,4 @@
-//! The guard beside a running controller, and offline.
+//! The guard in a running controller, and `dahliapoint guard explain`.
 
 use dahliapoint_control::{AdminState, ControllerHandle, Input, RosterEntry};
 use dahliapoint_daemon::daemon::{Daemon, RosterSource};
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_table_in_a_file_is_judged_with_its_reasons() {
+fn a_table_in_a_file_is_checked_and_the_reasons_are_given() {
     let file = std::env::temp_dir().join(format!("dahliapoint-guard-{}.yaml", std::process::id()));
     let fleet = "load: 100\nservers:\n- {name: a}\n- {name: b}\n- {name: c, falls_at: 10}\n- {name: d, state: gone}\n\
                  before: [{server: a}, {server: b}]\n";
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn what_leaves_a_running_controller_is_judged() {
+fn tables_of_a_running_controller_are_checked() {
     let text = "service: portal\nzones: [east]\nclasses: [{name: view, soft_limit: 1s}]\nseed: 3\n\
                 roster: {file: none}\nlisten: {xds: '127.0.0.1:0'}\nreports: {every: 50ms}\n";
     let entry = |i: usize, state| RosterEntry {
@@ -79,18 +79,18 @@
     let view = || daemon.controller().overview()["guard"].clone();
     let judged = || view()["judged"].as_u64().unwrap_or(0);
     let end = Instant::now() + Duration::from_secs(20);
-    let until = |what: &str, met: &dyn Fn() -> bool| {
-        while !met() {
+    let wait_for = |what: &str, condition: &dyn Fn() -> bool| {
+        while !condition() {
             assert!(Instant::now() < end, "{what}: {}", view());
             std::thread::sleep(Duration::from_millis(5));
         }
     };
-    until("the first table is judged", &|| judged() >= 1);
+    wait_for("the first table is checked", &|| judged() >= 1);
     let before = judged();
     daemon
         .controller()
         .send(Input::RosterChanges(vec![entry(2, AdminState::Draining)]));
-    until("a drain is judged", &|| judged() > before);
+    wait_for("a drain is checked", &|| judged() > before);
     assert_eq!(view()["dangerous"], serde_json::json!({}), "{}", view());
     daemon.end(Duration::from_secs(1));
 }
--- a/crates/daemon/tests/hooks.rs
+++ b/crates/daemon/tests/hooks.rs
@@ -1,5 +1,5 @@
-//! Hooks in a running daemon: whatever they do, it serves; what they wish is in force, and ends. And the command
-//! line on sources.
+//! Hooks in a running daemon: it keeps serving whatever they do, and their wishes take effect and end. Also the
+//! command line for hook files.
 
 use dahliapoint_control::record::{End, encode_outputs, replay};
 use dahliapoint_control::{ControllerHandle, Input};
@@ -11,15 +11,15 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-struct Place(PathBuf);
+struct TestDir(PathBuf);
 
-impl Place {
-    fn new(name: &str) -> Place {
+impl TestDir {
+    fn new(name: &str) -> TestDir {
         let dir =
             std::env::temp_dir().join(format!("dahliapoint-hooks-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&dir);
         std::fs::create_dir_all(dir.join("hooks")).unwrap();
-        Place(dir)
+        TestDir(dir)
     }
 
     fn hook(&self, name: &str, source: &str) {
@@ -67,17 +67,17 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for TestDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn until(daemon: &Daemon, what: &str, met: impl Fn(&Value) -> bool) -> Value {
+fn wait_for(daemon: &Daemon, what: &str, condition: impl Fn(&Value) -> bool) -> Value {
     let end = Instant::now() + Duration::from_secs(30);
     loop {
         let view = daemon.controller().overview();
-        if met(&view) {
+        if condition(&view) {
             return view;
         }
         assert!(Instant::now() < end, "{what}: {view:#}");
@@ -108,30 +108,32 @@
 const FIVE: [(&str, f64); 5] = [("ready", 1.0); 5];
 
 #[test]
-fn a_wish_drains_a_server_and_ends_when_its_hook_is_taken_away() {
-    let place = Place::new("drain");
-    place.roster(&FIVE);
-    place.hook(
+fn a_wish_drains_a_server_and_ends_when_its_hook_is_removed() {
+    let dir = TestDir::new("drain");
+    dir.roster(&FIVE);
+    dir.hook(
         "a.hook",
         "on timer every 100ms { wish drain(server(\"s1\")) for 1h because \"pod\" }\n",
     );
-    let daemon = place.start("", false);
+    let daemon = dir.start("", false);
     let drained =
         |v: &Value| server(v, "s1")["state"] == "Draining" && server(v, "s1")["shut"] == true;
-    let view = until(&daemon, "s1 is drained", drained);
+    let view = wait_for(&daemon, "s1 is drained", drained);
     assert_eq!(view["hooks"]["wishes"][0]["because"], "pod");
-    std::fs::remove_file(place.0.join("hooks/a.hook")).unwrap();
-    until(&daemon, "s1 is back", |v| {
+    std::fs::remove_file(dir.0.join("hooks/a.hook")).unwrap();
+    wait_for(&daemon, "s1 is back", |v| {
         server(v, "s1")["state"] == "Ready" && server(v, "s1")["shut"] == false
     });
     daemon.end(Duration::from_secs(1));
 }
 
-/// At every point one that loops, one that throws and one that eats memory; beside them one that is good.
+/// At every hook point one hook loops, one fails, one exhausts its memory and one makes a wish and then loops; one more
+/// hook is well-behaved. Rosters still take effect, the well-behaved hook runs, and no wish of a run that was cut off is
+/// in force.
 #[test]
-fn runaway_hooks_at_every_point_hold_nobody_up() {
-    let place = Place::new("runaway");
-    place.roster(&FIVE);
+fn runaway_hooks_at_every_point_block_nothing() {
+    let dir = TestDir::new("runaway");
+    dir.roster(&FIVE);
     let points = [
         ("before_publication(part, lines)", "p1"),
         ("after_publication(part, lines)", "p2"),
@@ -144,56 +146,56 @@
         ("timer every 100ms", "p9"),
     ];
     for (point, name) in points {
-        place.hook(
+        dir.hook(
             &format!("{name}-loops.hook"),
             &format!("on {point} {{\nwhile true {{ }}\n}}\n"),
         );
-        place.hook(
+        dir.hook(
             &format!("{name}-throws.hook"),
             &format!("on {point} {{\nfail \"no\"\n}}\n"),
         );
         let eats = "var t = \"x\"\nwhile true { t = t + t }";
-        place.hook(
+        dir.hook(
             &format!("{name}-eats.hook"),
             &format!("on {point} {{\n{eats}\n}}\n"),
         );
-        // What a run that is cut off wished for is not in force.
+        // Wishes of a run that is cut off do not take effect.
         let wish = if name == "p1" {
             "wish hold()"
         } else {
             "wish drain(server(\"s4\")) for 1h"
         };
-        place.hook(
+        dir.hook(
             &format!("{name}-wishes.hook"),
             &format!("on {point} {{\n{wish}\nwhile true {{ }}\n}}\n"),
         );
     }
-    place.hook("good.hook", "keep turns: number\non timer every 100ms {\nturns = turns + 1\nif turns > 5 { wish annotate(\"turns\", \"many\") }\n}\n");
-    let daemon = place.start(
+    dir.hook("good.hook", "keep turns: number\non timer every 100ms {\nturns = turns + 1\nif turns > 5 { wish annotate(\"turns\", \"many\") }\n}\n");
+    let daemon = dir.start(
         ", steps: 1000000000, run: 5ms, publication: 1ms, roster: 20ms",
         false,
     );
-    until(&daemon, "a table stands", |v| {
+    wait_for(&daemon, "a table is published", |v| {
         server(v, "s0")["weight"].as_f64() > Some(0.0)
     });
     for round in 0..3 {
         let mut servers = FIVE;
         servers[1].0 = if round == 1 { "ready" } else { "draining" };
-        place.roster(&servers);
-        until(&daemon, "the roster is in force", |v| {
+        dir.roster(&servers);
+        wait_for(&daemon, "the roster is in force", |v| {
             let wanted = if round == 1 { "Ready" } else { "Draining" };
             server(v, "s1")["state"] == wanted
         });
         daemon.controller().send(Input::Left(7 + round));
     }
-    // Each point that has had an occasion: its hooks were cut off, or threw, and the good one has had its turns.
+    // The points that had an event: their hooks were cut off or failed, and the well-behaved hook ran.
     let points = [
         ("before_publication", "p1"),
         ("roster_changed", "p3"),
         ("server_changed", "p4"),
         ("timer", "p9"),
     ];
-    let view = until(&daemon, "all have run", |v| {
+    let view = wait_for(&daemon, "all have run", |v| {
         let of = |kind: &str, point: &str, name: &str, what: &str| {
             hook(v, &format!("{name}-{kind}.hook on {point}"))[what].as_u64() > Some(0)
         };
@@ -212,47 +214,48 @@
     daemon.end(Duration::from_secs(1));
 }
 
-/// While it says hold, the table that stands stays; drains pass; a record of it plays again to the same.
+/// While a hook holds publications, the published table stays, except that drains pass. A replay of the record ends in
+/// the same state.
 #[test]
 fn a_publication_is_held_and_drains_pass() {
-    let place = Place::new("gate");
-    place.roster(&FIVE);
-    place.hook(
+    let dir = TestDir::new("gate");
+    dir.roster(&FIVE);
+    dir.hook(
         "gate.hook",
         "on before_publication(part, lines) {\nfor l in lines {\nif l.weight > 1.5 {\nwish hold()\nwish alert(\"held \" + l.server)\n}\n}\n}\n",
     );
-    let daemon = place.start("", true);
-    until(&daemon, "a table stands", |v| {
+    let daemon = dir.start("", true);
+    wait_for(&daemon, "a table is published", |v| {
         server(v, "s0")["weight"] == 1.0
     });
-    place.roster(&[
+    dir.roster(&[
         ("ready", 1.0),
         ("ready", 1.0),
         ("ready", 1.0),
         ("ready", 1.0),
         ("ready", 3.0),
     ]);
-    until(&daemon, "the heavier line is held", |v| {
+    wait_for(&daemon, "the heavier line is held", |v| {
         v["hooks"]["publications_held"].as_u64() > Some(0)
             && alerts(v).contains(&"held s4".to_string())
     });
-    place.roster(&[
+    dir.roster(&[
         ("ready", 1.0),
         ("draining", 1.0),
         ("ready", 1.0),
         ("ready", 1.0),
         ("ready", 3.0),
     ]);
-    let view = until(&daemon, "a drain passes", |v| {
+    let view = wait_for(&daemon, "a drain passes", |v| {
         server(v, "s1")["shut"] == true
     });
     assert_eq!(server(&view, "s4")["weight"], 1.0);
-    std::fs::remove_file(place.0.join("hooks/gate.hook")).unwrap();
-    until(&daemon, "what was held leaves", |v| {
+    std::fs::remove_file(dir.0.join("hooks/gate.hook")).unwrap();
+    wait_for(&daemon, "the held table is published", |v| {
         server(v, "s4")["weight"] == 3.0
     });
     daemon.end(Duration::from_secs(1));
-    let file = std::fs::File::open(place.0.join("record")).unwrap();
+    let file = std::fs::File::open(dir.0.join("record")).unwrap();
     let mut bytes = 0;
     let (controller, end) = replay(std::io::BufReader::new(file), |_, out| {
         bytes += encode_outputs(out).len()
@@ -266,80 +269,81 @@
 
 #[test]
 fn a_pinned_part_stays_and_is_released() {
-    let place = Place::new("pin");
-    place.roster(&FIVE);
-    place.hook("a.hook", "on timer every 100ms { wish pin(0) for 1h }\n");
-    let daemon = place.start("", false);
-    until(&daemon, "pinned, with a table", |v| {
+    let dir = TestDir::new("pin");
+    dir.roster(&FIVE);
+    dir.hook("a.hook", "on timer every 100ms { wish pin(0) for 1h }\n");
+    let daemon = dir.start("", false);
+    wait_for(&daemon, "pinned, with a table", |v| {
         v["hooks"]["wishes"][0]["wish"] == "pin" && server(v, "s0")["weight"] == 1.0
     });
-    place.roster(&[
+    dir.roster(&[
         ("ready", 1.0),
         ("ready", 1.0),
         ("ready", 1.0),
         ("gone", 1.0),
         ("ready", 3.0),
     ]);
-    let view = until(&daemon, "who is gone is withdrawn", |v| {
+    let view = wait_for(&daemon, "the server that is gone is withdrawn", |v| {
         server(v, "s3")["shut"] == true
     });
     assert_eq!(server(&view, "s4")["weight"], 1.0);
-    place.hook("a.hook", "on timer every 100ms { wish release(0) }\n");
-    until(&daemon, "released", |v| server(v, "s4")["weight"] == 3.0);
+    dir.hook("a.hook", "on timer every 100ms { wish release(0) }\n");
+    wait_for(&daemon, "released", |v| server(v, "s4")["weight"] == 3.0);
     daemon.end(Duration::from_secs(1));
 }
 
 #[test]
-fn a_roster_that_is_half_empty_is_refused_until_it_is_right_or_time_is_over() {
-    let place = Place::new("roster");
-    place.roster(&FIVE);
-    place.hook(
+fn a_half_empty_roster_is_refused_until_a_valid_one_comes() {
+    let dir = TestDir::new("roster");
+    dir.roster(&FIVE);
+    dir.hook(
         "a.hook",
         "on roster_changed(changed) {\nvar gone_ones = 0\nfor s in changed {\nif s.state == gone { gone_ones = gone_ones + 1 }\n}\n\
          if gone_ones > 2 { wish refuse_roster() for 10m because \"half of it is gone\" }\n}\n",
     );
-    let daemon = place.start("", false);
-    until(&daemon, "a table stands", |v| {
+    let daemon = dir.start("", false);
+    wait_for(&daemon, "a table is published", |v| {
         server(v, "s0")["weight"] == 1.0
     });
-    place.roster(&[
+    dir.roster(&[
         ("ready", 1.0),
         ("ready", 1.0),
         ("gone", 1.0),
         ("gone", 1.0),
         ("gone", 1.0),
     ]);
-    let view = until(&daemon, "it is refused", |v| {
+    let view = wait_for(&daemon, "it is refused", |v| {
         v["hooks"]["roster_refused"] == true
     });
     assert_eq!(server(&view, "s4")["state"], "Ready");
-    place.roster(&[
+    dir.roster(&[
         ("ready", 1.0),
         ("ready", 1.0),
         ("ready", 1.0),
         ("ready", 1.0),
         ("draining", 1.0),
     ]);
-    let view = until(&daemon, "a right one is taken", |v| {
+    let view = wait_for(&daemon, "a valid one takes effect", |v| {
         server(v, "s4")["state"] == "Draining"
     });
     assert_eq!(view["hooks"]["roster_refused"], false);
     daemon.end(Duration::from_secs(1));
 }
 
-/// A set with a fault changes nothing; a good one is swapped whole; what is kept goes over, also a restart.
+/// A set of hook files with a fault is refused as a whole, and a valid one replaces the old set as a whole. Kept values
+/// survive both that and a restart.
 #[test]
-fn sets_are_swapped_whole_and_what_is_kept_outlasts_a_restart() {
-    let place = Place::new("swap");
-    place.roster(&FIVE);
+fn hook_sets_are_replaced_as_a_whole_and_kept_values_survive_a_restart() {
+    let dir = TestDir::new("swap");
+    dir.roster(&FIVE);
     let counts = |word: &str| {
         format!(
             "keep turns: number\non timer every 100ms {{\nturns = turns + 1\nwish annotate(\"{word}\", text(turns))\n}}\n"
         )
     };
-    place.hook("a.hook", &counts("one"));
+    dir.hook("a.hook", &counts("one"));
     let more = "}\nmemory: {dir: memory";
-    let daemon = place.start(more, false);
+    let daemon = dir.start(more, false);
     let turns = |v: &Value, key: &str| -> f64 {
         let notes = v["hooks"]["notes"].as_array().into_iter().flatten();
         let found = notes
@@ -347,39 +351,39 @@
             .filter_map(|n| n["text"].as_str()?.parse().ok());
         found.fold(0.0, f64::max)
     };
-    until(&daemon, "it counts", |v| turns(v, "one") >= 3.0);
-    place.hook("b.hook", "on timer every 100ms { wish drain(5) }\n");
-    let view = until(&daemon, "a fault is told", |v| {
+    wait_for(&daemon, "it counts", |v| turns(v, "one") >= 3.0);
+    dir.hook("b.hook", "on timer every 100ms { wish drain(5) }\n");
+    let view = wait_for(&daemon, "the fault is in the status", |v| {
         !v["hooks"]["fault"].is_null()
     });
     let fault = view["hooks"]["fault"].as_str().unwrap();
     assert!(fault.contains("b.hook:1:35: a server is wanted"), "{fault}");
     let (version, so_far) = (view["hooks"]["version"].clone(), turns(&view, "one"));
-    until(&daemon, "the old set goes on", |v| {
+    wait_for(&daemon, "the old set goes on", |v| {
         turns(v, "one") > so_far && v["hooks"]["version"] == version
     });
-    std::fs::remove_file(place.0.join("hooks/b.hook")).unwrap();
-    place.hook("a.hook", &counts("two"));
-    let view = until(&daemon, "the new set counts on", |v| {
+    std::fs::remove_file(dir.0.join("hooks/b.hook")).unwrap();
+    dir.hook("a.hook", &counts("two"));
+    let view = wait_for(&daemon, "the new set counts on", |v| {
         turns(v, "two") > so_far
     });
     assert!(view["hooks"]["fault"].is_null());
     daemon.end(Duration::from_secs(1));
-    let daemon = place.start(more, false);
-    let view = until(&daemon, "it counts on", |v| turns(v, "two") > 0.0);
+    let daemon = dir.start(more, false);
+    let view = wait_for(&daemon, "it counts on", |v| turns(v, "two") > 0.0);
     assert!(turns(&view, "two") > so_far, "{}", view["hooks"]);
     daemon.end(Duration::from_secs(1));
 }
 
 #[test]
 fn a_daemon_does_not_start_with_a_broken_hook() {
-    let place = Place::new("broken");
-    place.roster(&FIVE);
-    place.hook("a.hook", "on timer every 10s { wish drian() }\n");
+    let dir = TestDir::new("broken");
+    dir.roster(&FIVE);
+    dir.hook("a.hook", "on timer every 10s { wish drian() }\n");
     let text = "service: portal\nzones: [east]\nclasses: [{name: view, soft_limit: 1s}]\nroster: {file: roster.yaml}\n\
                 listen: {xds: '127.0.0.1:0'}\nhooks: {dir: hooks}\n";
-    std::fs::write(place.0.join("d.yaml"), text).unwrap();
-    let out = program(&["run".as_ref(), place.0.join("d.yaml").as_ref()]);
+    std::fs::write(dir.0.join("d.yaml"), text).unwrap();
+    let out = program(&["run".as_ref(), dir.0.join("d.yaml").as_ref()]);
     assert_eq!(out.0, Some(2), "{}", out.1);
     assert!(
         out.1.contains("a.hook:1:27: nobody can wish for \"drian\"")
@@ -416,8 +420,8 @@
             assert_eq!(code, Some(0), "{line:?} {said}");
         }
     }
-    let place = Place::new("cli");
-    let (file, night) = (place.0.join("x.hook"), place.0.join("x.test.yaml"));
+    let dir = TestDir::new("cli");
+    let (file, night) = (dir.0.join("x.hook"), dir.0.join("x.test.yaml"));
     std::fs::write(&file, "on timer every 1s{wish alert(\"a\")}\n").unwrap();
     let nights = [
         (
@@ -457,17 +461,17 @@
     );
 }
 
-/// A drain that a hook wishes for is an input like any other: the last ready server of a zone stays.
+/// A hook wishes to drain all servers; the last ready one of a zone stays ready.
 #[test]
 fn the_last_ready_server_is_not_drained() {
-    let place = Place::new("last");
-    place.roster(&[("ready", 1.0), ("draining", 1.0), ("gone", 1.0)]);
-    place.hook(
+    let dir = TestDir::new("last");
+    dir.roster(&[("ready", 1.0), ("draining", 1.0), ("gone", 1.0)]);
+    dir.hook(
         "a.hook",
         "on timer every 100ms {\nfor s in servers() { wish drain(s) for 1h }\n}\n",
     );
-    let daemon = place.start("", false);
-    let view = until(&daemon, "it is overruled", |v| {
+    let daemon = dir.start("", false);
+    let view = wait_for(&daemon, "it is overruled", |v| {
         v["hooks"]["overruled"]
             .as_array()
             .is_some_and(|a| !a.is_empty())
--- a/crates/daemon/tests/import.rs
+++ b/crates/daemon/tests/import.rs
@@ -1,4 +1,5 @@
-//! Others' host lists in a running daemon and on the command line, on sample files of the project's own.
+//! Imported host lists of Apache and mod_jk in a running daemon and on the command line, with sample files written for
+//! these tests.
 
 use dahliapoint_control::ControllerHandle;
 use dahliapoint_daemon::daemon::{Daemon, RosterSource};
@@ -9,15 +10,15 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-struct Place(PathBuf);
+struct TestDir(PathBuf);
 
-impl Place {
-    fn new(name: &str) -> Place {
+impl TestDir {
+    fn new(name: &str) -> TestDir {
         let dir =
             std::env::temp_dir().join(format!("dahliapoint-import-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&dir);
         std::fs::create_dir_all(dir.join("sites")).unwrap();
-        Place(dir)
+        TestDir(dir)
     }
 
     fn put(&self, name: &str, text: &str) {
@@ -47,17 +48,17 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for TestDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn until(daemon: &Daemon, what: &str, met: impl Fn(&Value) -> bool) -> Value {
+fn wait_for(daemon: &Daemon, what: &str, condition: impl Fn(&Value) -> bool) -> Value {
     let end = Instant::now() + Duration::from_secs(30);
     loop {
         let view = daemon.controller().overview();
-        if met(&view) {
+        if condition(&view) {
             return view;
         }
         assert!(Instant::now() < end, "{what}: {view:#}");
@@ -75,14 +76,14 @@
 const HTTPD: &str = "<Proxy balancer://portal>\nInclude sites/*.conf\n</Proxy>\n";
 
 #[test]
-fn a_daemon_follows_apaches_files_and_keeps_what_stands_when_they_are_broken() {
-    let place = Place::new("apache");
-    place.put("httpd.conf", HTTPD);
-    place.put(
+fn a_daemon_follows_apache_files_and_keeps_the_last_valid_roster_if_they_are_broken() {
+    let dir = TestDir::new("apache");
+    dir.put("httpd.conf", HTTPD);
+    dir.put(
         "sites/a.conf",
         "BalancerMember http://127.0.0.1:81 route=a loadfactor=2\n",
     );
-    let daemon = place
+    let daemon = dir
         .start("file: httpd.conf, form: apache, zone: east")
         .unwrap();
     let view = daemon.controller().overview();
@@ -93,47 +94,47 @@
         ),
         (&2.0.into(), &"east".into())
     );
-    // A new file in a folder that was looked through.
-    place.put(
+    // A new file in an included folder.
+    dir.put(
         "sites/b.conf",
         "BalancerMember http://127.0.0.1:82 route=b\n",
     );
-    until(&daemon, "a new file is found", |v| {
+    wait_for(&daemon, "a new file is found", |v| {
         server(v, "b")["state"] == "Ready"
     });
-    place.put(
+    dir.put(
         "sites/b.conf",
         "BalancerMember http://127.0.0.1:82 route=b status=+N\n",
     );
-    until(&daemon, "b drains", |v| {
+    wait_for(&daemon, "b drains", |v| {
         server(v, "b")["state"] == "Draining"
     });
-    place.put("sites/a.conf", "BalancerMember http://127.0.0.1:81 route=a\nBalancerMember http://127.0.0.1:81 route=a loadfactor=3\n");
-    let view = until(&daemon, "a fault is told", |v| !v["roster_fault"].is_null());
+    dir.put("sites/a.conf", "BalancerMember http://127.0.0.1:81 route=a\nBalancerMember http://127.0.0.1:81 route=a loadfactor=3\n");
+    let view = wait_for(&daemon, "a fault is told", |v| !v["roster_fault"].is_null());
     let told = view["roster_fault"].as_str().unwrap();
     assert!(
         told.contains("sites/a.conf:2: \"a\" weighs 3 here and 1 at"),
         "{told}"
     );
     assert_eq!(server(&view, "a")["listed_weight"], 2.0);
-    place.put("httpd.conf", "Include sites/none.conf\n");
-    until(&daemon, "a missing file is told", |v| {
+    dir.put("httpd.conf", "Include sites/none.conf\n");
+    wait_for(&daemon, "a missing file is told", |v| {
         v["roster_fault"]
             .as_str()
             .is_some_and(|t| t.contains("httpd.conf:1: ") && t.contains("none.conf"))
     });
-    place.put(
+    dir.put(
         "sites/a.conf",
         "BalancerMember http://127.0.0.1:81 route=a loadfactor=4\n",
     );
-    place.put("httpd.conf", HTTPD);
-    let view = until(&daemon, "mended", |v| {
+    dir.put("httpd.conf", HTTPD);
+    let view = wait_for(&daemon, "the files are valid again", |v| {
         server(v, "a")["listed_weight"] == 4.0
     });
     assert_eq!(server(&view, "b")["state"], "Draining");
     assert!(view["roster_fault"].is_null());
-    std::fs::remove_file(place.0.join("sites/b.conf")).unwrap();
-    until(&daemon, "b is gone", |v| server(v, "b")["state"] == "Gone");
+    std::fs::remove_file(dir.0.join("sites/b.conf")).unwrap();
+    wait_for(&daemon, "b is gone", |v| server(v, "b")["state"] == "Gone");
     daemon.end(Duration::from_secs(1));
 }
 
@@ -142,9 +143,9 @@
 
 #[test]
 fn a_daemon_follows_worker_files() {
-    let place = Place::new("jk");
-    place.put("workers.properties", WORKERS);
-    let daemon = place
+    let dir = TestDir::new("jk");
+    dir.put("workers.properties", WORKERS);
+    let daemon = dir
         .start("file: workers.properties, form: mod_jk, zone: east")
         .unwrap();
     let view = daemon.controller().overview();
@@ -152,13 +153,13 @@
         (&server(&view, "a")["zone"], &server(&view, "b")["zone"]),
         (&"west".into(), &"east".into())
     );
-    place.put(
+    dir.put(
         "workers.properties",
         &format!("{WORKERS}worker.a.activation=S\n"),
     );
-    until(&daemon, "a is gone", |v| server(v, "a")["state"] == "Gone");
+    wait_for(&daemon, "a is gone", |v| server(v, "a")["state"] == "Gone");
     daemon.end(Duration::from_secs(1));
-    let why = place
+    let why = dir
         .start("file: workers.properties, form: mod_jk")
         .err()
         .unwrap();
@@ -166,7 +167,7 @@
         why.contains("workers.properties:7: \"b\": its zone is not known"),
         "{why}"
     );
-    let why = place
+    let why = dir
         .start("file: workers.properties, form: mod_jk, zone: north")
         .err()
         .unwrap();
@@ -174,8 +175,8 @@
         why.contains("roster.zone: one of the zones east, west"),
         "{why}"
     );
-    place.put("workers.properties", "worker.p.type=lb\n");
-    let why = place
+    dir.put("workers.properties", "worker.p.type=lb\n");
+    let why = dir
         .start("file: workers.properties, form: mod_jk, zone: east")
         .err()
         .unwrap();
@@ -183,15 +184,15 @@
 }
 
 #[test]
-fn files_are_taken_over_and_written_back() {
-    let place = Place::new("cli");
-    place.put("httpd.conf", HTTPD);
-    place.put("sites/a.conf", "# one\nBalancerMember \"http://127.0.0.1:81\"\troute=a ping=5\nBalancerMember http://127.0.0.1:82 route=b status=+D\n");
-    let (code, yaml) = place.run(&["import", "httpd.conf", "--form", "apache", "--zone", "east"]);
+fn files_are_imported_and_written_back() {
+    let dir = TestDir::new("cli");
+    dir.put("httpd.conf", HTTPD);
+    dir.put("sites/a.conf", "# one\nBalancerMember \"http://127.0.0.1:81\"\troute=a ping=5\nBalancerMember http://127.0.0.1:82 route=b status=+D\n");
+    let (code, yaml) = dir.run(&["import", "httpd.conf", "--form", "apache", "--zone", "east"]);
     let wanted = "servers:\n- {name: \"a\", address: \"127.0.0.1:81\", zone: \"east\", state: ready, weight: 1}\n\
                   - {name: \"b\", address: \"127.0.0.1:82\", zone: \"east\", state: gone, weight: 1}\n";
     assert_eq!((code, yaml.as_str()), (Some(0), wanted));
-    place.put(
+    dir.put(
         "roster.yaml",
         &yaml.replace("ready, weight: 1", "draining, weight: 7"),
     );
@@ -205,34 +206,38 @@
         "--write-back",
         "roster.yaml",
     ];
-    let before = place.get("sites/a.conf");
-    let (code, told) = place.run(&back);
+    let before = dir.get("sites/a.conf");
+    let (code, told) = dir.run(&back);
     assert_eq!(code, Some(0), "{told}");
     assert!(told.contains("sites/a.conf:2: BalancerMember \"http://127.0.0.1:81\"\troute=a ping=5 loadfactor=7 status=+N"), "{told}");
-    assert_eq!(place.get("sites/a.conf"), before, "only told");
+    assert_eq!(
+        dir.get("sites/a.conf"),
+        before,
+        "without --in-place nothing is written"
+    );
     let mut in_place = back.to_vec();
     in_place.push("--in-place");
-    assert_eq!(place.run(&in_place).0, Some(0));
+    assert_eq!(dir.run(&in_place).0, Some(0));
     assert_eq!(
-        place.get("sites/a.conf"),
+        dir.get("sites/a.conf"),
         before.replace("ping=5", "ping=5 loadfactor=7 status=+N")
     );
-    assert_eq!(place.get("httpd.conf"), HTTPD);
-    assert_eq!(place.run(&back).1, "", "nothing is left to do");
-    place.put("roster.yaml", &yaml.replace("127.0.0.1:81", "127.0.0.1:99"));
-    let (code, told) = place.run(&back);
+    assert_eq!(dir.get("httpd.conf"), HTTPD);
+    assert_eq!(dir.run(&back).1, "", "nothing is left to do");
+    dir.put("roster.yaml", &yaml.replace("127.0.0.1:81", "127.0.0.1:99"));
+    let (code, told) = dir.run(&back);
     assert!(
         code == Some(2) && told.contains("is 127.0.0.1:99 here and 127.0.0.1:81 at"),
         "{told}"
     );
-    let (code, told) = place.run(&["import", "none.conf", "--form", "apache"]);
+    let (code, told) = dir.run(&["import", "none.conf", "--form", "apache"]);
     assert!(code == Some(2) && told.contains("none.conf:1: "), "{told}");
 }
 
-/// What a controller exports for those proxies is read again: names, addresses, proportions, what is withdrawn.
+/// Imports what a controller exports: names, addresses, proportions of weights, and withdrawn servers are the same.
 #[test]
-fn what_is_exported_is_read_again() {
-    let place = Place::new("export");
+fn exported_tables_can_be_imported() {
+    let dir = TestDir::new("export");
     let line = |i: usize| TableLine {
         server: format!("host-{i}"),
         address: format!("127.0.0.1:{}", 80 + i),
@@ -246,8 +251,8 @@
         ..Table::default()
     };
     for (form, name) in [(Form::Balancer, "apache"), (Form::Workers, "mod_jk")] {
-        place.put("exported", &form.write(&table));
-        let (code, yaml) = place.run(&["import", "exported", "--form", name, "--zone", "east"]);
+        dir.put("exported", &form.write(&table));
+        let (code, yaml) = dir.run(&["import", "exported", "--form", name, "--zone", "east"]);
         assert_eq!(code, Some(0), "{yaml}");
         let rows: Vec<&str> = yaml.lines().skip(1).collect();
         assert_eq!(rows.len(), 4, "{yaml}");
@@ -276,5 +281,5 @@
             assert!((weight(i) / weight(0) - share).abs() < 0.01, "{row}");
         }
     }
-    assert!(Path::new(&place.0).exists());
+    assert!(Path::new(&dir.0).exists());
 }
--- a/crates/daemon/tests/interop.rs
+++ b/crates/daemon/tests/interop.rs
@@ -1,5 +1,5 @@
-//! Whether it is the specification that is spoken, and not a dialect: an independent gRPC client and
-//! server (tonic) against ours, on the whole path.
+//! Interoperability: an independent gRPC client and server (tonic) against our server and client, over whole streams,
+//! so that both follow the specification and not only each other.
 
 use dahliapoint_control::{AdminState, RosterEntry};
 use dahliapoint_daemon::daemon::{Daemon, RosterSource};
@@ -31,7 +31,7 @@
 
 const DEPLOYMENT: &str = "service: portal\nzones: [east, west]\n\
     classes: [{name: view, soft_limit: 1s}, {name: pay, soft_limit: 1s, earnings: 2}]\n\
-    reports: {every: 200ms}\nroster: {file: none.yaml}\nlisten: {xds: '127.0.0.1:0'}\nseed: 7\n";
+    reports: {interval: 200ms}\nroster: {file: none.yaml}\nlisten: {xds: '127.0.0.1:0'}\nseed: 7\n";
 
 fn daemon() -> Daemon {
     let deployment = deployment::parse("d.yaml", DEPLOYMENT).unwrap();
@@ -65,7 +65,7 @@
 }
 
 async fn next<T>(stream: &mut Streaming<T>) -> Result<T, Status> {
-    // Turns a hang into a failure; nothing here takes that long.
+    // A hang becomes a failure; no answer here takes that long.
     let next = tokio::time::timeout(Duration::from_secs(20), stream.message());
     let next = next.await.expect("an answer in time")?;
     next.ok_or_else(|| Status::ok("ended"))
@@ -88,29 +88,32 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_tonic_client_takes_delta_assignments_and_lines() {
+async fn a_tonic_client_subscribes_to_delta_assignments_and_lines() {
     let daemon = daemon();
     let mut client = AggregatedDiscoveryServiceClient::new(channel(&daemon).await);
-    let (say, said) = mpsc::channel(16);
+    let (sender, requests) = mpsc::channel(16);
     let first = DeltaDiscoveryRequest {
         node: Some(node("tonic-1", &[LEDS_FEATURE])),
         ..ask(CDS, &[])
     };
-    say.send(first).await.unwrap();
+    sender.send(first).await.unwrap();
     let stream = client
-        .delta_aggregated_resources(ReceiverStream::new(said))
+        .delta_aggregated_resources(ReceiverStream::new(requests))
         .await;
     let mut stream = stream.unwrap().into_inner();
     let clusters = next(&mut stream).await.unwrap();
     let found: Vec<_> = clusters.resources.iter().map(|r| r.name.as_str()).collect();
     assert_eq!(found, ["portal/pay", "portal/view"]);
-    say.send(ack(&clusters)).await.unwrap();
-    say.send(ask(EDS, &["portal/pay"])).await.unwrap();
-    let given = next(&mut stream).await.unwrap();
-    assert_eq!((given.type_url.as_str(), given.resources.len()), (EDS, 1));
-    say.send(ack(&given)).await.unwrap();
+    sender.send(ack(&clusters)).await.unwrap();
+    sender.send(ask(EDS, &["portal/pay"])).await.unwrap();
+    let response = next(&mut stream).await.unwrap();
+    assert_eq!(
+        (response.type_url.as_str(), response.resources.len()),
+        (EDS, 1)
+    );
+    sender.send(ack(&response)).await.unwrap();
     let part = names::part("portal", 0);
-    say.send(ask(LEDS, &[&part])).await.unwrap();
+    sender.send(ask(LEDS, &[&part])).await.unwrap();
     let lines = next(&mut stream).await.unwrap();
     let versions: Vec<_> = lines.resources.iter().map(|r| r.version.as_str()).collect();
     let wanted = [
@@ -119,9 +122,9 @@
         "30000o@127.0.0.1:7002",
     ];
     assert_eq!(versions, wanted);
-    say.send(ack(&lines)).await.unwrap();
+    sender.send(ack(&lines)).await.unwrap();
 
-    // What it holds and has answered for is seen through client status.
+    // Client status shows which resources it has acknowledged.
     let mut status = ClientStatusDiscoveryServiceClient::new(channel(&daemon).await);
     let acked = async {
         loop {
@@ -142,45 +145,45 @@
     let acked = tokio::time::timeout(Duration::from_secs(20), acked);
     acked.await.expect("three lines acknowledged");
 
-    // A second stream of the same node: the newer holds, the older one is told why.
-    let (again, said) = mpsc::channel(4);
+    // A second stream of the same node replaces the first, which ends with a status.
+    let (newer_sender, requests) = mpsc::channel(4);
     let first = DeltaDiscoveryRequest {
         node: Some(node("tonic-1", &[])),
         ..ask(EDS, &["portal/view"])
     };
-    again.send(first).await.unwrap();
+    newer_sender.send(first).await.unwrap();
     let newer = client
-        .delta_aggregated_resources(ReceiverStream::new(said))
+        .delta_aggregated_resources(ReceiverStream::new(requests))
         .await;
     let mut newer = newer.unwrap().into_inner();
     assert_eq!(next(&mut newer).await.unwrap().resources.len(), 1);
     let ended = next(&mut stream).await.unwrap_err();
     assert_eq!(ended.code(), tonic::Code::Aborted, "{ended}");
-    drop((say, again));
+    drop((sender, newer_sender));
     tokio::task::spawn_blocking(move || daemon.end(Duration::from_secs(10)))
         .await
         .unwrap();
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_plain_tonic_client_takes_whole_assignments() {
+async fn a_tonic_client_gets_state_of_the_world_assignments() {
     let daemon = daemon();
     let mut client = EndpointDiscoveryServiceClient::new(channel(&daemon).await);
-    let (say, said) = mpsc::channel(16);
+    let (sender, requests) = mpsc::channel(16);
     let ask = |nonce: &str| DiscoveryRequest {
         node: Some(node("plain", &[])),
         resource_names: vec!["portal/view".into()],
         response_nonce: nonce.into(),
         ..DiscoveryRequest::default()
     };
-    say.send(ask("")).await.unwrap();
+    sender.send(ask("")).await.unwrap();
     let stream = client
-        .stream_endpoints(ReceiverStream::new(said))
+        .stream_endpoints(ReceiverStream::new(requests))
         .await
         .unwrap();
     let mut stream = stream.into_inner();
-    let given: DiscoveryResponse = next(&mut stream).await.unwrap();
-    let cla = ClusterLoadAssignment::decode(given.resources[0].value.as_slice()).unwrap();
+    let response: DiscoveryResponse = next(&mut stream).await.unwrap();
+    let cla = ClusterLoadAssignment::decode(response.resources[0].value.as_slice()).unwrap();
     let zones: Vec<_> = cla
         .endpoints
         .iter()
@@ -192,12 +195,15 @@
         })
         .collect();
     assert_eq!(zones, [("east".to_string(), 1), ("west".to_string(), 2)]);
-    say.send(ask(&given.nonce)).await.unwrap();
-    // A stream without a node, and a method that is not there, end with their statuses.
-    let (odd, said) = mpsc::channel(4);
-    odd.send(DiscoveryRequest::default()).await.unwrap();
+    sender.send(ask(&response.nonce)).await.unwrap();
+    // A stream without a node and an unimplemented method end with their statuses.
+    let (sender_without_node, requests) = mpsc::channel(4);
+    sender_without_node
+        .send(DiscoveryRequest::default())
+        .await
+        .unwrap();
     let mut stream = client
-        .stream_endpoints(ReceiverStream::new(said))
+        .stream_endpoints(ReceiverStream::new(requests))
         .await
         .unwrap()
         .into_inner();
@@ -210,33 +216,35 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_tonic_client_reports_loads_and_is_refused_what_cannot_be() {
+async fn a_tonic_client_reports_loads_and_impossible_reports_are_refused() {
     let daemon = daemon();
-    // Joined first, so that its reports are of a known proxy.
+    // Joins first, so that the proxy is known when it reports.
     let mut ads = AggregatedDiscoveryServiceClient::new(channel(&daemon).await);
-    let (say, said) = mpsc::channel(4);
+    let (sender, requests) = mpsc::channel(4);
     let first = DeltaDiscoveryRequest {
         node: Some(node("reporter", &[])),
         ..ask(EDS, &["portal/view"])
     };
-    say.send(first).await.unwrap();
+    sender.send(first).await.unwrap();
     let stream = ads
-        .delta_aggregated_resources(ReceiverStream::new(said))
+        .delta_aggregated_resources(ReceiverStream::new(requests))
         .await;
     let mut stream = stream.unwrap().into_inner();
     next(&mut stream).await.unwrap();
 
     let mut client = LoadReportingServiceClient::new(channel(&daemon).await);
-    let (report, said) = mpsc::channel(16);
+    let (report, requests) = mpsc::channel(16);
     let hello = load_request(Some(node("reporter", &[])), 0.0, &[]);
     report.send(hello).await.unwrap();
-    let answers = client.stream_load_stats(ReceiverStream::new(said)).await;
+    let answers = client
+        .stream_load_stats(ReceiverStream::new(requests))
+        .await;
     let mut answers = answers.unwrap().into_inner();
-    let told = next(&mut answers).await.unwrap();
-    let every = told.load_reporting_interval.unwrap();
-    assert_eq!((every.seconds, every.nanos), (0, 200_000_000));
-    assert!(told.report_endpoint_granularity && told.send_all_clusters);
-    let tally = |address: &str, good, failed| ClusterTally {
+    let settings = next(&mut answers).await.unwrap();
+    let interval = settings.load_reporting_interval.unwrap();
+    assert_eq!((interval.seconds, interval.nanos), (0, 200_000_000));
+    assert!(settings.report_endpoint_granularity && settings.send_all_clusters);
+    let cluster_tally = |address: &str, good, failed| ClusterTally {
         cluster: "portal/view".into(),
         endpoints: vec![EndpointTally {
             address: address.into(),
@@ -250,12 +258,12 @@
     };
     for address in ["127.0.0.1:7000", "127.0.0.1:7001", "127.0.0.1:9"] {
         report
-            .send(load_request(None, 200.0, &[tally(address, 9, 1)]))
+            .send(load_request(None, 200.0, &[cluster_tally(address, 9, 1)]))
             .await
             .unwrap();
     }
     let mut status = ClientStatusDiscoveryServiceClient::new(channel(&daemon).await);
-    let counted = async {
+    let counts = async {
         loop {
             let answer = status
                 .fetch_client_status(ClientStatusRequest::default())
@@ -268,25 +276,29 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    let counted = tokio::time::timeout(Duration::from_secs(20), counted);
-    counted
+    let counts = tokio::time::timeout(Duration::from_secs(20), counts);
+    counts
         .await
         .expect("two lines taken, one of no known server");
-    // More than any proxy can have met: the stream ends, nothing else is disturbed.
-    let absurd = load_request(None, 200.0, &[tally("127.0.0.1:7000", u64::MAX / 2, 0)]);
+    // An impossible count ends the stream.
+    let absurd = load_request(
+        None,
+        200.0,
+        &[cluster_tally("127.0.0.1:7000", u64::MAX / 2, 0)],
+    );
     report.send(absurd).await.unwrap();
     let ended = next(&mut answers).await.unwrap_err();
     assert_eq!(ended.code(), tonic::Code::InvalidArgument, "{ended}");
 }
 
-/// A tonic server that tells one resource, then ends as it is asked to.
-struct Told;
+/// A tonic server that answers each request, and ends a stream when it is asked to.
+struct ScriptedServer;
 
 type Answers = Pin<Box<dyn Stream<Item = Result<DeltaDiscoveryResponse, Status>> + Send>>;
 type FullAnswers = Pin<Box<dyn Stream<Item = Result<DiscoveryResponse, Status>> + Send>>;
 
 #[tonic::async_trait]
-impl AggregatedDiscoveryService for Told {
+impl AggregatedDiscoveryService for ScriptedServer {
     type StreamAggregatedResourcesStream = FullAnswers;
     type DeltaAggregatedResourcesStream = Answers;
 
@@ -317,11 +329,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn our_client_speaks_to_a_tonic_server() {
+async fn our_client_talks_to_a_tonic_server() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let server = tonic::transport::Server::builder()
-        .add_service(AggregatedDiscoveryServiceServer::new(Told))
+        .add_service(AggregatedDiscoveryServiceServer::new(ScriptedServer))
         .serve_with_incoming(TcpListenerStream::new(listener));
     let server = tokio::spawn(server);
     const ADS: &str = "/envoy.service.discovery.v3.AggregatedDiscoveryService/";
--- a/crates/daemon/tests/memory.rs
+++ b/crates/daemon/tests/memory.rs
@@ -1,4 +1,4 @@
-//! A controller that ends and begins again, with and without what it knew.
+//! Restarts of a controller with and without its stored state.
 
 use dahliapoint_control::{ControllerHandle, Input};
 use dahliapoint_daemon::daemon::{Daemon, RosterSource};
@@ -13,14 +13,14 @@
 
 const LONG: Duration = Duration::from_secs(20);
 
-struct Folder(PathBuf);
+struct TestDir(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
+impl TestDir {
+    fn new(name: &str) -> TestDir {
         let path =
             std::env::temp_dir().join(format!("dahliapoint-mem-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
-        Folder(path)
+        TestDir(path)
     }
 
     fn roster(&self, states: &[&str]) {
@@ -51,23 +51,23 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn until(what: &str, mut met: impl FnMut() -> bool) {
+fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let end = Instant::now() + LONG;
-    while !met() {
+    while !condition() {
         assert!(Instant::now() < end, "{what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// The shares of the listed weight that lines have, once they are ordered.
-fn lines(daemon: &Daemon) -> Vec<f64> {
-    // Lines are ordered once somebody is there to have them.
+/// Waits until weights are ordered; returns them as shares of the listed weights.
+fn weight_shares(daemon: &Daemon) -> Vec<f64> {
+    // Weights are ordered once there is a proxy.
     daemon.controller().send(Input::Joined {
         session: 7,
         proxy: "p".into(),
@@ -75,7 +75,7 @@
         visits_per_s: Some(1.0),
     });
     let mut found = Vec::new();
-    until("lines are ordered", || {
+    wait_for("lines are ordered", || {
         let overview = daemon.controller().overview();
         let servers = overview["servers"].as_array().cloned().unwrap_or_default();
         let share =
@@ -86,23 +86,23 @@
     found
 }
 
-const ON: &str = "memory: {dir: memory}";
+const MEMORY: &str = "memory: {dir: memory}";
 
 #[test]
-fn a_server_that_came_back_while_we_were_down_returns_through_the_ramp() {
-    let folder = Folder::new("returns");
-    folder.roster(&["ready", "ready", "ready", "draining"]);
-    for (memory, full) in [(ON, false), ("", true)] {
-        folder.roster(&["ready", "ready", "ready", "draining"]);
-        let daemon = folder.start(memory).unwrap();
+fn a_server_that_came_back_while_the_controller_was_down_returns_through_the_ramp() {
+    let dir = TestDir::new("returns");
+    dir.roster(&["ready", "ready", "ready", "draining"]);
+    for (memory, full) in [(MEMORY, false), ("", true)] {
+        dir.roster(&["ready", "ready", "ready", "draining"]);
+        let daemon = dir.start(memory).unwrap();
         if !full {
-            until("it is written", || folder.known().servers.len() == 4);
+            wait_for("it is written", || dir.known().servers.len() == 4);
         }
-        lines(&daemon);
+        weight_shares(&daemon);
         daemon.end(Duration::from_secs(1));
-        folder.roster(&["ready"; 4]);
-        let daemon = folder.start(memory).unwrap();
-        let found = lines(&daemon);
+        dir.roster(&["ready"; 4]);
+        let daemon = dir.start(memory).unwrap();
+        let found = weight_shares(&daemon);
         assert!(found[..3].iter().all(|w| *w == 1.0), "{found:?}");
         assert_eq!(found[3] == 1.0, full, "{memory:?}: {found:?}");
         daemon.end(Duration::from_secs(1));
@@ -110,20 +110,20 @@
 }
 
 #[test]
-fn a_slow_server_begins_with_what_its_line_had_come_to() {
-    let folder = Folder::new("slow");
-    folder.roster(&["ready"; 6]);
-    let daemon = folder.start(ON).unwrap();
-    until("it is written", || folder.known().servers.len() == 6);
+fn a_slow_server_starts_with_its_stored_share() {
+    let dir = TestDir::new("slow");
+    dir.roster(&["ready"; 6]);
+    let daemon = dir.start(MEMORY).unwrap();
+    wait_for("it is written", || dir.known().servers.len() == 6);
     daemon.end(Duration::from_secs(1));
-    // The verdict of a busy day, put there as the controller writes it.
-    let (mut store, facts, _) = memory::open(&folder.0.join("memory"), None).unwrap();
+    // Store a low share, in the way the controller does after load reports.
+    let (mut store, facts, _) = memory::open(&dir.0.join("memory"), None).unwrap();
     let mut fact = facts.servers["s2"].clone();
     (fact.share, fact.judged) = (0.1, clock::now());
     store.commit(&[Change::Server(fact)]).unwrap();
     drop(store);
-    let daemon = folder.start(ON).unwrap();
-    let found = lines(&daemon);
+    let daemon = dir.start(MEMORY).unwrap();
+    let found = weight_shares(&daemon);
     assert!(found[2] < 0.9 && found[2] > 0.0, "{found:?}");
     assert!(
         [0, 1, 3, 4, 5].iter().all(|i| found[*i] == 1.0),
@@ -133,43 +133,43 @@
 }
 
 #[test]
-fn a_roster_that_cannot_be_read_is_remembered() {
-    let folder = Folder::new("roster");
-    folder.roster(&["ready", "draining"]);
-    let daemon = folder.start(ON).unwrap();
-    until("it is written", || folder.known().servers.len() == 2);
+fn if_the_roster_cannot_be_read_the_stored_one_is_used() {
+    let dir = TestDir::new("roster");
+    dir.roster(&["ready", "draining"]);
+    let daemon = dir.start(MEMORY).unwrap();
+    wait_for("it is written", || dir.known().servers.len() == 2);
     daemon.end(Duration::from_secs(1));
-    std::fs::write(folder.0.join("roster.yaml"), "servers:\n- {name: half a li").unwrap();
+    std::fs::write(dir.0.join("roster.yaml"), "servers:\n- {name: half a li").unwrap();
     assert!(
-        folder.start("").is_err(),
+        dir.start("").is_err(),
         "without memory nothing can be started"
     );
-    let daemon = folder.start(ON).unwrap();
-    let found = lines(&daemon);
+    let daemon = dir.start(MEMORY).unwrap();
+    let found = weight_shares(&daemon);
     assert_eq!(found.len(), 2);
     assert_eq!(
         daemon.controller().overview()["servers"][1]["state"],
         "Draining"
     );
-    folder.roster(&["ready", "gone"]);
-    until("the roster is back", || {
+    dir.roster(&["ready", "gone"]);
+    wait_for("the roster is back", || {
         daemon.controller().overview()["servers"][1]["state"] == "Gone"
     });
     daemon.end(Duration::from_secs(1));
 }
 
 #[test]
-fn a_directory_that_cannot_be_used_is_told_before_anything_starts() {
-    let folder = Folder::new("held");
-    folder.roster(&["ready"]);
-    let daemon = folder.start(ON).unwrap();
-    let why = folder.start(ON).err().unwrap();
+fn an_unusable_directory_is_reported_before_anything_starts() {
+    let dir = TestDir::new("held");
+    dir.roster(&["ready"]);
+    let daemon = dir.start(MEMORY).unwrap();
+    let why = dir.start(MEMORY).err().unwrap();
     assert!(why.contains("held by another process"), "{why}");
-    until("it is written", || folder.known().servers.len() == 1);
-    let dir = folder.0.join("memory");
+    wait_for("it is written", || dir.known().servers.len() == 1);
+    let memory_dir = dir.0.join("memory");
     let state = |what: &str| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_dahliapoint"));
-        command.args(["state", what]).arg(&dir);
+        command.args(["state", what]).arg(&memory_dir);
         let out = command.output().unwrap();
         (
             out.status.code(),
@@ -185,8 +185,8 @@
     daemon.end(Duration::from_secs(1));
     assert_eq!(state("verify").0, Some(0));
     assert_eq!(state("compact").0, Some(0));
-    // A bent byte in the snapshot is seen.
-    let snapshot = std::fs::read_dir(&dir).unwrap().flatten();
+    // A corrupt byte in the snapshot is found.
+    let snapshot = std::fs::read_dir(&memory_dir).unwrap().flatten();
     let mut names = snapshot.map(|e| e.path());
     let snapshot = names
         .find(|p| p.to_string_lossy().contains("snapshot-"))
@@ -196,10 +196,7 @@
     bytes[at] ^= 1;
     std::fs::write(&snapshot, bytes).unwrap();
     assert_eq!(state("verify").0, Some(1));
-    std::fs::write(folder.0.join("keys"), "a = 0001").unwrap();
-    let why = folder
-        .start("memory: {dir: memory, key: keys}")
-        .err()
-        .unwrap();
+    std::fs::write(dir.0.join("keys"), "a = 0001").unwrap();
+    let why = dir.start("memory: {dir: memory, key: keys}").err().unwrap();
     assert!(why.contains("keys:1:"), "{why}");
 }
--- a/crates/daemon/tests/peer.rs
+++ b/crates/daemon/tests/peer.rs
@@ -1,5 +1,5 @@
-//! A newcomer and a running controller on loopback: what it learns, what it does not believe, and peers that hang, die
-//! halfway, or are of another service.
+//! A controller that starts and learns from a running one on loopback: which facts it takes over and which it refuses,
+//! and peers that hang, die halfway, or belong to another service.
 
 use dahliapoint_control::{
     AdminState, ControllerHandle, Input, LoadReport, ReportLine, RosterEntry,
@@ -52,10 +52,10 @@
     daemon
 }
 
-/// Proxies report: s1 answers late, all others in time.
+/// Sends a report of each proxy: s1 answers late, all others in time.
 fn report(daemon: &Daemon) {
     for n in 0..4 {
-        let met = (0..SERVERS).map(|i| ReportLine {
+        let lines = (0..SERVERS).map(|i| ReportLine {
             server: format!("s{i}"),
             tries: 5.0,
             success_ms: 5.0 * if i == 1 { 1_500.0 } else { 20.0 },
@@ -64,7 +64,7 @@
         let report = LoadReport {
             window_ms: 100.0,
             ended_ago_ms: 0.0,
-            lines: met.collect(),
+            lines: lines.collect(),
             arrivals: Vec::new(),
         };
         daemon
@@ -74,11 +74,16 @@
     }
 }
 
-fn until(daemon: &Daemon, what: &str, reports: bool, met: impl Fn(&Value) -> bool) -> Value {
+fn wait_for(
+    daemon: &Daemon,
+    what: &str,
+    reports: bool,
+    condition: impl Fn(&Value) -> bool,
+) -> Value {
     let end = Instant::now() + Duration::from_secs(40);
     loop {
         let view = daemon.controller().overview();
-        if met(&view) {
+        if condition(&view) {
             return view;
         }
         assert!(Instant::now() < end, "{what}: {view:#}");
@@ -104,12 +109,12 @@
 }
 
 #[test]
-fn a_newcomer_begins_with_what_a_running_one_has_seen() {
+fn a_starting_controller_takes_over_the_facts_of_a_running_one() {
     let old = start(&[], "");
     let slow = |v: &Value| has_table(v) && weight(v, "s1") < 0.5 * weight(v, "s0");
-    until(&old, "the slow one is trimmed", true, slow);
-    // Its next round tells it.
-    until(&old, "and known", true, |_| {
+    wait_for(&old, "the slow one is trimmed", true, slow);
+    // Peers see it after the next round.
+    wait_for(&old, "and known", true, |_| {
         let (learned, _) = client::query(
             old.address(),
             "portal",
@@ -122,19 +127,19 @@
                 .iter()
                 .any(|f| f.name == "s1" && f.share < 0.5)
     });
-    let newcomer = start(&[old.address()], "");
-    let view = until(&newcomer, "its first table", false, has_table);
+    let starting = start(&[old.address()], "");
+    let view = wait_for(&starting, "its first table", false, has_table);
     assert!(
         weight(&view, "s1") < 0.9 * weight(&view, "s0"),
         "it knows: {view:#}"
     );
-    // A cold start does not.
+    // Without a peer it does not know.
     let cold = start(&[], "");
-    let view = until(&cold, "its first table", false, has_table);
+    let view = wait_for(&cold, "its first table", false, has_table);
     assert_eq!(weight(&view, "s1"), weight(&view, "s0"));
-    // Nobody has visited the newcomer: handed on, the verdict is as old as it was told, and does not grow young.
+    // The new controller has had no reports: facts that it hands on keep the age with which it received them.
     std::thread::sleep(Duration::from_millis(300));
-    let hear = |d: &Daemon| {
+    let query = |d: &Daemon| {
         client::query(
             d.address(),
             "portal",
@@ -147,36 +152,36 @@
         let f = l.facts.iter().find(|f| f.name == "s1").unwrap();
         clock::now().since(&f.judged).unwrap()
     };
-    // Uptimes are told in hundredths of a second.
-    let (first, second) = (hear(&old), hear(&newcomer));
+    // Uptimes have a resolution of 10 ms.
+    let (first, second) = (query(&old), query(&starting));
     assert!(
         age(&second) >= age(&first) - 50.0 && age(&second) >= 300.0,
         "{} {}",
         age(&first),
         age(&second)
     );
-    for daemon in [old, newcomer, cold] {
+    for daemon in [old, starting, cold] {
         end(daemon);
     }
 }
 
-/// A peer that says what it is told to.
-struct Scripted {
+/// A peer that sends a scripted answer.
+struct ScriptedPeer {
     service: &'static str,
     runs_ms: f64,
-    words: Vec<ServerWord>,
-    ends: Ends,
+    server_words: Vec<ServerWord>,
+    ends: Ending,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Ends {
+enum Ending {
     Well,
     Halfway,
     Hangs,
     Miscounts,
 }
 
-impl Handler for Scripted {
+impl Handler for ScriptedPeer {
     fn call(&self, mut call: Call) {
         let _ = call.inbound.message::<Ask>();
         let mut send = |said| call.outbound.send(&Word { said: Some(said) });
@@ -186,29 +191,29 @@
         };
         let _ = send(Said::Head(head));
         let _ = send(Said::Servers(Servers {
-            servers: self.words.clone(),
+            servers: self.server_words.clone(),
         }));
-        let many = self.words.len() as u64;
+        let count = self.server_words.len() as u64;
         match self.ends {
-            Ends::Well => {
-                let _ = send(Said::End(End { servers: many }));
+            Ending::Well => {
+                let _ = send(Said::End(End { servers: count }));
                 call.outbound.finish(&Status::new(Code::Ok, ""));
             }
-            Ends::Miscounts => {
-                let _ = send(Said::End(End { servers: many + 1 }));
+            Ending::Miscounts => {
+                let _ = send(Said::End(End { servers: count + 1 }));
                 call.outbound.finish(&Status::new(Code::Ok, ""));
             }
-            Ends::Halfway => {
-                // So that what was said is on its way: a reset overtakes it.
+            Ending::Halfway => {
+                // Gives the data time to arrive, since a reset would overtake it.
                 dahliapoint_fibers::sleep(Duration::from_millis(200));
                 call.outbound.cancel();
             }
-            Ends::Hangs => dahliapoint_fibers::sleep(Duration::from_secs(20)),
+            Ending::Hangs => dahliapoint_fibers::sleep(Duration::from_secs(20)),
         }
     }
 }
 
-fn word(name: &str, share: f64, judged_ms: f64) -> ServerWord {
+fn server_word(name: &str, share: f64, judged_ms: f64) -> ServerWord {
     let i: usize = name[1..].parse().unwrap();
     ServerWord {
         name: name.into(),
@@ -223,11 +228,11 @@
     }
 }
 
-fn scripted(service: &'static str, words: Vec<ServerWord>, ends: Ends) -> Server {
-    let peer = Scripted {
+fn start_scripted(service: &'static str, server_words: Vec<ServerWord>, ends: Ending) -> Server {
+    let peer = ScriptedPeer {
         service,
         runs_ms: 1e7,
-        words,
+        server_words,
         ends,
     };
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -239,89 +244,107 @@
     let all = |judged: f64| -> Vec<ServerWord> {
         let share = |i: usize| if i == 1 { 0.2 } else { 1.0 };
         (0..SERVERS)
-            .map(|i| word(&format!("s{i}"), share(i), judged))
+            .map(|i| server_word(&format!("s{i}"), share(i), judged))
             .collect()
     };
-    let bad = |change: fn(&mut ServerWord)| -> Vec<ServerWord> {
-        let mut words = all(100.0);
-        change(&mut words[1]);
-        words
+    let with_change = |change: fn(&mut ServerWord)| -> Vec<ServerWord> {
+        let mut server_words = all(100.0);
+        change(&mut server_words[1]);
+        server_words
     };
-    // What it says, how it ends, and whether s1 begins below the others.
-    let cases: [(&str, &'static str, Vec<ServerWord>, Ends, bool); 9] = [
-        ("fresh and whole", "portal", all(100.0), Ends::Well, true),
-        ("hours old", "portal", all(3.0 * 3.6e6), Ends::Well, false),
-        ("of an unknown age", "portal", all(-1.0), Ends::Well, false),
+    // The service and servers that the peer sends, how it ends, and whether s1 then starts below the others.
+    let cases: [(&str, &'static str, Vec<ServerWord>, Ending, bool); 9] = [
+        ("fresh and whole", "portal", all(100.0), Ending::Well, true),
+        ("hours old", "portal", all(3.0 * 3.6e6), Ending::Well, false),
+        (
+            "of an unknown age",
+            "portal",
+            all(-1.0),
+            Ending::Well,
+            false,
+        ),
         (
             "dies halfway: what came counts",
             "portal",
             all(100.0)[..3].to_vec(),
-            Ends::Halfway,
+            Ending::Halfway,
             true,
         ),
-        ("hangs at the end", "portal", all(100.0), Ends::Hangs, true),
-        ("miscounts", "portal", all(100.0), Ends::Miscounts, true),
-        ("of another service", "shop", all(100.0), Ends::Well, false),
+        (
+            "hangs at the end",
+            "portal",
+            all(100.0),
+            Ending::Hangs,
+            true,
+        ),
+        ("miscounts", "portal", all(100.0), Ending::Miscounts, true),
+        (
+            "of another service",
+            "shop",
+            all(100.0),
+            Ending::Well,
+            false,
+        ),
         (
             "another machine is a new one",
             "portal",
-            bad(|w| w.address = "127.0.0.1:99".into()),
-            Ends::Well,
+            with_change(|w| w.address = "127.0.0.1:99".into()),
+            Ending::Well,
             true,
         ),
         (
             "a share that nobody can mean",
             "portal",
-            bad(|w| w.share = f64::NAN),
-            Ends::Well,
+            with_change(|w| w.share = f64::NAN),
+            Ending::Well,
             false,
         ),
     ];
-    for (name, service, words, ends, knows) in cases {
-        let peer = scripted(service, words, ends);
-        let begun = Instant::now();
-        let newcomer = start(&[peer.address()], "");
+    for (name, service, server_words, ends, is_slow_server_known) in cases {
+        let peer = start_scripted(service, server_words, ends);
+        let started = Instant::now();
+        let starting = start(&[peer.address()], "");
         assert!(
-            begun.elapsed() < Duration::from_secs(15),
-            "{name}: it waits for its peer"
+            started.elapsed() < Duration::from_secs(15),
+            "{name}: it waits too long for its peer"
         );
-        let view = until(&newcomer, name, false, |v| {
+        let view = wait_for(&starting, name, false, |v| {
             (2..SERVERS).all(|i| weight(v, &format!("s{i}")) > 0.0)
         });
         let others = weight(&view, "s5");
         assert_eq!(
             others, 1.0,
-            "{name}: whoever was not told of begins as listed"
+            "{name}: a server without a fact starts as listed"
         );
         assert_eq!(
             weight(&view, "s1") < 0.9 * others,
-            knows,
+            is_slow_server_known,
             "{name}: {}",
             weight(&view, "s1")
         );
-        end(newcomer);
+        end(starting);
         peer.end(Instant::now());
     }
 }
 
 #[test]
-fn peers_are_asked_in_turn_and_none_may_be_there() {
-    let gone = scripted("portal", Vec::new(), Ends::Well);
+fn peers_are_asked_in_turn_and_all_may_be_absent() {
+    let gone = start_scripted("portal", Vec::new(), Ending::Well);
     let nobody = gone.address();
     gone.end(Instant::now());
-    let hangs = scripted("portal", Vec::new(), Ends::Hangs);
-    let good = scripted("portal", vec![word("s1", 0.2, 50.0)], Ends::Well);
-    let newcomer = start(&[nobody, hangs.address(), good.address()], "");
-    let view = until(&newcomer, "a table", false, has_table);
+    let hangs = start_scripted("portal", Vec::new(), Ending::Hangs);
+    let good = start_scripted("portal", vec![server_word("s1", 0.2, 50.0)], Ending::Well);
+    let starting = start(&[nobody, hangs.address(), good.address()], "");
+    let view = wait_for(&starting, "a table", false, has_table);
     assert!(
         weight(&view, "s1") < 0.9,
-        "the third one told: {}",
+        "the third one answered: {}",
         weight(&view, "s1")
     );
-    end(newcomer);
-    let alone = start(&[nobody], "");
-    until(&alone, "a table all the same", false, has_table);
-    // Who does not tell says so.
+    end(starting);
+    let unpeered = start(&[nobody], "");
+    wait_for(&unpeered, "a table all the same", false, has_table);
+    // A controller that does not answer peers returns a status that says so.
     let silent = start(&[], ", tell: false");
     let (learned, status) = client::query(
         silent.address(),
@@ -331,5 +354,5 @@
     );
     assert!(learned.facts.is_empty() && status.is_some_and(|s| s.code == Code::Unimplemented));
     end(silent);
-    end(alone);
+    end(unpeered);
 }
