--- a/crates/daemon/src/hook_runner.rs
+++ b/crates/daemon/src/hook_runner.rs
@@ -201,8 +201,8 @@
         J::Array(l) => Value::list(l.iter().map(from_json).collect::<Option<_>>()?),
         J::Object(o) => match (o.get("state"), o.get("map")) {
             (Some(word), _) => {
-                let all = [State::Ready, State::Draining, State::Gone];
-                Value::State(all.into_iter().find(|s| word == s.word())?)
+                let states = [State::Ready, State::Draining, State::Gone];
+                Value::State(states.into_iter().find(|s| word == s.word())?)
             }
             (_, Some(J::Object(m))) => {
                 let entry = |(k, v): (&String, &J)| Some((Arc::from(k.as_str()), from_json(v)?));
@@ -826,9 +826,15 @@
                     continue;
                 }
                 limits.begins(hooks.len() - i);
-                let own =
+                let run_deadline =
                     Instant::now() + Duration::from_secs_f64(self.settings.run_timeout_ms / 1e3);
-                self.run(state, *id, &event, &world, limits.own.min(own));
+                self.run(
+                    state,
+                    *id,
+                    &event,
+                    &world,
+                    limits.run_deadline.min(run_deadline),
+                );
             }
         }
         if let Some((refused, _)) = &mut state.refused {
@@ -942,29 +948,33 @@
 
 /// A deadline that several runs share: each gets an equal part of the time that is left.
 struct SharedDeadline {
-    all: Instant,
+    shared_deadline: Instant,
     /// Deadline of the present run.
-    own: Instant,
+    run_deadline: Instant,
 }
 
 impl SharedDeadline {
-    fn new(all: Instant) -> SharedDeadline {
-        SharedDeadline { all, own: all }
+    fn new(shared_deadline: Instant) -> SharedDeadline {
+        SharedDeadline {
+            shared_deadline,
+            run_deadline: shared_deadline,
+        }
     }
 }
 
 impl Turns for SharedDeadline {
     fn begins(&mut self, left: usize) {
         let now = Instant::now();
-        self.own = now + self.all.saturating_duration_since(now) / left.max(1) as u32;
+        self.run_deadline =
+            now + self.shared_deadline.saturating_duration_since(now) / left.max(1) as u32;
     }
 
     fn is_up(&mut self) -> bool {
-        Instant::now() >= self.own
+        Instant::now() >= self.run_deadline
     }
 
     fn are_over(&mut self) -> bool {
-        Instant::now() >= self.all
+        Instant::now() >= self.shared_deadline
     }
 }
 
--- a/crates/daemon/src/status.rs
+++ b/crates/daemon/src/status.rs
@@ -87,7 +87,7 @@
             notes.push("withdrawn");
         }
         if estimate["stale"] == json!(true) {
-            notes.push("its own reports of load are stale");
+            notes.push("its self-reported load does not match measurements");
         }
         let note = notes.join(", ");
         let _ = writeln!(
--- a/crates/daemon/tests/import.rs
+++ b/crates/daemon/tests/import.rs
@@ -110,15 +110,17 @@
         server(v, "b")["state"] == "Draining"
     });
     dir.put("sites/a.conf", "BalancerMember http://127.0.0.1:81 route=a\nBalancerMember http://127.0.0.1:81 route=a loadfactor=3\n");
-    let view = wait_for(&daemon, "a fault is told", |v| !v["roster_fault"].is_null());
-    let told = view["roster_fault"].as_str().unwrap();
+    let view = wait_for(&daemon, "a fault is reported", |v| {
+        !v["roster_fault"].is_null()
+    });
+    let output = view["roster_fault"].as_str().unwrap();
     assert!(
-        told.contains("sites/a.conf:2: \"a\" weighs 3 here and 1 at"),
-        "{told}"
+        output.contains("sites/a.conf:2: \"a\" weighs 3 here and 1 at"),
+        "{output}"
     );
     assert_eq!(server(&view, "a")["listed_weight"], 2.0);
     dir.put("httpd.conf", "Include sites/none.conf\n");
-    wait_for(&daemon, "a missing file is told", |v| {
+    wait_for(&daemon, "a missing file is reported", |v| {
         v["roster_fault"]
             .as_str()
             .is_some_and(|t| t.contains("httpd.conf:1: ") && t.contains("none.conf"))
@@ -207,9 +209,9 @@
         "roster.yaml",
     ];
     let before = dir.get("sites/a.conf");
-    let (code, told) = dir.run(&back);
-    assert_eq!(code, Some(0), "{told}");
-    assert!(told.contains("sites/a.conf:2: BalancerMember \"http://127.0.0.1:81\"\troute=a ping=5 loadfactor=7 status=+N"), "{told}");
+    let (code, output) = dir.run(&back);
+    assert_eq!(code, Some(0), "{output}");
+    assert!(output.contains("sites/a.conf:2: BalancerMember \"http://127.0.0.1:81\"\troute=a ping=5 loadfactor=7 status=+N"), "{output}");
     assert_eq!(
         dir.get("sites/a.conf"),
         before,
@@ -225,13 +227,16 @@
     assert_eq!(dir.get("httpd.conf"), HTTPD);
     assert_eq!(dir.run(&back).1, "", "nothing is left to do");
     dir.put("roster.yaml", &yaml.replace("127.0.0.1:81", "127.0.0.1:99"));
-    let (code, told) = dir.run(&back);
+    let (code, output) = dir.run(&back);
+    assert!(
+        code == Some(2) && output.contains("is 127.0.0.1:99 here and 127.0.0.1:81 at"),
+        "{output}"
+    );
+    let (code, output) = dir.run(&["import", "none.conf", "--form", "apache"]);
     assert!(
-        code == Some(2) && told.contains("is 127.0.0.1:99 here and 127.0.0.1:81 at"),
-        "{told}"
+        code == Some(2) && output.contains("none.conf:1: "),
+        "{output}"
     );
-    let (code, told) = dir.run(&["import", "none.conf", "--form", "apache"]);
-    assert!(code == Some(2) && told.contains("none.conf:1: "), "{told}");
 }
 
 /// Imports what a controller exports: names, addresses, proportions of weights, and withdrawn servers are the same.
