--- a/crates/daemon/src/controller_thread.rs
+++ b/crates/daemon/src/controller_thread.rs
@@ -656,7 +656,7 @@
         let now = self.clock.now_ms();
         lock(&self.report_queue)
             .push(now, &reporter, report.window_ms, lines, arrivals)
-            .map_err(|why| format!("load report refused: {why:?}"))
+            .map_err(|why| format!("load report refused: {why}"))
     }
 
     fn report_interval_ms(&self) -> f64 {
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -10,8 +10,8 @@
 //! 4. An invalid line of a collector is skipped and counted; the lines around it are used.
 //! 5. When the connection limit is reached, the oldest connection that has not joined is closed. Bytes
 //!    it sent before are read first; if they make it join, it stays.
-//! 6. A zone has at most [`COLLECTORS_PER_ZONE`] collectors; a further one replaces the one silent for
-//!    longest. So a silent collector blocks no new one, and a stranger does not at once replace one
+//! 6. A zone has at most [`MAX_COLLECTORS_PER_ZONE`] collectors; a further one replaces the one silent
+//!    for longest. So a silent collector blocks no new one, and a newcomer does not at once replace one
 //!    that reports.
 //! 7. A client that got an answer can read it and then the end of the stream: the sending side is shut
 //!    down first, and further input is discarded for a while ([`ANSWER_TIMEOUT`],
@@ -36,8 +36,8 @@
 const PROBE_KEEP_ALIVE: Duration = Duration::from_secs(10);
 /// A collector silent for this long counts as gone; collectors report each second.
 const COLLECTOR_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Collectors per zone.
-const COLLECTORS_PER_ZONE: usize = 4;
+/// The limit on collectors per zone.
+const MAX_COLLECTORS_PER_ZONE: usize = 4;
 /// The longest line accepted before joining, in bytes.
 const MAX_LINE_BYTES_BEFORE_JOINING: usize = 4096;
 /// The timeout for writing an answer, and for reading what follows before the connection is closed.
@@ -118,7 +118,7 @@
             connection.socket.interrupt();
             drop(open);
             self.shared.log.fault("connections", || {
-                "connection limit reached, closing the oldest that has not joined".into()
+                "the budget is full: the oldest stranger goes".into()
             });
         }
     }
@@ -176,7 +176,7 @@
         let others = open
             .iter()
             .filter(|(n, c)| c.zone == Some(zone) && **n != number);
-        if others.clone().count() >= COLLECTORS_PER_ZONE {
+        if others.clone().count() >= MAX_COLLECTORS_PER_ZONE {
             let most_silent = others.min_by_key(|(_, c)| c.last_received).map(|(n, _)| *n);
             if let Some(evicted) = most_silent.and_then(|n| open.remove(&n)) {
                 evicted.socket.interrupt();
@@ -204,7 +204,7 @@
         let mut deadline = Instant::now() + JOIN_TIMEOUT;
         let mut buffer = [0; 4096];
         loop {
-            // An evicted connection is read once more without waiting.
+            // An evicted connection is read one last time, without waiting.
             let is_open = self.is_open(number);
             let read_deadline = if is_open { deadline } else { Instant::now() };
             let n = match socket.read(&mut buffer, Some(read_deadline)) {
@@ -243,14 +243,14 @@
                     }
                     Err(LineError::InvalidField(field)) if zone.is_some() => {
                         let text = line.map_or(String::new(), preview);
-                        let detail = || format!("invalid field {field:?}, line ignored: {text:?}");
+                        let detail = || format!("field {field:?} is no good, left out: {text:?}");
                         self.shared.log.fault("report", detail);
                     }
                     Ok(Message::Report(_)) | Err(_) => {
                         self.shared.send_inputs(inputs);
                         let text = line.map_or("line too long".into(), preview);
                         let detail =
-                            || format!("unreadable line, or a report before joining: {text:?}");
+                            || format!("what cannot be read, or no joining before: {text:?}");
                         self.shared.log.fault("closed", detail);
                         if zone.is_none() {
                             let written =
