--- a/crates/standins/src/obedient.rs
+++ b/crates/standins/src/obedient.rs
@@ -3,7 +3,7 @@
 
 use crate::proxy::{Layer, Look, Player, Trouble, class_of};
 use crate::world::lock;
-use dahliapoint_daemon::deployment::Idempotency;
+use dahliapoint_daemon::deployment;
 use dahliapoint_fibers::{TcpStream, dial, shutdown_at, sleep, spawn};
 use dahliapoint_proxy::data_plane::DataPlane;
 use dahliapoint_proxy::environment::{Environment, TableMessage};
@@ -76,9 +76,9 @@
             name: c.name.clone(),
             hard_limit_ms: c.hard_ms,
             idempotency: match repeat {
-                Idempotency::Safe => Idempotency::Safe,
-                Idempotency::Keyed => Idempotency::Keyed,
-                Idempotency::Never => Idempotency::Never,
+                deployment::Idempotency::Safe => Idempotency::Safe,
+                deployment::Idempotency::Keyed => Idempotency::Keyed,
+                deployment::Idempotency::Never => Idempotency::Never,
             },
         });
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
