--- a/crates/daemon/src/controller_thread.rs
+++ b/crates/daemon/src/controller_thread.rs
@@ -54,6 +54,7 @@
 /// Merged reports that one slice reads.
 const REPORTERS_PER_SLICE: usize = 64;
 
+/// Locks a mutex, also after a panic of another holder.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
@@ -63,10 +64,12 @@
 pub struct Clock(Instant);
 
 impl Clock {
+    /// Starts a clock.
     pub fn start() -> Clock {
         Clock(Instant::now())
     }
 
+    /// Present time, from a start at [`CLOCK_ORIGIN_MS`].
     pub fn now_ms(&self) -> f64 {
         CLOCK_ORIGIN_MS + self.0.elapsed().as_secs_f64() * 1e3
     }
@@ -124,6 +127,7 @@
 /// Counters of the thread.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoopStats {
+    /// Batches of inputs that were handled.
     pub steps: u64,
     pub inputs: u64,
     /// Time spent in [`Controller::handle`] and with its inputs.
--- a/crates/daemon/src/dns.rs
+++ b/crates/daemon/src/dns.rs
@@ -81,6 +81,7 @@
         json!([targets, dns_only, names, addresses]).to_string()
     }
 
+    /// Reads the stored form; `None` if it is not valid.
     fn parse(text: &str) -> Option<StoredAnswer> {
         type Form = (
             Vec<(String, SocketAddr, u16, u16)>,
--- a/crates/daemon/src/hook_runner.rs
+++ b/crates/daemon/src/hook_runner.rs
@@ -301,6 +301,7 @@
 }
 
 impl HookRunner {
+    /// Creates a runner; [`HookRunner::start`] starts its thread.
     pub fn new(settings: HooksSettings) -> Arc<HookRunner> {
         Arc::new(HookRunner {
             settings,
@@ -946,7 +947,7 @@
     }
 }
 
-/// A deadline that several runs share: each gets an equal part of the time that is left.
+/// A deadline that several runs share: each gets an equal part of the time that is left when it begins.
 struct SharedDeadline {
     shared_deadline: Instant,
     /// Deadline of the present run.
--- a/crates/daemon/src/probe.rs
+++ b/crates/daemon/src/probe.rs
@@ -24,6 +24,7 @@
 }
 
 impl Prober {
+    /// Creates a prober that requests `path` and waits for an answer for `timeout_ms`.
     pub fn new(path: &str, timeout_ms: f64, controller: Arc<dyn ControllerHandle>) -> Prober {
         Prober {
             path: path.to_string(),
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -121,6 +121,7 @@
 }
 
 impl RosterWatcher {
+    /// Watches `path`; the first poll reads it.
     pub fn new(path: &Path, format: &RosterFormat, zones: &[String]) -> RosterWatcher {
         RosterWatcher {
             path: path.to_path_buf(),
