--- a/crates/daemon/tests/interop.rs
+++ b/crates/daemon/tests/interop.rs
@@ -31,7 +31,7 @@
 
 const DEPLOYMENT: &str = "service: portal\nzones: [east, west]\n\
     classes: [{name: view, soft_limit: 1s}, {name: pay, soft_limit: 1s, earnings: 2}]\n\
-    reports: {interval: 200ms}\nroster: {file: none.yaml}\nlisten: {xds: '127.0.0.1:0'}\nseed: 7\n";
+    reports: {every: 200ms}\nroster: {file: none.yaml}\nlisten: {xds: '127.0.0.1:0'}\nseed: 7\n";
 
 fn daemon() -> Daemon {
     let deployment = deployment::parse("d.yaml", DEPLOYMENT).unwrap();
