--- a/crates/daemon/src/deployment.rs
+++ b/crates/daemon/src/deployment.rs
@@ -1,9 +1,9 @@
-//! The deployment file: what a controller is told about its service. Read whole and checked whole before
-//! anything starts. docs/operators/running.md lists the fields.
+//! The deployment file: the settings of a controller and its service. It is read and checked completely
+//! before anything starts. docs/operators/running.md lists the fields.
 
-use crate::hooking::HooksPlace;
-use crate::importing::{Foreign, RosterForm};
-use crate::resolving::DnsPlace;
+use crate::dns::DnsSettings;
+use crate::hook_runner::HooksSettings;
+use crate::import::{ImportSettings, RosterFormat};
 use dahliapoint_control::rollout::GuardMode;
 use dahliapoint_control::{ClassSettings, ControllerSettings, RetryPolicy};
 use dahliapoint_files::drain_timing::{DrainCheck, DrainTiming};
@@ -17,79 +17,82 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// A roster waits for hooks no longer than this share of the drains' grace.
+/// Share of the drains' grace period that hooks may delay a roster at most.
 const HOOKS_GRACE: f64 = 0.1;
 
-/// What a repeated visit of a class may do.
+/// Whether visits of a class may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
-    /// Nothing: it only reads.
+pub enum Idempotency {
+    /// Yes: they only read.
     Safe,
-    /// Nothing, while servers know its key.
+    /// Yes, while servers remember the visit's idempotency key.
     Keyed,
-    /// It must never run twice.
+    /// No: a visit must never run twice.
     Never,
 }
 
-/// The form of the log.
+/// Output format of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LogForm {
+pub enum LogFormat {
     Text,
     Json,
 }
 
-/// All of a deployment file.
+/// A deployment file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deployment {
-    pub terms: ControllerSettings,
+    pub settings: ControllerSettings,
+    /// By class.
+    pub idempotency: Vec<Idempotency>,
     /// By class.
-    pub repeats: Vec<Repeat>,
     pub hard_limits_ms: Vec<f64>,
-    pub connect_ms: f64,
-    pub roster: PathBuf,
-    pub roster_form: RosterForm,
-    pub roster_every_ms: f64,
+    pub connect_timeout_ms: f64,
+    pub roster_path: PathBuf,
+    pub roster_format: RosterFormat,
+    pub roster_poll_interval_ms: f64,
     pub probe_path: String,
-    pub probe_within_ms: f64,
+    pub probe_timeout_ms: f64,
     pub listen: SocketAddr,
-    pub log_form: LogForm,
+    pub log_format: LogFormat,
     pub log_level: String,
-    /// Where chance starts; drawn from the clock if not given.
+    /// Seed of the random numbers; taken from the clock if not given.
     pub seed: Option<u64>,
-    /// A proxy's connection is given up after this long without an answer to a ping.
-    pub stream_patience_ms: f64,
-    /// The front of files, if there is one.
-    pub files: Option<Files>,
-    /// Where what is known is kept over restarts, and the key that it is sealed with.
+    /// A proxy's connection is closed if a ping is not answered for this long.
+    pub ping_timeout_ms: f64,
+    /// The front that exchanges tables and reports by files, if it is used.
+    pub files: Option<FileFrontSettings>,
+    /// Directory that keeps state over restarts, and the file with the key that seals it.
     pub memory: Option<(PathBuf, Option<PathBuf>)>,
-    /// SRV records beside the roster.
-    pub dns: Option<DnsPlace>,
-    /// Controllers that are asked at the start, and for how long.
+    /// Servers from SRV records, in addition to the roster.
+    pub dns: Option<DnsSettings>,
+    /// Controllers that are asked for their state at the start.
     pub peers: Vec<SocketAddr>,
-    pub peers_within_ms: f64,
-    /// Who asks is told.
-    pub tells: bool,
-    /// Where hooks are, and what they may use.
-    pub hooks: Option<HooksPlace>,
+    pub peers_timeout_ms: f64,
+    /// Whether peers that ask are answered.
+    pub answers_peers: bool,
+    /// Hooks, if they are used.
+    pub hooks: Option<HooksSettings>,
 }
 
-/// The front of files, as a deployment tells it.
+/// Settings of the front of files.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Files {
+pub struct FileFrontSettings {
     pub dir: PathBuf,
-    /// Forms that are written beside the table of our own.
-    pub forms: Vec<Format>,
+    /// Formats that are written in addition to the native table.
+    pub formats: Vec<Format>,
+    /// Polling intervals and grace period, which bound how late a proxy sees a change.
     pub reach: DrainTiming,
-    pub beat_ms: f64,
+    pub heartbeat_interval_ms: f64,
+    /// How long a table stays valid.
     pub valid_ms: f64,
-    /// The keys, one or two, that tables and reports are sealed with.
+    /// File with the one or two keys that seal tables and reports.
     pub keys: Option<PathBuf>,
 }
 
-/// Reads a deployment; paths in it are taken from the folder of the file.
+/// Parses a deployment file; paths in it are relative to the folder of the file.
 ///
 /// # Errors
-/// All that is wrong with it, with lines.
+/// Returns all faults, with their lines.
 pub fn parse(file: &str, text: &str) -> Result<Deployment, Faults> {
     let folder = Path::new(file)
         .parent()
@@ -101,11 +104,11 @@
 fn deployment(at: &FieldReader, folder: &Path) -> Deployment {
     let service = at.field("service").string(None);
     let zones = names(&at.field("zones"), "zone");
-    let (classes, repeats, hard_limits_ms) = classes(&at.field("classes"));
+    let (classes, idempotency, hard_limits_ms) = classes(&at.field("classes"));
 
     let proxies = at.field("proxies");
-    let tries = proxies.field("further_try");
-    let usual_tries = tries.choice(
+    let further_try = proxies.field("further_try");
+    let default_retry_policy = further_try.choice(
         &[
             ("never", RetryPolicy::Never),
             ("on_proof", RetryPolicy::OnProof),
@@ -113,78 +116,79 @@
         ],
         Some(RetryPolicy::OnProof),
     );
-    if usual_tries == RetryPolicy::OnFailure && repeats.contains(&Repeat::Never) {
-        tries.add_fault("never or on_proof is wanted: a class here must never run twice");
+    if default_retry_policy == RetryPolicy::OnFailure && idempotency.contains(&Idempotency::Never) {
+        further_try.add_fault("never or on_proof is wanted: a class here must never run twice");
     }
-    let shares = proxies.field("refuse");
-    let shares = shares.choice(&[("share", true), ("nothing", false)], Some(false));
-    let idle_ms = proxies
+    let admission_control = proxies.field("refuse");
+    let admission_control =
+        admission_control.choice(&[("share", true), ("nothing", false)], Some(false));
+    let idle_timeout_ms = proxies
         .field("idle")
         .duration_ms(1.0..=3.6e6, Some(15_000.0));
-    let standing_lines = proxies.field("standing").number(0.0..=10_000.0, Some(10.0));
-    let usual_pace = proxies.field("usual_pace").number(0.0..=1e6, Some(0.0));
-    let connect_ms = proxies
+    let initial_servers = proxies.field("standing").number(0.0..=10_000.0, Some(10.0));
+    let default_visits_per_s = proxies.field("usual_pace").number(0.0..=1e6, Some(0.0));
+    let connect_timeout_ms = proxies
         .field("connect")
         .duration_ms(1.0..=60_000.0, Some(250.0));
-    let patience = proxies
+    let ping_timeout_ms = proxies
         .field("patience")
         .duration_ms(100.0..=600_000.0, Some(4_000.0));
     proxies.deny_unknown_fields();
 
     let channel = at.field("channel");
-    let most_waiting = channel
+    let max_queued_lines = channel
         .field("most_waiting")
         .number(10.0..=1e9, Some(20_000.0));
     let lines_per_s = channel
         .field("lines_per_s")
         .number(1.0..=1e9, Some(15_000.0));
-    let way_ms = channel.field("way").duration_ms(0.0..=60_000.0, Some(50.0));
-    let message_lines = channel
+    let message_latency_ms = channel.field("way").duration_ms(0.0..=60_000.0, Some(50.0));
+    let message_overhead_lines = channel
         .field("message_lines")
         .number(0.0..=1000.0, Some(3.0));
-    let most = channel.field("most_messages");
-    let most_messages = most.number(0.0..=1e6, Some(0.0));
-    let least = MAX_RESPONSES_PER_JOIN + 4.0 * MAX_RESPONSES_PER_MESSAGE;
-    if most_messages > 0.0 && most_messages < least {
-        most.add_fault(format!(
-            "0 for no limit, or at least {least}: a joining takes {MAX_RESPONSES_PER_JOIN}"
+    let max_messages_field = channel.field("most_messages");
+    let max_messages = max_messages_field.number(0.0..=1e6, Some(0.0));
+    let min_messages = MAX_RESPONSES_PER_JOIN + 4.0 * MAX_RESPONSES_PER_MESSAGE;
+    if max_messages > 0.0 && max_messages < min_messages {
+        max_messages_field.add_fault(format!(
+            "0 for no limit, or at least {min_messages}: a joining takes {MAX_RESPONSES_PER_JOIN}"
         ));
     }
-    let message_span_ms = channel
+    let message_window_ms = channel
         .field("within")
         .duration_ms(1.0..=3.6e6, Some(10_000.0));
     channel.deny_unknown_fields();
 
     let reports = at.field("reports");
-    let report_every_ms = reports
+    let report_interval_ms = reports
         .field("every")
         .duration_ms(50.0..=60_000.0, Some(1_000.0));
-    let reports_per_s = reports
+    let report_lines_per_s = reports
         .field("lines_per_s")
         .number(1.0..=1e9, Some(100_000.0));
     reports.deny_unknown_fields();
 
     let cold = at.field("cold");
-    let cold_share = cold.field("share").number(0.001..=1.0, Some(0.15));
-    let warm_after_ms = cold
+    let cold_capacity_share = cold.field("share").number(0.001..=1.0, Some(0.15));
+    let warm_up_ms = cold
         .field("warm_after")
         .duration_ms(0.0..=3.6e6, Some(18_000.0));
-    let fall_multiple = cold.field("falls_at").number(1.0..=1000.0, Some(3.0));
+    let overload_multiple = cold.field("falls_at").number(1.0..=1000.0, Some(3.0));
     cold.deny_unknown_fields();
 
     let drains = at.field("drains");
     let grace_ms = drains
         .field("grace")
         .duration_ms(1.0..=3.6e6, Some(3_000.0));
-    let dropped_may_stay = drains.field("dropped_may_stay").boolean(Some(false));
+    let keep_unlisted_servers = drains.field("dropped_may_stay").boolean(Some(false));
     drains.deny_unknown_fields();
 
     let roster = at.field("roster");
     let roster_file = roster.field("file").string(None);
-    let roster_every_ms = roster
+    let roster_poll_interval_ms = roster
         .field("every")
         .duration_ms(10.0..=60_000.0, Some(200.0));
-    let roster_form = roster_form(&roster, folder, &zones);
+    let roster_format = roster_format(&roster, folder, &zones);
     let dns = roster.field("dns");
     let dns = dns.is_present().then(|| self::dns(&dns, &zones));
     let probe = roster.field("probe");
@@ -195,7 +199,7 @@
             .field("path")
             .add_fault("a path that begins with / is wanted");
     }
-    let probe_within_ms = probe
+    let probe_timeout_ms = probe
         .field("within")
         .duration_ms(1.0..=60_000.0, Some(1_000.0));
     probe.deny_unknown_fields();
@@ -231,10 +235,10 @@
             })
         })
         .collect();
-    let peers_within_ms = peers
+    let peers_timeout_ms = peers
         .field("within")
         .duration_ms(10.0..=60_000.0, Some(1_000.0));
-    let tells = peers.field("tell").boolean(Some(true));
+    let answers_peers = peers.field("tell").boolean(Some(true));
     peers.deny_unknown_fields();
 
     let hooks = at.field("hooks");
@@ -242,17 +246,17 @@
         .is_present()
         .then(|| self::hooks(&hooks, folder, grace_ms));
 
-    let guard = at.field("guard");
+    let guard_mode = at.field("guard");
     let modes = [
         ("hold", GuardMode::Enforce),
         ("tell", GuardMode::ReportOnly),
         ("off", GuardMode::Off),
     ];
-    let guard = guard.choice(&modes, Some(GuardMode::Enforce));
+    let guard_mode = guard_mode.choice(&modes, Some(GuardMode::Enforce));
 
     let log = at.field("log");
-    let forms = [("text", LogForm::Text), ("json", LogForm::Json)];
-    let log_form = log.field("form").choice(&forms, Some(LogForm::Text));
+    let forms = [("text", LogFormat::Text), ("json", LogFormat::Json)];
+    let log_format = log.field("form").choice(&forms, Some(LogFormat::Text));
     let levels = ["error", "warn", "info", "debug", "trace"].map(|l| (l, l));
     let log_level = log.field("level").choice(&levels, Some("info")).to_string();
     log.deny_unknown_fields();
@@ -264,61 +268,61 @@
     at.deny_unknown_fields();
 
     Deployment {
-        terms: ControllerSettings {
+        settings: ControllerSettings {
             service,
             zones,
             classes,
-            admission_control: shares,
-            max_queued_lines: most_waiting,
+            admission_control,
+            max_queued_lines,
             lines_per_s,
-            message_latency_ms: way_ms,
-            message_overhead_lines: message_lines,
-            max_messages: most_messages,
-            message_window_ms: message_span_ms,
+            message_latency_ms,
+            message_overhead_lines,
+            max_messages,
+            message_window_ms,
             writes_per_message: MAX_RESPONSES_PER_MESSAGE,
             writes_per_join: MAX_RESPONSES_PER_JOIN,
-            idle_timeout_ms: idle_ms,
-            initial_servers: standing_lines,
-            default_visits_per_s: usual_pace,
-            report_interval_ms: report_every_ms,
-            report_lines_per_s: reports_per_s,
-            cold_capacity_share: cold_share,
-            warm_up_ms: warm_after_ms,
-            overload_multiple: fall_multiple,
+            idle_timeout_ms,
+            initial_servers,
+            default_visits_per_s,
+            report_interval_ms,
+            report_lines_per_s,
+            cold_capacity_share,
+            warm_up_ms,
+            overload_multiple,
             drain_grace_ms: grace_ms,
-            keep_unlisted_servers: dropped_may_stay,
-            default_retry_policy: usual_tries,
+            keep_unlisted_servers,
+            default_retry_policy,
             may_probe,
-            heartbeat_interval_ms: files.as_ref().map_or(0.0, |f| f.beat_ms),
-            guard_mode: guard,
+            heartbeat_interval_ms: files.as_ref().map_or(0.0, |f| f.heartbeat_interval_ms),
+            guard_mode,
         },
-        repeats,
+        idempotency,
         hard_limits_ms,
-        connect_ms,
-        roster: folder.join(roster_file),
-        roster_form,
-        roster_every_ms,
+        connect_timeout_ms,
+        roster_path: folder.join(roster_file),
+        roster_format,
+        roster_poll_interval_ms,
         probe_path,
-        probe_within_ms,
+        probe_timeout_ms,
         listen: address.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0))),
-        log_form,
+        log_format,
         log_level,
         seed,
-        stream_patience_ms: patience,
+        ping_timeout_ms,
         files,
         memory,
         dns,
         peers: addresses.into_iter().flatten().collect(),
-        peers_within_ms,
-        tells,
+        peers_timeout_ms,
+        answers_peers,
         hooks,
     }
 }
 
-fn dns(at: &FieldReader, zones: &[String]) -> DnsPlace {
+fn dns(at: &FieldReader, zones: &[String]) -> DnsSettings {
     let name = at.field("name");
-    let told = name.string(None);
-    if let Err(why) = dahliapoint_dns::lookup::parse_name(&told) {
+    let srv_name = name.string(None);
+    if let Err(why) = dahliapoint_dns::lookup::parse_name(&srv_name) {
         name.add_fault(format!(
             "a name such as _portal._tcp.example.org is wanted: {why}"
         ));
@@ -326,57 +330,57 @@
     let wanted = "an address such as 127.0.0.1:53";
     let server = at.field("server").parsed(wanted, None, |t| t.parse().ok());
     let zone = at.field("zone");
-    let one = match zones {
+    let only_zone = match zones {
         [one] => Some(one.as_str()),
         _ => None,
     };
-    let told_zone = zone.string(one);
-    if !zones.contains(&told_zone) {
+    let zone_name = zone.string(only_zone);
+    if !zones.contains(&zone_name) {
         zone.add_fault(format!("one of the zones {} is wanted", zones.join(", ")));
     }
-    let place = DnsPlace {
-        name: told,
+    let settings = DnsSettings {
+        name: srv_name,
         server: server.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 53))),
-        zone: told_zone,
-        adds: at.field("adds").boolean(Some(false)),
-        within_ms: at
+        zone: zone_name,
+        adds_servers: at.field("adds").boolean(Some(false)),
+        timeout_ms: at
             .field("within")
             .duration_ms(50.0..=60_000.0, Some(1_000.0)),
     };
     at.deny_unknown_fields();
-    place
+    settings
 }
 
-/// Our own form, or others' files with what is to be known beside them.
-fn roster_form(at: &FieldReader, folder: &Path, zones: &[String]) -> RosterForm {
+/// Format of the roster: native, or files of another program and the settings to import them.
+fn roster_format(at: &FieldReader, folder: &Path, zones: &[String]) -> RosterFormat {
     let kinds = [
         ("yaml", None),
         ("apache", Some(ConfigFormat::Apache)),
         ("mod_jk", Some(ConfigFormat::Jk)),
     ];
     let Some(kind) = at.field("form").choice(&kinds, Some(None)) else {
-        return RosterForm::Own;
+        return RosterFormat::Yaml;
     };
     let optional = |name: &str| {
         let field = at.field(name);
         field.is_present().then(|| field.string(None))
     };
     let zone = at.field("zone");
-    let one = match zones {
+    let only_zone = match zones {
         [one] => Some(one.clone()),
         _ => None,
     };
     let zone = if zone.is_present() {
-        let told = zone.string(None);
-        if !zones.contains(&told) {
+        let name = zone.string(None);
+        if !zones.contains(&name) {
             zone.add_fault(format!("one of the zones {} is wanted", zones.join(", ")));
         }
-        Some(told)
+        Some(name)
     } else {
-        // Where there is one, it is theirs.
-        one
+        // The default, if the deployment has a single zone.
+        only_zone
     };
-    RosterForm::Foreign(Foreign {
+    RosterFormat::Imported(ImportSettings {
         kind,
         balancer: optional("balancer"),
         assumed: at
@@ -390,73 +394,73 @@
     })
 }
 
-/// Hooks: what all of them may use is bounded by the grace, since a roster waits for them.
-fn hooks(at: &FieldReader, folder: &Path, grace_ms: f64) -> HooksPlace {
-    let usual = Bounds::default();
+/// Settings of hooks. Their time for a roster is bounded by the grace period, since the roster waits for them.
+fn hooks(at: &FieldReader, folder: &Path, grace_ms: f64) -> HooksSettings {
+    let defaults = Bounds::default();
     let run = at.field("run");
-    let run_ms = run.duration_ms(1.0..=1_000.0, Some(20.0));
-    let publication_ms = at.field("publication").duration_ms(0.1..=50.0, Some(2.0));
+    let run_timeout_ms = run.duration_ms(1.0..=1_000.0, Some(20.0));
+    let publication_timeout_ms = at.field("publication").duration_ms(0.1..=50.0, Some(2.0));
     let roster = at.field("roster");
-    let roster_ms = roster.duration_ms(1.0..=1_000.0, Some(50.0));
-    // A roster waits for the run at hand, then for the hooks that see it.
-    if run_ms + roster_ms > grace_ms * HOOKS_GRACE {
-        let most = grace_ms * HOOKS_GRACE;
+    let roster_timeout_ms = roster.duration_ms(1.0..=1_000.0, Some(50.0));
+    // A roster waits for the run that is under way, then for the hooks that see it.
+    if run_timeout_ms + roster_timeout_ms > grace_ms * HOOKS_GRACE {
+        let limit_ms = grace_ms * HOOKS_GRACE;
         roster.add_fault(format!(
-            "run and roster together are at most {most} ms: a tenth of the drains' grace"
+            "run and roster together are at most {limit_ms} ms: a tenth of the drains' grace"
         ));
     }
     let allowance = Allowance {
         steps: at
             .field("steps")
-            .number(100.0..=1e9, Some(usual.allowance.steps as f64)) as u64,
+            .number(100.0..=1e9, Some(defaults.allowance.steps as f64)) as u64,
         bytes: at.field("memory_kib").number(16.0..=1e6, Some(4096.0)) as usize * 1024,
-        ..usual.allowance
+        ..defaults.allowance
     };
     let wishes = at
         .field("wishes_a_minute")
-        .number(1.0..=1e6, Some(usual.wishes_a_minute as f64));
-    let place = HooksPlace {
+        .number(1.0..=1e6, Some(defaults.wishes_a_minute as f64));
+    let settings = HooksSettings {
         dir: folder.join(at.field("dir").string(None)),
         bounds: Bounds {
             allowance,
             wishes_a_minute: wishes as usize,
         },
-        run_ms,
-        publication_ms,
-        roster_ms,
-        every_ms: at.field("every").duration_ms(10.0..=600_000.0, Some(500.0)),
+        run_timeout_ms,
+        publication_timeout_ms,
+        roster_timeout_ms,
+        poll_interval_ms: at.field("every").duration_ms(10.0..=600_000.0, Some(500.0)),
     };
     at.deny_unknown_fields();
-    place
+    settings
 }
 
-/// The front of files.
-fn files(at: &FieldReader, folder: &Path, grace_ms: f64) -> Files {
+/// Settings of the front of files.
+fn files(at: &FieldReader, folder: &Path, grace_ms: f64) -> FileFrontSettings {
     let forms = at.field("forms");
-    let mut listed = Vec::new();
-    for place in forms.list() {
+    let mut formats = Vec::new();
+    for item in forms.list() {
         let names = Format::ALL.map(|f| (f.name(), f));
-        let form = place.choice(&names, None);
-        if listed.contains(&form) {
-            place.add_fault("each form once is wanted");
+        let form = item.choice(&names, None);
+        if formats.contains(&form) {
+            item.add_fault("each form once is wanted");
         }
-        listed.push(form);
+        formats.push(form);
     }
     let every = at.field("every");
-    let every_ms = every.duration_ms(10.0..=600_000.0, Some(200.0));
+    let poll_interval_ms = every.duration_ms(10.0..=600_000.0, Some(200.0));
     let read = at.field("read_every");
     let reach = DrainTiming {
-        write_interval_ms: every_ms,
+        write_interval_ms: every_ms: poll_interval_ms,
         read_interval_ms: read.duration_ms(10.0..=600_000.0, Some(500.0)),
         drain_grace_ms: grace_ms,
     };
     let keys = at.field("keys");
     let keys = keys.is_present().then(|| folder.join(keys.string(None)));
-    let files = Files {
+    let files = FileFrontSettings {
         dir: folder.join(at.field("dir").string(None)),
-        forms: listed,
+        formats,
         reach,
-        beat_ms: at
+        heartbeat_interval_ms: at
             .field("beat")
             .duration_ms(50.0..=600_000.0, Some(1_000.0)),
         valid_ms: at
@@ -471,14 +475,14 @@
     files
 }
 
-/// Names, at least one, each once.
+/// A list of at least one name, without duplicates; `what` names its elements in faults.
 fn names(at: &FieldReader, what: &str) -> Vec<String> {
     let mut seen = BTreeSet::new();
     let mut names = Vec::new();
-    for place in at.list() {
-        let name = place.string(None);
+    for item in at.list() {
+        let name = item.string(None);
         if !seen.insert(name.clone()) {
-            place.add_fault(format!("{name:?} is named twice"));
+            item.add_fault(format!("{name:?} is named twice"));
         }
         names.push(name);
     }
@@ -488,24 +492,25 @@
     names
 }
 
-fn classes(at: &FieldReader) -> (Vec<ClassSettings>, Vec<Repeat>, Vec<f64>) {
-    let (mut classes, mut repeats, mut limits) = (Vec::new(), Vec::new(), Vec::new());
+/// Settings of the classes, and by class: idempotency and hard limit.
+fn classes(at: &FieldReader) -> (Vec<ClassSettings>, Vec<Idempotency>, Vec<f64>) {
+    let (mut classes, mut idempotency, mut limits) = (Vec::new(), Vec::new(), Vec::new());
     let mut seen = BTreeSet::new();
-    for place in at.list() {
-        let name = place.field("name").string(None);
+    for item in at.list() {
+        let name = item.field("name").string(None);
         if !seen.insert(name.clone()) {
-            place
-                .field("name")
-                .add_fault(format!("{name:?} is named twice"));
+            item.field("name").add_fault(format!("{name:?} is named twice"));
         }
-        let soft = place.field("soft_limit").duration_ms(1.0..=3.6e6, None);
-        let words = [
-            ("safe", Repeat::Safe),
-            ("keyed", Repeat::Keyed),
-            ("never", Repeat::Never),
+        let soft = item.field("soft_limit").duration_ms(1.0..=3.6e6, None);
+        let choices = [
+            ("safe", Idempotency::Safe),
+            ("keyed", Idempotency::Keyed),
+            ("never", Idempotency::Never),
         ];
-        let repeat = place.field("repeat").choice(&words, Some(Repeat::Never));
-        let hard = place.field("hard_limit");
+        let repeat = item
+            .field("repeat")
+            .choice(&choices, Some(Idempotency::Never));
+        let hard = item.field("hard_limit");
         let hard_ms = hard.duration_ms(1.0..=3.6e6, Some(soft * 3.0));
         if hard_ms < soft {
             hard.add_fault("a time no shorter than the soft limit is wanted");
@@ -513,81 +518,18 @@
         classes.push(ClassSettings {
             name,
             soft_limit_ms: soft,
-            earnings: place.field("earnings").number(0.001..=1e6, Some(1.0)),
-            idempotent: repeat != Repeat::Never,
+            earnings: item.field("earnings").number(0.001..=1e6, Some(1.0)),
+            idempotent: repeat != Idempotency::Never,
         });
-        repeats.push(repeat);
+        idempotency.push(repeat);
         limits.push(hard_ms);
-        place.deny_unknown_fields();
+        item.deny_unknown_fields();
     }
     if classes.is_empty() {
         at.add_fault("at least one class is wanted");
     }
-    (classes, repeats, limits)
+    (classes, idempotency, limits)
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const SMALL: &str = "service: s\nzones: [a]\nclasses: [{name: c, soft_limit: 1s}]\n\
-        roster: {file: r.yaml}\nlisten: {xds: '127.0.0.1:0'}\n";
-
-    #[test]
-    fn a_small_deployment_has_its_defaults() {
-        let d = parse("conf/d.yaml", SMALL).unwrap();
-        assert_eq!(d.roster, PathBuf::from("conf/r.yaml"));
-        assert_eq!(
-            d.repeats,
-            [Repeat::Never],
-            "nothing is repeated unless it is said"
-        );
-        assert_eq!(d.hard_limits_ms, [3000.0]);
-        assert!(!d.terms.may_probe);
-    }
-
-    #[test]
-    fn what_contradicts_itself_is_refused_with_its_line() {
-        let cases = [
-            ("zones: [a]", "zones: [a, a]", 2, "zones[1]"),
-            ("zones: [a]", "zones: []", 2, "zones"),
-            (
-                "soft_limit: 1s",
-                "soft_limit: 1s, hard_limit: 900ms",
-                3,
-                "classes[0].hard_limit",
-            ),
-            (
-                "soft_limit: 1s",
-                "soft_limit: 1s, repeat: maybe",
-                3,
-                "classes[0].repeat",
-            ),
-            ("127.0.0.1:0", "localhost", 5, "listen.xds"),
-            (
-                "service: s",
-                "proxies: {further_try: on_failure}\nservice: s",
-                1,
-                "proxies.further_try",
-            ),
-            (
-                "service: s",
-                "channel: {most_messages: 5}\nservice: s",
-                1,
-                "channel.most_messages",
-            ),
-            (
-                "r.yaml}",
-                "r.yaml, probe: {path: 'x y'}}",
-                4,
-                "roster.probe.path",
-            ),
-        ];
-        for (from, to, line, field) in cases {
-            let text = SMALL.replace(from, to);
-            let faults = parse("d.yaml", &text).unwrap_err();
-            let found = faults.0.iter().any(|f| f.line == line && f.field == field);
-            assert!(found, "{to}: {faults}");
-        }
-    }
-}
+mod tests;
--- a/crates/proxy/tests/files.rs
+++ b/crates/proxy/tests/files.rs
@@ -2,8 +2,8 @@
 //! between files and streams.
 
 use dahliapoint_control::{AdminState, RosterEntry};
+use dahliapoint_daemon::daemon::{Daemon, RosterSource};
 use dahliapoint_daemon::deployment;
-use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_proxy::data_plane::DataPlane;
 use dahliapoint_proxy::file_client::{FileClient, ShutdownMode};
 use dahliapoint_proxy::settings;
@@ -69,7 +69,7 @@
     );
     let file = folder.join("d.yaml").display().to_string();
     let deployment = deployment::parse(&file, &text).unwrap();
-    Daemon::start(&deployment, Source::File, None).unwrap()
+    Daemon::start(&deployment, RosterSource::File, None).unwrap()
 }
 
 /// A data plane with these settings of its control client.
@@ -95,7 +95,7 @@
 
 fn overview(daemon: &Daemon) -> Value {
     use dahliapoint_control::ControllerHandle;
-    daemon.engine().overview()
+    daemon.controller().overview()
 }
 
 /// The proxies that the controller knows, and whether they are bound to a part.
@@ -258,7 +258,7 @@
         started: None,
     };
     use dahliapoint_control::{ControllerHandle, Input};
-    daemon.engine().send(Input::RosterChanges(vec![entry]));
+    daemon.controller().send(Input::RosterChanges(vec![entry]));
     until("both apply the drain", || {
         by_files.server_count() == 1 && by_stream.server_count() == 1
     });
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -1,8 +1,8 @@
 //! The proxy on real sockets, between clients and servers of the test, with tables from the real controller.
 
 use dahliapoint_control::{AdminState, Input, RosterEntry};
+use dahliapoint_daemon::daemon::{Daemon, RosterSource};
 use dahliapoint_daemon::deployment;
-use dahliapoint_daemon::life::{Daemon, Source};
 use dahliapoint_proxy::data_plane::DataPlane;
 use dahliapoint_proxy::settings::{self, RosterServer};
 use dahliapoint_proxy::xds_client::XdsClient;
@@ -211,7 +211,7 @@
          reports: {{every: 100ms}}\nroster: {{file: none}}\nlisten: {{xds: '{listen}'}}\nseed: 3\n"
     );
     let deployment = deployment::parse("d.yaml", &text).unwrap();
-    Daemon::start(&deployment, Source::Fixed(entries(servers)), None).unwrap()
+    Daemon::start(&deployment, RosterSource::Fixed(entries(servers)), None).unwrap()
 }
 
 use AdminState::{Draining, Ready};
@@ -248,8 +248,8 @@
     }
     // The controller reads the load reports of the proxy.
     until("all reports are read", || {
-        let overview = daemon.engine().overview();
-        let tries_per_s = |s: &dahliapoint_daemon::engine::Json| {
+        let overview = daemon.controller().overview();
+        let tries_per_s = |s: &dahliapoint_daemon::controller_thread::Json| {
             s["estimate"]["tries_per_s"].as_f64().unwrap_or(0.0)
         };
         overview["servers"]
@@ -261,7 +261,7 @@
             > 100.0
     });
     roster[3].2 = Draining;
-    daemon.engine().send(Input::Roster(entries(&roster)));
+    daemon.controller().send(Input::Roster(entries(&roster)));
     until("the drained server is withdrawn", || {
         p.plane.server_count() == 3
     });
@@ -287,7 +287,7 @@
     let restarted = controller(&roster, &address.to_string());
     until("connected again", || p.xds_client.is_connected());
     until("bound to a part again", || {
-        let view = restarted.engine().overview();
+        let view = restarted.controller().overview();
         view["proxies"]
             .as_array()
             .is_some_and(|p| p.iter().any(|p| !p["part"].is_null()))
@@ -310,7 +310,7 @@
     let plane = DataPlane::new(settings, &[]);
     let xds_client = XdsClient::start(plane.clone());
     let is_joined = |d: &Daemon| {
-        let view = d.engine().overview();
+        let view = d.controller().overview();
         view["proxies"].as_array().is_some_and(|p| !p.is_empty())
     };
     until("connected to the second", || {
--- a/crates/standins/src/faulty_controller.rs
+++ b/crates/standins/src/faulty_controller.rs
@@ -5,9 +5,9 @@
 
 use dahliapoint::{self as planner, Orders};
 use dahliapoint_control::{Input, LineState, Message, Output, RetryPolicy, Scope};
+use dahliapoint_daemon::controller_thread::{Clock, ControllerThread};
 use dahliapoint_daemon::deployment;
-use dahliapoint_daemon::engine::{Clock, Engine};
-use dahliapoint_daemon::roster::{Look, Watch};
+use dahliapoint_daemon::roster::{PollResult, RosterWatcher};
 use dahliapoint_grpc::{Limits, Server};
 use dahliapoint_xds::{ControllerHandle, ServiceConfig, XdsService};
 use std::collections::{BTreeMap, BTreeSet};
@@ -51,19 +51,19 @@
     let text = std::fs::read_to_string(file).map_err(|e| e.to_string())?;
     let name = file.display().to_string();
     let deployment = deployment::parse(&name, &text).map_err(|f| f.to_string())?;
-    dahliapoint_daemon::cli::log(&deployment);
-    let settings = deployment.terms.clone();
+    dahliapoint_daemon::cli::init_logging(&deployment);
+    let settings = deployment.settings.clone();
     let seed = deployment.seed.unwrap_or(1);
-    let engine = Engine::new(Clock::start(), seed, settings.report_interval_ms);
+    let engine = ControllerThread::new(Clock::start(), seed, settings.report_interval_ms);
     let owner: Arc<dyn ControllerHandle> = Arc::new(engine.clone());
-    let shape = ServiceConfig::from_settings(&settings, deployment.connect_ms);
+    let shape = ServiceConfig::from_settings(&settings, deployment.connect_timeout_ms);
     let front = XdsService::new(shape, owner.clone(), 1);
     let server =
         Server::start(listen, Limits::default(), front.clone()).map_err(|e| e.to_string())?;
     let started_at = Instant::now();
     if in_module {
         let mut planner_faults = PlannerFaults::new(fault, settings.classes.len());
-        engine.spoiled_by(Box::new(move |now, orders| {
+        engine.inject_faults(Box::new(move |now, orders| {
             planner_faults.apply(now, orders)
         }));
     }
@@ -98,8 +98,12 @@
         }
         None
     });
-    let mut watch = Watch::new(&deployment.roster, &deployment.roster_form, &settings.zones);
-    let Look::New(entries) = watch.look() else {
+    let mut watch = RosterWatcher::new(
+        &deployment.roster_path,
+        &deployment.roster_format,
+        &settings.zones,
+    );
+    let PollResult::Changed(entries) = watch.poll() else {
         return Err("no roster".into());
     };
     let first = vec![Input::Roster(entries)];
@@ -108,7 +112,7 @@
     std::fs::write(address_file, server.address().to_string()).map_err(|e| e.to_string())?;
     loop {
         std::thread::sleep(Duration::from_millis(50));
-        if let Look::New(mut entries) = watch.look() {
+        if let PollResult::Changed(mut entries) = watch.poll() {
             if fault == ControllerFault::OverloadsColdServers {
                 entries.iter_mut().for_each(|e| e.started = None);
                 // Long enough that every proxy must know of the start.
--- a/crates/standins/src/real_proxy.rs
+++ b/crates/standins/src/real_proxy.rs
@@ -4,7 +4,7 @@
 
 use crate::run_state::lock;
 use crate::scripted_proxy::{NoServerTimer, ProxyContext, ProxyFault, TestProxy, draw_class};
-use dahliapoint_daemon::deployment::Repeat;
+use dahliapoint_daemon::deployment;
 use dahliapoint_fibers::{TcpStream, dial, shutdown_at, sleep, spawn};
 use dahliapoint_proxy::data_plane::DataPlane;
 use dahliapoint_proxy::environment::{Environment, TableMessage};
@@ -82,9 +82,9 @@
             name: c.name.clone(),
             hard_limit_ms: c.hard_ms,
             idempotency: match repeat {
-                Repeat::Safe => Idempotency::Safe,
-                Repeat::Keyed => Idempotency::Keyed,
-                Repeat::Never => Idempotency::Never,
+                deployment::Idempotency::Safe => Idempotency::Safe,
+                deployment::Idempotency::Keyed => Idempotency::Keyed,
+                deployment::Idempotency::Never => Idempotency::Never,
             },
         });
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
--- a/crates/standins/src/runner.rs
+++ b/crates/standins/src/runner.rs
@@ -349,7 +349,7 @@
     process: &mut ControllerProcess,
     folder: &Path,
 ) -> Result<Value, String> {
-    let settings = &scenario.deployment.terms;
+    let settings = &scenario.deployment.settings;
     let limits = RuleLimits {
         max_no_server_ms: scenario.max_no_server_ms,
         drain_grace_ms: settings.drain_grace_ms,
@@ -358,7 +358,7 @@
         message_window_ms: settings.message_window_ms,
     };
     let checker = RuleChecker::new(limits, scenario.classes.len());
-    let roster_lag_ms = scenario.deployment.roster_every_ms + ROSTER_READ_MARGIN_MS;
+    let roster_lag_ms = scenario.deployment.roster_poll_interval_ms + ROSTER_READ_MARGIN_MS;
     let run_state = RunState::new(
         settings.zones.clone(),
         scenario.servers,
@@ -393,7 +393,7 @@
         servers.push(started.map_err(|e| format!("a server cannot be started: {e}"))?);
     }
     // The deployment as given, with its roster in the folder of the run.
-    let name = scenario.deployment.roster.file_name().unwrap_or_default();
+    let name = scenario.deployment.roster_path.file_name().unwrap_or_default();
     let roster = RosterFile {
         path: folder.join(name),
         run_state: run_state.clone(),
@@ -419,7 +419,7 @@
         run_state: run_state.clone(),
         service: settings.service.clone(),
         classes: scenario.classes.clone(),
-        repeat_policies: scenario.deployment.repeats.clone(),
+        repeat_policies: scenario.deployment.idempotency.clone(),
         balancing: scenario.balancing,
         by_address: by_address.collect(),
         servers,
@@ -429,7 +429,7 @@
         ejection_ms: scenario.ejection_ms,
         apply_us_per_line: scenario.apply_us_per_line,
         initial_server_count: settings.initial_servers as usize,
-        connect_ms: scenario.deployment.connect_ms,
+        connect_ms: scenario.deployment.connect_timeout_ms,
         idle_ms: settings.idle_timeout_ms,
         message_lines: settings.message_overhead_lines,
         roster_lag_ms,
@@ -561,7 +561,7 @@
 
     /// Checks rule 1 at every proxy, and whether all are bound again after a kill.
     fn check_proxies(&mut self, now: f64) {
-        let warm_up_ms = self.scenario.deployment.terms.warm_up_ms;
+        let warm_up_ms = self.scenario.deployment.settings.warm_up_ms;
         let listed = lock(&self.run_state.listed).clone();
         let is_warm_ready = self.context.servers.iter().any(|server| {
             let entry = &listed[server.index];
@@ -798,7 +798,7 @@
 
     /// Divides the rate of the channel by a factor.
     fn slow_channel(&self, factor: f64) {
-        let lines_per_s = self.scenario.deployment.terms.lines_per_s;
+        let lines_per_s = self.scenario.deployment.settings.lines_per_s;
         *lock(&self.context.channel.lines_per_s) = lines_per_s / factor;
     }
 
--- a/crates/standins/src/scenario.rs
+++ b/crates/standins/src/scenario.rs
@@ -1,6 +1,6 @@
 //! A scenario (a "bad day"): a YAML file with a deployment, a workload and a list of faults.
 
-use dahliapoint_daemon::deployment::{self, Deployment, Repeat};
+use dahliapoint_daemon::deployment::{self, Deployment, Idempotency};
 use dahliapoint_proxy::load_balancing::BalancingPolicy;
 use dahliapoint_yaml::{FieldReader, read};
 use std::path::{Path, PathBuf};
@@ -203,7 +203,7 @@
     let apply_us_per_line = proxies.field("apply").duration_ms(0.0..=1000.0, Some(0.04)) * 1e3;
     proxies.deny_unknown_fields();
     let (work, shares) = (at.field("work"), at.field("shares"));
-    let settings = &deployment.terms;
+    let settings = &deployment.settings;
     let classes = settings
         .classes
         .iter()
@@ -217,7 +217,7 @@
             soft_ms: c.soft_limit_ms,
             hard_ms: deployment.hard_limits_ms[i],
             earnings: c.earnings,
-            non_idempotent: deployment.repeats[i] == Repeat::Never,
+            non_idempotent: deployment.idempotency[i] == Idempotency::Never,
         });
     let classes: Vec<ClassWorkload> = classes.collect();
     work.deny_unknown_fields();
--- a/crates/standins/src/scripted_proxy.rs
+++ b/crates/standins/src/scripted_proxy.rs
@@ -6,7 +6,7 @@
 use crate::rule_checker::RuleChecker;
 use crate::run_state::{RunState, lock};
 use crate::test_server::TestServer;
-use dahliapoint_daemon::deployment::Repeat;
+use dahliapoint_daemon::deployment::Idempotency;
 use dahliapoint_fibers::{Queue, Received, TcpStream, dial, shutdown_at, sleep, spawn};
 use dahliapoint_grpc::{Connection, Inbound, Limits, Outbound, Status};
 use dahliapoint_proxy::load_balancing::BalancingPolicy;
@@ -105,7 +105,7 @@
     pub run_state: Arc<RunState>,
     pub service: String,
     pub classes: Vec<ClassWorkload>,
-    pub repeat_policies: Vec<Repeat>,
+    pub repeat_policies: Vec<Idempotency>,
     pub balancing: BalancingPolicy,
     pub servers: Vec<Arc<TestServer>>,
     /// Indices of servers.
