--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -385,7 +385,7 @@
                 }
             }
             match check && !unformatted.is_empty() {
-                true => Err((1, format!("not formatted: {}", unformatted.join(", ")))),
+                true => Err((1, format!("not in their form: {}", unformatted.join(", ")))),
                 false => Ok(()),
             }
         }
@@ -409,7 +409,7 @@
             }
             match failed {
                 0 => Ok(()),
-                n => Err((1, format!("{n} results differ from what is wanted"))),
+                n => Err((1, format!("{n} steps came out otherwise than wanted"))),
             }
         }
     }
--- a/crates/daemon/src/controller_thread.rs
+++ b/crates/daemon/src/controller_thread.rs
@@ -468,7 +468,7 @@
             warn!(
                 every_ms = every,
                 lines = new_lines,
-                "the reporting interval of the proxies changes"
+                "proxies are told to report at another interval"
             );
             self.report_interval_ms
                 .store(every.to_bits(), Ordering::SeqCst);
@@ -660,7 +660,7 @@
         let now = self.clock.now_ms();
         lock(&self.report_queue)
             .push(now, &reporter, report.window_ms, lines, arrivals)
-            .map_err(|why| format!("load report refused: {why}"))
+            .map_err(|why| format!("a report that is not taken: {why}"))
     }
 
     fn report_interval_ms(&self) -> f64 {
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -140,7 +140,7 @@
         let front = XdsService::new(shape, shared.clone(), 1);
         let ping_timeout = Duration::from_secs_f64(deployment.ping_timeout_ms / 1e3);
         let limits = Limits {
-            peer_timeout: patience: ping_timeout,
+            peer_timeout: ping_timeout,
             keepalive_interval: ping_timeout / 2,
             ..Limits::default()
         };
@@ -168,8 +168,12 @@
                     interval_ms: f.reach.write_interval_ms,
                     valid_ms: f.valid_ms,
                 };
-                let started =
-                    files::FileTransport::start(paths, shared.clone(), FIRST_FILE_SESSION, &settings);
+                let started = files::FileTransport::start(
+                    paths,
+                    shared.clone(),
+                    FIRST_FILE_SESSION,
+                    &settings,
+                );
                 let started = started.map_err(|e| format!("{}: {e}", f.dir.display()))?;
                 let view_source = started.0.clone();
                 controller.add_status_view("files", Box::new(move || view_source.status()));
@@ -185,10 +189,12 @@
                     prober.send(server, &address);
                     None
                 }
-                other => front.handle_output(other).and_then(|rest| match &file_front {
-                    Some(file_front) => file_front.handle_output(rest),
-                    None => Some(rest),
-                }),
+                other => front
+                    .handle_output(other)
+                    .and_then(|rest| match &file_front {
+                        Some(file_front) => file_front.handle_output(rest),
+                        None => Some(rest),
+                    }),
             })
         };
         let servers = entries.len();
@@ -343,7 +349,7 @@
     let timeout = Duration::from_secs_f64(deployment.peers_timeout_ms / 1e3);
     let service = &deployment.settings.service;
     let Some(learned) = client::query_all(&deployment.peers, service, clock::now, timeout) else {
-        warn!("no peer answered: starting with what memory has");
+        warn!("no peer told anything: this starts on what it has itself");
         return stored;
     };
     let (facts, counted) = merge_facts(
@@ -355,7 +361,7 @@
     info!(
         ?counted,
         whole = learned.complete,
-        "facts of peers are merged with those in memory"
+        "what peers know is weighed against what was kept"
     );
     facts
 }
--- a/crates/daemon/src/deployment.rs
+++ b/crates/daemon/src/deployment.rs
@@ -450,7 +450,7 @@
     let poll_interval_ms = every.duration_ms(10.0..=600_000.0, Some(200.0));
     let read = at.field("read_every");
     let reach = DrainTiming {
-        write_interval_ms: every_ms: poll_interval_ms,
+        write_interval_ms: poll_interval_ms,
         read_interval_ms: read.duration_ms(10.0..=600_000.0, Some(500.0)),
         drain_grace_ms: grace_ms,
     };
@@ -499,7 +499,8 @@
     for item in at.list() {
         let name = item.field("name").string(None);
         if !seen.insert(name.clone()) {
-            item.field("name").add_fault(format!("{name:?} is named twice"));
+            item.field("name")
+                .add_fault(format!("{name:?} is named twice"));
         }
         let soft = item.field("soft_limit").duration_ms(1.0..=3.6e6, None);
         let choices = [
--- a/crates/daemon/src/dns.rs
+++ b/crates/daemon/src/dns.rs
@@ -215,7 +215,7 @@
         if let Answer::Failed(why) = &answer
             && state.refresh.last_error.as_ref() != Some(why)
         {
-            warn!(target: "dns", "{}: {why}; the last answer stays in force", self.settings.name);
+            warn!(target: "dns", "{}: {why}; what stood stands", self.settings.name);
         }
         let now = self.now_ms();
         if !state.refresh.handle_answer(now, &answer) {
@@ -240,7 +240,7 @@
             "targets": targets.len(),
             "worth": match worth {
                 Freshness::Fresh => "fresh",
-                Freshness::Stale => "stale: lookups fail, the last answer stays in force",
+                Freshness::Stale => "stale: lookups fail, what stood stands",
                 Freshness::NeverAnswered => "it has never answered",
             },
             "added": state.added,
--- a/crates/daemon/src/guard_explain.rs
+++ b/crates/daemon/src/guard_explain.rs
@@ -79,7 +79,7 @@
         out.push_str("nothing is dangerous about it\n");
         return (out, true);
     }
-    out.push_str("published in its place:\n");
+    out.push_str("in its place leaves:\n");
     let step = guard.next_step(0, &next);
     for (server, weight) in &step.weights {
         let _ = writeln!(out, "  {}: {weight:.4}", names[*server]);
--- a/crates/daemon/src/hook_runner.rs
+++ b/crates/daemon/src/hook_runner.rs
@@ -631,7 +631,7 @@
                 self.send_roster(state);
             }
             Err(why) => {
-                warn!(target: "hooks", "hook files refused, version {} stays in force:\n{why}", state.host.version);
+                warn!(target: "hooks", "refused, version {} stays in force:\n{why}", state.host.version);
                 state.fault = Some(why);
             }
         }
--- a/crates/daemon/src/memory.rs
+++ b/crates/daemon/src/memory.rs
@@ -47,7 +47,7 @@
     let now = clock::now();
     let age = |at| match now.since(at) {
         Some(ms) => format!("{:.0} s ago", ms / 1e3),
-        None => "unknown".to_string(),
+        None => "nobody knows when".to_string(),
     };
     let mut out = format!("alive {}\n", age(&facts.alive));
     for f in facts.servers.values() {
--- a/crates/daemon/src/status.rs
+++ b/crates/daemon/src/status.rs
@@ -24,7 +24,8 @@
     };
     let link = Connection::connect(at, limits)?;
     let request = ClientStatusRequest::default();
-    let response: ClientStatusResponse = link.unary_call(FETCH, &request, Duration::from_secs(10))?;
+    let response: ClientStatusResponse =
+        link.unary_call(FETCH, &request, Duration::from_secs(10))?;
     Ok(parse_client_status(&response))
 }
 
@@ -69,10 +70,7 @@
     };
     let _ = writeln!(out, "service {}", text(&overview["service"]));
     if let Some(fault) = overview["roster_fault"].as_str() {
-        let _ = writeln!(
-            out,
-            "ROSTER REFUSED, the last valid one stays in force: {fault}"
-        );
+        let _ = writeln!(out, "ROSTER REFUSED, the last good one stands: {fault}");
     }
     let list = |v: &Value| v.as_array().cloned().unwrap_or_default();
     let _ = writeln!(
@@ -87,7 +85,7 @@
             notes.push("withdrawn");
         }
         if estimate["stale"] == json!(true) {
-            notes.push("its self-reported load does not match measurements");
+            notes.push("its own word is doubtful");
         }
         let note = notes.join(", ");
         let _ = writeln!(
--- a/crates/standins/src/runner.rs
+++ b/crates/standins/src/runner.rs
@@ -393,7 +393,11 @@
         servers.push(started.map_err(|e| format!("a server cannot be started: {e}"))?);
     }
     // The deployment as given, with its roster in the folder of the run.
-    let name = scenario.deployment.roster_path.file_name().unwrap_or_default();
+    let name = scenario
+        .deployment
+        .roster_path
+        .file_name()
+        .unwrap_or_default();
     let roster = RosterFile {
         path: folder.join(name),
         run_state: run_state.clone(),
